--- a/gateway/ranges/allocator_test.go
+++ b/gateway/ranges/allocator_test.go
@@ -29,14 +29,14 @@
 
 // The servers register one after the other; the one that is first must not get
 // every key.
-func TestRangesAreCutOnceTheRegisterHasSettled(t *testing.T) {
+func TestRangesAreCreatedOnceTheRegistryHasSettled(t *testing.T) {
 	g := gomega.NewWithT(t)
-	k := NewAllocator(&Table{}, DefaultTiming(), 0, allocatorStart)
+	alloc := NewAllocator(&Table{}, DefaultTiming(), 0, allocatorStart)
 	growing := keyedSite(site.Server{ID: "a", Slots: 4})
 	growing.Settled = false
-	g.Expect(k.Plan(growing, 1, allocatorStart)).To(gomega.BeNil())
+	g.Expect(alloc.Plan(growing, 1, allocatorStart)).To(gomega.BeNil())
 
-	change := k.Plan(keyedSite(site.Server{ID: "a", Slots: 4}, site.Server{ID: "b", Slots: 8}), 1, allocatorStart)
+	change := alloc.Plan(keyedSite(site.Server{ID: "a", Slots: 4}, site.Server{ID: "b", Slots: 8}), 1, allocatorStart)
 	g.Expect(change.Table.Services[worldService]).To(gomega.HaveLen(2))
 	first, _ := change.Table.Owner(worldService, 0)
 	g.Expect(first.Server).To(gomega.Equal(site.ServerID("a")))
@@ -45,61 +45,61 @@
 
 // Holds are as long while the store does not answer: with longer ones the keys of an owner
 // that is lost after an outage have none for as long.
-func TestHoldsLastAsLongUntilTheRightEnds(t *testing.T) {
+func TestHoldIsConstantUntilTheGrantPeriodEnds(t *testing.T) {
 	timing := DefaultTiming()
-	k := NewAllocator(&Table{}, timing, 0, allocatorStart)
+	alloc := NewAllocator(&Table{}, timing, 0, allocatorStart)
 	for _, c := range []struct{ after, want time.Duration }{
 		{0, timing.Hold},
 		{time.Second, timing.Hold},
-		{timing.Right - time.Millisecond, timing.Hold},
-		{timing.Right, 0},
+		{timing.GrantPeriod - time.Millisecond, timing.Hold},
+		{timing.GrantPeriod, 0},
 	} {
-		hold := k.hold(Lease{ConfirmedAt: allocatorStart}, allocatorStart.Add(c.after))
+		hold := alloc.hold(Lease{ConfirmedAt: allocatorStart}, allocatorStart.Add(c.after))
 		gomega.NewWithT(t).Expect(hold).To(gomega.Equal(c.want), "%v after", c.after)
 	}
 }
 
-// owned returns a lessor whose server a has been lost after it owned all keys.
-func owned(t *testing.T) (*Allocator, Site) {
+// ownedRange returns a lessor whose server a has been lost after it owned all keys.
+func ownedRange(t *testing.T) (*Allocator, Site) {
 	t.Helper()
-	return ownedAfter(DefaultTiming().FormerHold())
+	return ownedRangeAfter(DefaultTiming().FormerHold())
 }
 
-// ownedAfter is owned with a time for which grants of the former lessor may be in force.
-func ownedAfter(formerHold time.Duration) (*Allocator, Site) {
+// ownedRangeAfter is owned with a time for which grants of the former lessor may be in force.
+func ownedRangeAfter(formerHold time.Duration) (*Allocator, Site) {
 	table := &Table{Services: map[site.ServiceName][]Assignment{worldService: {{Span: Span{To: LastKey}, Server: "a", Fence: 1}}}}
 	s := keyedSite(site.Server{ID: "a", Slots: 4, Address: "x"}, site.Server{ID: "b", Slots: 4, Address: "y"})
 	return NewAllocator(table, DefaultTiming(), formerHold, allocatorStart), s
 }
 
-// restartable is owned with servers that tell their starts.
-func restartable(t *testing.T) (*Allocator, Site) {
+// ownedByRestartable is owned with servers that tell their starts.
+func ownedByRestartable(t *testing.T) (*Allocator, Site) {
 	t.Helper()
-	table := &Table{Services: map[site.ServiceName][]Assignment{worldService: {{Span: Span{To: LastKey}, Server: run("a", 1), Fence: 1}}}}
-	s := keyedSite(site.Server{ID: run("a", 1), Slots: 4, Address: "x"}, site.Server{ID: run("b", 1), Slots: 4, Address: "y"})
+	table := &Table{Services: map[site.ServiceName][]Assignment{worldService: {{Span: Span{To: LastKey}, Server: incarnation("a", 1), Fence: 1}}}}
+	s := keyedSite(site.Server{ID: incarnation("a", 1), Slots: 4, Address: "x"}, site.Server{ID: incarnation("b", 1), Slots: 4, Address: "y"})
 	return NewAllocator(table, DefaultTiming(), DefaultTiming().FormerHold(), allocatorStart), s
 }
 
-func TestAVanishedOwnerKeepsItsRangesUntilItsHoldsHaveRunOut(t *testing.T) {
+func TestAnUnregisteredOwnerKeepsItsRangesUntilItsHoldsExpire(t *testing.T) {
 	g := gomega.NewWithT(t)
-	k, s := owned(t)
+	alloc, s := ownedRange(t)
 	delete(s.Servers, "a")
 	end := allocatorStart.Add(DefaultTiming().FormerHold())
-	g.Expect(k.Plan(s, 2, end.Add(-time.Millisecond))).To(gomega.BeNil())
-	change := k.Plan(s, 2, end)
+	g.Expect(alloc.Plan(s, 2, end.Add(-time.Millisecond))).To(gomega.BeNil())
+	change := alloc.Plan(s, 2, end)
 	g.Expect(change).NotTo(gomega.BeNil())
 	owner, _ := change.Table.Owner(worldService, 7)
 	g.Expect(owner.Server).To(gomega.Equal(site.ServerID("b")))
 	g.Expect(owner.Fence).To(gomega.Equal(Fence(2)))
 }
 
-func TestAnOwnerWhoseAddressAnotherServerHasIsGone(t *testing.T) {
+func TestAnOwnerWhoseAddressAnotherServerHasLosesItsRanges(t *testing.T) {
 	g := gomega.NewWithT(t)
-	k, s := owned(t)
+	alloc, s := ownedRange(t)
 	delete(s.Servers, "a")
 	s.Services["other"] = site.Service{Name: "other"}
 	s.Servers["c"] = site.Server{ID: "c", Service: "other", Address: "x"}
-	change := k.Plan(s, 2, allocatorStart)
+	change := alloc.Plan(s, 2, allocatorStart)
 	g.Expect(change).NotTo(gomega.BeNil())
 	owner, _ := change.Table.Owner(worldService, 7)
 	g.Expect(owner.Server).To(gomega.Equal(site.ServerID("b")))
@@ -107,92 +107,92 @@
 
 func TestARangeIsReleasedOnlyUnderAFenceWhoseGrantsWereAnswered(t *testing.T) {
 	g := gomega.NewWithT(t)
-	k, s := owned(t)
+	alloc, s := ownedRange(t)
 	lease := Lease{ConfirmedAt: allocatorStart}
-	call := k.Calls(s.Servers, lease, allocatorStart)[0]
-	k.Done(call, Result{Failed: true}, allocatorStart)
-	call = k.Calls(s.Servers, lease, allocatorStart)[0]
-	k.Done(call, Result{}, allocatorStart)
+	call := alloc.Calls(s.Servers, lease, allocatorStart)[0]
+	alloc.Done(call, Result{Failed: true}, allocatorStart)
+	call = alloc.Calls(s.Servers, lease, allocatorStart)[0]
+	alloc.Done(call, Result{}, allocatorStart)
 
 	leaving := s.Servers["a"]
 	leaving.Draining = true
 	s.Servers["a"] = leaving
-	change := k.Plan(s, 2, allocatorStart)
+	change := alloc.Plan(s, 2, allocatorStart)
 	owner, _ := change.Table.Owner(worldService, 7)
 	g.Expect(owner.Server).To(gomega.Equal(site.ServerID("a")), "first a higher fence")
 	g.Expect(owner.Fence).To(gomega.Equal(Fence(2)))
-	k.Appended(change)
-	call = k.Calls(s.Servers, lease, allocatorStart)[0]
+	alloc.Appended(change)
+	call = alloc.Calls(s.Servers, lease, allocatorStart)[0]
 	g.Expect(call.Release).To(gomega.BeFalse())
-	k.Done(call, Result{}, allocatorStart)
-	g.Expect(k.Plan(s, 3, allocatorStart)).To(gomega.BeNil())
-	g.Expect(k.Calls(s.Servers, lease, allocatorStart)).To(gomega.BeEmpty(), "nodes hear first that it moves")
-	call = k.Calls(s.Servers, lease, allocatorStart.Add(releaseNotice))[0]
+	alloc.Done(call, Result{}, allocatorStart)
+	g.Expect(alloc.Plan(s, 3, allocatorStart)).To(gomega.BeNil())
+	g.Expect(alloc.Calls(s.Servers, lease, allocatorStart)).To(gomega.BeEmpty(), "nodes hear first that it moves")
+	call = alloc.Calls(s.Servers, lease, allocatorStart.Add(releaseNotice))[0]
 	g.Expect(call.Release).To(gomega.BeTrue())
-	k.Done(call, Result{Handover: "h"}, allocatorStart)
-	change = k.Plan(s, 3, allocatorStart)
+	alloc.Done(call, Result{Handover: "h"}, allocatorStart)
+	change = alloc.Plan(s, 3, allocatorStart)
 	owner, _ = change.Table.Owner(worldService, 7)
 	g.Expect(owner).To(gomega.Equal(Assignment{Span: Span{To: LastKey}, Server: "b", Fence: 3, Handover: "h"}))
 }
 
 // A server that tells its start may start again under its name, and forgets the fence
 // that shut an earlier grant out.
-func TestARangeOfAServerThatMayStartAgainWaitsForGrantsWithoutAnAnswer(t *testing.T) {
+func TestARangeOfARestartableServerWaitsForUnansweredGrants(t *testing.T) {
 	g := gomega.NewWithT(t)
-	k, s := restartable(t)
+	alloc, s := ownedByRestartable(t)
 	lease := Lease{ConfirmedAt: allocatorStart}
-	call := k.Calls(s.Servers, lease, allocatorStart)[0]
-	k.Done(call, Result{Failed: true}, allocatorStart)
-	call = k.Calls(s.Servers, lease, allocatorStart)[0]
-	k.Done(call, Result{}, allocatorStart)
+	call := alloc.Calls(s.Servers, lease, allocatorStart)[0]
+	alloc.Done(call, Result{Failed: true}, allocatorStart)
+	call = alloc.Calls(s.Servers, lease, allocatorStart)[0]
+	alloc.Done(call, Result{}, allocatorStart)
 
-	leaving := s.Servers[run("a", 1)]
+	leaving := s.Servers[incarnation("a", 1)]
 	leaving.Draining = true
-	s.Servers[run("a", 1)] = leaving
-	change := k.Plan(s, 2, allocatorStart)
+	s.Servers[incarnation("a", 1)] = leaving
+	change := alloc.Plan(s, 2, allocatorStart)
 	owner, _ := change.Table.Owner(worldService, 7)
-	g.Expect(owner.Server).To(gomega.Equal(run("a", 1)), "first a higher fence")
+	g.Expect(owner.Server).To(gomega.Equal(incarnation("a", 1)), "first a higher fence")
 	g.Expect(owner.Fence).To(gomega.Equal(Fence(2)))
-	k.Appended(change)
-	call = k.Calls(s.Servers, lease, allocatorStart)[0]
+	alloc.Appended(change)
+	call = alloc.Calls(s.Servers, lease, allocatorStart)[0]
 	g.Expect(call.Release).To(gomega.BeFalse())
-	k.Done(call, Result{}, allocatorStart)
-	g.Expect(k.Plan(s, 3, allocatorStart)).To(gomega.BeNil())
-	g.Expect(k.Calls(s.Servers, lease, allocatorStart)).To(gomega.BeEmpty(), "grants without an answer, the former lessor's too, may reach the owner's next run")
+	alloc.Done(call, Result{}, allocatorStart)
+	g.Expect(alloc.Plan(s, 3, allocatorStart)).To(gomega.BeNil())
+	g.Expect(alloc.Calls(s.Servers, lease, allocatorStart)).To(gomega.BeEmpty(), "grants without an answer, the former lessor's too, may reach the owner's next run")
 	end := allocatorStart.Add(DefaultTiming().FormerHold())
-	g.Expect(k.Plan(s, 3, end)).To(gomega.BeNil())
-	call = k.Calls(s.Servers, Lease{ConfirmedAt: end}, end.Add(releaseNotice))[0]
+	g.Expect(alloc.Plan(s, 3, end)).To(gomega.BeNil())
+	call = alloc.Calls(s.Servers, Lease{ConfirmedAt: end}, end.Add(releaseNotice))[0]
 	g.Expect(call.Release).To(gomega.BeTrue())
-	k.Done(call, Result{Handover: "h"}, end)
-	change = k.Plan(s, 3, end)
+	alloc.Done(call, Result{Handover: "h"}, end)
+	change = alloc.Plan(s, 3, end)
 	owner, _ = change.Table.Owner(worldService, 7)
-	g.Expect(owner).To(gomega.Equal(Assignment{Span: Span{To: LastKey}, Server: run("b", 1), Fence: 3, Handover: "h"}))
+	g.Expect(owner).To(gomega.Equal(Assignment{Span: Span{To: LastKey}, Server: incarnation("b", 1), Fence: 3, Handover: "h"}))
 }
 
 // The former lessor's right counts from its last record, which a node that claims
 // has seen a while ago.
-func TestAClaimCountsTheTimeWithoutRecords(t *testing.T) {
+func TestAClaimDeductsTheTimeWithoutRecords(t *testing.T) {
 	g := gomega.NewWithT(t)
 	timing := DefaultTiming()
 	g.Expect(timing.FormerHoldAfter(0)).To(gomega.Equal(timing.FormerHold()))
-	g.Expect(timing.FormerHoldAfter(quietMargin)).To(gomega.Equal(timing.FormerHold()))
-	g.Expect(timing.FormerHoldAfter(quietMargin + time.Second)).To(gomega.Equal(timing.FormerHold() - time.Second))
+	g.Expect(timing.FormerHoldAfter(idleMargin)).To(gomega.Equal(timing.FormerHold()))
+	g.Expect(timing.FormerHoldAfter(idleMargin + time.Second)).To(gomega.Equal(timing.FormerHold() - time.Second))
 	g.Expect(timing.FormerHoldAfter(time.Minute)).To(gomega.BeZero())
 }
 
 // Whatever the former lessor granted after it was last seen to confirm its lease has
 // run out by then.
-func TestNoHoldOfAFormerLessorIsForgotten(t *testing.T) {
+func TestAllGrantsOfThePreviousLessorAreWaitedFor(t *testing.T) {
 	timing := DefaultTiming()
-	k := NewAllocator(&Table{}, timing, 0, allocatorStart)
-	for sent := time.Duration(0); sent < timing.Right; sent += 50 * time.Millisecond {
-		hold := k.hold(Lease{ConfirmedAt: allocatorStart}, allocatorStart.Add(sent))
+	alloc := NewAllocator(&Table{}, timing, 0, allocatorStart)
+	for sent := time.Duration(0); sent < timing.GrantPeriod; sent += 50 * time.Millisecond {
+		hold := alloc.hold(Lease{ConfirmedAt: allocatorStart}, allocatorStart.Add(sent))
 		for _, quiet := range []time.Duration{0, time.Second, 3 * time.Second} {
 			end := quiet + timing.FormerHoldAfter(quiet)
 			if quiet == 0 {
-				end += quietMargin // such a claim is of a node that has just started
+				end += idleMargin // such a claim is of a node that has just started
 			}
-			gomega.NewWithT(t).Expect(sent+timing.lapse(hold)).To(gomega.BeNumerically("<=", end), "sent %v, quiet %v", sent, quiet)
+			gomega.NewWithT(t).Expect(sent+timing.maxTimeInForce(hold)).To(gomega.BeNumerically("<=", end), "sent %v, quiet %v", sent, quiet)
 		}
 	}
 }
--- a/gateway/ranges/balance.go
+++ b/gateway/ranges/balance.go
@@ -19,46 +19,46 @@
 //   - Otherwise the busiest server gives the fewest keys that carry enough of its load
 //     to the idlest one.
 const (
-	// balanceEvery is the least time between two rounds: nodes report their counts
+	// balanceInterval is the least time between two rounds: nodes report their counts
 	// as often.
-	balanceEvery = 500 * time.Millisecond
-	// chanceDeviations is how many standard deviations of both loads are left out of
+	balanceInterval = 500 * time.Millisecond
+	// noiseDeviations is how many standard deviations of both loads are left out of
 	// their difference: on a site of 300 servers that were used alike 20 ranges a
 	// second moved by chance, each of which is released, granted, and renewed.
-	chanceDeviations = 2
-	// movesPerRound bounds the moves by which loads are evened out in a round.
-	movesPerRound = 6
-	// leastGap is the difference of utilisation below which nothing is moved:
+	noiseDeviations = 2
+	// maxEvenMoves bounds the moves by which loads are evened out in a round.
+	maxEvenMoves = 6
+	// minGap is the difference of utilisation below which nothing is moved:
 	// queues at one server are short up to about three quarters.
-	leastGap = 0.15
+	minGap = 0.15
 	// idleGap is the same for servers that are less than busyFrom used: their
 	// queues are short anyway, and every move leaves a piece to renew.
 	// A server without any range gets one whatever the gap.
-	idleGap  = 0.35
-	busyFrom = 0.6
-	// restAfterMove keeps a range where it is until its load there is known.
-	restAfterMove = 1500 * time.Millisecond
-	// restOfBusy is the same for a range of a server that is used beyond what it can
+	idleGap         = 0.35
+	busyUtilization = 0.6
+	// moveCooldown keeps a range where it is until its load there is known.
+	moveCooldown = 1500 * time.Millisecond
+	// overloadMoveCooldown is the same for a range of a server that is used beyond what it can
 	// run: the quick load follows within that.
-	restOfBusy = 400 * time.Millisecond
+	overloadMoveCooldown = 400 * time.Millisecond
 	// releaseNotice is how long before its release a range that moves counts as moving:
 	// until nodes have heard, requests for it go to a server that holds it no longer, and
 	// each of those spends one of the retries of all nodes.
 	releaseNotice = 100 * time.Millisecond
-	// enoughShare and mostShare bound what a move carries, as shares of the load
+	// minShare and mostShare bound what a move carries, as shares of the load
 	// that would make both servers equal.
-	enoughShare = 0.5
-	mostShare   = 1.3
-	// mostRanges bounds the ranges of one server, each of which is renewed.
-	mostRanges = 8
+	minShare = 0.5
+	maxShare = 1.3
+	// maxServerRanges bounds the ranges of one server, each of which is renewed.
+	maxServerRanges = 8
 	// hotShare is the share of a server's load from which one key is taken as a
 	// whole, before others are moved.
 	hotShare = 0.35
-	// hotCount is how many requests for it must have come: one or two come by chance.
-	hotCount = 4
-	// crowded is the utilisation above which a server that has one busy key gives its
+	// minHotRequests is how many requests for it must have come: one or two come by chance.
+	minHotRequests = 4
+	// crowdedUtilization is the utilisation above which a server that has one busy key gives its
 	// other ranges away whole.
-	crowded = 0.75
+	crowdedUtilization = 0.75
 )
 
 // Move is a planned move of a range, for the log.
@@ -82,22 +82,22 @@
 }
 
 // balance starts the moves of a round.
-func (k *Allocator) balance(service site.ServiceName, s Site, servers []site.Server, now time.Time) {
-	if s.Load == nil || len(servers) < 2 || s.Load.services[service] == nil || now.Sub(s.Load.shedAt[service]) < shedEvery {
+func (alloc *Allocator) balance(service site.ServiceName, s Site, servers []site.Server, now time.Time) {
+	if s.Load == nil || len(servers) < 2 || s.Load.services[service] == nil || now.Sub(s.Load.shedAt[service]) < shedInterval {
 		return
 	}
 	s.Load.shedAt[service] = now
-	r := &round{allocator: k, service: service, loads: s.Load, now: now}
+	r := &round{allocator: alloc, service: service, loads: s.Load, now: now}
 	r.usages = r.measure(servers)
 	for _, from := range r.usages {
 		r.moveHotKey(from)
 	}
 	r.shed()
-	if now.Sub(s.Load.evenAt[service]) < balanceEvery {
+	if now.Sub(s.Load.evenedAt[service]) < balanceInterval {
 		return
 	}
-	s.Load.evenAt[service] = now
-	for r.moves < movesPerRound && r.even() {
+	s.Load.evenedAt[service] = now
+	for r.moves < maxEvenMoves && r.evenOut() {
 	}
 }
 
@@ -107,28 +107,28 @@
 	cut, rest := r.allocator.split(l, span)
 	from.leases = append(from.leases, rest...)
 	r.allocator.startRelease(cut, to.server.ID, r.now)
-	used := from.used
-	from.used -= rate * from.cost
-	to.used += rate * to.cost
+	utilization := from.utilization
+	from.utilization -= rate * from.cost
+	to.utilization += rate * to.cost
 	to.ranges++
 	r.moves++
-	r.allocator.moves = append(r.allocator.moves, Move{Service: r.service, From: from.server.ID, To: to.server.ID, Span: span, Rate: rate, Used: used, UsedTo: to.used})
+	r.allocator.moves = append(r.allocator.moves, Move{Service: r.service, From: from.server.ID, To: to.server.ID, Span: span, Rate: rate, Used: utilization, UsedTo: to.utilization})
 }
 
-// even moves load from the busiest server that can give some to the idlest one, and
+// evenOut moves load from the busiest server that can give some to the idlest one, and
 // reports whether it did.
-func (r *round) even() bool {
-	slices.SortStableFunc(r.usages, func(a, b *usage) int { return cmp.Compare(b.used, a.used) })
+func (r *round) evenOut() bool {
+	slices.SortStableFunc(r.usages, func(a, b *usage) int { return cmp.Compare(b.utilization, a.utilization) })
 	to := r.usages[len(r.usages)-1]
 	for _, from := range r.usages {
-		gap := from.used - to.used
-		sure := gap - chanceDeviations*(from.chance+to.chance)
-		isEven := sure < leastGap || sure < idleGap && from.used < busyFrom
-		if gap <= 0 || isEven && to.ranges > 0 || to.ranges >= mostRanges {
+		gap := from.utilization - to.utilization
+		significant := gap - noiseDeviations*(from.deviation+to.deviation)
+		isEven := significant < minGap || significant < idleGap && from.utilization < busyUtilization
+		if gap <= 0 || isEven && to.ranges > 0 || to.ranges >= maxServerRanges {
 			return false
 		}
-		l, span, rate, found := r.cut(from, gap/(from.cost+to.cost))
-		if !found && from.used > crowded {
+		l, span, rate, found := r.selectPart(from, gap/(from.cost+to.cost))
+		if !found && from.utilization > crowdedUtilization {
 			l, span, rate, found = r.wholeRange(from)
 		}
 		if found {
@@ -158,31 +158,31 @@
 // used with it, if that leaves both less used than the server is now.
 func (r *round) moveHotKey(from *usage) {
 	l, key, rate := r.hottest(from)
-	if l == nil || rate*from.cost < hotShare*from.used || !r.movable(l, from) || r.loads.counted(rate, r.surges(l)) < hotCount {
+	if l == nil || rate*from.cost < hotShare*from.utilization || !r.movable(l, from) || r.loads.counted(rate, r.isSurging(l)) < minHotRequests {
 		return
 	}
-	if to := r.leastUsedWith(from, rate); to != nil {
+	if to := r.leastUtilizedWith(from, rate); to != nil {
 		r.start(from, to, l, Span{From: key, To: key}, rate)
 	}
 }
 
-// leastUsedWith returns the server that would be least used with a rate of another one,
+// leastUtilizedWith returns the server that would be least used with a rate of another one,
 // or nil if that is not clearly less than the other one is used.
-func (r *round) leastUsedWith(from *usage, rate float64) *usage {
+func (r *round) leastUtilizedWith(from *usage, rate float64) *usage {
 	var best *usage
 	for _, u := range r.usages {
-		if u != from && (best == nil || u.used+rate*u.cost < best.used+rate*best.cost) {
+		if u != from && (best == nil || u.utilization+rate*u.cost < best.utilization+rate*best.cost) {
 			best = u
 		}
 	}
-	if best == nil || from.used-(best.used+rate*best.cost) < leastGap {
+	if best == nil || from.utilization-(best.utilization+rate*best.cost) < minGap {
 		return nil
 	}
 	return best
 }
 
-func (k *Allocator) leaseOf(service site.ServiceName, key Key) *lease {
-	leases := k.leases[service]
+func (alloc *Allocator) leaseOf(service site.ServiceName, key Key) *lease {
+	leases := alloc.leases[service]
 	i, found := slices.BinarySearchFunc(leases, key, func(l *lease, key Key) int { return l.Compare(key) })
 	if !found {
 		return nil
@@ -193,9 +193,9 @@
 // movable reports whether a range can be released now. One that is as busy as its owner
 // can be goes on sooner: what it carries was not known yet when it came.
 func (r *round) movable(l *lease, from *usage) bool {
-	rest := restAfterMove
-	if from.used > overUsed {
-		rest = restOfBusy
+	rest := moveCooldown
+	if from.utilization > overloadUtilization {
+		rest = overloadMoveCooldown
 	}
 	return l.canRelease(r.now) && r.now.Sub(l.movedAt) >= rest
 }
--- a/gateway/ranges/balance_test.go
+++ b/gateway/ranges/balance_test.go
@@ -11,51 +11,51 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// replayKeys plays load on keys against a lessor whose calls all succeed at once.
-type replayKeys struct {
-	allocator *Allocator
-	loads     *Loads
-	servers   map[site.ServerID]site.Server
-	paces     map[site.ServerID]time.Duration
-	now       time.Time
-	end       Fence
-	carried   map[Key]float64 // parts of requests that are still to come
-	moved     int             // keys
+// keyReplay plays load on keys against a lessor whose calls all succeed at once.
+type keyReplay struct {
+	allocator       *Allocator
+	loads           *Loads
+	servers         map[site.ServerID]site.Server
+	serviceTimes    map[site.ServerID]time.Duration
+	now             time.Time
+	end             Fence
+	pendingRequests map[Key]float64 // parts of requests that are still to come
+	movedKeys       int             // keys
 }
 
-func newReplayKeys(paces ...time.Duration) *replayKeys {
-	r := &replayKeys{loads: NewLoads(), carried: map[Key]float64{}, servers: map[site.ServerID]site.Server{}, paces: map[site.ServerID]time.Duration{}, now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), end: 1}
-	for i, pace := range paces {
+func newKeyReplay(serviceTimes ...time.Duration) *keyReplay {
+	r := &keyReplay{loads: NewLoads(), pendingRequests: map[Key]float64{}, servers: map[site.ServerID]site.Server{}, serviceTimes: map[site.ServerID]time.Duration{}, now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), end: 1}
+	for i, serviceTime := range serviceTimes {
 		id := site.ServerID(fmt.Sprintf("s%d", i))
 		r.servers[id] = site.Server{ID: id, Service: worldService, Slots: 4, Address: string(id)}
-		r.paces[id] = pace
+		r.serviceTimes[id] = serviceTime
 	}
 	r.allocator = NewAllocator(&Table{}, DefaultTiming(), 0, r.now)
 	return r
 }
 
 // play offers the load for a while. balanced false leaves the ranges alone.
-func (r *replayKeys) play(length time.Duration, rates map[Key]float64, balanced bool) {
+func (r *keyReplay) play(length time.Duration, rates map[Key]float64, balanced bool) {
 	for end := r.now.Add(length); r.now.Before(end); r.now = r.now.Add(worldStep) {
 		for key, rate := range rates {
-			if _, started := r.carried[key]; !started {
-				r.carried[key] = math.Mod(float64(key)*math.Phi, 1) // keys do not come together
+			if _, started := r.pendingRequests[key]; !started {
+				r.pendingRequests[key] = math.Mod(float64(key)*math.Phi, 1) // keys do not come together
 			}
-			r.carried[key] += rate * worldStep.Seconds()
-			if whole := int(r.carried[key]); whole > 0 {
+			r.pendingRequests[key] += rate * worldStep.Seconds()
+			if whole := int(r.pendingRequests[key]); whole > 0 {
 				r.loads.Count(worldService, key, whole)
-				r.carried[key] -= float64(whole)
+				r.pendingRequests[key] -= float64(whole)
 			}
 		}
 		r.loads.Decay(r.now)
-		for id, pace := range r.paces {
-			r.loads.Pace(id, pace)
+		for id, serviceTime := range r.serviceTimes {
+			r.loads.Pace(id, serviceTime)
 		}
 		r.step(balanced)
 	}
 }
 
-func (r *replayKeys) step(balanced bool) {
+func (r *keyReplay) step(balanced bool) {
 	s := Site{
 		Services: map[site.ServiceName]site.Service{worldService: {Name: worldService, Keyed: true}},
 		Servers:  r.servers,
@@ -70,23 +70,23 @@
 		r.allocator.Appended(change)
 	}
 	for _, move := range r.allocator.Moves() {
-		r.moved += move.Span.Keys()
+		r.movedKeys += move.Span.Keys()
 	}
 	for _, call := range r.allocator.Calls(r.servers, Lease{ConfirmedAt: r.now}, r.now) {
 		r.allocator.Done(call, Result{Handover: "h"}, r.now)
 	}
 }
 
-// used returns the greatest utilisation of a server.
-func (r *replayKeys) used(rates map[Key]float64) float64 {
-	used := map[site.ServerID]float64{}
-	most := 0.0
+// utilization returns the greatest utilisation of a server.
+func (r *keyReplay) utilization(rates map[Key]float64) float64 {
+	utilization := map[site.ServerID]float64{}
+	greatest := 0.0
 	for key, rate := range rates {
 		owner, _ := r.allocator.Table().Owner(worldService, key)
-		used[owner.Server] += rate * r.paces[owner.Server].Seconds() / 4
-		most = max(most, used[owner.Server])
+		utilization[owner.Server] += rate * r.serviceTimes[owner.Server].Seconds() / 4
+		greatest = max(greatest, utilization[owner.Server])
 	}
-	return most
+	return greatest
 }
 
 // spread returns rates that add up to a total, on keys all over.
@@ -108,15 +108,15 @@
 	g := gomega.NewWithT(t)
 	replays := map[bool]float64{}
 	for _, balanced := range []bool{true, false} {
-		r := newReplayKeys(slow, fast, slow, fast, slow)
+		r := newKeyReplay(slow, fast, slow, fast, slow)
 		rates := spreadLoad(20)
 		r.play(5*time.Second, rates, balanced)
 		rates[1] += 20
 		r.play(4*time.Second, rates, balanced)
-		replays[balanced] = r.used(rates)
+		replays[balanced] = r.utilization(rates)
 		owner, _ := r.allocator.Table().Owner(worldService, 1)
 		if balanced {
-			g.Expect(r.paces[owner.Server]).To(gomega.Equal(fast))
+			g.Expect(r.serviceTimes[owner.Server]).To(gomega.Equal(fast))
 		}
 	}
 	t.Logf("greatest utilisation: %.2f balanced, %.2f left alone", replays[true], replays[false])
@@ -130,14 +130,14 @@
 	replays := map[bool]float64{}
 	moved := 0
 	for _, balanced := range []bool{true, false} {
-		r := newReplayKeys(fast, fast, fast, fast, fast)
+		r := newKeyReplay(fast, fast, fast, fast, fast)
 		rates := spreadLoad(20)
 		for i := range 40 {
 			rates[Key(30000+i)] += 1.2
 		}
 		r.play(8*time.Second, rates, balanced)
-		replays[balanced] = r.used(rates)
-		moved += r.moved
+		replays[balanced] = r.utilization(rates)
+		moved += r.movedKeys
 	}
 	t.Logf("greatest utilisation: %.2f balanced, %.2f left alone; %d keys moved", replays[true], replays[false], moved)
 	g.Expect(replays[true]).To(gomega.BeNumerically("<", 0.75))
@@ -153,10 +153,10 @@
 
 func testJoin(t *testing.T, rates map[Key]float64) {
 	g := gomega.NewWithT(t)
-	r := newReplayKeys(fast, fast, fast)
+	r := newKeyReplay(fast, fast, fast)
 	r.play(4*time.Second, rates, true)
 	r.servers["new"] = site.Server{ID: "new", Service: worldService, Slots: 4, Address: "new"}
-	r.paces["new"] = fast
+	r.serviceTimes["new"] = fast
 	r.play(4*time.Second, rates, true)
 	owned := 0
 	for key := range rates {
@@ -168,9 +168,9 @@
 }
 
 // What busy keys leave behind is put together again once they are quiet.
-func TestPiecesAreMergedWhenTheKeysAreQuiet(t *testing.T) {
+func TestPiecesAreMergedWhenTheKeysAreIdle(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := newReplayKeys(fast, slow, fast, slow, fast)
+	r := newKeyReplay(fast, slow, fast, slow, fast)
 	for round := range 6 {
 		rates := spreadLoad(20)
 		for i := range 20 {
--- a/gateway/ranges/cluster_test.go
+++ b/gateway/ranges/busy_cluster_test.go
@@ -23,14 +23,14 @@
 
 // largeReplay plays random requests against a lessor.
 type largeReplay struct {
-	*replayKeys
+	*keyReplay
 	random  *rand.Rand
 	delayed []delayedCount
-	// asked and served count the requests for busy keys, and what their owners had
+	// offered and served count the requests for busy keys, and what their owners had
 	// room for.
-	asked, served float64
+	offered, served float64
 	// others is the same for all other requests.
-	othersAsked, othersServed float64
+	othersOffered, othersServed float64
 }
 
 type delayedCount struct {
@@ -40,16 +40,16 @@
 }
 
 func newLargeReplay(seed uint64) *largeReplay {
-	paces := []time.Duration{950 * time.Millisecond, 570 * time.Millisecond, 407 * time.Millisecond}
+	serviceTimes := []time.Duration{950 * time.Millisecond, 570 * time.Millisecond, 407 * time.Millisecond}
 	var all []time.Duration
 	for i := range largeServers {
-		all = append(all, paces[i%len(paces)])
+		all = append(all, serviceTimes[i%len(serviceTimes)])
 	}
-	r := &largeReplay{replayKeys: newReplayKeys(), random: rand.New(rand.NewPCG(seed, 1))}
-	for i, pace := range all {
+	r := &largeReplay{keyReplay: newKeyReplay(), random: rand.New(rand.NewPCG(seed, 1))}
+	for i, serviceTime := range all {
 		id := site.ServerID(fmt.Sprintf("s%03d", i))
 		r.servers[id] = site.Server{ID: id, Service: worldService, Slots: 4, Address: string(id)}
-		r.paces[id] = pace
+		r.serviceTimes[id] = serviceTime
 	}
 	return r
 }
@@ -58,15 +58,15 @@
 // ones.
 func (r *largeReplay) play(length time.Duration, busy map[Key]float64) {
 	for end := r.now.Add(length); r.now.Before(end); r.now = r.now.Add(worldStep) {
-		came := map[Key]int{}
+		arrivals := map[Key]int{}
 		for range poisson(r.random, largeRate*worldStep.Seconds()) {
-			came[Key(r.random.IntN(int(LastKey)+1))]++
+			arrivals[Key(r.random.IntN(int(LastKey)+1))]++
 		}
 		for _, key := range slices.Sorted(maps.Keys(busy)) {
-			came[key] += poisson(r.random, busy[key]*worldStep.Seconds())
+			arrivals[key] += poisson(r.random, busy[key]*worldStep.Seconds())
 		}
-		for _, key := range slices.Sorted(maps.Keys(came)) {
-			r.delayed = append(r.delayed, delayedCount{at: r.now.Add(reportDelay), key: key, requests: came[key]})
+		for _, key := range slices.Sorted(maps.Keys(arrivals)) {
+			r.delayed = append(r.delayed, delayedCount{at: r.now.Add(reportDelay), key: key, requests: arrivals[key]})
 		}
 		r.report()
 		r.measure(busy)
@@ -76,44 +76,44 @@
 
 // report tells the lessor what nodes saw a while ago.
 func (r *largeReplay) report() {
-	told := 0
+	counted := 0
 	for _, c := range r.delayed {
 		if c.at.After(r.now) {
 			break
 		}
 		r.loads.Count(worldService, c.key, c.requests)
-		told++
+		counted++
 	}
-	r.delayed = r.delayed[told:]
+	r.delayed = r.delayed[counted:]
 	r.loads.Decay(r.now)
-	for id, pace := range r.paces {
-		r.loads.Pace(id, pace)
+	for id, serviceTime := range r.serviceTimes {
+		r.loads.Pace(id, serviceTime)
 	}
 }
 
 // measure compares what is asked of each owner with what it has room for.
 func (r *largeReplay) measure(busy map[Key]float64) {
-	asked, ofBusy := map[site.ServerID]float64{}, map[site.ServerID]float64{}
+	offered, ofBusy := map[site.ServerID]float64{}, map[site.ServerID]float64{}
 	if len(r.allocator.leases[worldService]) == 0 {
 		return
 	}
 	for _, l := range r.allocator.leases[worldService] {
-		asked[l.Server] += largeRate * float64(l.Keys()) / float64(LastKey+1)
+		offered[l.Server] += largeRate * float64(l.Keys()) / float64(LastKey+1)
 	}
 	for key, rate := range busy {
 		l := r.allocator.leaseOf(worldService, key)
 		if l.phase != granting {
-			r.asked += rate // nobody serves it while it moves
+			r.offered += rate // nobody serves it while it moves
 			continue
 		}
-		asked[l.Server] += rate
+		offered[l.Server] += rate
 		ofBusy[l.Server] += rate
 	}
-	for id, rate := range asked {
-		share := min(1, 4/r.paces[id].Seconds()/rate)
-		r.asked += ofBusy[id]
+	for id, rate := range offered {
+		share := min(1, 4/r.serviceTimes[id].Seconds()/rate)
+		r.offered += ofBusy[id]
 		r.served += ofBusy[id] * share
-		r.othersAsked += rate - ofBusy[id]
+		r.othersOffered += rate - ofBusy[id]
 		r.othersServed += (rate - ofBusy[id]) * share
 	}
 }
@@ -141,7 +141,7 @@
 // halves, and moved a range only after a rest, needed longer than that.
 func TestABusyClusterIsSpreadWhileItLasts(t *testing.T) {
 	// Before that is known to the lessor and to nodes nothing can be done.
-	const news = reportDelay + shedEvery/2 + releaseNotice
+	const detectionDelay = reportDelay + shedInterval/2 + releaseNotice
 	for _, c := range []struct {
 		keys  int
 		total float64
@@ -150,17 +150,17 @@
 		{keys: 200, total: 400, last: 5 * time.Second},
 		{keys: 60, total: 400, last: 4 * time.Second},
 	} {
-		least := 5.0 / 6 * float64(c.last-news) / float64(c.last)
+		least := 5.0 / 6 * float64(c.last-detectionDelay) / float64(c.last)
 		t.Run(fmt.Sprintf("%d keys", c.keys), func(t *testing.T) {
 			for seed := range uint64(3) {
 				g := gomega.NewWithT(t)
 				r := newLargeReplay(seed)
 				r.play(6*time.Second, nil)
-				r.asked, r.served, r.othersAsked, r.othersServed = 0, 0, 0, 0
+				r.offered, r.served, r.othersOffered, r.othersServed = 0, 0, 0, 0
 				r.play(c.last, cluster(20_000, c.keys, c.total))
-				t.Logf("seed %d: room for %.3f of the requests for busy keys, %.3f of the others; %d ranges, %d keys moved", seed, r.served/r.asked, r.othersServed/r.othersAsked, r.allocator.Table().Ranges(), r.moved)
-				g.Expect(r.served/r.asked).To(gomega.BeNumerically(">", least), "seed %d", seed)
-				g.Expect(r.othersServed/r.othersAsked).To(gomega.BeNumerically(">", 0.98), "seed %d", seed)
+				t.Logf("seed %d: room for %.3f of the requests for busy keys, %.3f of the others; %d ranges, %d keys moved", seed, r.served/r.offered, r.othersServed/r.othersOffered, r.allocator.Table().Ranges(), r.movedKeys)
+				g.Expect(r.served/r.offered).To(gomega.BeNumerically(">", least), "seed %d", seed)
+				g.Expect(r.othersServed/r.othersOffered).To(gomega.BeNumerically(">", 0.98), "seed %d", seed)
 			}
 		})
 	}
@@ -168,15 +168,15 @@
 
 // One key gets a fifth of all requests, 20 times what its owner can run: the other
 // keys of its owner are served elsewhere.
-func TestOneBusyKeyTakesNoOthersWithIt(t *testing.T) {
+func TestOneBusyKeyDoesNotSlowOtherKeys(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := newLargeReplay(1)
 	r.play(6*time.Second, nil)
 	r.play(2*time.Second, cluster(20_000, 1, 200))
-	r.othersAsked, r.othersServed = 0, 0
+	r.othersOffered, r.othersServed = 0, 0
 	r.play(3*time.Second, cluster(20_000, 1, 200))
-	t.Logf("room for %.4f of the other requests", r.othersServed/r.othersAsked)
-	g.Expect(r.othersServed / r.othersAsked).To(gomega.BeNumerically(">", 0.999))
+	t.Logf("room for %.4f of the other requests", r.othersServed/r.othersOffered)
+	g.Expect(r.othersServed / r.othersOffered).To(gomega.BeNumerically(">", 0.999))
 	owner, _ := r.allocator.Table().Owner(worldService, 20_000)
-	g.Expect(r.paces[owner.Server]).To(gomega.Equal(407*time.Millisecond), "it is on a fast server")
+	g.Expect(r.serviceTimes[owner.Server]).To(gomega.Equal(407*time.Millisecond), "it is on a fast server")
 }
--- a/gateway/ranges/compact.go
+++ b/gateway/ranges/compact.go
@@ -13,47 +13,47 @@
 // Neighbours of one owner become one range, and an idle piece goes to the owner of a
 // range beside it.
 const (
-	// compactEvery is the least time between two compactions of a service, each of
+	// compactInterval is the least time between two compactions of a service, each of
 	// which is an append.
-	compactEvery = 2 * time.Second
-	// settledFor is for how long ranges must have had their owner.
-	settledFor = 4 * time.Second
-	// idleUse is the utilisation below which a piece may go back.
-	idleUse = 0.02
-	// piecesPerRound bounds the pieces that go back at once.
-	piecesPerRound = 16
+	compactInterval = 2 * time.Second
+	// settleTime is for how long ranges must have had their owner.
+	settleTime = 4 * time.Second
+	// idleUtilization is the utilisation below which a piece may go back.
+	idleUtilization = 0.02
+	// maxReturnedPieces bounds the pieces that go back at once.
+	maxReturnedPieces = 16
 )
 
 // settled reports whether a range has had its owner for long and nothing is
 // under way with it.
 func (l *lease) settled(now time.Time) bool {
-	return l.canRelease(now) && l.Server != "" && now.Sub(l.movedAt) >= settledFor
+	return l.canRelease(now) && l.Server != "" && now.Sub(l.movedAt) >= settleTime
 }
 
 // compact merges neighbours of one owner and starts to give idle pieces back.
-func (k *Allocator) compact(service site.ServiceName, s Site, at Fence, now time.Time, change *Change) {
-	if now.Sub(k.compactedAt[service]) < compactEvery {
+func (alloc *Allocator) compact(service site.ServiceName, s Site, at Fence, now time.Time, change *Change) {
+	if now.Sub(alloc.compactedAt[service]) < compactInterval {
 		return
 	}
-	k.compactedAt[service] = now
-	k.giveBack(service, s, now)
-	k.merge(service, at, now, change)
+	alloc.compactedAt[service] = now
+	alloc.returnIdlePieces(service, s, now)
+	alloc.merge(service, at, now, change)
 }
 
-// giveBack starts to move idle pieces to the owner of a neighbour. A server keeps one
+// returnIdlePieces starts to move idle pieces to the owner of a neighbour. A server keeps one
 // range at least.
-func (k *Allocator) giveBack(service site.ServiceName, s Site, now time.Time) {
-	leases := k.leases[service]
+func (alloc *Allocator) returnIdlePieces(service site.ServiceName, s Site, now time.Time) {
+	leases := alloc.leases[service]
 	ranges := map[site.ServerID]int{}
 	for _, l := range leases {
 		ranges[l.Server]++
 	}
-	given := 0
+	returned := 0
 	for i, piece := range leases {
-		if given == piecesPerRound {
+		if returned == maxReturnedPieces {
 			return
 		}
-		if ranges[piece.Server] < 2 || !piece.settled(now) || k.use(service, s, piece) > idleUse {
+		if ranges[piece.Server] < 2 || !piece.settled(now) || alloc.utilization(service, s, piece) > idleUtilization {
 			continue
 		}
 		to := neighbour(leases, i, s, now)
@@ -61,8 +61,8 @@
 			continue
 		}
 		ranges[piece.Server]--
-		k.startRelease(piece, to.Server, now)
-		given++
+		alloc.startRelease(piece, to.Server, now)
+		returned++
 	}
 }
 
@@ -82,52 +82,52 @@
 	return best
 }
 
-// use returns the utilisation that a range causes at its owner.
-func (k *Allocator) use(service site.ServiceName, s Site, l *lease) float64 {
+// utilization returns the utilisation that a range causes at its owner.
+func (alloc *Allocator) utilization(service site.ServiceName, s Site, l *lease) float64 {
 	if s.Load == nil {
 		return 0
 	}
-	pace, known := s.Load.paces[l.Server]
+	serviceTime, known := s.Load.serviceTimes[l.Server]
 	if !known {
-		pace = defaultPace
+		serviceTime = defaultServiceTime
 	}
-	return s.Load.rate(service, l.Span) * pace / float64(max(s.Servers[l.Server].Slots, 1))
+	return s.Load.rate(service, l.Span) * serviceTime / float64(max(s.Servers[l.Server].Slots, 1))
 }
 
 // merge makes neighbours of one owner one range under a new fence.
-func (k *Allocator) merge(service site.ServiceName, at Fence, now time.Time, change *Change) {
-	leases := k.leases[service]
+func (alloc *Allocator) merge(service site.ServiceName, at Fence, now time.Time, change *Change) {
+	leases := alloc.leases[service]
 	for i := 0; i < len(leases); {
 		first, end := leases[i], i+1
 		for end < len(leases) && leases[end].Server == first.Server && first.settled(now) && leases[end].settled(now) {
 			end++
 		}
 		if end-i > 1 {
-			k.mergeRun(service, slices.Clone(leases[i:end]), at, now, change)
+			alloc.mergeNeighbours(service, slices.Clone(leases[i:end]), at, now, change)
 		}
 		i = end
 	}
 }
 
-func (k *Allocator) mergeRun(service site.ServiceName, run []*lease, at Fence, now time.Time, change *Change) {
-	first, last := run[0], run[len(run)-1]
-	heldUntil, earlierUntil := first.held(), first.earlier()
-	for _, l := range run {
-		l.pending = true
-		heldUntil = clock.Later(heldUntil, l.held())
-		earlierUntil = clock.Later(earlierUntil, l.earlier())
+func (alloc *Allocator) mergeNeighbours(service site.ServiceName, neighbours []*lease, at Fence, now time.Time, change *Change) {
+	first, last := neighbours[0], neighbours[len(neighbours)-1]
+	heldUntil, earlierUntil := first.inForceUntil(), first.earlierInForceUntil()
+	for _, l := range neighbours {
+		l.appendPending = true
+		heldUntil = clock.Later(heldUntil, l.inForceUntil())
+		earlierUntil = clock.Later(earlierUntil, l.earlierInForceUntil())
 	}
 	merged := &lease{
-		Assignment:   Assignment{Span: Span{From: first.From, To: last.To}, Server: first.Server, Fence: at},
-		service:      service,
-		heldUntil:    heldUntil,
-		earlierUntil: earlierUntil,
-		movedAt:      now.Add(-settledFor),
-		kept:         true,
+		Assignment:              Assignment{Span: Span{From: first.From, To: last.To}, Server: first.Server, Fence: at},
+		service:                 service,
+		heldUntil:               heldUntil,
+		earlierIncarnationUntil: earlierUntil,
+		movedAt:                 now.Add(-settleTime),
+		ownerKept:               true,
 	}
 	change.apply = append(change.apply, func() {
-		leases := slices.DeleteFunc(slices.Clone(k.leases[service]), func(l *lease) bool { return slices.Contains(run, l) })
-		k.leases[service] = sorted(append(leases, merged))
-		k.serial++
+		leases := slices.DeleteFunc(slices.Clone(alloc.leases[service]), func(l *lease) bool { return slices.Contains(neighbours, l) })
+		alloc.leases[service] = sortByKey(append(leases, merged))
+		alloc.serial++
 	})
 }
--- a/gateway/ranges/handoff.go
+++ b/gateway/ranges/handoff.go
@@ -22,12 +22,12 @@
 
 // Remaining returns what may be in force of each range, for the next lessor. Nothing may be
 // granted after it.
-func (k *Allocator) Remaining(now time.Time) []Remaining {
+func (alloc *Allocator) Remaining(now time.Time) []Remaining {
 	var list []Remaining
-	for service, leases := range k.leases {
+	for service, leases := range alloc.leases {
 		for _, l := range leases {
-			r := Remaining{Service: service, Span: l.Span, Held: max(l.held().Sub(now), 0), Doubt: max(l.doubt().Sub(now), 0)}
-			if l.calling {
+			r := Remaining{Service: service, Span: l.Span, Held: max(l.inForceUntil().Sub(now), 0), Doubt: max(l.uncertainInForceUntil().Sub(now), 0)}
+			if l.callInFlight {
 				r.Doubt = r.Held
 			}
 			list = append(list, r)
@@ -38,30 +38,30 @@
 
 // LimitFormer takes what the former lessor said when it granted nothing any more. What it
 // did not name it never granted.
-func (k *Allocator) LimitFormer(list []Remaining, now time.Time) {
-	for service, leases := range k.leases {
+func (alloc *Allocator) LimitFormer(list []Remaining, now time.Time) {
+	for service, leases := range alloc.leases {
 		for _, l := range leases {
-			held, doubt := now, now
+			held, uncertain := now, now
 			for _, r := range list {
 				if r.Service == service && r.From <= l.To && l.From <= r.To {
 					held = clock.Later(held, now.Add(r.Held))
-					doubt = clock.Later(doubt, now.Add(r.Doubt))
+					uncertain = clock.Later(uncertain, now.Add(r.Doubt))
 				}
 			}
-			l.limitFormer(held, doubt)
+			l.limitPrevious(held, uncertain)
 		}
 	}
-	k.serial++ // silent ranges end sooner
+	alloc.serial++ // silent ranges end sooner
 }
 
 // FormerHeld returns for how long grants of former lessors may be in force. Each record of a
 // lessor tells it: one whose process has ended can no longer say what those before it granted,
 // and they may go on for their right.
-func (k *Allocator) FormerHeld(now time.Time) time.Duration {
+func (alloc *Allocator) FormerHeld(now time.Time) time.Duration {
 	held := time.Duration(0)
-	for _, leases := range k.leases {
+	for _, leases := range alloc.leases {
 		for _, l := range leases {
-			held = max(held, l.formerUntil.Sub(now))
+			held = max(held, l.previousUntil.Sub(now))
 		}
 	}
 	return held
@@ -69,22 +69,22 @@
 
 // FormerEnded takes that the former lessor's process had ended by a time, and that grants of
 // those before it may be in force until another one.
-func (k *Allocator) FormerEnded(by, beforeUntil time.Time) {
-	until := clock.Later(by.Add(k.timing.EndedHold()), beforeUntil)
-	for _, leases := range k.leases {
+func (alloc *Allocator) FormerEnded(endedBy, earlierUntil time.Time) {
+	until := clock.Later(endedBy.Add(alloc.timing.EndedHold()), earlierUntil)
+	for _, leases := range alloc.leases {
 		for _, l := range leases {
-			l.limitFormer(until, until)
+			l.limitPrevious(until, until)
 		}
 	}
-	k.serial++ // silent ranges end sooner
+	alloc.serial++ // silent ranges end sooner
 }
 
-// limitFormer shortens the time for which grants of the former lessor may be in force.
-func (l *lease) limitFormer(held, doubt time.Time) {
-	if held.Before(l.formerUntil) {
-		l.formerUntil = held
+// limitPrevious shortens the time for which grants of the former lessor may be in force.
+func (l *lease) limitPrevious(held, uncertain time.Time) {
+	if held.Before(l.previousUntil) {
+		l.previousUntil = held
 	}
-	if doubt.Before(l.formerDoubt) {
-		l.formerDoubt = doubt
+	if uncertain.Before(l.previousUncertainUntil) {
+		l.previousUncertainUntil = uncertain
 	}
 }
--- a/gateway/ranges/handoff_test.go
+++ b/gateway/ranges/handoff_test.go
@@ -12,12 +12,12 @@
 // Three lessors in a row: the first is cut off from the store and goes on granting for its
 // right, the second claims and ends at once, and the next run of its node tells the third so.
 // The second cannot speak for the first.
-func TestAnEndedLessorDoesNotSpeakForThoseBeforeIt(t *testing.T) {
+func TestAnEndedLessorDoesNotReportForEarlierLessors(t *testing.T) {
 	g := gomega.NewWithT(t)
 	timing := DefaultTiming()
 	table := &Table{Services: map[site.ServiceName][]Assignment{worldService: {{Span: Span{To: LastKey}, Server: "a", Fence: 1}}}}
 	lastConfirmed := allocatorStart // of the first
-	lastHold := lastConfirmed.Add(timing.Right + timing.lapse(timing.Hold))
+	lastHold := lastConfirmed.Add(timing.GrantPeriod + timing.maxTimeInForce(timing.Hold))
 	claimedAt := lastConfirmed.Add(1500 * time.Millisecond)
 	second := NewAllocator(table, timing, timing.FormerHold(), claimedAt)
 	recordedAt := claimedAt.Add(500 * time.Millisecond)
--- a/gateway/ranges/holds.go
+++ b/gateway/ranges/holds.go
@@ -8,35 +8,35 @@
 
 // Held returns for how long what was granted may still be in force. After an
 // outage of the store that can be longer than a hold.
-func (k *Allocator) Held(now time.Time) time.Duration {
+func (alloc *Allocator) Held(now time.Time) time.Duration {
 	held := time.Duration(0)
-	for _, leases := range k.leases {
+	for _, leases := range alloc.leases {
 		for _, l := range leases {
-			held = max(held, l.held().Sub(now))
+			held = max(held, l.inForceUntil().Sub(now))
 		}
 	}
 	return held
 }
 
 // Doubt returns for how long a grant that has no answer may still be in force.
-func (k *Allocator) Doubt(now time.Time) time.Duration {
-	doubt := time.Duration(0)
-	for _, leases := range k.leases {
+func (alloc *Allocator) Doubt(now time.Time) time.Duration {
+	uncertain := time.Duration(0)
+	for _, leases := range alloc.leases {
 		for _, l := range leases {
-			doubt = max(doubt, l.doubt().Sub(now))
-			if l.calling {
-				doubt = max(doubt, l.held().Sub(now))
+			uncertain = max(uncertain, l.uncertainInForceUntil().Sub(now))
+			if l.callInFlight {
+				uncertain = max(uncertain, l.inForceUntil().Sub(now))
 			}
 		}
 	}
-	return doubt
+	return uncertain
 }
 
 // Calling reports whether a grant is under way.
-func (k *Allocator) Calling() bool {
-	for _, leases := range k.leases {
+func (alloc *Allocator) Calling() bool {
+	for _, leases := range alloc.leases {
 		for _, l := range leases {
-			if l.calling && l.phase != releasing {
+			if l.callInFlight && l.phase != releasing {
 				return true
 			}
 		}
@@ -46,10 +46,10 @@
 
 // LimitDoubt tells that grants of the former lessor without an answer may be in
 // force for no longer than doubt.
-func (k *Allocator) LimitDoubt(doubt time.Duration, now time.Time) {
-	for _, leases := range k.leases {
+func (alloc *Allocator) LimitDoubt(uncertain time.Duration, now time.Time) {
+	for _, leases := range alloc.leases {
 		for _, l := range leases {
-			l.limitFormer(l.formerUntil, now.Add(doubt))
+			l.limitPrevious(l.previousUntil, now.Add(uncertain))
 		}
 	}
 }
@@ -58,21 +58,21 @@
 // many own any. Those that have left say nothing of this node: after the loss of
 // most owners each new lessor gave the lease up before their holds had run out, and
 // the next one waited for them anew.
-func (k *Allocator) Silent(registered map[site.ServerID]site.Server) (silent, owners int) {
+func (alloc *Allocator) Silent(registered map[site.ServerID]site.Server) (unresponsive, owners int) {
 	state := map[site.ServerID]bool{}
-	for _, leases := range k.leases {
+	for _, leases := range alloc.leases {
 		for _, l := range leases {
 			if _, isRegistered := registered[l.Server]; isRegistered {
-				state[l.Server] = state[l.Server] || l.misses >= missesToLapse
+				state[l.Server] = state[l.Server] || l.failures >= failuresToExpire
 			}
 		}
 	}
-	for _, isSilent := range state {
-		if isSilent {
-			silent++
+	for _, isUnresponsive := range state {
+		if isUnresponsive {
+			unresponsive++
 		}
 	}
-	return silent, len(state)
+	return unresponsive, len(state)
 }
 
 // GrantAges sums up the grants of a lessor.
@@ -83,15 +83,15 @@
 }
 
 // Ages returns how old the grants in force are.
-func (k *Allocator) Ages(now time.Time) GrantAges {
+func (alloc *Allocator) Ages(now time.Time) GrantAges {
 	var ages GrantAges
-	for _, leases := range k.leases {
+	for _, leases := range alloc.leases {
 		for _, l := range leases {
 			if l.Server == "" {
 				continue
 			}
 			ages.Ranges++
-			if !l.confirmed || l.misses > 0 {
+			if !l.confirmed || l.failures > 0 {
 				ages.Unanswered++
 				continue
 			}
--- a/gateway/ranges/runs.go
+++ b/gateway/ranges/incarnations.go
@@ -25,15 +25,15 @@
 	// start they have no owner until the register tells. That is longer than the
 	// move of a range takes after its holds have run out, and than a server is slow
 	// after its start.
-	restartsOfLoop = 2
-	loopWindow     = 15 * time.Second
+	crashLoopRestarts = 2
+	crashLoopWindow   = 15 * time.Second
 )
 
-// runs follows the present run of every server in the register.
-type runs struct {
-	present  map[site.ServerName]site.ServerID
-	restarts map[site.ServerName][]time.Time // the latest, restartsOfLoop at most
-	news     []Restart
+// incarnations follows the present run of every server in the register.
+type incarnations struct {
+	current    map[site.ServerName]site.ServerID
+	restarts   map[site.ServerName][]time.Time // the latest, restartsOfLoop at most
+	unreported []Restart
 }
 
 // Restart is a server that has started again under its name, for the log.
@@ -42,43 +42,43 @@
 	Loops    bool // it loses its keys
 }
 
-func newRuns() runs {
-	return runs{present: map[site.ServerName]site.ServerID{}, restarts: map[site.ServerName][]time.Time{}}
+func newIncarnations() incarnations {
+	return incarnations{current: map[site.ServerName]site.ServerID{}, restarts: map[site.ServerName][]time.Time{}}
 }
 
 // observe takes the register as it is now and returns the servers that have
 // started again.
-func (r *runs) observe(registered map[site.ServerID]site.Server, now time.Time) []Restart {
+func (r *incarnations) observe(registered map[site.ServerID]site.Server, now time.Time) []Restart {
 	var restarts []Restart
 	for id := range registered {
 		name := id.Name()
-		before, isKnown := r.present[name]
+		before, isKnown := r.current[name]
 		if _, isRegistered := registered[before]; isKnown && isRegistered {
 			continue
 		}
-		r.present[name] = id
+		r.current[name] = id
 		if !isKnown || before == id {
 			continue
 		}
-		r.note(name, now)
-		restarts = append(restarts, Restart{From: before, To: id, Loops: r.loops(name, now)})
+		r.recordRestart(name, now)
+		restarts = append(restarts, Restart{From: before, To: id, Loops: r.isCrashLooping(name, now)})
 	}
-	r.news = append(r.news, restarts...)
+	r.unreported = append(r.unreported, restarts...)
 	return restarts
 }
 
-func (r *runs) note(name site.ServerName, now time.Time) {
+func (r *incarnations) recordRestart(name site.ServerName, now time.Time) {
 	times := r.restarts[name]
-	if len(times) >= restartsOfLoop {
+	if len(times) >= crashLoopRestarts {
 		times = times[1:]
 	}
 	r.restarts[name] = append(slices.Clone(times), now)
 }
 
-// loops reports whether a server keeps starting again.
-func (r *runs) loops(name site.ServerName, now time.Time) bool {
+// isCrashLooping reports whether a server keeps starting again.
+func (r *incarnations) isCrashLooping(name site.ServerName, now time.Time) bool {
 	times := r.restarts[name]
-	return len(times) >= restartsOfLoop && now.Sub(times[0]) < loopWindow
+	return len(times) >= crashLoopRestarts && now.Sub(times[0]) < crashLoopWindow
 }
 
 // LaterRun returns the run that is registered in place of another one of the same
@@ -98,33 +98,33 @@
 	return site.Server{}, false
 }
 
-// goesToHeir reports whether a range goes at once to the run that has taken the
+// movesToSuccessor reports whether a range goes at once to the run that has taken the
 // place of its owner. One that keeps starting again gets nothing while others can
 // serve the keys.
-func (k *Allocator) goesToHeir(l *lease, s Site, takers []site.Server, now time.Time) bool {
-	heir, exists := LaterRun(s.Servers, l.Server)
-	if !exists || heir.Service != l.service {
+func (alloc *Allocator) movesToSuccessor(l *lease, s Site, eligible []site.Server, now time.Time) bool {
+	successor, exists := LaterRun(s.Servers, l.Server)
+	if !exists || successor.Service != l.service {
 		return false
 	}
-	isOther := func(taker site.Server) bool { return taker.ID.Name() != heir.ID.Name() }
-	return !k.runs.loops(heir.ID.Name(), now) || !slices.ContainsFunc(takers, isOther)
+	isOther := func(server site.Server) bool { return server.ID.Name() != successor.ID.Name() }
+	return !alloc.incarnations.isCrashLooping(successor.ID.Name(), now) || !slices.ContainsFunc(eligible, isOther)
 }
 
-// giveUpOn ends what is under way with an owner whose place another run has taken:
+// abandonOwner ends what is under way with an owner whose place another run has taken:
 // nothing is sent to it any more. What does not go to that run waits for its holds.
-func (k *Allocator) giveUpOn(l *lease, s Site, takers []site.Server, now time.Time) {
+func (alloc *Allocator) abandonOwner(l *lease, s Site, eligible []site.Server, now time.Time) {
 	switch {
-	case l.calling || l.pending || l.phase == released:
-	case k.goesToHeir(l, s, takers, now):
-		k.setPhase(l, granting)
+	case l.callInFlight || l.appendPending || l.phase == released:
+	case alloc.movesToSuccessor(l, s, eligible, now):
+		alloc.setPhase(l, granting)
 	default:
-		k.setPhase(l, lapsing)
+		alloc.setPhase(l, expiring)
 	}
 }
 
 // Restarts returns the servers that have started again since the last call.
-func (k *Allocator) Restarts() []Restart {
-	news := k.runs.news
-	k.runs.news = nil
+func (alloc *Allocator) Restarts() []Restart {
+	news := alloc.incarnations.unreported
+	alloc.incarnations.unreported = nil
 	return news
 }
--- a/gateway/ranges/flight_test.go
+++ b/gateway/ranges/inflight_test.go
@@ -9,9 +9,9 @@
 
 // Bytes that a lessor wrote to an owner wait in the lessor's own link, which is full: the
 // call is abandoned and its connection reset, and the grant arrives two seconds later.
-func TestAnAbandonedGrantCountsUntilItHasLeftTheLink(t *testing.T) {
+func TestAnAbandonedGrantIsInForceUntilItHasLeftTheLink(t *testing.T) {
 	timing := DefaultTiming()
-	hold := timing.arrived(timing.Hold)
+	hold := timing.holdAfterArrival(timing.Hold)
 	ended := allocatorStart.Add(timing.CallTimeout)
 	answered := ended.Add(700 * time.Millisecond)
 	for name, row := range map[string]struct {
@@ -21,34 +21,34 @@
 	}{
 		"answered":                        {Result{}, time.Time{}, ended.Add(hold)},
 		"nothing left":                    {Result{Failed: true, Fate: NotSent}, time.Time{}, allocatorStart},
-		"all was acknowledged by the end": {Result{Failed: true, Fate: Arrived}, time.Time{}, ended.Add(takeDelay + hold)},
-		"all was acknowledged at once":    {Result{Failed: true, Fate: Arrived, ArrivedBy: allocatorStart}, time.Time{}, allocatorStart.Add(takeDelay + hold)},
+		"all was acknowledged by the end": {Result{Failed: true, Fate: Arrived}, time.Time{}, ended.Add(serverReadDelay + hold)},
+		"all was acknowledged at once":    {Result{Failed: true, Fate: Arrived, ArrivedBy: allocatorStart}, time.Time{}, allocatorStart.Add(serverReadDelay + hold)},
 		"the connection is not accepted":  {Result{Failed: true, Fate: Unaccepted}, time.Time{}, allocatorStart},
 		"under way":                       {Result{Failed: true}, time.Time{}, ended.Add(timing.Underway + hold)},
 		"an earlier call is answered":     {Result{Failed: true}, ended.Add(-time.Millisecond), ended.Add(timing.Underway + hold)},
-		"a call sent after the reset is":  {Result{Failed: true}, ended, answered.Add(pathDelay + hold)},
+		"a call sent after the reset is":  {Result{Failed: true}, ended, answered.Add(pathAndReadDelay + hold)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			k, s := ownedAfter(0)
-			call := k.Calls(s.Servers, Lease{ConfirmedAt: allocatorStart}, allocatorStart)[0]
-			g.Expect(k.leases[worldService][0].held()).To(gomega.Equal(allocatorStart.Add(timing.lapse(timing.Hold))), "it goes on")
-			k.Done(call, row.result, ended)
+			alloc, s := ownedRangeAfter(0)
+			call := alloc.Calls(s.Servers, Lease{ConfirmedAt: allocatorStart}, allocatorStart)[0]
+			g.Expect(alloc.leases[worldService][0].inForceUntil()).To(gomega.Equal(allocatorStart.Add(timing.maxTimeInForce(timing.Hold))), "it goes on")
+			alloc.Done(call, row.result, ended)
 			if !row.sentAt.IsZero() {
-				k.Answered(row.sentAt, answered)
+				alloc.Answered(row.sentAt, answered)
 			}
-			g.Expect(k.leases[worldService][0].held()).To(gomega.Equal(row.want))
+			g.Expect(alloc.leases[worldService][0].inForceUntil()).To(gomega.Equal(row.want))
 		})
 	}
 }
 
 // A call that left no byte needs no higher fence, and holds no move up.
-func TestACallThatWasNotSentLeavesNoDoubt(t *testing.T) {
+func TestACallThatWasNotSentIsNotUncertain(t *testing.T) {
 	g := gomega.NewWithT(t)
-	k, s := owned(t)
-	k.LimitDoubt(0, allocatorStart)
+	alloc, s := ownedRange(t)
+	alloc.LimitDoubt(0, allocatorStart)
 	lease := Lease{ConfirmedAt: allocatorStart}
-	k.Done(k.Calls(s.Servers, lease, allocatorStart)[0], Result{Failed: true, Fate: NotSent}, allocatorStart)
-	k.Done(k.Calls(s.Servers, lease, allocatorStart)[0], Result{}, allocatorStart)
-	g.Expect(k.leases[worldService][0].canRelease(allocatorStart)).To(gomega.BeTrue())
+	alloc.Done(alloc.Calls(s.Servers, lease, allocatorStart)[0], Result{Failed: true, Fate: NotSent}, allocatorStart)
+	alloc.Done(alloc.Calls(s.Servers, lease, allocatorStart)[0], Result{}, allocatorStart)
+	g.Expect(alloc.leases[worldService][0].canRelease(allocatorStart)).To(gomega.BeTrue())
 }
--- a/gateway/ranges/late_test.go
+++ b/gateway/ranges/late_execution_test.go
@@ -10,14 +10,14 @@
 // A server's machine had acknowledged a grant whose call was given up; its process carried
 // the grant out 0.26 s later. The range went to another server 0.1 s before that hold ended,
 // and two servers worked on its keys.
-func TestAGrantThatWasAcknowledgedMayBeCarriedOutLater(t *testing.T) {
+func TestAnAcknowledgedGrantMayBeExecutedLater(t *testing.T) {
 	g := gomega.NewWithT(t)
 	timing := DefaultTiming()
-	k, s := ownedAfter(0)
-	call := k.Calls(s.Servers, Lease{ConfirmedAt: allocatorStart}, allocatorStart)[0]
+	alloc, s := ownedRangeAfter(0)
+	call := alloc.Calls(s.Servers, Lease{ConfirmedAt: allocatorStart}, allocatorStart)[0]
 	endedAt := allocatorStart.Add(timing.CallTimeout)
-	k.Done(call, Result{Failed: true, Fate: Arrived}, endedAt)
+	alloc.Done(call, Result{Failed: true, Fate: Arrived}, endedAt)
 	const late, slowClock = 260 * time.Millisecond, 1.0073
 	heldUntil := endedAt.Add(late + time.Duration(slowClock*float64(call.Grant.Hold)))
-	g.Expect(endedAt.Add(k.Held(endedAt))).To(gomega.BeTemporally(">=", heldUntil))
+	g.Expect(endedAt.Add(alloc.Held(endedAt))).To(gomega.BeTemporally(">=", heldUntil))
 }
--- a/gateway/ranges/loads.go
+++ b/gateway/ranges/loads.go
@@ -10,14 +10,14 @@
 
 // Memories of the counts, as half-lives.
 const (
-	// steadyHalfLife is that of the load by which ranges are usually balanced: with a
+	// longTermHalfLife is that of the load by which ranges are usually balanced: with a
 	// shorter one, ranges move for what is chance.
-	steadyHalfLife = 3 * time.Second
-	// quickHalfLife is that of the load which shows a surge: keys become busy within
+	longTermHalfLife = 3 * time.Second
+	// shortTermHalfLife is that of the load which shows a surge: keys become busy within
 	// an instant, and are for five seconds.
-	quickHalfLife = 400 * time.Millisecond
-	// decayEvery is how often the counts lose weight.
-	decayEvery = 100 * time.Millisecond
+	shortTermHalfLife = 400 * time.Millisecond
+	// decayInterval is how often the counts lose weight.
+	decayInterval = 100 * time.Millisecond
 )
 
 // surgeDeviations is by how many standard deviations the quick load must exceed the
@@ -48,28 +48,28 @@
 }
 
 // serviceLoad is the load of one service.
-type serviceLoad struct{ steady, quick keyRates }
+type serviceLoad struct{ longTerm, shortTerm keyRates }
 
 // Loads is the load of each key and the pace of each server, as nodes report
 // them.
 type Loads struct {
-	services map[site.ServiceName]*serviceLoad
-	paces    map[site.ServerID]float64      // seconds a request takes
-	presents map[site.ServerID]present      // since the latest Demands
-	since    time.Time                      // of the first decay
-	last     time.Time                      // of the latest decay
-	shedAt   map[site.ServiceName]time.Time // of the latest round of balance
-	evenAt   map[site.ServiceName]time.Time // of the latest one that evened loads out
+	services     map[site.ServiceName]*serviceLoad
+	serviceTimes map[site.ServerID]float64      // seconds a request takes
+	occupancies  map[site.ServerID]occupancySum // since the latest Demands
+	since        time.Time                      // of the first decay
+	last         time.Time                      // of the latest decay
+	shedAt       map[site.ServiceName]time.Time // of the latest round of balance
+	evenedAt     map[site.ServiceName]time.Time // of the latest one that evened loads out
 }
 
 // NewLoads returns loads without any report.
 func NewLoads() *Loads {
 	return &Loads{
-		services: map[site.ServiceName]*serviceLoad{},
-		paces:    map[site.ServerID]float64{},
-		presents: map[site.ServerID]present{},
-		shedAt:   map[site.ServiceName]time.Time{},
-		evenAt:   map[site.ServiceName]time.Time{},
+		services:     map[site.ServiceName]*serviceLoad{},
+		serviceTimes: map[site.ServerID]float64{},
+		occupancies:  map[site.ServerID]occupancySum{},
+		shedAt:       map[site.ServiceName]time.Time{},
+		evenedAt:     map[site.ServiceName]time.Time{},
 	}
 }
 
@@ -84,36 +84,36 @@
 		l.services[service] = load
 	}
 	// A steady rate r gives r x halfLife / ln 2 in the decayed sum.
-	load.steady[key] += float32(requests) * float32(math.Ln2/steadyHalfLife.Seconds())
-	load.quick[key] += float32(requests) * float32(math.Ln2/quickHalfLife.Seconds())
+	load.longTerm[key] += float32(requests) * float32(math.Ln2/longTermHalfLife.Seconds())
+	load.shortTerm[key] += float32(requests) * float32(math.Ln2/shortTermHalfLife.Seconds())
 }
 
-// present sums up what a server had at its answers.
-type present struct{ answers, requests int }
+// occupancySum sums up what a server had at its answers.
+type occupancySum struct{ answers, requests int }
 
 // Present reports how many requests a server had, running or waiting, added up over a
 // number of its answers.
 func (l *Loads) Present(server site.ServerID, answers, requests int) {
-	p := l.presents[server]
+	p := l.occupancies[server]
 	p.answers += answers
 	p.requests += requests
-	l.presents[server] = p
+	l.occupancies[server] = p
 }
 
-// paceWeight is the weight of a new report in a server's pace.
-const paceWeight = 0.3
+// serviceTimeWeight is the weight of a new report in a server's pace.
+const serviceTimeWeight = 0.3
 
 // Pace reports the mean time that requests took at a server.
 func (l *Loads) Pace(server site.ServerID, mean time.Duration) {
-	if before, known := l.paces[server]; known {
-		l.paces[server] = before + paceWeight*(mean.Seconds()-before)
+	if before, known := l.serviceTimes[server]; known {
+		l.serviceTimes[server] = before + serviceTimeWeight*(mean.Seconds()-before)
 		return
 	}
-	l.paces[server] = mean.Seconds()
+	l.serviceTimes[server] = mean.Seconds()
 }
 
-// Restarted forgets what was learnt of an earlier run of a server.
-func (l *Loads) Restarted(r Restart) { delete(l.paces, r.From) }
+// ForgetIncarnation forgets what was learnt of an earlier run of a server.
+func (l *Loads) ForgetIncarnation(r Restart) { delete(l.serviceTimes, r.From) }
 
 // Decay lowers the counts by the time passed.
 func (l *Loads) Decay(now time.Time) {
@@ -122,13 +122,13 @@
 		l.last = now
 	}
 	passed := now.Sub(l.last)
-	if passed < decayEvery {
+	if passed < decayInterval {
 		return
 	}
 	l.last = now
 	for _, load := range l.services {
-		load.steady.decay(passed, steadyHalfLife)
-		load.quick.decay(passed, quickHalfLife)
+		load.longTerm.decay(passed, longTermHalfLife)
+		load.shortTerm.decay(passed, shortTermHalfLife)
 	}
 }
 
@@ -138,9 +138,9 @@
 	if load == nil {
 		return false
 	}
-	quick := load.quick.sum(span)
-	chance := deviation(max(quick, 1), quickHalfLife)
-	return quick > load.steady.sum(span)*l.correction()+surgeDeviations*chance
+	shortTerm := load.shortTerm.sum(span)
+	noise := deviation(max(shortTerm, 1), shortTermHalfLife)
+	return shortTerm > load.longTerm.sum(span)*l.correction()+surgeDeviations*noise
 }
 
 // rate returns the requests a second for a range by the steady load.
@@ -148,72 +148,72 @@
 	if l.services[service] == nil {
 		return 0
 	}
-	rates, factor := l.steady(service)
+	rates, factor := l.longTermRates(service)
 	return rates.sum(span) * factor
 }
 
-// steady returns the steady load of each key of a service that has one, and the factor
+// longTermRates returns the steady load of each key of a service that has one, and the factor
 // that makes requests a second of it.
-func (l *Loads) steady(service site.ServiceName) (rates *keyRates, factor float64) {
-	return &l.services[service].steady, l.correction()
+func (l *Loads) longTermRates(service site.ServiceName) (rates *keyRates, factor float64) {
+	return &l.services[service].longTerm, l.correction()
 }
 
-// quick returns the same by the quick load, for keys that became busy a while ago. The
+// shortTermRates returns the same by the quick load, for keys that became busy a while ago. The
 // load has then seen only a part of what it will settle at.
-func (l *Loads) quick(service site.ServiceName, since time.Duration) (rates *keyRates, factor float64) {
-	seen := 1 - math.Exp2(-(since+surgeSeen).Seconds()/quickHalfLife.Seconds())
-	return &l.services[service].quick, 1 / seen
+func (l *Loads) shortTermRates(service site.ServiceName, busyFor time.Duration) (rates *keyRates, factor float64) {
+	seen := 1 - math.Exp2(-(busyFor+minSurgeAge).Seconds()/shortTermHalfLife.Seconds())
+	return &l.services[service].shortTerm, 1 / seen
 }
 
-// surgeSeen is for how long keys have been busy, at the least, when a round notices.
-const surgeSeen = 150 * time.Millisecond
+// minSurgeAge is for how long keys have been busy, at the least, when a round notices.
+const minSurgeAge = 150 * time.Millisecond
 
-// chance returns the standard deviation of a rate by the steady load. It is large while
+// rateDeviation returns the standard deviation of a rate by the steady load. It is large while
 // few counts have been collected.
-func (l *Loads) chance(rate float64) float64 {
-	return math.Sqrt(l.correction()) * deviation(rate, steadyHalfLife)
+func (l *Loads) rateDeviation(rate float64) float64 {
+	return math.Sqrt(l.correction()) * deviation(rate, longTermHalfLife)
 }
 
 // counted returns how many requests for a key a rate stands for.
-func (l *Loads) counted(rate float64, quick bool) float64 {
-	if quick {
-		return rate * quickHalfLife.Seconds() / math.Ln2
+func (l *Loads) counted(rate float64, shortTerm bool) float64 {
+	if shortTerm {
+		return rate * shortTermHalfLife.Seconds() / math.Ln2
 	}
-	return rate / l.correction() * steadyHalfLife.Seconds() / math.Ln2
+	return rate / l.correction() * longTermHalfLife.Seconds() / math.Ln2
 }
 
 // correction makes up for counts that have been collected for less than a few
 // half-lives.
 func (l *Loads) correction() float64 {
-	collected := 1 - math.Exp2(-l.last.Sub(l.since).Seconds()/steadyHalfLife.Seconds())
-	return 1 / max(collected, leastCollected)
+	collected := 1 - math.Exp2(-l.last.Sub(l.since).Seconds()/longTermHalfLife.Seconds())
+	return 1 / max(collected, minCollected)
 }
 
-// leastCollected bounds the correction.
-const leastCollected = 0.2
+// minCollected bounds the correction.
+const minCollected = 0.2
 
-// defaultPace is used until a server has answered.
-const defaultPace = 0.2
+// defaultServiceTime is used until a server has answered.
+const defaultServiceTime = 0.2
 
-func (l *Loads) typicalPace(servers []site.Server) float64 {
-	var paces []float64
+func (l *Loads) typicalServiceTime(servers []site.Server) float64 {
+	var serviceTimes []float64
 	for _, server := range servers {
-		if pace, known := l.paces[server.ID]; known {
-			paces = append(paces, pace)
+		if serviceTime, known := l.serviceTimes[server.ID]; known {
+			serviceTimes = append(serviceTimes, serviceTime)
 		}
 	}
-	if len(paces) == 0 {
-		return defaultPace
+	if len(serviceTimes) == 0 {
+		return defaultServiceTime
 	}
-	slices.Sort(paces)
-	return paces[len(paces)/2]
+	slices.Sort(serviceTimes)
+	return serviceTimes[len(serviceTimes)/2]
 }
 
 // Paces returns the pace of each server in milliseconds, for the log.
 func (l *Loads) Paces() map[site.ServerID]int {
-	paces := make(map[site.ServerID]int, len(l.paces))
-	for id, pace := range l.paces {
-		paces[id] = int(pace * 1000)
+	serviceTimes := make(map[site.ServerID]int, len(l.serviceTimes))
+	for id, serviceTime := range l.serviceTimes {
+		serviceTimes[id] = int(serviceTime * 1000)
 	}
-	return paces
+	return serviceTimes
 }
--- /dev/null
+++ b/gateway/ranges/parts.go
@@ -0,0 +1,84 @@
+package ranges
+
+// maxEdgeKeys bounds the keys that are taken from the edge of a range. Beyond it few keys
+// in the midst are moved instead: each key that moves stands still for a moment, and two
+// more pieces are little on a site whose ranges are that long.
+const maxEdgeKeys = (int(LastKey) + 1) / 256
+
+// selectPart finds a part of a server's ranges that carries about want requests a second. It is
+// taken from the edge of a range if that can be: what lies in the midst of one leaves two
+// pieces behind, each of which is renewed, and a server that is asked for too much answers
+// few renewals in time.
+func (r *round) selectPart(from *usage, want float64) (best *lease, span Span, rate float64, found bool) {
+	best, span, rate, found = r.shortestPart(from, want, edgePart)
+	if found && span.Keys() <= maxEdgeKeys {
+		return best, span, rate, found
+	}
+	return r.shortestPart(from, want, windowPart)
+}
+
+// shortestPart returns the shortest part of a server's ranges that a rule finds.
+func (r *round) shortestPart(from *usage, want float64, rule func(*keyRates, Span, float64) (Span, float64, bool)) (best *lease, span Span, rate float64, found bool) {
+	for _, l := range from.leases {
+		if !r.movable(l, from) {
+			continue
+		}
+		rates, factor := r.weights(l)
+		part, carried, ok := rule(rates, l.Span, want/factor)
+		if ok && (!found || part.Keys() < span.Keys()) {
+			best, span, rate, found = l, part, carried*factor, true
+		}
+	}
+	return best, span, rate, found
+}
+
+// edgePart returns the shorter of the two parts at the ends of a span whose weight is near
+// want.
+func edgePart(keys *keyRates, span Span, want float64) (best Span, carried float64, found bool) {
+	first, sum := countFromEdge(keys, span.From, 1, span.Keys(), want)
+	last, sumLast := countFromEdge(keys, span.To, -1, span.Keys(), want)
+	fromStart, fromEnd := sum >= minShare*want, sumLast >= minShare*want
+	switch {
+	case fromStart && (first <= last || !fromEnd):
+		return Span{From: span.From, To: span.From + Key(first) - 1}, sum, true
+	case fromEnd:
+		return Span{From: span.To - Key(last) + 1, To: span.To}, sumLast, true
+	}
+	return Span{}, 0, false
+}
+
+// countFromEdge counts the keys from the edge of a span that together weigh want, or as much
+// below that as does not weigh too much.
+func countFromEdge(keys *keyRates, edge, step Key, most int, want float64) (count int, sum float64) {
+	for ; count < most && sum < want; count++ {
+		weight := float64(keys[edge+step*Key(count)])
+		if sum+weight > maxShare*want {
+			break
+		}
+		sum += weight
+	}
+	return count, sum
+}
+
+// windowPart returns the shortest window of a span whose weight is near want.
+func windowPart(keys *keyRates, span Span, want float64) (Span, float64, bool) {
+	var best Span
+	var carried, sum float64
+	found := false
+	from := span.From
+	for to := span.From; to <= span.To; to++ {
+		sum += float64(keys[to])
+		for from < to && sum-float64(keys[from]) >= minShare*want {
+			sum -= float64(keys[from])
+			from++
+		}
+		if sum < minShare*want || sum > maxShare*want {
+			continue
+		}
+		candidate := Span{From: from, To: to}
+		if !found || candidate.Keys() < best.Keys() {
+			best, carried, found = candidate, sum, true
+		}
+	}
+	return best, carried, found
+}
--- a/gateway/ranges/plan.go
+++ b/gateway/ranges/plan.go
@@ -32,63 +32,63 @@
 // Plan decides which ranges change their owner or fence by an append at an
 // offset. It returns nil if none does. It also starts releases, which Calls
 // returns afterwards.
-func (k *Allocator) Plan(s Site, at Fence, now time.Time) *Change {
+func (alloc *Allocator) Plan(s Site, at Fence, now time.Time) *Change {
 	change := &Change{}
-	for _, restart := range k.runs.observe(s.Servers, now) {
+	for _, restart := range alloc.incarnations.observe(s.Servers, now) {
 		if s.Load != nil {
-			s.Load.Restarted(restart)
+			s.Load.ForgetIncarnation(restart)
 		}
 	}
-	maps.DeleteFunc(k.silentUntil, func(_ site.ServerID, until time.Time) bool { return !now.Before(until) })
+	maps.DeleteFunc(alloc.excludedUntil, func(_ site.ServerID, until time.Time) bool { return !now.Before(until) })
 	for _, name := range slices.Sorted(maps.Keys(s.Services)) {
 		if !s.Services[name].Keyed || !s.Writable {
 			continue
 		}
-		servers := k.takers(s, name, now)
+		servers := alloc.eligibleServers(s, name, now)
 		if len(servers) == 0 {
 			continue
 		}
-		if len(k.leases[name]) == 0 && !s.Settled {
+		if len(alloc.leases[name]) == 0 && !s.Settled {
 			continue
 		}
-		if len(k.leases[name]) == 0 {
-			k.createRanges(name, servers, now)
+		if len(alloc.leases[name]) == 0 {
+			alloc.createRanges(name, servers, now)
 		}
-		k.startReleases(name, s, servers, now)
-		k.collect(name, s, servers, at, now, change)
-		k.compact(name, s, at, now, change)
+		alloc.startReleases(name, s, servers, now)
+		alloc.collectChanges(name, s, servers, at, now, change)
+		alloc.compact(name, s, at, now, change)
 	}
 	if len(change.apply) == 0 {
 		return nil
 	}
-	change.Table = k.tableWith(change)
+	change.Table = alloc.tableWith(change)
 	return change
 }
 
-// takers returns the servers of a service that may get ranges, by ID. Those that
+// eligibleServers returns the servers of a service that may get ranges, by ID. Those that
 // keep starting again, and those that did not answer lately, are among them only if
 // there are no others.
-func (k *Allocator) takers(s Site, service site.ServiceName, now time.Time) []site.Server {
-	var servers, doubtful []site.Server
+func (alloc *Allocator) eligibleServers(s Site, service site.ServiceName, now time.Time) []site.Server {
+	var servers, fallback []site.Server
 	for _, id := range slices.Sorted(maps.Keys(s.Servers)) {
 		server := s.Servers[id]
 		switch {
 		case server.Service != service || server.Draining:
-		case k.runs.loops(id.Name(), now) || now.Before(k.silentUntil[id]):
-			doubtful = append(doubtful, server)
+		case alloc.incarnations.isCrashLooping(id.Name(), now) || now.Before(alloc.excludedUntil[id]):
+			fallback = append(fallback, server)
 		default:
 			servers = append(servers, server)
 		}
 	}
 	if len(servers) == 0 {
-		return doubtful
+		return fallback
 	}
 	return servers
 }
 
 // createRanges cuts the keys of a service that has no ranges into one range for each
 // server, as long as its slots say.
-func (k *Allocator) createRanges(service site.ServiceName, servers []site.Server, now time.Time) {
+func (alloc *Allocator) createRanges(service site.ServiceName, servers []site.Server, now time.Time) {
 	slots := 0
 	for _, server := range servers {
 		slots += max(server.Slots, 1)
@@ -98,39 +98,39 @@
 		seen += max(server.Slots, 1)
 		to := Key(int(LastKey+1)*seen/slots) - 1
 		l := &lease{Assignment: Assignment{Span: Span{From: from, To: to}}, service: service, next: server.ID, movedAt: now}
-		k.leases[service] = append(k.leases[service], l)
+		alloc.leases[service] = append(alloc.leases[service], l)
 		from = to + 1
 	}
-	k.serial++
+	alloc.serial++
 }
 
 // Moves returns the moves that were planned since the last call.
-func (k *Allocator) Moves() []Move {
-	moves := k.moves
-	k.moves = nil
+func (alloc *Allocator) Moves() []Move {
+	moves := alloc.moves
+	alloc.moves = nil
 	return moves
 }
 
 // startReleases begins to take ranges from servers that leave, and those that
 // balance asks for.
-func (k *Allocator) startReleases(service site.ServiceName, s Site, servers []site.Server, now time.Time) {
-	for _, l := range k.leases[service] {
+func (alloc *Allocator) startReleases(service site.ServiceName, s Site, servers []site.Server, now time.Time) {
+	for _, l := range alloc.leases[service] {
 		_, isEarlier := LaterRun(s.Servers, l.Server)
 		switch {
 		case isEarlier:
-			k.giveUpOn(l, s, servers, now)
+			alloc.abandonOwner(l, s, servers, now)
 		case l.canRelease(now) && l.leaving(s):
-			k.startRelease(l, l.next, now)
+			alloc.startRelease(l, l.next, now)
 		}
 	}
-	k.balance(service, s, servers, now)
+	alloc.balance(service, s, servers, now)
 }
 
 // startRelease begins to take a range from its owner, for another one; empty: any.
-func (k *Allocator) startRelease(l *lease, next site.ServerID, now time.Time) {
+func (alloc *Allocator) startRelease(l *lease, next site.ServerID, now time.Time) {
 	l.next = next
 	l.releaseAt = now.Add(releaseNotice)
-	k.setPhase(l, releasing)
+	alloc.setPhase(l, releasing)
 }
 
 func (l *lease) leaving(s Site) bool {
@@ -140,14 +140,14 @@
 
 // split cuts a span out of a lease and returns the lease of the span, and those of what
 // is left.
-func (k *Allocator) split(l *lease, span Span) (cut *lease, rest []*lease) {
+func (alloc *Allocator) split(l *lease, span Span) (cut *lease, rest []*lease) {
 	if l.Span == span {
 		return l, nil
 	}
 	part := func(from, to Key) *lease {
 		copied := *l
 		copied.Span = Span{From: from, To: to}
-		copied.flights = slices.Clone(l.flights)
+		copied.inFlight = slices.Clone(l.inFlight)
 		return &copied
 	}
 	cut = part(span.From, span.To)
@@ -157,38 +157,38 @@
 	if span.To < l.To {
 		rest = append(rest, part(span.To+1, l.To))
 	}
-	leases := k.leases[l.service]
-	place := slices.Index(leases, l)
-	k.leases[l.service] = sorted(slices.Replace(leases, place, place+1, append(rest, cut)...))
-	k.serial++
+	leases := alloc.leases[l.service]
+	index := slices.Index(leases, l)
+	alloc.leases[l.service] = sortByKey(slices.Replace(leases, index, index+1, append(rest, cut)...))
+	alloc.serial++
 	return cut, rest
 }
 
-// collect adds every range that can change now to the change.
-func (k *Allocator) collect(service site.ServiceName, s Site, servers []site.Server, at Fence, now time.Time, change *Change) {
-	spread := newSpread(k.leases[service], servers)
-	for _, l := range k.leases[service] {
+// collectChanges adds every range that can change now to the change.
+func (alloc *Allocator) collectChanges(service site.ServiceName, s Site, servers []site.Server, at Fence, now time.Time, change *Change) {
+	spread := newSpread(alloc.leases[service], servers)
+	for _, l := range alloc.leases[service] {
 		switch {
-		case l.calling || l.pending:
+		case l.callInFlight || l.appendPending:
 		case l.Server == "" || l.phase == released:
 			to := l.next
 			if !slices.ContainsFunc(servers, func(server site.Server) bool { return server.ID == to }) {
 				to = spread.least()
 			}
 			spread.add(to, l.Keys())
-			k.change(change, l, Assignment{Span: l.Span, Server: to, Fence: at, Handover: l.validHandover(s)}, now)
-		case k.goesToHeir(l, s, servers, now):
-			heir, _ := LaterRun(s.Servers, l.Server)
-			spread.add(heir.ID, l.Keys())
-			k.change(change, l, Assignment{Span: l.Span, Server: heir.ID, Fence: at}, now)
-		case l.free(s, now):
+			alloc.change(change, l, Assignment{Span: l.Span, Server: to, Fence: at, Handover: l.validHandover(s)}, now)
+		case alloc.movesToSuccessor(l, s, servers, now):
+			successor, _ := LaterRun(s.Servers, l.Server)
+			spread.add(successor.ID, l.Keys())
+			alloc.change(change, l, Assignment{Span: l.Span, Server: successor.ID, Fence: at}, now)
+		case l.canReassign(s, now):
 			to := spread.least()
 			spread.add(to, l.Keys())
-			k.change(change, l, Assignment{Span: l.Span, Server: to, Fence: at}, now)
-		case l.raised:
+			alloc.change(change, l, Assignment{Span: l.Span, Server: to, Fence: at}, now)
+		case l.raiseFence:
 			next := l.Assignment
 			next.Fence = at
-			k.change(change, l, next, now)
+			alloc.change(change, l, next, now)
 		}
 	}
 }
@@ -196,27 +196,27 @@
 // validHandover returns what the owner gave with its release, unless the run that
 // gave it, or the one that was to get it, has ended.
 func (l *lease) validHandover(s Site) string {
-	_, giverEnded := LaterRun(s.Servers, l.Server)
-	_, takerEnded := LaterRun(s.Servers, l.next)
-	if giverEnded || takerEnded {
+	_, ownerEnded := LaterRun(s.Servers, l.Server)
+	_, nextEnded := LaterRun(s.Servers, l.next)
+	if ownerEnded || nextEnded {
 		return ""
 	}
 	return l.handover
 }
 
-// free reports whether the holds of a silent or vanished owner have run out.
-func (l *lease) free(s Site, now time.Time) bool {
+// canReassign reports whether the holds of a silent or vanished owner have run out.
+func (l *lease) canReassign(s Site, now time.Time) bool {
 	if l.phase == releasing || l.phase == released {
 		return false
 	}
-	return (l.phase == lapsing || l.leaving(s)) && (!now.Before(l.held()) || l.replaced(s, now))
+	return (l.phase == expiring || l.leaving(s)) && (!now.Before(l.inForceUntil()) || l.addressTaken(s, now))
 }
 
-// replaced reports whether a server of another name has the owner's address: then
+// addressTaken reports whether a server of another name has the owner's address: then
 // the owner has ended, and no call reaches a later run of it there. An entry of a
 // service that no configuration names comes from another writer, and proves nothing.
-func (l *lease) replaced(s Site, now time.Time) bool {
-	if now.Before(l.earlier()) {
+func (l *lease) addressTaken(s Site, now time.Time) bool {
+	if now.Before(l.earlierInForceUntil()) {
 		return false
 	}
 	owner, known := s.Known[l.Server]
@@ -232,64 +232,64 @@
 	return false
 }
 
-func (k *Allocator) change(change *Change, l *lease, next Assignment, now time.Time) {
-	l.pending = true
+func (alloc *Allocator) change(change *Change, l *lease, next Assignment, now time.Time) {
+	l.appendPending = true
 	change.apply = append(change.apply, func() {
-		*l = l.changed(next, now)
-		k.serial++
+		*l = l.afterChange(next, now)
+		alloc.serial++
 	})
 }
 
-// changed returns the lease after a change. What may be in force at the owner goes
+// afterChange returns the lease after a change. What may be in force at the owner goes
 // on to count as long as its name stays.
-func (l *lease) changed(next Assignment, now time.Time) lease {
+func (l *lease) afterChange(next Assignment, now time.Time) lease {
 	c := lease{Assignment: next, service: l.service, movedAt: l.movedAt, surgeSince: l.surgeSince, surgeUntil: l.surgeUntil}
-	c.heldUntil, c.flights, c.doubtUntil = l.heldUntil, l.flights, l.doubtUntil
-	c.formerUntil, c.formerDoubt, c.earlierUntil = l.formerUntil, l.formerDoubt, l.earlier()
+	c.heldUntil, c.inFlight, c.uncertainUntil = l.heldUntil, l.inFlight, l.uncertainUntil
+	c.previousUntil, c.previousUncertainUntil, c.earlierIncarnationUntil = l.previousUntil, l.previousUncertainUntil, l.earlierInForceUntil()
 	switch {
 	case l.Server == next.Server:
-		c.kept = true
-		c.giver = l.giver
+		c.ownerKept = true
+		c.handoverFrom = l.handoverFrom
 	case l.Server.Name() == next.Server.Name():
-		c.earlierUntil = l.held()
+		c.earlierIncarnationUntil = l.inForceUntil()
 		c.movedAt = now
 	default: // nobody holds it: released, lapsed or never owned
-		c.heldUntil, c.doubtUntil, c.earlierUntil = now, time.Time{}, time.Time{}
-		c.flights = nil
-		c.formerUntil, c.formerDoubt = now, time.Time{}
+		c.heldUntil, c.uncertainUntil, c.earlierIncarnationUntil = now, time.Time{}, time.Time{}
+		c.inFlight = nil
+		c.previousUntil, c.previousUncertainUntil = now, time.Time{}
 		c.movedAt = now
-		c.giver = l.Server
+		c.handoverFrom = l.Server
 	}
 	return c
 }
 
 // tableWith returns the table as it is after a change, without applying it.
-func (k *Allocator) tableWith(change *Change) *Table {
+func (alloc *Allocator) tableWith(change *Change) *Table {
 	saved := make(map[*lease]lease)
-	lists := make(map[site.ServiceName][]*lease, len(k.leases))
-	for service, leases := range k.leases {
+	lists := make(map[site.ServiceName][]*lease, len(alloc.leases))
+	for service, leases := range alloc.leases {
 		lists[service] = slices.Clone(leases)
 		for _, l := range leases {
 			saved[l] = *l
 		}
 	}
-	serial := k.serial
+	serial := alloc.serial
 	for _, apply := range change.apply {
 		apply()
 	}
-	table := k.Table()
-	k.leases = lists
+	table := alloc.Table()
+	alloc.leases = lists
 	for l, before := range saved {
 		*l = before
 	}
-	k.serial = serial
+	alloc.serial = serial
 	return table
 }
 
 // Table returns the present table.
-func (k *Allocator) Table() *Table {
-	table := &Table{Lessor: k.self, Services: map[site.ServiceName][]Assignment{}}
-	for service, leases := range k.leases {
+func (alloc *Allocator) Table() *Table {
+	table := &Table{Lessor: alloc.self, Services: map[site.ServiceName][]Assignment{}}
+	for service, leases := range alloc.leases {
 		for _, l := range leases {
 			a := l.Assignment
 			if l.confirmed {
@@ -302,7 +302,7 @@
 }
 
 // Appended applies a change whose append succeeded.
-func (k *Allocator) Appended(change *Change) {
+func (alloc *Allocator) Appended(change *Change) {
 	for _, apply := range change.apply {
 		apply()
 	}
--- a/gateway/ranges/search_run_test.go
+++ b/gateway/ranges/search_run_test.go
@@ -8,8 +8,8 @@
 	"github.com/onsi/gomega"
 )
 
-// mostStates ends a search whose states would not fit into 2 GB.
-const mostStates = 30_000_000
+// maxStates ends a search whose states would not fit into 2 GB.
+const maxStates = 30_000_000
 
 // longSearch plays larger bounds, which take minutes and some GB.
 var longSearch = flag.Bool("long-search", false, "search with larger bounds")
@@ -22,14 +22,14 @@
 
 func TestNoHistoryHasTwoOwners(t *testing.T) {
 	t.Parallel()
-	cases := []searchCase{{"one start beside a planned move", searchBounds{starts: 1, moves: 1}}}
+	cases := []searchCase{{"one start beside a planned move", searchBounds{restarts: 1, moves: 1}}}
 	if *longSearch {
 		cases = append(cases,
 			searchCase{"a claim", searchBounds{claims: 1}},
-			searchCase{"two starts beside a planned move", searchBounds{starts: 2, moves: 1}},
-			searchCase{"three starts", searchBounds{starts: 3}},
+			searchCase{"two starts beside a planned move", searchBounds{restarts: 2, moves: 1}},
+			searchCase{"three starts", searchBounds{restarts: 3}},
 			searchCase{"a claim beside a planned move", searchBounds{claims: 1, moves: 1}},
-			searchCase{"one start beside a claim", searchBounds{starts: 1, claims: 1}},
+			searchCase{"one start beside a claim", searchBounds{restarts: 1, claims: 1}},
 			searchCase{"a resignation and a claim", searchBounds{claims: 1, resigns: 1}},
 		)
 	}
@@ -37,7 +37,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			startedAt := time.Now()
-			fault, states, complete := search(c.bounds, rules{}, mostStates)
+			fault, states, complete := search(c.bounds, rules{}, maxStates)
 			t.Logf("%d states in %v", states, time.Since(startedAt))
 			g.Expect(fault).To(gomega.BeEmpty())
 			g.Expect(complete).To(gomega.BeTrue())
@@ -51,18 +51,18 @@
 		dropped rules
 		bounds  searchBounds
 	}{
-		"the former lessor's right is not waited for":          {rules{noFormer: true}, searchBounds{claims: 1}},
-		"a silent owner's holds are not waited out":            {rules{noWait: true}, searchBounds{}},
-		"a range is released although a grant had no answer":   {rules{noSeal: true}, searchBounds{moves: 1}},
-		"a lessor grants although its lease was not confirmed": {rules{noRight: true}, searchBounds{claims: 1}},
-		"what was reset is taken for gone":                     {rules{noQueue: true}, searchBounds{}},
-		"a former lessor hides what it granted":                {rules{noReport: true}, searchBounds{claims: 1}},
-		"a later run is proof that the owner holds nothing":    {rules{noName: true}, searchBounds{starts: 1}},
-		"what an earlier run was granted is forgotten":         {rules{noCarry: true}, searchBounds{starts: 2, moves: 1}},
-		"a higher fence ends the wait for unanswered grants":   {rules{noDoubt: true}, searchBounds{starts: 1, moves: 1}},
+		"the former lessor's right is not waited for":          {rules{noPreviousWait: true}, searchBounds{claims: 1}},
+		"a silent owner's holds are not waited out":            {rules{noExpiryWait: true}, searchBounds{}},
+		"a range is released although a grant had no answer":   {rules{noUncertainCheck: true}, searchBounds{moves: 1}},
+		"a lessor grants although its lease was not confirmed": {rules{noLeaseCheck: true}, searchBounds{claims: 1}},
+		"what was reset is taken for gone":                     {rules{noLinkQueue: true}, searchBounds{}},
+		"a former lessor hides what it granted":                {rules{noHandOffReport: true}, searchBounds{claims: 1}},
+		"a later run is proof that the owner holds nothing":    {rules{noNameMatch: true}, searchBounds{restarts: 1}},
+		"what an earlier run was granted is forgotten":         {rules{noCarriedHolds: true}, searchBounds{restarts: 2, moves: 1}},
+		"a higher fence ends the wait for unanswered grants":   {rules{noUncertainWait: true}, searchBounds{restarts: 1, moves: 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			fault, states, _ := search(c.bounds, c.dropped, mostStates)
+			fault, states, _ := search(c.bounds, c.dropped, maxStates)
 			t.Logf("%d states: %s", states, fault)
 			gomega.NewWithT(t).Expect(fault).NotTo(gomega.BeEmpty())
 		})
--- a/gateway/ranges/search_state_test.go
+++ b/gateway/ranges/search_state_test.go
@@ -17,14 +17,14 @@
 // but for their order. So the length of the histories has no bound, only the number
 // of starts, claims and planned moves in them and of calls that are under way.
 const (
-	searchHold    = time.Second
-	searchTimeout = time.Second
-	searchRight   = 2 * time.Second
-	// searchUnderway is for how long a call may arrive after its sender has abandoned it.
-	searchUnderway = time.Second
-	// searchLate is for how long a call without an answer may wait at a server: with
+	searchHold        = time.Second
+	searchTimeout     = time.Second
+	searchGrantPeriod = 2 * time.Second
+	// searchLinkDelay is for how long a call may arrive after its sender has abandoned it.
+	searchLinkDelay = time.Second
+	// searchWait is for how long a call without an answer may wait at a server: with
 	// the hold, until it can no longer be in force.
-	searchLate = 1
+	searchWait = 1
 	// searchCalls bounds the calls on their way or waiting at a server.
 	searchCalls = 2
 	// searchStarts bounds the runs of a server.
@@ -34,93 +34,93 @@
 var (
 	searchStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	searchNames = [2]site.ServerName{"a", "b"}
-	searchTimes = Timing{Hold: searchHold, Right: searchRight, CallTimeout: searchTimeout, Underway: searchUnderway, ReleaseTimeout: searchTimeout}
+	searchTimes = Timing{Hold: searchHold, GrantPeriod: searchGrantPeriod, CallTimeout: searchTimeout, Underway: searchLinkDelay, ReleaseTimeout: searchTimeout}
 )
 
 // searchState is one state. It is a map's key: states that are equal have the same
 // future. Times are relative to now.
 type searchState struct {
-	nodes   [2]searchNode
-	servers [2]searchServer
-	calls   [searchCalls]searchCall // in order; empty ones last
-	table   searchTable
-	left    searchBounds
+	nodes     [2]searchNode
+	servers   [2]searchServer
+	calls     [searchCalls]searchCall // in order; empty ones last
+	table     searchTable
+	remaining searchBounds
 }
 
 // searchBounds is how many events of a kind may still come.
-type searchBounds struct{ starts, claims, resigns, moves int8 }
+type searchBounds struct{ restarts, claims, resigns, moves int8 }
 
 // searchTable is the newest table.
 type searchTable struct {
-	server, run int8
-	end         int8 // fence of the next append
+	server, incarnation int8
+	end                 int8 // fence of the next append
 	// resigned tells that the lessor has given its lease up, and held and doubt what
 	// it told with that.
-	resigned    bool
-	held, doubt int16
+	resigned        bool
+	held, uncertain int16
 }
 
 // searchNode is what a node knows as lessor; the zero value: it is none.
 type searchNode struct {
-	isLessor  bool
-	atEnd     bool // nobody has appended since
-	confirmed int8 // seconds since its latest append
-	claim     int8 // fence of its claim
-	runs      [2]int8
-	restarts  [2]int8
+	isLessor     bool
+	atEnd        bool // nobody has appended since
+	confirmed    int8 // seconds since its latest append
+	claim        int8 // fence of its claim
+	incarnations [2]int8
+	restarts     [2]int8
 
-	server, run   int8
-	next, nextRun int8 // of a planned move; next -1: none
-	fence         int8
-	phase         phase
-	calling       bool
-	doubtful      bool
-	answered      bool
-	raised        bool
-	misses        int8
-	held          int16 // milliseconds
-	doubt         int16
-	former        int16 // the same as held and doubt, of former lessors
-	formerDoubt   int16
+	server, incarnation   int8
+	next, nextIncarnation int8 // of a planned move; next -1: none
+	fence                 int8
+	phase                 phase
+	callInFlight          bool
+	hasUncertainGrant     bool
+	answered              bool
+	raiseFence            bool
+	failures              int8
+	held                  int16 // milliseconds
+	uncertain             int16
+	previous              int16 // the same as held and doubt, of former lessors
+	previousUncertain     int16
 	// callUntil is the end of the grant whose call goes on, and strayUntil the latest one
 	// of those that were abandoned while their bytes were under way; 0: none.
-	callUntil, strayUntil int16
+	callUntil, abandonedUntil int16
 }
 
 // searchServer is a server's present run.
 type searchServer struct {
-	run, shown int8 // shown: in the register
-	highest    int8
-	had        int8 // highest fence with which any run held the range
-	held       int16
+	incarnation, registered int8 // shown: in the register
+	highest                 int8
+	highestHeld             int8 // highest fence with which any run held the range
+	held                    int16
 }
 
 // searchCall is a call on its way, or one that waits at a server and has no answer.
 type searchCall struct {
-	exists      bool
-	node, claim int8 // the sender, as the lessor of that claim
-	server, run int8
-	fence       int8
-	release     bool
-	waits       bool
-	abandoned   bool // by its sender, while it is on its way
-	age         int8 // seconds since it was sent, was abandoned, or arrived
+	exists              bool
+	node, claim         int8 // the sender, as the lessor of that claim
+	server, incarnation int8
+	fence               int8
+	release             bool
+	waits               bool
+	abandoned           bool // by its sender, while it is on its way
+	age                 int8 // seconds since it was sent, was abandoned, or arrived
 }
 
 // The runs of both servers, and the registers that show one of each, are made once:
 // the search asks for them at every step.
 var (
-	searchRuns   [len(searchNames)][searchStarts]site.ServerID
-	searchRunsOf = map[site.ServerID][2]int8{}
-	searchSites  [searchStarts][searchStarts]Site
+	searchIncarnations       [len(searchNames)][searchStarts]site.ServerID
+	searchIncarnationNumbers = map[site.ServerID][2]int8{}
+	searchSites              [searchStarts][searchStarts]Site
 )
 
 func init() {
 	for name := range searchNames {
 		for number := range searchStarts {
 			id := site.RunID(searchNames[name], time.Unix(int64(number)+1, 0))
-			searchRuns[name][number] = id
-			searchRunsOf[id] = [2]int8{int8(name), int8(number)}
+			searchIncarnations[name][number] = id
+			searchIncarnationNumbers[id] = [2]int8{int8(name), int8(number)}
 		}
 	}
 	for a := range int8(searchStarts) {
@@ -130,10 +130,10 @@
 	}
 }
 
-func searchRun(name, number int8) site.ServerID { return searchRuns[name][number] }
+func searchIncarnation(name, number int8) site.ServerID { return searchIncarnations[name][number] }
 
-func searchRunOf(id site.ServerID) (name, number int8) {
-	run := searchRunsOf[id]
+func searchIncarnationOf(id site.ServerID) (name, number int8) {
+	run := searchIncarnationNumbers[id]
 	return run[0], run[1]
 }
 
@@ -142,7 +142,7 @@
 	view := keyedSite()
 	for name := range int8(len(searchNames)) {
 		for run := range shown[name] + 1 {
-			id := searchRun(name, run)
+			id := searchIncarnation(name, run)
 			server := site.Server{ID: id, Service: worldService, Slots: 1, Address: string(searchNames[name])}
 			view.Known[id] = server
 			if run == shown[name] {
@@ -160,98 +160,100 @@
 }
 
 // site returns the register as the nodes see it.
-func (s *searchState) site() Site { return searchSites[s.servers[0].shown][s.servers[1].shown] }
+func (s *searchState) site() Site {
+	return searchSites[s.servers[0].registered][s.servers[1].registered]
+}
 
 // newSearchAllocator returns a lessor that allocator makes the one of a node.
 func newSearchAllocator() *Allocator {
 	return &Allocator{
-		timing:      searchTimes,
-		leases:      map[site.ServiceName][]*lease{worldService: {{}}},
-		compactedAt: map[site.ServiceName]time.Time{worldService: searchStart},
-		runs:        newRuns(),
-		silentUntil: map[site.ServerID]time.Time{},
+		timing:        searchTimes,
+		leases:        map[site.ServiceName][]*lease{worldService: {{}}},
+		compactedAt:   map[site.ServiceName]time.Time{worldService: searchStart},
+		incarnations:  newIncarnations(),
+		excludedUntil: map[site.ServerID]time.Time{},
 	}
 }
 
-// allocator makes k the lessor that a node is.
-func (n *searchNode) allocator(k *Allocator) *lease {
-	l := k.leases[worldService][0]
+// load makes k the lessor that a node is.
+func (n *searchNode) load(alloc *Allocator) *lease {
+	l := alloc.leases[worldService][0]
 	*l = lease{
-		Assignment: Assignment{Span: Span{To: LastKey}, Server: searchRun(n.server, n.run), Fence: Fence(n.fence)},
-		service:    worldService,
-		phase:      n.phase,
-		heldUntil:  absolute(n.held),
-		doubtUntil: absolute(n.doubt),
-		calling:    n.calling,
-		doubtful:   n.doubtful,
-		confirmed:  n.answered,
-		raised:     n.raised,
-		misses:     int(n.misses),
+		Assignment:        Assignment{Span: Span{To: LastKey}, Server: searchIncarnation(n.server, n.incarnation), Fence: Fence(n.fence)},
+		service:           worldService,
+		phase:             n.phase,
+		heldUntil:         absolute(n.held),
+		uncertainUntil:    absolute(n.uncertain),
+		callInFlight:      n.callInFlight,
+		hasUncertainGrant: n.hasUncertainGrant,
+		confirmed:         n.answered,
+		raiseFence:        n.raiseFence,
+		failures:          int(n.failures),
 	}
-	l.formerUntil, l.formerDoubt = absolute(n.former), absolute(n.formerDoubt)
-	l.flights = n.flights()
-	k.hasStrays = l.hasStrays()
+	l.previousUntil, l.previousUncertainUntil = absolute(n.previous), absolute(n.previousUncertain)
+	l.inFlight = n.inFlight()
+	alloc.hasAbandonedGrants = l.hasAbandonedGrants()
 	if n.next >= 0 {
-		l.next = searchRun(n.next, n.nextRun)
+		l.next = searchIncarnation(n.next, n.nextIncarnation)
 	}
-	k.runs.news = nil
-	clear(k.silentUntil)
-	if n.misses >= missesToLapse {
-		k.silentUntil[l.Server] = searchStart.Add(silentPause)
+	alloc.incarnations.unreported = nil
+	clear(alloc.excludedUntil)
+	if n.failures >= failuresToExpire {
+		alloc.excludedUntil[l.Server] = searchStart.Add(unresponsiveCooldown)
 	}
 	for name := range int8(len(searchNames)) {
-		k.runs.present[searchNames[name]] = searchRun(name, n.runs[name])
-		k.runs.restarts[searchNames[name]] = searchRestarts[:n.restarts[name]:n.restarts[name]]
+		alloc.incarnations.current[searchNames[name]] = searchIncarnation(name, n.incarnations[name])
+		alloc.incarnations.restarts[searchNames[name]] = searchRestarts[:n.restarts[name]:n.restarts[name]]
 	}
 	return l
 }
 
-// flights returns the grants whose arrival a node does not know. What was abandoned was
+// inFlight returns the grants whose arrival a node does not know. What was abandoned was
 // reset before any call that goes on was sent.
-func (n *searchNode) flights() []flight {
-	var flights []flight
+func (n *searchNode) inFlight() []inFlightGrant {
+	var flights []inFlightGrant
 	if n.callUntil > 0 {
-		flights = append(flights, flight{hold: searchHold, until: absolute(n.callUntil)})
+		flights = append(flights, inFlightGrant{hold: searchHold, until: absolute(n.callUntil)})
 	}
-	if n.strayUntil > 0 {
-		flights = append(flights, flight{hold: searchHold, until: absolute(n.strayUntil), endedAt: searchStart.Add(-time.Hour)})
+	if n.abandonedUntil > 0 {
+		flights = append(flights, inFlightGrant{hold: searchHold, until: absolute(n.abandonedUntil), endedAt: searchStart.Add(-time.Hour)})
 	}
 	return flights
 }
 
-// keepFlights takes the grants whose arrival is not known.
-func (n *searchNode) keepFlights(flights []flight) {
-	n.callUntil, n.strayUntil = 0, 0
+// saveInFlight takes the grants whose arrival is not known.
+func (n *searchNode) saveInFlight(flights []inFlightGrant) {
+	n.callUntil, n.abandonedUntil = 0, 0
 	for _, f := range flights {
 		if f.endedAt.IsZero() {
 			n.callUntil = relative(f.until)
 			continue
 		}
-		n.strayUntil = max(n.strayUntil, relative(f.until))
+		n.abandonedUntil = max(n.abandonedUntil, relative(f.until))
 	}
 }
 
-var searchRestarts = slices.Repeat([]time.Time{searchStart}, restartsOfLoop)
+var searchRestarts = slices.Repeat([]time.Time{searchStart}, crashLoopRestarts)
 
-// keep takes what the lessor of a node knows after an event.
-func (n *searchNode) keep(k *Allocator) {
-	l := k.leases[worldService][0]
-	n.server, n.run = searchRunOf(l.Server)
-	n.next, n.nextRun = -1, 0
+// save takes what the lessor of a node knows after an event.
+func (n *searchNode) save(alloc *Allocator) {
+	l := alloc.leases[worldService][0]
+	n.server, n.incarnation = searchIncarnationOf(l.Server)
+	n.next, n.nextIncarnation = -1, 0
 	if l.next != "" {
-		n.next, n.nextRun = searchRunOf(l.next)
+		n.next, n.nextIncarnation = searchIncarnationOf(l.next)
 	}
 	n.fence, n.phase = int8(l.Fence), l.phase
-	n.calling, n.doubtful, n.answered, n.raised = l.calling, l.doubtful, l.confirmed, l.raised
-	n.misses = int8(min(l.misses, missesToLapse))
-	n.held, n.doubt = relative(l.heldUntil), relative(l.doubtUntil)
-	n.former, n.formerDoubt = relative(l.formerUntil), relative(l.formerDoubt)
-	n.keepFlights(l.flights)
+	n.callInFlight, n.hasUncertainGrant, n.answered, n.raiseFence = l.callInFlight, l.hasUncertainGrant, l.confirmed, l.raiseFence
+	n.failures = int8(min(l.failures, failuresToExpire))
+	n.held, n.uncertain = relative(l.heldUntil), relative(l.uncertainUntil)
+	n.previous, n.previousUncertain = relative(l.previousUntil), relative(l.previousUncertainUntil)
+	n.saveInFlight(l.inFlight)
 	for name := range int8(len(searchNames)) {
-		if present, known := k.runs.present[searchNames[name]]; known {
-			_, n.runs[name] = searchRunOf(present)
+		if present, known := alloc.incarnations.current[searchNames[name]]; known {
+			_, n.incarnations[name] = searchIncarnationOf(present)
 		}
-		n.restarts[name] = int8(min(len(k.runs.restarts[searchNames[name]]), restartsOfLoop))
+		n.restarts[name] = int8(min(len(alloc.incarnations.restarts[searchNames[name]]), crashLoopRestarts))
 	}
 }
 
@@ -260,7 +262,7 @@
 	slices.SortFunc(s.calls[:], compareCalls)
 	for i := range s.nodes {
 		for name, restarts := range s.nodes[i].restarts {
-			if restarts+s.left.starts < restartsOfLoop {
+			if restarts+s.remaining.restarts < crashLoopRestarts {
 				s.nodes[i].restarts[name] = 0 // it will never count
 			}
 		}
@@ -268,7 +270,7 @@
 	fences := []*int8{&s.table.end}
 	for i := range s.nodes {
 		fences = append(fences, &s.nodes[i].fence, &s.nodes[i].claim)
-		fences = append(fences, &s.servers[i].highest, &s.servers[i].had)
+		fences = append(fences, &s.servers[i].highest, &s.servers[i].highestHeld)
 	}
 	for i := range s.calls {
 		fences = append(fences, &s.calls[i].fence, &s.calls[i].claim)
@@ -285,11 +287,11 @@
 	}
 }
 
-func compareCalls(a, b searchCall) int { return b.number() - a.number() }
+func compareCalls(a, b searchCall) int { return b.sortKey() - a.sortKey() }
 
-func (c *searchCall) number() int {
+func (c *searchCall) sortKey() int {
 	number := 0
-	for _, digit := range []int8{bit(c.exists), bit(c.release), bit(c.waits), bit(c.abandoned), c.node, c.server, c.run, c.age, c.claim, c.fence} {
+	for _, digit := range []int8{bit(c.exists), bit(c.release), bit(c.waits), bit(c.abandoned), c.node, c.server, c.incarnation, c.age, c.claim, c.fence} {
 		number = number*32 + int(digit)
 	}
 	return number
--- a/gateway/ranges/search_test.go
+++ b/gateway/ranges/search_test.go
@@ -25,10 +25,10 @@
 		seen:      map[[2]uint64]struct{}{},
 		allocator: newSearchAllocator(),
 	}
-	first := searchState{left: bounds}
+	first := searchState{remaining: bounds}
 	first.table.end = 1
-	first.table.server = 1 // what a silent owner loses goes to the first server
-	first.left.claims++    // the first one has no former lessor
+	first.table.server = 1   // what a silent owner loses goes to the first server
+	first.remaining.claims++ // the first one has no former lessor
 	s.claim(first, 0)
 	for len(s.todo) > 0 && len(s.seen) < most {
 		state := s.todo[len(s.todo)-1]
@@ -59,7 +59,7 @@
 func (s *searcher) expand(state searchState) {
 	for node := range int8(len(state.nodes)) {
 		if !state.nodes[node].isLessor {
-			if state.left.claims > 0 {
+			if state.remaining.claims > 0 {
 				s.claim(state, node)
 			}
 			continue
@@ -68,7 +68,7 @@
 		s.resign(state, node)
 		s.call(state, node)
 		s.move(state, node)
-		s.forget(state, node)
+		s.expireRestarts(state, node)
 		s.handOff(state, node)
 	}
 	for i := range state.calls {
@@ -84,26 +84,26 @@
 
 // claim makes a node the lessor.
 func (s *searcher) claim(state searchState, node int8) {
-	state.left.claims--
-	state.appendBy(node)
+	state.remaining.claims--
+	state.recordAppend(node)
 	table := &Table{Services: map[site.ServiceName][]Assignment{worldService: {
-		{Span: Span{To: LastKey}, Server: searchRun(state.table.server, state.table.run)},
+		{Span: Span{To: LastKey}, Server: searchIncarnation(state.table.server, state.table.incarnation)},
 	}}}
 	fence := state.table.end
 	former := searchTimes.FormerHold()
 	doubt := former
 	switch {
-	case s.rules.noFormer:
-		former = searchTimes.lapse(searchHold)
+	case s.rules.noPreviousWait:
+		former = searchTimes.maxTimeInForce(searchHold)
 	case state.table.resigned:
-		former, doubt = absolute(state.table.held).Sub(searchStart), absolute(state.table.doubt).Sub(searchStart)
+		former, doubt = absolute(state.table.held).Sub(searchStart), absolute(state.table.uncertain).Sub(searchStart)
 	}
-	k := NewAllocator(table.Refenced(Lessor{}, Fence(fence)), searchTimes, former, searchStart)
-	k.LimitDoubt(doubt, searchStart)
-	k.runs.observe(state.site().Servers, searchStart)
+	alloc := NewAllocator(table.Refenced(Lessor{}, Fence(fence)), searchTimes, former, searchStart)
+	alloc.LimitDoubt(doubt, searchStart)
+	alloc.incarnations.observe(state.site().Servers, searchStart)
 	n := &state.nodes[node]
 	n.isLessor, n.claim = true, fence
-	n.keep(k)
+	n.save(alloc)
 	state.table.end++
 	s.add(state)
 }
@@ -115,22 +115,22 @@
 	if !former.isLessor || former.claim >= n.claim {
 		return
 	}
-	k := s.allocator
-	former.allocator(k)
-	list := k.Remaining(searchStart)
-	if s.rules.noReport {
+	alloc := s.allocator
+	former.load(alloc)
+	list := alloc.Remaining(searchStart)
+	if s.rules.noHandOffReport {
 		list = nil
 	}
 	*former = searchNode{}
-	n.allocator(k)
-	k.LimitFormer(list, searchStart)
-	n.keep(k)
+	n.load(alloc)
+	alloc.LimitFormer(list, searchStart)
+	n.save(alloc)
 	s.add(state)
 }
 
-// appendBy notes that a node appends.
-func (s *searchState) appendBy(node int8) {
-	s.table.resigned, s.table.held, s.table.doubt = false, 0, 0
+// recordAppend notes that a node appends.
+func (s *searchState) recordAppend(node int8) {
+	s.table.resigned, s.table.held, s.table.uncertain = false, 0, 0
 	for i := range s.nodes {
 		s.nodes[i].atEnd = int8(i) == node
 	}
@@ -146,36 +146,36 @@
 		s.add(state)
 		return
 	}
-	k := s.allocator
-	l := n.allocator(k)
+	alloc := s.allocator
+	l := n.load(alloc)
 	view := state.site()
-	s.rules.drop(k, l, view.Servers, searchStart)
-	change := k.Plan(view, Fence(state.table.end), searchStart)
+	s.rules.drop(alloc, l, view.Servers, searchStart)
+	change := alloc.Plan(view, Fence(state.table.end), searchStart)
 	if change != nil {
-		k.Appended(change)
+		alloc.Appended(change)
 		owner, _ := change.Table.Owner(worldService, 0)
-		state.table.server, state.table.run = searchRunOf(owner.Server)
+		state.table.server, state.table.incarnation = searchIncarnationOf(owner.Server)
 		state.table.end++
 	}
-	state.appendBy(node)
-	n.keep(k)
+	state.recordAppend(node)
+	n.save(alloc)
 	s.add(state)
 }
 
 // resign has a lessor give its lease up.
 func (s *searcher) resign(state searchState, node int8) {
 	n := &state.nodes[node]
-	if state.left.resigns == 0 || !n.atEnd {
+	if state.remaining.resigns == 0 || !n.atEnd {
 		return
 	}
-	state.left.resigns--
-	k := s.allocator
-	n.allocator(k)
-	held, doubt := k.Held(searchStart), k.Doubt(searchStart)
-	state.appendBy(node)
+	state.remaining.resigns--
+	alloc := s.allocator
+	n.load(alloc)
+	held, doubt := alloc.Held(searchStart), alloc.Doubt(searchStart)
+	state.recordAppend(node)
 	*n = searchNode{}
 	state.table.resigned = true
-	state.table.held, state.table.doubt = relative(searchStart.Add(held)), relative(searchStart.Add(doubt))
+	state.table.held, state.table.uncertain = relative(searchStart.Add(held)), relative(searchStart.Add(doubt))
 	s.add(state)
 }
 
@@ -185,42 +185,42 @@
 		return
 	}
 	n := &state.nodes[node]
-	k := s.allocator
-	n.allocator(k)
+	alloc := s.allocator
+	n.load(alloc)
 	view := state.site()
 	confirmedAt := searchStart.Add(-time.Duration(n.confirmed) * time.Second)
-	if s.rules.noRight {
+	if s.rules.noLeaseCheck {
 		confirmedAt = searchStart
 	}
-	calls := k.Calls(view.Servers, Lease{ConfirmedAt: confirmedAt}, searchStart)
+	calls := alloc.Calls(view.Servers, Lease{ConfirmedAt: confirmedAt}, searchStart)
 	if len(calls) == 0 {
 		return
 	}
-	server, run := searchRunOf(calls[0].Server)
-	state.calls[searchCalls-1] = searchCall{exists: true, node: node, claim: n.claim, server: server, run: run, fence: n.fence, release: calls[0].Release}
-	n.keep(k)
+	server, run := searchIncarnationOf(calls[0].Server)
+	state.calls[searchCalls-1] = searchCall{exists: true, node: node, claim: n.claim, server: server, incarnation: run, fence: n.fence, release: calls[0].Release}
+	n.save(alloc)
 	s.add(state)
 }
 
 // move has a lessor begin to move the range to the other server.
 func (s *searcher) move(state searchState, node int8) {
 	n := &state.nodes[node]
-	k := s.allocator
-	l := n.allocator(k)
-	s.rules.drop(k, l, state.site().Servers, searchStart)
-	if state.left.moves == 0 || !l.canRelease(searchStart) {
+	alloc := s.allocator
+	l := n.load(alloc)
+	s.rules.drop(alloc, l, state.site().Servers, searchStart)
+	if state.remaining.moves == 0 || !l.canRelease(searchStart) {
 		return
 	}
-	state.left.moves--
+	state.remaining.moves--
 	other := 1 - n.server
-	l.next = searchRun(other, state.servers[other].shown)
-	k.setPhase(l, releasing)
-	n.keep(k)
+	l.next = searchIncarnation(other, state.servers[other].registered)
+	alloc.setPhase(l, releasing)
+	n.save(alloc)
 	s.add(state)
 }
 
-// forget lets the time pass after which restarts no longer count.
-func (s *searcher) forget(state searchState, node int8) {
+// expireRestarts lets the time pass after which restarts no longer count.
+func (s *searcher) expireRestarts(state searchState, node int8) {
 	if state.nodes[node].restarts != [2]int8{} {
 		state.nodes[node].restarts = [2]int8{}
 		s.add(state)
@@ -233,7 +233,7 @@
 	c := state.calls[i]
 	if c.waits {
 		state.calls[i] = searchCall{}
-		s.apply(&state, c, c.age)
+		s.execute(&state, c, c.age)
 		s.add(state)
 		return
 	}
@@ -243,18 +243,18 @@
 	}
 	lost := state
 	lost.calls[i] = searchCall{}
-	s.answer(&lost, c, Result{Failed: true, Fate: Underway})
+	s.finish(&lost, c, Result{Failed: true, Fate: Underway})
 	s.add(lost)
 
 	waiting := state
 	waiting.calls[i] = searchCall{exists: true, waits: true, server: c.server, fence: c.fence, release: c.release}
-	s.answer(&waiting, c, Result{Failed: true, Fate: Arrived})
+	s.finish(&waiting, c, Result{Failed: true, Fate: Arrived})
 	s.add(waiting)
 
 	unanswered := state
 	unanswered.calls[i] = searchCall{}
-	s.apply(&unanswered, c, 0)
-	s.answer(&unanswered, c, Result{Failed: true, Fate: Arrived})
+	s.execute(&unanswered, c, 0)
+	s.finish(&unanswered, c, Result{Failed: true, Fate: Arrived})
 	s.add(unanswered)
 	if c.abandoned {
 		return
@@ -262,8 +262,8 @@
 	s.abandon(state, i)
 
 	state.calls[i] = searchCall{}
-	fenced := s.apply(&state, c, 0)
-	s.answer(&state, c, Result{Fenced: fenced})
+	fenced := s.execute(&state, c, 0)
+	s.finish(&state, c, Result{Fenced: fenced})
 	s.add(state)
 }
 
@@ -272,7 +272,7 @@
 	c := state.calls[i]
 	state.calls[i].abandoned = true
 	state.calls[i].age = 0
-	s.answer(&state, c, Result{Failed: true, Fate: Underway})
+	s.finish(&state, c, Result{Failed: true, Fate: Underway})
 	s.add(state)
 }
 
@@ -287,8 +287,8 @@
 	return false
 }
 
-// apply carries a call out that arrived a while ago.
-func (s *searcher) apply(state *searchState, c searchCall, age int8) (fenced bool) {
+// execute carries a call out that arrived a while ago.
+func (s *searcher) execute(state *searchState, c searchCall, age int8) (fenced bool) {
 	server := &state.servers[c.server]
 	if c.release {
 		if server.highest <= c.fence {
@@ -305,41 +305,41 @@
 	if server.held == 0 {
 		return false
 	}
-	server.had = max(server.had, c.fence)
-	if state.servers[1-c.server].had >= c.fence {
+	server.highestHeld = max(server.highestHeld, c.fence)
+	if state.servers[1-c.server].highestHeld >= c.fence {
 		s.fault = "a fence that is not above the other server's"
 	}
 	return false
 }
 
-// answer gives the result of a call to its sender.
-func (s *searcher) answer(state *searchState, c searchCall, result Result) {
+// finish gives the result of a call to its sender.
+func (s *searcher) finish(state *searchState, c searchCall, result Result) {
 	n := &state.nodes[c.node]
 	if c.abandoned || !n.isLessor || n.claim != c.claim {
 		return
 	}
-	k := s.allocator
-	l := n.allocator(k)
-	call := Call{Service: worldService, Server: searchRun(c.server, c.run), Release: c.release, SentAt: searchStart.Add(-time.Duration(c.age) * time.Second), lease: l}
+	alloc := s.allocator
+	l := n.load(alloc)
+	call := Call{Service: worldService, Server: searchIncarnation(c.server, c.incarnation), Release: c.release, SentAt: searchStart.Add(-time.Duration(c.age) * time.Second), lease: l}
 	call.Grant = Grant{Assignment: l.Assignment, Hold: searchHold}
 	call.Grant.Fence = Fence(c.fence)
-	k.Done(call, result, searchStart)
-	n.keep(k)
+	alloc.Done(call, result, searchStart)
+	n.save(alloc)
 }
 
 // start has a server start again, or its entry reach the register.
 func (s *searcher) start(state searchState, name int) {
 	server := &state.servers[name]
-	if server.shown != server.run {
+	if server.registered != server.incarnation {
 		shown := state
-		shown.servers[name].shown = server.run
+		shown.servers[name].registered = server.incarnation
 		s.add(shown)
 	}
-	if state.left.starts == 0 {
+	if state.remaining.restarts == 0 {
 		return
 	}
-	state.left.starts--
-	server.run++
+	state.remaining.restarts--
+	server.incarnation++
 	server.highest, server.held = 0, 0
 	s.add(state)
 }
@@ -350,11 +350,11 @@
 		c := &state.calls[i]
 		switch {
 		case !c.exists:
-		case c.abandoned && time.Duration(c.age)*time.Second >= searchUnderway:
+		case c.abandoned && time.Duration(c.age)*time.Second >= searchLinkDelay:
 			return
 		case !c.waits && !c.abandoned && time.Duration(c.age)*time.Second >= searchTimeout:
 			return
-		case c.waits && c.age >= searchLate:
+		case c.waits && c.age >= searchWait:
 			*c = searchCall{} // what it could still do has run out
 		default:
 			c.age++
@@ -362,15 +362,15 @@
 	}
 	for i := range state.nodes {
 		n := &state.nodes[i]
-		n.held, n.doubt = later(n.held), later(n.doubt)
-		n.former, n.formerDoubt = later(n.former), later(n.formerDoubt)
-		n.callUntil, n.strayUntil = later(n.callUntil), later(n.strayUntil)
+		n.held, n.uncertain = subtractSecond(n.held), subtractSecond(n.uncertain)
+		n.previous, n.previousUncertain = subtractSecond(n.previous), subtractSecond(n.previousUncertain)
+		n.callUntil, n.abandonedUntil = subtractSecond(n.callUntil), subtractSecond(n.abandonedUntil)
 		if n.isLessor {
-			n.confirmed = min(n.confirmed+1, int8(searchRight/time.Second))
+			n.confirmed = min(n.confirmed+1, int8(searchGrantPeriod/time.Second))
 		}
-		state.servers[i].held = later(state.servers[i].held)
+		state.servers[i].held = subtractSecond(state.servers[i].held)
 	}
 	s.add(state)
 }
 
-func later(milliseconds int16) int16 { return max(milliseconds-1000, 0) }
+func subtractSecond(milliseconds int16) int16 { return max(milliseconds-1000, 0) }
--- a/gateway/ranges/timing.go
+++ b/gateway/ranges/timing.go
@@ -19,11 +19,11 @@
 	// Renew is the interval between grants of a range. It leaves a lost grant
 	// time to be repeated within Hold.
 	Renew time.Duration
-	// Right is for how long a lessor goes on granting after it last confirmed its
+	// GrantPeriod is for how long a lessor goes on granting after it last confirmed its
 	// lease in the store; what it grants ends a Hold later. Ownership lives through
 	// outages of the store of that length, and a new lessor waits as long for an
 	// owner that does not answer.
-	Right time.Duration
+	GrantPeriod time.Duration
 	// CallTimeout ends a call to a server.
 	CallTimeout time.Duration
 	// Underway is how long bytes may wait in the node's own link after their connection was
@@ -40,7 +40,7 @@
 	return Timing{
 		Hold:           3 * time.Second,
 		Renew:          700 * time.Millisecond,
-		Right:          5 * time.Second,
+		GrantPeriod:    5 * time.Second,
 		CallTimeout:    400 * time.Millisecond,
 		Underway:       3 * time.Second,
 		ReleaseTimeout: 3 * time.Second,
--- a/gateway/ranges/unaccepted_test.go
+++ b/gateway/ranges/unaccepted_test.go
@@ -10,31 +10,31 @@
 
 // A full server accepts a new lessor's connection seconds late and serves its keys meanwhile.
 // It was taken for silent, and requests for its keys were refused.
-func TestAnOwnerThatHasNotAcceptedAConnectionYetIsNotSilent(t *testing.T) {
+func TestAnOwnerThatHasNotAcceptedAConnectionYetIsNotUnresponsive(t *testing.T) {
 	g := gomega.NewWithT(t)
-	k, s := owned(t)
+	alloc, s := ownedRange(t)
 	timing := DefaultTiming()
 	now := allocatorStart
-	state := func() RouteState { return k.Routes()[worldService][0].State }
+	state := func() RouteState { return alloc.Routes()[worldService][0].State }
 	call := func(result Result) {
-		calls := k.Calls(s.Servers, Lease{ConfirmedAt: now}, now)
+		calls := alloc.Calls(s.Servers, Lease{ConfirmedAt: now}, now)
 		g.Expect(calls).To(gomega.HaveLen(1), "the next call is due at once")
 		now = now.Add(timing.CallTimeout)
-		k.Done(calls[0], result, now)
+		alloc.Done(calls[0], result, now)
 	}
 	unaccepted := Result{Failed: true, Fate: Unaccepted}
-	for first := now.Add(timing.CallTimeout); now.Add(timing.CallTimeout).Sub(first) < acceptPatience; {
+	for first := now.Add(timing.CallTimeout); now.Add(timing.CallTimeout).Sub(first) < acceptTimeout; {
 		call(unaccepted)
 		g.Expect(state()).To(gomega.Equal(Ready))
 	}
-	g.Expect(k.leases[worldService][0].flights).To(gomega.BeEmpty(), "nothing was sent")
+	g.Expect(alloc.leases[worldService][0].inFlight).To(gomega.BeEmpty(), "nothing was sent")
 	call(Result{})
 	g.Expect(state()).To(gomega.Equal(Ready))
 
 	now = now.Add(timing.Renew)
-	for end := now.Add(acceptPatience + 3*timing.CallTimeout); now.Before(end) && state() == Ready; {
+	for end := now.Add(acceptTimeout + 3*timing.CallTimeout); now.Before(end) && state() == Ready; {
 		call(unaccepted)
 	}
 	g.Expect(state()).To(gomega.Equal(Silent), "its process may stand still")
-	g.Expect(k.takers(s, worldService, now)).NotTo(gomega.ContainElement(gomega.HaveField("ID", site.ServerID("a"))))
+	g.Expect(alloc.eligibleServers(s, worldService, now)).NotTo(gomega.ContainElement(gomega.HaveField("ID", site.ServerID("a"))))
 }
--- a/gateway/ranges/world_links_test.go
+++ b/gateway/ranges/world_links_test.go
@@ -6,52 +6,52 @@
 	"github.com/burdockspindle/burdockspindle/clock"
 )
 
-// fullLinks tells whether the links of a world's nodes are full at times. Without them
+// saturatedLinks tells whether the links of a world's nodes are full at times. Without them
 // grants arrive within their call's time, and the other rules have less to spare.
-type fullLinks bool
+type saturatedLinks bool
 
-// mostLinkDelay is the longest time that bytes wait in a node's own link. Resetting their
+// maxSimulatedLinkDelay is the longest time that bytes wait in a node's own link. Resetting their
 // connection does not take them back.
-const mostLinkDelay = 2500 * time.Millisecond
+const maxSimulatedLinkDelay = 2500 * time.Millisecond
 
 // leavesLink returns when bytes that a node writes now leave its own link.
 func (w *world) leavesLink(n *worldNode) time.Time {
 	leaves := w.now
-	if w.now.Before(n.chokedUntil) {
+	if w.now.Before(n.linkFullUntil) {
 		leaves = w.now.Add(n.linkDelay)
 	}
 	n.leftLinkAt = clock.Later(n.leftLinkAt, leaves)
 	return n.leftLinkAt
 }
 
-// mostAcceptDelay is the longest time for which a full server leaves a new connection
+// maxAcceptDelay is the longest time for which a full server leaves a new connection
 // waiting. Its machine acknowledges what is sent on it meanwhile, and a reset that is lost
 // does not take it back.
-const mostAcceptDelay = 5 * time.Second
+const maxAcceptDelay = 5 * time.Second
 
-// carry puts the bytes of a call on their way over the node's connection to the server, or
+// route puts the bytes of a call on their way over the node's connection to the server, or
 // over a new one.
-func (w *world) carry(c *worldCall, flight time.Duration) {
+func (w *world) route(c *worldCall, latency time.Duration) {
 	n, server := c.node, c.call.Server
-	if _, isOpen := n.accepts[server]; !isOpen {
-		n.accepts[server] = w.now
+	if _, isOpen := n.acceptsAt[server]; !isOpen {
+		n.acceptsAt[server] = w.now
 		if w.random.IntN(6) == 0 {
-			n.accepts[server] = w.span(mostAcceptDelay)
+			n.acceptsAt[server] = w.randomTime(maxAcceptDelay)
 		}
 	}
-	accepted := n.accepts[server]
-	c.acknowledged = w.leavesLink(n).Add(flight)
+	accepted := n.acceptsAt[server]
+	c.acknowledgedAt = w.leavesLink(n).Add(latency)
 	switch {
-	case w.rules.noAccept:
+	case w.rules.noAcceptWait:
 	case accepted.Sub(w.now) >= w.timing.CallTimeout:
 		c.isUnsent = true
 		return
 	case accepted.After(w.now):
-		c.acknowledged = c.acknowledged.Add(accepted.Sub(w.now))
+		c.acknowledgedAt = c.acknowledgedAt.Add(accepted.Sub(w.now))
 	}
-	c.arrives = clock.Later(c.acknowledged, accepted)
+	c.arrivesAt = clock.Later(c.acknowledgedAt, accepted)
 	if w.random.IntN(8) == 0 {
-		c.arrives = c.arrives.Add(time.Duration(w.random.Int64N(int64(takeDelay))))
+		c.arrivesAt = c.arrivesAt.Add(time.Duration(w.random.Int64N(int64(serverReadDelay))))
 	}
 }
 
@@ -61,39 +61,39 @@
 	switch {
 	case c.isUnsent:
 		result.Fate = Unaccepted
-	case !c.acknowledged.IsZero() && !w.now.Before(c.acknowledged):
-		result.Fate, result.ArrivedBy = Arrived, c.acknowledged
-		if w.rules.noTake {
-			result.ArrivedBy = c.acknowledged.Add(-takeDelay)
+	case !c.acknowledgedAt.IsZero() && !w.now.Before(c.acknowledgedAt):
+		result.Fate, result.ArrivedBy = Arrived, c.acknowledgedAt
+		if w.rules.noReadDelay {
+			result.ArrivedBy = c.acknowledgedAt.Add(-serverReadDelay)
 		}
 	}
 	return result
 }
 
-// drop has a node reset its connection to a server, unless that has yet to accept it.
-func (n *worldNode) drop(c *worldCall) {
+// resetConnection has a node reset its connection to a server, unless that has yet to accept it.
+func (n *worldNode) resetConnection(c *worldCall) {
 	if !c.isUnsent {
-		delete(n.accepts, c.call.Server)
+		delete(n.acceptsAt, c.call.Server)
 	}
 }
 
 // handOff has a new lessor ask the one before it. That one may not be reached, and does not
 // answer while it is paused. A later process of its node tells that it has ended; what lessors
 // before it granted may be in force for the time before.
-func (w *world) handOff(n *worldNode, former Lessor, before time.Duration) {
+func (w *world) handOff(n *worldNode, previous Lessor, before time.Duration) {
 	if !w.links {
 		return
 	}
 	for _, other := range w.nodes {
-		if other.ended == former && former.Boot != "" && !w.now.Before(other.paused) && w.random.IntN(2) == 0 {
+		if other.endedLessor == previous && previous.Boot != "" && !w.now.Before(other.pausedUntil) && w.random.IntN(2) == 0 {
 			n.allocator.FormerEnded(other.endedAt, w.now.Add(before))
 			w.handOffs++
 		}
-		if other.allocator == nil || other.allocator.self != former || w.now.Before(other.paused) || w.random.IntN(2) == 0 {
+		if other.allocator == nil || other.allocator.self != previous || w.now.Before(other.pausedUntil) || w.random.IntN(2) == 0 {
 			continue
 		}
 		list := other.allocator.Remaining(w.now)
-		if w.rules.noReport {
+		if w.rules.noHandOffReport {
 			list = nil
 		}
 		other.allocator, other.resignAt = nil, time.Time{}
--- a/gateway/ranges/world_server_test.go
+++ b/gateway/ranges/world_server_test.go
@@ -13,17 +13,17 @@
 // plus the hold, by a clock that is 2 % slow. A run that starts knows nothing of
 // those before.
 type worldServer struct {
-	site.Server // the present run
-	up          bool
-	startsAt    time.Time // with up unset: when it starts again; zero: never
-	loops       int       // how often it starts again soon after the next start
-	highest     [sampleCount]Fence
-	heldUntil   [sampleCount]time.Time
-	had         [sampleCount]Fence // highest with which any run of it held a key
-	// shown is its entry in the register, which follows a while after a start.
-	shown   site.Server
-	isShown bool
-	showAt  time.Time
+	site.Server  // the present run
+	up           bool
+	startsAt     time.Time // with up unset: when it starts again; zero: never
+	restartsLeft int       // how often it starts again soon after the next start
+	highest      [sampleCount]Fence
+	heldUntil    [sampleCount]time.Time
+	highestHeld  [sampleCount]Fence // highest with which any run of it held a key
+	// registered is its entry in the register, which follows a while after a start.
+	registered   site.Server
+	isRegistered bool
+	registersAt  time.Time
 }
 
 func (w *world) addServer() {
@@ -34,7 +34,7 @@
 	}
 	server := &worldServer{Server: site.Server{ID: site.RunID(name, w.now), Service: worldService, Slots: 4, Address: address}, up: true}
 	w.servers[name] = server
-	server.show(w)
+	server.register(w)
 }
 
 // freeAddress returns the address of a server that is gone for good, or nothing.
@@ -51,9 +51,9 @@
 	return ""
 }
 
-// show puts the present run into the register.
-func (s *worldServer) show(w *world) {
-	s.shown, s.isShown, s.showAt = s.Server, true, time.Time{}
+// register puts the present run into the register.
+func (s *worldServer) register(w *world) {
+	s.registered, s.isRegistered, s.registersAt = s.Server, true, time.Time{}
 	w.known[s.ID] = s.Server
 }
 
@@ -61,10 +61,10 @@
 // end as soon as it has started.
 func (s *worldServer) crash(w *world) {
 	s.up = false
-	s.startsAt = w.span(800 * time.Millisecond)
-	s.loops = max(s.loops-1, 0)
-	if s.loops == 0 && w.random.IntN(4) == 0 {
-		s.loops = 1 + w.random.IntN(3)
+	s.startsAt = w.randomTime(800 * time.Millisecond)
+	s.restartsLeft = max(s.restartsLeft-1, 0)
+	if s.restartsLeft == 0 && w.random.IntN(4) == 0 {
+		s.restartsLeft = 1 + w.random.IntN(3)
 	}
 }
 
@@ -77,15 +77,15 @@
 	if w.random.IntN(5) == 0 {
 		next.Address = fmt.Sprint(next.ID)
 	}
-	*s = worldServer{Server: next, up: true, loops: s.loops, had: s.had, shown: s.shown, isShown: s.isShown}
-	s.showAt = w.span(1500 * time.Millisecond)
-	if s.loops > 0 {
-		s.startsAt = w.span(3 * time.Second) // when it crashes again
+	*s = worldServer{Server: next, up: true, restartsLeft: s.restartsLeft, highestHeld: s.highestHeld, registered: s.registered, isRegistered: s.isRegistered}
+	s.registersAt = w.randomTime(1500 * time.Millisecond)
+	if s.restartsLeft > 0 {
+		s.startsAt = w.randomTime(3 * time.Second) // when it crashes again
 	}
 }
 
-// serverTime starts, ends and registers servers whose time has come.
-func (w *world) serverTime() {
+// advanceServers starts, ends and registers servers whose time has come.
+func (w *world) advanceServers() {
 	for _, name := range slices.Sorted(maps.Keys(w.servers)) {
 		s := w.servers[name]
 		if !s.startsAt.IsZero() && !w.now.Before(s.startsAt) {
@@ -95,11 +95,11 @@
 				s.start(w)
 			}
 		}
-		if s.up && !s.showAt.IsZero() && !w.now.Before(s.showAt) {
-			s.show(w)
+		if s.up && !s.registersAt.IsZero() && !w.now.Before(s.registersAt) {
+			s.register(w)
 		}
 		if !s.up && s.startsAt.IsZero() {
-			s.isShown = false
+			s.isRegistered = false
 		}
 	}
 }
@@ -109,25 +109,25 @@
 func (w *world) registered() map[site.ServerID]site.Server {
 	list := map[site.ServerID]site.Server{}
 	for _, s := range w.servers {
-		if s.isShown {
-			list[s.shown.ID] = s.shown
+		if s.isRegistered {
+			list[s.registered.ID] = s.registered
 		}
 	}
 	return list
 }
 
-// carryOut applies a call at the run that is at its address now.
-func (w *world) carryOut(c *worldCall) {
+// execute applies a call at the run that is at its address now.
+func (w *world) execute(c *worldCall) {
 	server := w.servers[c.call.Server.Name()]
 	if !server.up || server.Address != c.address {
 		return
 	}
-	fenced := server.apply(c, w.now)
+	fenced := server.execute(c, w.now)
 	if !fenced && !c.call.Release {
 		w.checkFences(server, c.call.Grant)
 	}
-	if c.answered && !c.givenUp {
-		c.givenUp = true
+	if c.answered && !c.abandoned {
+		c.abandoned = true
 		c.node.done(c.call, Result{Fenced: fenced, Handover: "h"}, w.now)
 	}
 }
@@ -139,17 +139,17 @@
 		if !grant.Contains(sampleKey(i)) || !w.now.Before(server.heldUntil[i]) {
 			continue // ran out before it was carried out
 		}
-		server.had[i] = max(server.had[i], grant.Fence)
+		server.highestHeld[i] = max(server.highestHeld[i], grant.Fence)
 		for name, other := range w.servers {
-			if other != server && other.had[i] >= grant.Fence {
-				w.fault = fmt.Sprintf("key %d is taken by %v under fence %d, and %v had it under %d", sampleKey(i), server.ID, grant.Fence, name, other.had[i])
+			if other != server && other.highestHeld[i] >= grant.Fence {
+				w.fault = fmt.Sprintf("key %d is taken by %v under fence %d, and %v had it under %d", sampleKey(i), server.ID, grant.Fence, name, other.highestHeld[i])
 			}
 		}
 	}
 }
 
-// apply carries a call out; it reports whether a higher fence was seen.
-func (s *worldServer) apply(c *worldCall, now time.Time) (fenced bool) {
+// execute carries a call out; it reports whether a higher fence was seen.
+func (s *worldServer) execute(c *worldCall, now time.Time) (fenced bool) {
 	grant := c.call.Grant
 	for i := range sampleCount {
 		if grant.Contains(sampleKey(i)) && s.highest[i] > grant.Fence {
@@ -170,7 +170,7 @@
 			continue
 		}
 		s.highest[i] = grant.Fence
-		s.heldUntil[i] = c.arrives.Add(time.Duration(float64(grant.Hold) * (1 + clockDrift)))
+		s.heldUntil[i] = c.arrivesAt.Add(time.Duration(float64(grant.Hold) * (1 + clockDrift)))
 	}
 	return fenced
 }
--- a/gateway/ranges/world_test.go
+++ b/gateway/ranges/world_test.go
@@ -18,7 +18,7 @@
 type world struct {
 	random  *rand.Rand
 	rules   rules
-	links   fullLinks
+	links   saturatedLinks
 	timing  Timing
 	now     time.Time
 	records []worldRecord
@@ -43,57 +43,57 @@
 func sampleKey(i int) Key { return Key(i * int(LastKey+1) / sampleCount) }
 
 type worldRecord struct {
-	table    *Table // nil for a confirmation
-	node     int
-	resigned bool
-	held     time.Duration // with resigned
-	doubt    time.Duration // with resigned
-	former   time.Duration // for which grants of lessors before the writer may be in force
+	table        *Table // nil for a confirmation
+	node         int
+	resigned     bool
+	held         time.Duration // with resigned
+	uncertain    time.Duration // with resigned
+	previousHold time.Duration // for which grants of lessors before the writer may be in force
 }
 
 type worldCall struct {
 	node    *worldNode
 	call    Call
 	address string // to which it was sent
-	// acknowledged is when the server's machine has it, and arrives when its process takes it;
+	// acknowledgedAt is when the server's machine has it, and arrives when its process takes it;
 	// both zero: lost.
-	acknowledged, arrives time.Time
-	isUnsent              bool      // no byte of it leaves: the connection is not accepted in time
-	appliesAt             time.Time // late calls are applied after their arrival
-	answered              bool      // the node gets the answer
-	arrived               bool
-	givenUp               bool
+	acknowledgedAt, arrivesAt time.Time
+	isUnsent                  bool      // no byte of it leaves: the connection is not accepted in time
+	executesAt                time.Time // late calls are applied after their arrival
+	answered                  bool      // the node gets the answer
+	executed                  bool
+	abandoned                 bool
 }
 
 type worldNode struct {
-	id          int
-	allocator   *Allocator
-	loads       *Loads
-	busy        Key       // that gets half of the requests
-	busyUntil   time.Time // when another one does
-	end         Fence
-	confirmedAt time.Time
-	nextConfirm time.Time
-	paused      time.Time // until
-	noStore     time.Time // until
-	noServer    map[site.ServerName]time.Time
-	// accepts is when the process of a server accepts the node's connection.
-	accepts map[site.ServerID]time.Time
-	// chokedUntil is until when the node's own link is full, and linkDelay for how long
+	id              int
+	allocator       *Allocator
+	loads           *Loads
+	busyKey         Key       // that gets half of the requests
+	busyUntil       time.Time // when another one does
+	end             Fence
+	confirmedAt     time.Time
+	nextConfirm     time.Time
+	pausedUntil     time.Time // until
+	storeLostUntil  time.Time // until
+	serverLostUntil map[site.ServerName]time.Time
+	// acceptsAt is when the process of a server accepts the node's connection.
+	acceptsAt map[site.ServerID]time.Time
+	// linkFullUntil is until when the node's own link is full, and linkDelay for how long
 	// bytes wait in it then. They leave it in the order in which they were written.
-	chokedUntil time.Time
-	// ended is the lessor that an earlier process of the node was, which ended at endedAt.
-	ended      Lessor
-	endedAt    time.Time
-	linkDelay  time.Duration
-	leftLinkAt time.Time // when the latest written bytes leave it
-	readAt     time.Time
-	readEnd    int
-	movedAt    time.Time
-	resignAt   time.Time // when it gives the lease up; zero: not
+	linkFullUntil time.Time
+	// endedLessor is the lessor that an earlier process of the node was, which ended at endedAt.
+	endedLessor      Lessor
+	endedAt          time.Time
+	linkDelay        time.Duration
+	leftLinkAt       time.Time // when the latest written bytes leave it
+	readAt           time.Time
+	readEnd          int
+	readEndChangedAt time.Time
+	resignAt         time.Time // when it gives the lease up; zero: not
 }
 
-func newWorld(seed uint64, r rules, links fullLinks) *world {
+func newWorld(seed uint64, r rules, links saturatedLinks) *world {
 	w := &world{
 		links:   links,
 		random:  rand.New(rand.NewPCG(seed, 1)),
@@ -107,7 +107,7 @@
 		w.timing.Underway = 0
 	}
 	for i := range 3 {
-		w.nodes = append(w.nodes, &worldNode{id: i, noServer: map[site.ServerName]time.Time{}, accepts: map[site.ServerID]time.Time{}})
+		w.nodes = append(w.nodes, &worldNode{id: i, serverLostUntil: map[site.ServerName]time.Time{}, acceptsAt: map[site.ServerID]time.Time{}})
 	}
 	for range 3 {
 		w.addServer()
@@ -119,11 +119,11 @@
 // servers hold a key, as text, or nothing.
 func (w *world) run(length time.Duration) string {
 	for end := w.now.Add(length); w.now.Before(end); w.now = w.now.Add(worldStep) {
-		w.trouble()
-		w.serverTime()
+		w.injectFaults()
+		w.advanceServers()
 		w.deliver()
 		for _, n := range w.nodes {
-			if !w.now.Before(n.paused) {
+			if !w.now.Before(n.pausedUntil) {
 				w.step(n)
 			}
 		}
@@ -134,50 +134,50 @@
 	return ""
 }
 
-// chance is true about once in a mean time.
-func (w *world) chance(mean time.Duration) bool {
+// occurs is true about once in a mean time.
+func (w *world) occurs(mean time.Duration) bool {
 	return w.random.Float64() < float64(worldStep)/float64(mean)
 }
 
-func (w *world) span(most time.Duration) time.Time {
-	return w.now.Add(time.Duration(w.random.Int64N(int64(most))))
+func (w *world) randomTime(limit time.Duration) time.Time {
+	return w.now.Add(time.Duration(w.random.Int64N(int64(limit))))
 }
 
-// trouble starts pauses, cuts, losses and drains.
-func (w *world) trouble() {
+// injectFaults starts pauses, cuts, losses and drains.
+func (w *world) injectFaults() {
 	names := slices.Sorted(maps.Keys(w.servers))
 	for _, n := range w.nodes {
-		if w.chance(15 * time.Second) {
-			n.paused = w.span(12 * time.Second)
+		if w.occurs(15 * time.Second) {
+			n.pausedUntil = w.randomTime(12 * time.Second)
 		}
-		if w.chance(10 * time.Second) {
-			n.noStore = w.span(12 * time.Second)
+		if w.occurs(10 * time.Second) {
+			n.storeLostUntil = w.randomTime(12 * time.Second)
 		}
-		if w.chance(8 * time.Second) {
-			n.noServer[names[w.random.IntN(len(names))]] = w.span(10 * time.Second)
+		if w.occurs(8 * time.Second) {
+			n.serverLostUntil[names[w.random.IntN(len(names))]] = w.randomTime(10 * time.Second)
 		}
-		if bool(w.links) && w.chance(12*time.Second) {
-			n.chokedUntil = w.span(6 * time.Second)
-			n.linkDelay = time.Duration(w.random.Int64N(int64(mostLinkDelay)))
+		if bool(w.links) && w.occurs(12*time.Second) {
+			n.linkFullUntil = w.randomTime(6 * time.Second)
+			n.linkDelay = time.Duration(w.random.Int64N(int64(maxSimulatedLinkDelay)))
 		}
-		if bool(w.links) && n.allocator != nil && w.chance(20*time.Second) {
-			n.ended, n.endedAt = n.allocator.self, w.now
+		if bool(w.links) && n.allocator != nil && w.occurs(20*time.Second) {
+			n.endedLessor, n.endedAt = n.allocator.self, w.now
 			n.allocator, n.resignAt = nil, time.Time{}
 		}
-		if n.allocator != nil && n.resignAt.IsZero() && w.chance(20*time.Second) {
+		if n.allocator != nil && n.resignAt.IsZero() && w.occurs(20*time.Second) {
 			n.resignAt = w.now
 		}
 	}
 	server := w.servers[names[w.random.IntN(len(names))]]
 	switch {
-	case w.chance(25*time.Second) && len(names) < 8:
+	case w.occurs(25*time.Second) && len(names) < 8:
 		w.addServer()
-	case w.chance(25*time.Second) && server.up:
+	case w.occurs(25*time.Second) && server.up:
 		server.Draining = true
-		server.showAt = w.now
-	case w.chance(10*time.Second) && server.up:
+		server.registersAt = w.now
+	case w.occurs(10*time.Second) && server.up:
 		server.crash(w)
-	case w.chance(40*time.Second) && server.startsAt.IsZero():
+	case w.occurs(40*time.Second) && server.startsAt.IsZero():
 		server.up = false
 	}
 }
@@ -185,21 +185,21 @@
 // send puts a call on its way.
 func (w *world) send(n *worldNode, call Call) {
 	c := &worldCall{node: n, call: call, address: w.known[call.Server].Address, answered: true}
-	flight := time.Duration(w.random.Int64N(int64(30 * time.Millisecond)))
+	latency := time.Duration(w.random.Int64N(int64(30 * time.Millisecond)))
 	if w.random.IntN(12) == 0 {
-		flight = time.Duration(w.random.Int64N(int64(w.timing.CallTimeout)))
+		latency = time.Duration(w.random.Int64N(int64(w.timing.CallTimeout)))
 	}
-	w.carry(c, flight)
-	c.appliesAt = c.arrives
+	w.route(c, latency)
+	c.executesAt = c.arrivesAt
 	if w.random.IntN(10) == 0 {
-		c.appliesAt = c.arrives.Add(time.Duration(w.random.Int64N(int64(8 * time.Second))))
+		c.executesAt = c.arrivesAt.Add(time.Duration(w.random.Int64N(int64(8 * time.Second))))
 		c.answered = false
 	}
-	if w.now.Before(n.noServer[call.Server.Name()]) || !w.servers[call.Server.Name()].up && w.random.IntN(3) > 0 {
-		c.acknowledged, c.arrives = time.Time{}, time.Time{}
+	if w.now.Before(n.serverLostUntil[call.Server.Name()]) || !w.servers[call.Server.Name()].up && w.random.IntN(3) > 0 {
+		c.acknowledgedAt, c.arrivesAt = time.Time{}, time.Time{}
 	}
 	if bool(w.links) && w.random.IntN(30) == 0 {
-		c.givenUp = true // no connection
+		c.abandoned = true // no connection
 		n.done(call, Result{Failed: true, Fate: NotSent}, w.now)
 		return
 	}
@@ -214,17 +214,17 @@
 		if c.call.Release {
 			timeout = w.timing.ReleaseTimeout
 		}
-		lost := c.arrives.IsZero() || c.isUnsent
-		if !lost && !c.arrived && !w.now.Before(c.appliesAt) {
-			c.arrived = true
-			w.carryOut(c)
+		lost := c.arrivesAt.IsZero() || c.isUnsent
+		if !lost && !c.executed && !w.now.Before(c.executesAt) {
+			c.executed = true
+			w.execute(c)
 		}
-		if !c.givenUp && w.now.Sub(c.call.SentAt) >= timeout {
-			c.givenUp = true
-			c.node.drop(c)
+		if !c.abandoned && w.now.Sub(c.call.SentAt) >= timeout {
+			c.abandoned = true
+			c.node.resetConnection(c)
 			c.node.done(c.call, w.result(c), w.now)
 		}
-		if !c.givenUp || !lost && !c.arrived {
+		if !c.abandoned || !lost && !c.executed {
 			kept = append(kept, c)
 		}
 	}
@@ -239,7 +239,7 @@
 
 // append appends a record at an offset if the node reaches the store.
 func (w *world) append(n *worldNode, at Fence, record worldRecord) (done, conflict bool) {
-	if w.now.Before(n.noStore) {
+	if w.now.Before(n.storeLostUntil) {
 		return false, false
 	}
 	if int(at) != len(w.records) {
@@ -251,11 +251,11 @@
 
 func (w *world) step(n *worldNode) {
 	if n.allocator == nil {
-		w.consider(n)
+		w.considerClaim(n)
 		return
 	}
 	lease := Lease{ConfirmedAt: n.confirmedAt}
-	if w.rules.noRight {
+	if w.rules.noLeaseCheck {
 		lease = Lease{ConfirmedAt: w.now}
 	}
 	for _, call := range n.allocator.Calls(w.registered(), lease, w.now) {
@@ -270,16 +270,16 @@
 		n.loads.Count(worldService, sampleKey(w.random.IntN(6)), 3)
 	}
 	if !w.now.Before(n.busyUntil) {
-		n.busy = sampleKey(w.random.IntN(sampleCount))
+		n.busyKey = sampleKey(w.random.IntN(sampleCount))
 		n.busyUntil = w.now.Add(time.Duration(w.random.Int64N(int64(2 * time.Second))))
 	}
-	n.loads.Count(worldService, n.busy, 1)
+	n.loads.Count(worldService, n.busyKey, 1)
 	n.loads.Decay(w.now)
 	for _, s := range w.servers {
 		n.loads.Pace(s.ID, 200*time.Millisecond)
 	}
 	w.dropRules(n)
-	record := worldRecord{node: n.id, former: n.allocator.FormerHeld(w.now)}
+	record := worldRecord{node: n.id, previousHold: n.allocator.FormerHeld(w.now)}
 	change := n.allocator.Plan(w.site(n), n.end, w.now)
 	w.moves += len(n.allocator.Moves())
 	switch {
@@ -288,7 +288,7 @@
 	case !n.resignAt.IsZero():
 		record.resigned = true
 		record.held = n.allocator.Held(w.now)
-		record.doubt = n.allocator.Doubt(w.now)
+		record.uncertain = n.allocator.Doubt(w.now)
 	case w.now.Before(n.nextConfirm):
 		return
 	}
@@ -300,7 +300,7 @@
 	}
 	if !done {
 		if change != nil {
-			n.forget()
+			n.discardPlan()
 		}
 		return
 	}
@@ -314,10 +314,10 @@
 	}
 }
 
-// forget drops a change that the store did not take; it is planned anew.
-func (n *worldNode) forget() {
+// discardPlan drops a change that the store did not take; it is planned anew.
+func (n *worldNode) discardPlan() {
 	for _, l := range n.allocator.leases[worldService] {
-		l.pending = false
+		l.appendPending = false
 	}
 }
 
@@ -348,18 +348,18 @@
 	}
 }
 
-// consider claims the lease when the topic has been quiet, as package duty does.
-func (w *world) consider(n *worldNode) {
-	if w.now.Before(n.noStore) || w.now.Sub(n.readAt) < 400*time.Millisecond {
+// considerClaim claims the lease when the topic has been quiet, as package duty does.
+func (w *world) considerClaim(n *worldNode) {
+	if w.now.Before(n.storeLostUntil) || w.now.Sub(n.readAt) < 400*time.Millisecond {
 		return
 	}
 	n.readAt = w.now
-	if len(w.records) != n.readEnd || n.movedAt.IsZero() {
+	if len(w.records) != n.readEnd || n.readEndChangedAt.IsZero() {
 		n.readEnd = len(w.records)
-		n.movedAt = w.now
+		n.readEndChangedAt = w.now
 	}
 	resigned := len(w.records) > 0 && w.records[len(w.records)-1].resigned
-	if !resigned && w.now.Sub(n.movedAt) < 1200*time.Millisecond || w.random.IntN(4) > 0 {
+	if !resigned && w.now.Sub(n.readEndChangedAt) < 1200*time.Millisecond || w.random.IntN(4) > 0 {
 		return
 	}
 	table, older := &Table{}, &Table{}
@@ -368,22 +368,22 @@
 			older, table = table, r.table
 		}
 	}
-	if w.rules.noFresh {
+	if w.rules.noFreshTable {
 		table = older
 	}
 	at := Fence(len(w.records))
 	next := table.Refenced(Lessor{Boot: fmt.Sprint(n.id, at)}, at)
 	before := time.Duration(0)
 	if len(w.records) > 0 {
-		before = w.records[len(w.records)-1].former
+		before = w.records[len(w.records)-1].previousHold
 	}
-	former := w.formerHold(resigned, w.now.Sub(n.movedAt))
-	w.records = append(w.records, worldRecord{table: next, node: n.id, former: former})
+	previousHold := w.previousHold(resigned, w.now.Sub(n.readEndChangedAt))
+	w.records = append(w.records, worldRecord{table: next, node: n.id, previousHold: previousHold})
 	w.claims++
-	n.allocator = NewAllocator(next, w.timing, former, w.now)
-	clear(n.accepts)
+	n.allocator = NewAllocator(next, w.timing, previousHold, w.now)
+	clear(n.acceptsAt)
 	if resigned {
-		n.allocator.LimitDoubt(w.records[len(w.records)-2].doubt, w.now) // before the claim
+		n.allocator.LimitDoubt(w.records[len(w.records)-2].uncertain, w.now) // before the claim
 	}
 	n.loads = NewLoads()
 	n.end = at + 1
@@ -391,16 +391,16 @@
 	w.handOff(n, table.Lessor, before)
 }
 
-func (w *world) formerHold(resigned bool, quiet time.Duration) time.Duration {
+func (w *world) previousHold(resigned bool, idle time.Duration) time.Duration {
 	switch {
-	case w.rules.noFormer:
-		return w.timing.lapse(w.timing.Hold)
-	case resigned && w.rules.noHeld:
+	case w.rules.noPreviousWait:
+		return w.timing.maxTimeInForce(w.timing.Hold)
+	case resigned && w.rules.noResignedHolds:
 		return 0
 	case resigned:
 		return w.records[len(w.records)-1].held
 	}
-	return w.timing.FormerHoldAfter(quiet)
+	return w.timing.FormerHoldAfter(idle)
 }
 
 // check returns the first key that two servers hold, or that one has taken under a
@@ -424,8 +424,8 @@
 	return ""
 }
 
-// held returns the share of keys that a server holds.
-func (w *world) held() float64 {
+// heldShare returns the share of keys that a server holds.
+func (w *world) heldShare() float64 {
 	count := 0
 	for i := range sampleCount {
 		for _, s := range w.servers {
