--- a/gateway/ranges/allocator.go
+++ b/gateway/ranges/allocator.go
@@ -7,69 +7,71 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// phase is what the lessor does with a range.
+// phase is the state of a range in the lessor.
 type phase int
 
 const (
 	granting  phase = iota // grants are sent and renewed
-	releasing              // a release is under way, no grant is sent
-	released               // the owner has let go; the next append moves the range
-	expiring               // the owner is silent; its holds are waited out
+	releasing              // a release is scheduled or in flight, no grant is sent
+	released               // the owner has released the range; the next append moves it
+	expiring               // the owner is unresponsive; the lessor waits for its holds to expire
 )
 
-// lease is the lessor's knowledge of one assignment.
+// lease is the lessor's state of one assignment.
 type lease struct {
 	Assignment
 	service site.ServiceName
 	phase   phase
-	// heldUntil is when the last grant that has reached the owner has run out.
+	// heldUntil is when the last grant that has reached the owner expires.
 	heldUntil time.Time
-	inFlight  []inFlightGrant // grants that may yet reach it
-	// previousUntil is until when grants of former lessors may be in force, and formerDoubt
-	// the same of those without an answer.
+	inFlight  []inFlightGrant // grants that may still reach the owner
+	// previousUntil is when the last grant of previous lessors may expire, and
+	// previousUncertainUntil is the same for their uncertain grants.
 	previousUntil, previousUncertainUntil time.Time
-	sentAt                                time.Time // of the latest grant
-	callInFlight                          bool      // a call is under way
-	hasUncertainGrant                     bool      // a grant under this fence had no answer
-	// uncertainUntil is until when a grant without an answer that has reached the owner may
-	// be in force, also one under a lower fence: a restart makes the owner forget the
-	// fence that shut it out.
+	sentAt                                time.Time // when the latest grant was sent
+	callInFlight                          bool      // a call to the owner is in flight
+	hasUncertainGrant                     bool      // a grant under this fence had no response
+	// uncertainUntil is when the last uncertain grant that has reached the owner may
+	// expire. It includes grants under lower fences, because the owner forgets the higher
+	// fence, which rejects them, when it restarts.
 	uncertainUntil time.Time
-	// earlierIncarnationUntil is until when a grant that was sent to an earlier run of the
-	// owner may be in force, at whatever address.
+	// earlierIncarnationUntil is when the last grant that was sent to an earlier
+	// incarnation of the owner, at any address, may expire.
 	earlierIncarnationUntil time.Time
 	confirmed               bool // the owner has answered a grant under this fence
-	failures                int  // grants in a row without an answer
-	// unacceptedSince is since when the owner's process has not accepted a connection that its
-	// machine has taken; zero: it has.
+	failures                int  // consecutive grants without a response
+	// unacceptedSince is when the owner's process was first found not to accept a
+	// connection that its machine has established; zero if it accepts connections.
 	unacceptedSince time.Time
 	next            site.ServerID
-	releaseAt       time.Time     // when its release is sent
-	handover        string        // from the release
-	handoverFrom    site.ServerID // that gave the handover with which the owner got the range
-	movedAt         time.Time     // when the owner changed last
-	raiseFence      bool          // the fence is to be raised by the next append
-	appendPending   bool          // an append that changes it is under way
-	ownerKept       bool          // the owner had the range under the fence before
-	// surgeSince and surgeUntil bound the time in which its load is taken from the quick
-	// memory: it, or a range of which it is a part, has become busy within an instant.
+	releaseAt       time.Time     // when the release is sent
+	handover        string        // returned by the release
+	handoverFrom    site.ServerID // server whose handover the owner received with the range
+	movedAt         time.Time     // when the owner last changed
+	raiseFence      bool          // the next append must raise the fence
+	appendPending   bool          // an append that changes the range is in flight
+	ownerKept       bool          // the owner already had the range under the previous fence
+	// surgeSince and surgeUntil bound the time in which the load of the range is taken from
+	// the short-term average, because the range, or one from which it was split, has
+	// suddenly become busy.
 	surgeSince, surgeUntil time.Time
 }
 
-// unresponsiveCooldown is for how long a server that did not answer gets no range while
-// others can take it. One that stays in the register, as a server does that the lessor
-// cannot reach, would be given its keys back each time their holds have run out,
-// since it owns the fewest; each try costs a range a hold without an owner. The pause is
-// longer than a new lessor waits for such a server's holds.
+// unresponsiveCooldown is how long a server that did not respond gets no range while other
+// servers can take it. A server that the lessor cannot reach may stay in the registry. It
+// owns the fewest keys, so it would get its keys back each time their holds expire, and
+// each attempt leaves a range without an owner for a hold. The cooldown is longer than a
+// new lessor waits for the holds of such a server.
 const unresponsiveCooldown = 15 * time.Second
 
-// acceptTimeout is for how long an owner whose machine takes connections may not accept
-// one before its calls count as missed. A full server accepts one when a request ends; to
-// take it for silent would leave its keys without an owner while it serves them.
+// acceptTimeout is how long an owner whose machine establishes connections may leave one
+// unaccepted before its calls are treated as failed. A full server accepts a connection
+// when a request ends. Treating it as unresponsive would leave its keys without an owner
+// while it serves them.
 const acceptTimeout = 2 * time.Second
 
-// awaitsAccept notes since when the owner has not accepted a connection, by a call that failed,
-// and reports whether it may yet accept it.
+// awaitsAccept records the result of a failed call and reports whether the owner may still
+// accept the connection within acceptTimeout.
 func (l *lease) awaitsAccept(result Result, now time.Time) bool {
 	if result.Fate != Unaccepted {
 		l.unacceptedSince = time.Time{}
@@ -81,49 +83,50 @@
 	return now.Sub(l.unacceptedSince) < acceptTimeout
 }
 
-// failuresToExpire is how many grants in a row go unanswered before a server
-// counts as silent: one may be lost with its connection.
+// failuresToExpire is the number of consecutive grants without a response after which a
+// server is treated as unresponsive. A single grant may be lost with its connection.
 const failuresToExpire = 2
 
-// Allocator is the state of the node that holds the lessor's lease: what it has
-// granted, to whom, and until when. It is not safe for concurrent use.
+// Allocator is the state of the node that holds the lessor's lease: which ranges it has
+// granted, to which servers, and until when. It is not safe for concurrent use.
 type Allocator struct {
 	self   Lessor
 	timing Timing
 	leases map[site.ServiceName][]*lease
-	moves  []Move // planned and not yet told
-	// compactedAt is when the ranges of a service were compacted last.
+	moves  []Move // planned and not yet returned by Moves
+	// compactedAt is when the ranges of each service were last compacted.
 	compactedAt map[site.ServiceName]time.Time
-	// currentHold is the hold of grants now.
+	// currentHold is the hold of new grants.
 	currentHold time.Duration
-	// hasAbandonedGrants tells that calls have ended whose bytes may be under way.
+	// hasAbandonedGrants is set if calls have ended whose bytes may still be in flight.
 	hasAbandonedGrants bool
-	// serial grows with each change of what Routes returns.
+	// serial is incremented whenever the result of Routes changes.
 	serial       uint64
 	incarnations incarnations
-	// excludedUntil is until when a server that did not answer gets no range.
+	// excludedUntil is when each server that did not respond may get ranges again.
 	excludedUntil map[site.ServerID]time.Time
 }
 
-// FormerHold returns for how long what a former lessor granted may be in force
-// after a claim: for its right and a hold.
+// FormerHold returns how long after a claim grants of a previous lessor may be in force:
+// its grant period plus a hold.
 func (t Timing) FormerHold() time.Duration { return t.GrantPeriod + t.EndedHold() }
 
-// EndedHold returns for how long what a lessor granted may be in force after its process has
-// ended.
+// EndedHold returns how long after the end of a lessor's process its grants may be in
+// force.
 func (t Timing) EndedHold() time.Duration { return t.maxTimeInForce(t.Hold) }
 
-// idleMargin is kept of the time that FormerHoldAfter saves, for timers that fire late.
+// idleMargin is subtracted from the time that PreviousHoldAfterIdle saves, because timers
+// may fire late.
 const idleMargin = 200 * time.Millisecond
 
-// FormerHoldAfter returns the same for a claim at which the ownership topic had not
-// grown for a while: the former lessor's right began before that.
+// FormerHoldAfter returns the same for a claim on an ownership topic without new records
+// for the given duration: the grant period of the previous lessor began before that.
 func (t Timing) FormerHoldAfter(idle time.Duration) time.Duration {
 	return max(t.FormerHold()-max(idle-idleMargin, 0), 0)
 }
 
-// NewAllocator returns the state of a new lessor that has appended table at time
-// now. What the former lessor granted may be in force for formerHold.
+// NewAllocator returns the state of a new lessor that has appended table at time now.
+// Grants of the previous lessor may be in force for previousHold.
 func NewAllocator(table *Table, timing Timing, previousHold time.Duration, now time.Time) *Allocator {
 	alloc := &Allocator{self: table.Lessor, timing: timing, leases: map[site.ServiceName][]*lease{}, compactedAt: map[site.ServiceName]time.Time{}, serial: 1, incarnations: newIncarnations(), excludedUntil: map[site.ServerID]time.Time{}}
 	heldUntil := now.Add(previousHold)
@@ -136,34 +139,34 @@
 	return alloc
 }
 
-// Serial returns a number that grows whenever Routes changes.
+// Serial returns a number that grows whenever the result of Routes changes.
 func (alloc *Allocator) Serial() uint64 { return alloc.serial }
 
-// Route tells where requests for a range go.
+// Route describes where requests for a range are sent.
 type Route struct {
 	Span
 	Server site.ServerID
 	State  RouteState
-	// Until is, for a silent range, when it gets another owner at the latest, if
-	// the present one does not answer again.
+	// Until is set for an unresponsive range. It is the latest time at which the range gets
+	// another owner if the present owner does not respond again.
 	Until time.Time
 }
 
-// RouteState is what a request for a range had better do.
+// RouteState is the state of a route, which determines how requests for it are handled.
 type RouteState uint8
 
 // States of a route.
 const (
-	// Moving ranges have a new owner in a moment; requests wait for it.
+	// Moving ranges are about to get a new owner; requests wait for it.
 	Moving RouteState = iota
 	// Ready ranges are served by their owner.
 	Ready
-	// Silent ranges wait for the holds of an owner that does not answer to run
-	// out; that takes up to a hold.
+	// Silent ranges have an owner that does not respond. They get another owner when its
+	// holds have expired, which takes up to a hold.
 	Silent
 )
 
-// Routes returns the present routes of every service.
+// Routes returns the current routes of every service.
 func (alloc *Allocator) Routes() map[site.ServiceName][]Route {
 	routes := make(map[site.ServiceName][]Route, len(alloc.leases))
 	for service, leases := range alloc.leases {
@@ -188,12 +191,12 @@
 	return Moving
 }
 
-// Call is a call that the lessor must make now.
+// Call is a call that the lessor must make immediately.
 type Call struct {
 	Service site.ServiceName
 	Server  site.ServerID
 	Release bool
-	Grant   Grant // for a release, its span and fence
+	Grant   Grant // for a release, only its span and fence are set
 	SentAt  time.Time
 
 	lease *lease
@@ -201,10 +204,10 @@
 
 // Lease is the lessor's own lease in the store.
 type Lease struct {
-	ConfirmedAt time.Time // start of the latest append that succeeded
+	ConfirmedAt time.Time // when the latest successful append was started
 }
 
-// hold returns for how long the lessor may grant now; 0: not at all.
+// hold returns the hold that the lessor may grant now, or 0 if it may not grant.
 func (alloc *Allocator) hold(lease Lease, now time.Time) time.Duration {
 	if !now.Before(lease.ConfirmedAt.Add(alloc.timing.GrantPeriod)) {
 		return 0
@@ -212,9 +215,8 @@
 	return alloc.timing.Hold
 }
 
-// Calls returns the calls that are due and counts them as sent at now. A server
-// whose call is returned must be called at once, or Done be called with an
-// error.
+// Calls returns the calls that are due and records them as sent at now. The caller must
+// make each of them at once, or call Done with a failed result.
 func (alloc *Allocator) Calls(servers map[site.ServerID]site.Server, lease Lease, now time.Time) []Call {
 	alloc.currentHold = alloc.hold(lease, now)
 	if alloc.currentHold == 0 {
@@ -236,7 +238,7 @@
 		return Call{}, false
 	}
 	if _, isEarlier := LaterRun(servers, l.Server); isEarlier {
-		return Call{}, false // the next run would take it
+		return Call{}, false // the range moves to the later incarnation
 	}
 	call := Call{Service: l.service, Server: l.Server, SentAt: now, lease: l}
 	if l.phase == releasing {
@@ -271,8 +273,8 @@
 	return call, true
 }
 
-// grantHold returns the hold of the next grant of a range. What goes to a server that may
-// be lost must not prolong the wait for it, unless there is none: nothing is in force.
+// grantHold returns the hold of the next grant of a range. A grant to a server that may be
+// lost must not extend the wait for the server's holds, unless no grant is in force.
 func (alloc *Allocator) grantHold(l *lease, leaving bool, now time.Time) time.Duration {
 	isUnheld := !leaving && l.failures < failuresToExpire && !now.Before(l.inForceUntil())
 	if isUnheld || l.failures == 0 && !leaving {
@@ -282,20 +284,21 @@
 	return min(time.Duration(float64(left)/(1+clockDrift)), alloc.currentHold)
 }
 
-// minHold is the shortest hold worth a call.
+// minHold is the shortest hold that is worth a call.
 const minHold = 50 * time.Millisecond
 
-// Result is how a call ended.
+// Result is the result of a call.
 type Result struct {
 	Handover string
 	Fenced   bool // the server has seen a higher fence
-	Failed   bool // no answer, or one that is no result
-	Fate     Fate // with Failed
-	// ArrivedBy is by when an Arrived call had reached the server's machine; zero: by its end.
+	Failed   bool // no response, or an invalid one
+	Fate     Fate // set if Failed
+	// ArrivedBy is the time by which an Arrived call had reached the server's machine;
+	// zero: the end of the call.
 	ArrivedBy time.Time
 }
 
-// Done takes the result of a call.
+// Done records the result of a call.
 func (alloc *Allocator) Done(call Call, result Result, now time.Time) {
 	l := call.lease
 	l.callInFlight = false
@@ -318,7 +321,7 @@
 		l.raiseFence = true
 		alloc.setConfirmed(l, false)
 	case result.Failed && l.awaitsAccept(result, now):
-		l.sentAt = time.Time{} // the connection may be accepted at any moment
+		l.sentAt = time.Time{} // retry at once, the connection may be accepted at any moment
 	case result.Failed:
 		l.hasUncertainGrant = l.hasUncertainGrant || result.Fate.mayExecute()
 		l.failures++
@@ -332,14 +335,14 @@
 		delete(alloc.excludedUntil, l.Server)
 		alloc.setPhase(l, granting)
 		alloc.setConfirmed(l, true)
-		// A higher fence shuts out the grant that had no answer.
+		// A higher fence makes the server reject the uncertain grant.
 		l.raiseFence = l.hasUncertainGrant
 	}
 }
 
 func (alloc *Allocator) releaseDone(l *lease, result Result) {
 	if result.Failed || result.Fenced {
-		// The release may take effect late: a higher fence makes it void.
+		// The release may take effect late. A higher fence makes the server reject it.
 		l.raiseFence = true
 		l.hasUncertainGrant = true
 		l.next = ""
@@ -365,18 +368,18 @@
 	}
 }
 
-// canRelease reports whether a release lets the range change its owner at once:
-// every grant under its fence must have been answered, since one that is still
-// on its way would give the range back to the owner, and those under lower fences
-// must have run out, since they would give it to the owner's next run.
+// canRelease reports whether the range can change its owner as soon as a release succeeds.
+// Every grant under the range's fence must have been answered, because one that is still in
+// flight would give the range back to the owner. Uncertain grants under lower fences must
+// have expired, because they would give the range to the owner's next incarnation.
 func (l *lease) canRelease(now time.Time) bool {
 	isCertain := l.confirmed && !l.hasUncertainGrant && !now.Before(l.uncertainReleaseAt())
 	return l.phase == granting && isCertain && !l.callInFlight && !l.raiseFence && !l.appendPending
 }
 
-// uncertainReleaseAt returns when no grant without an answer can reach a later run of the
-// owner any more. A server that tells no start has another name in each run: its
-// ranges need not wait.
+// uncertainReleaseAt returns when uncertain grants no longer prevent a release because none
+// of them can reach a later incarnation of the owner. A server that does not report its
+// start time has a different name in each incarnation, so its ranges need not wait.
 func (l *lease) uncertainReleaseAt() time.Time {
 	if l.Server.Start().IsZero() {
 		return time.Time{}
@@ -384,7 +387,7 @@
 	return l.uncertainInForceUntil()
 }
 
-// sortByKey keeps the leases of a service in the order of their keys.
+// sortByKey sorts the leases of a service by their keys.
 func sortByKey(leases []*lease) []*lease {
 	slices.SortFunc(leases, func(a, b *lease) int { return int(a.From - b.From) })
 	return leases
--- a/gateway/ranges/allocator_test.go
+++ b/gateway/ranges/allocator_test.go
@@ -27,8 +27,7 @@
 	return s
 }
 
-// The servers register one after the other; the one that is first must not get
-// every key.
+// Servers register one after another. The first one must not get every key.
 func TestRangesAreCreatedOnceTheRegistryHasSettled(t *testing.T) {
 	g := gomega.NewWithT(t)
 	alloc := NewAllocator(&Table{}, DefaultTiming(), 0, allocatorStart)
@@ -43,8 +42,8 @@
 	g.Expect(first.Keys()).To(gomega.BeNumerically("~", 65536/3, 1))
 }
 
-// Holds are as long while the store does not answer: with longer ones the keys of an owner
-// that is lost after an outage have none for as long.
+// The hold stays the same while the store does not respond. With longer holds, the keys of
+// an owner that is lost after an outage would have no owner for longer.
 func TestHoldIsConstantUntilTheGrantPeriodEnds(t *testing.T) {
 	timing := DefaultTiming()
 	alloc := NewAllocator(&Table{}, timing, 0, allocatorStart)
@@ -59,20 +58,21 @@
 	}
 }
 
-// ownedRange returns a lessor whose server a has been lost after it owned all keys.
+// ownedRange returns a lessor that has just claimed. Server a owns all keys.
 func ownedRange(t *testing.T) (*Allocator, Site) {
 	t.Helper()
 	return ownedRangeAfter(DefaultTiming().FormerHold())
 }
 
-// ownedRangeAfter is owned with a time for which grants of the former lessor may be in force.
+// ownedRangeAfter is like ownedRange with the given time for which grants of the previous
+// lessor may be in force.
 func ownedRangeAfter(formerHold time.Duration) (*Allocator, Site) {
 	table := &Table{Services: map[site.ServiceName][]Assignment{worldService: {{Span: Span{To: LastKey}, Server: "a", Fence: 1}}}}
 	s := keyedSite(site.Server{ID: "a", Slots: 4, Address: "x"}, site.Server{ID: "b", Slots: 4, Address: "y"})
 	return NewAllocator(table, DefaultTiming(), formerHold, allocatorStart), s
 }
 
-// ownedByRestartable is owned with servers that tell their starts.
+// ownedByRestartable is like ownedRange with servers that report their start times.
 func ownedByRestartable(t *testing.T) (*Allocator, Site) {
 	t.Helper()
 	table := &Table{Services: map[site.ServiceName][]Assignment{worldService: {{Span: Span{To: LastKey}, Server: incarnation("a", 1), Fence: 1}}}}
@@ -119,14 +119,14 @@
 	s.Servers["a"] = leaving
 	change := alloc.Plan(s, 2, allocatorStart)
 	owner, _ := change.Table.Owner(worldService, 7)
-	g.Expect(owner.Server).To(gomega.Equal(site.ServerID("a")), "first a higher fence")
+	g.Expect(owner.Server).To(gomega.Equal(site.ServerID("a")), "the fence is raised first")
 	g.Expect(owner.Fence).To(gomega.Equal(Fence(2)))
 	alloc.Appended(change)
 	call = alloc.Calls(s.Servers, lease, allocatorStart)[0]
 	g.Expect(call.Release).To(gomega.BeFalse())
 	alloc.Done(call, Result{}, allocatorStart)
 	g.Expect(alloc.Plan(s, 3, allocatorStart)).To(gomega.BeNil())
-	g.Expect(alloc.Calls(s.Servers, lease, allocatorStart)).To(gomega.BeEmpty(), "nodes hear first that it moves")
+	g.Expect(alloc.Calls(s.Servers, lease, allocatorStart)).To(gomega.BeEmpty(), "nodes are notified of the move first")
 	call = alloc.Calls(s.Servers, lease, allocatorStart.Add(releaseNotice))[0]
 	g.Expect(call.Release).To(gomega.BeTrue())
 	alloc.Done(call, Result{Handover: "h"}, allocatorStart)
@@ -135,8 +135,8 @@
 	g.Expect(owner).To(gomega.Equal(Assignment{Span: Span{To: LastKey}, Server: "b", Fence: 3, Handover: "h"}))
 }
 
-// A server that tells its start may start again under its name, and forgets the fence
-// that shut an earlier grant out.
+// A server that reports its start time may restart under its name and forget the fence that
+// excluded an earlier grant.
 func TestARangeOfARestartableServerWaitsForUnansweredGrants(t *testing.T) {
 	g := gomega.NewWithT(t)
 	alloc, s := ownedByRestartable(t)
@@ -151,14 +151,14 @@
 	s.Servers[incarnation("a", 1)] = leaving
 	change := alloc.Plan(s, 2, allocatorStart)
 	owner, _ := change.Table.Owner(worldService, 7)
-	g.Expect(owner.Server).To(gomega.Equal(incarnation("a", 1)), "first a higher fence")
+	g.Expect(owner.Server).To(gomega.Equal(incarnation("a", 1)), "the fence is raised first")
 	g.Expect(owner.Fence).To(gomega.Equal(Fence(2)))
 	alloc.Appended(change)
 	call = alloc.Calls(s.Servers, lease, allocatorStart)[0]
 	g.Expect(call.Release).To(gomega.BeFalse())
 	alloc.Done(call, Result{}, allocatorStart)
 	g.Expect(alloc.Plan(s, 3, allocatorStart)).To(gomega.BeNil())
-	g.Expect(alloc.Calls(s.Servers, lease, allocatorStart)).To(gomega.BeEmpty(), "grants without an answer, the former lessor's too, may reach the owner's next run")
+	g.Expect(alloc.Calls(s.Servers, lease, allocatorStart)).To(gomega.BeEmpty(), "uncertain grants, also of the previous lessor, may reach the owner's next incarnation")
 	end := allocatorStart.Add(DefaultTiming().FormerHold())
 	g.Expect(alloc.Plan(s, 3, end)).To(gomega.BeNil())
 	call = alloc.Calls(s.Servers, Lease{ConfirmedAt: end}, end.Add(releaseNotice))[0]
@@ -169,8 +169,8 @@
 	g.Expect(owner).To(gomega.Equal(Assignment{Span: Span{To: LastKey}, Server: incarnation("b", 1), Fence: 3, Handover: "h"}))
 }
 
-// The former lessor's right counts from its last record, which a node that claims
-// has seen a while ago.
+// The grant period of the previous lessor is measured from its last record, which a node
+// that claims may have seen some time before the claim.
 func TestAClaimDeductsTheTimeWithoutRecords(t *testing.T) {
 	g := gomega.NewWithT(t)
 	timing := DefaultTiming()
@@ -180,8 +180,8 @@
 	g.Expect(timing.FormerHoldAfter(time.Minute)).To(gomega.BeZero())
 }
 
-// Whatever the former lessor granted after it was last seen to confirm its lease has
-// run out by then.
+// All grants that the previous lessor sent after its last observed confirmation must have
+// expired when the new lessor's wait ends.
 func TestAllGrantsOfThePreviousLessorAreWaitedFor(t *testing.T) {
 	timing := DefaultTiming()
 	alloc := NewAllocator(&Table{}, timing, 0, allocatorStart)
@@ -190,9 +190,9 @@
 		for _, quiet := range []time.Duration{0, time.Second, 3 * time.Second} {
 			end := quiet + timing.FormerHoldAfter(quiet)
 			if quiet == 0 {
-				end += idleMargin // such a claim is of a node that has just started
+				end += idleMargin // only a node that has just started claims without observing an idle topic
 			}
-			gomega.NewWithT(t).Expect(sent+timing.maxTimeInForce(hold)).To(gomega.BeNumerically("<=", end), "sent %v, quiet %v", sent, quiet)
+			gomega.NewWithT(t).Expect(sent+timing.maxTimeInForce(hold)).To(gomega.BeNumerically("<=", end), "sent %v, idle %v", sent, quiet)
 		}
 	}
 }
--- a/gateway/ranges/balance.go
+++ b/gateway/ranges/balance.go
@@ -8,56 +8,59 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// Balance answers busy keys that lie close together and change within seconds. Moving
-// few keys costs little; each move stops them for as long as the requests on them
-// still run. It works in three ways:
+// Balancing handles busy keys that are adjacent and change within seconds. Moving a few
+// keys is cheap, but each move stops them until the requests that are running on them
+// have ended. It works in three ways:
 //
-//   - A single key that carries most of a server's load cannot be divided: it goes to
-//     the server that runs it fastest, and that server's other keys go elsewhere.
-//   - A server that is asked for more than it can run gives pieces of its ranges to
-//     many others at once, each as much as it has room for (shed.go).
-//   - Otherwise the busiest server gives the fewest keys that carry enough of its load
-//     to the idlest one.
+//   - A single key that carries most of a server's load cannot be divided. It moves to
+//     the server that runs it fastest, and the other keys of that server move elsewhere.
+//   - A server whose offered load exceeds its capacity moves pieces of its ranges to
+//     many servers at once, each piece as large as its target has headroom for (shed.go).
+//   - Otherwise the busiest server moves the fewest keys that carry enough of its load
+//     to the least utilized server.
 const (
-	// balanceInterval is the least time between two rounds: nodes report their counts
-	// as often.
+	// balanceInterval is the minimum time between two rounds. Nodes report their counts at
+	// the same interval.
 	balanceInterval = 500 * time.Millisecond
-	// noiseDeviations is how many standard deviations of both loads are left out of
-	// their difference: on a site of 300 servers that were used alike 20 ranges a
-	// second moved by chance, each of which is released, granted, and renewed.
+	// noiseDeviations is the number of standard deviations of both loads that is subtracted
+	// from their difference. Without it, 20 ranges a second moved by chance on a site of
+	// 300 equally used servers, each of which is released, granted, and renewed.
 	noiseDeviations = 2
-	// maxEvenMoves bounds the moves by which loads are evened out in a round.
+	// maxEvenMoves is the maximum number of moves per round that even out loads.
 	maxEvenMoves = 6
-	// minGap is the difference of utilisation below which nothing is moved:
-	// queues at one server are short up to about three quarters.
+	// minGap is the difference of utilization below which nothing is moved. Queues at a
+	// server are short up to a utilization of about three quarters.
 	minGap = 0.15
-	// idleGap is the same for servers that are less than busyFrom used: their
-	// queues are short anyway, and every move leaves a piece to renew.
-	// A server without any range gets one whatever the gap.
+	// idleGap is the same for servers whose utilization is below busyUtilization: their
+	// queues are short anyway, and every move leaves a piece to renew. A server without any
+	// range gets one regardless of the gap.
 	idleGap         = 0.35
 	busyUtilization = 0.6
-	// moveCooldown keeps a range where it is until its load there is known.
+	// moveCooldown is the minimum time between two moves of a range, within which its load
+	// at the new owner becomes known.
 	moveCooldown = 1500 * time.Millisecond
-	// overloadMoveCooldown is the same for a range of a server that is used beyond what it can
-	// run: the quick load follows within that.
+	// overloadMoveCooldown is the same for a range of an overloaded server. The short-term
+	// load is accurate within that time.
 	overloadMoveCooldown = 400 * time.Millisecond
-	// releaseNotice is how long before its release a range that moves counts as moving:
-	// until nodes have heard, requests for it go to a server that holds it no longer, and
-	// each of those spends one of the retries of all nodes.
+	// releaseNotice is how long before its release a range is reported as moving. Until the
+	// nodes have received that, they send requests for the range to a server that no longer
+	// holds it, and each of these requests spends one retry of the nodes' shared budget.
 	releaseNotice = 100 * time.Millisecond
-	// minShare and mostShare bound what a move carries, as shares of the load
-	// that would make both servers equal.
+	// minShare and maxShare bound the load that a move carries, as shares of the load that
+	// would make both servers equally utilized.
 	minShare = 0.5
 	maxShare = 1.3
-	// maxServerRanges bounds the ranges of one server, each of which is renewed.
+	// maxServerRanges is the maximum number of ranges of a server, each of which is
+	// renewed.
 	maxServerRanges = 8
-	// hotShare is the share of a server's load from which one key is taken as a
-	// whole, before others are moved.
+	// hotShare is the share of a server's load from which a single key is moved on its own,
+	// before other keys are moved.
 	hotShare = 0.35
-	// minHotRequests is how many requests for it must have come: one or two come by chance.
+	// minHotRequests is the number of requests that a hot key must have received, because
+	// one or two may arrive by chance.
 	minHotRequests = 4
-	// crowdedUtilization is the utilisation above which a server that has one busy key gives its
-	// other ranges away whole.
+	// crowdedUtilization is the utilization above which a server with one busy key moves
+	// its other ranges away whole.
 	crowdedUtilization = 0.75
 )
 
@@ -66,12 +69,12 @@
 	Service  site.ServiceName
 	From, To site.ServerID
 	Span     Span
-	Rate     float64 // requests a second that it carries
-	Used     float64 // utilisation of the server that gives it
-	UsedTo   float64 // utilisation of the one that gets it, with it
+	Rate     float64 // requests a second
+	Used     float64 // utilization of the source before the move
+	UsedTo   float64 // utilization of the target after the move
 }
 
-// round is one round of balance.
+// round is one round of balancing.
 type round struct {
 	allocator *Allocator
 	service   site.ServiceName
@@ -101,7 +104,7 @@
 	}
 }
 
-// start begins to move a part of a range.
+// start starts to move a part of a range.
 func (r *round) start(from, to *usage, l *lease, span Span, rate float64) {
 	from.leases = slices.DeleteFunc(from.leases, func(other *lease) bool { return other == l })
 	cut, rest := r.allocator.split(l, span)
@@ -115,8 +118,8 @@
 	r.allocator.moves = append(r.allocator.moves, Move{Service: r.service, From: from.server.ID, To: to.server.ID, Span: span, Rate: rate, Used: utilization, UsedTo: to.utilization})
 }
 
-// evenOut moves load from the busiest server that can give some to the idlest one, and
-// reports whether it did.
+// evenOut moves load from the busiest server that can release some to the least utilized
+// one, and reports whether it started a move.
 func (r *round) evenOut() bool {
 	slices.SortStableFunc(r.usages, func(a, b *usage) int { return cmp.Compare(b.utilization, a.utilization) })
 	to := r.usages[len(r.usages)-1]
@@ -139,8 +142,8 @@
 	return false
 }
 
-// wholeRange returns the range of a server with the most load that does not hold
-// its busiest key.
+// wholeRange returns the most loaded range of a server among those that do not contain its
+// busiest key.
 func (r *round) wholeRange(from *usage) (best *lease, span Span, rate float64, found bool) {
 	_, hot, _ := r.hottest(from)
 	for _, l := range from.leases {
@@ -154,8 +157,8 @@
 	return best, span, rate, found
 }
 
-// moveHotKey moves the busiest key of a server to the one that would be least
-// used with it, if that leaves both less used than the server is now.
+// moveHotKey moves the busiest key of a server to the server that would have the lowest
+// utilization with it, if both servers are then less utilized than the first one is now.
 func (r *round) moveHotKey(from *usage) {
 	l, key, rate := r.hottest(from)
 	if l == nil || rate*from.cost < hotShare*from.utilization || !r.movable(l, from) || r.loads.counted(rate, r.isSurging(l)) < minHotRequests {
@@ -166,8 +169,9 @@
 	}
 }
 
-// leastUtilizedWith returns the server that would be least used with a rate of another one,
-// or nil if that is not clearly less than the other one is used.
+// leastUtilizedWith returns the server that would have the lowest utilization with a rate
+// that moves from another server, or nil if that is not clearly below the present
+// utilization of the other server.
 func (r *round) leastUtilizedWith(from *usage, rate float64) *usage {
 	var best *usage
 	for _, u := range r.usages {
@@ -190,8 +194,8 @@
 	return leases[i]
 }
 
-// movable reports whether a range can be released now. One that is as busy as its owner
-// can be goes on sooner: what it carries was not known yet when it came.
+// movable reports whether a range can be released now. A range of an overloaded server can
+// move again sooner, because its load was not known yet when it arrived.
 func (r *round) movable(l *lease, from *usage) bool {
 	rest := moveCooldown
 	if from.utilization > overloadUtilization {
--- a/gateway/ranges/balance_test.go
+++ b/gateway/ranges/balance_test.go
@@ -11,7 +11,7 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// keyReplay plays load on keys against a lessor whose calls all succeed at once.
+// keyReplay replays load on keys against a lessor whose calls all succeed at once.
 type keyReplay struct {
 	allocator       *Allocator
 	loads           *Loads
@@ -19,7 +19,7 @@
 	serviceTimes    map[site.ServerID]time.Duration
 	now             time.Time
 	end             Fence
-	pendingRequests map[Key]float64 // parts of requests that are still to come
+	pendingRequests map[Key]float64 // fractions of requests that have not arrived yet
 	movedKeys       int             // keys
 }
 
@@ -34,12 +34,13 @@
 	return r
 }
 
-// play offers the load for a while. balanced false leaves the ranges alone.
+// play offers the load for the given duration. If balanced is false, no load is passed to
+// the lessor and ranges are not balanced.
 func (r *keyReplay) play(length time.Duration, rates map[Key]float64, balanced bool) {
 	for end := r.now.Add(length); r.now.Before(end); r.now = r.now.Add(worldStep) {
 		for key, rate := range rates {
 			if _, started := r.pendingRequests[key]; !started {
-				r.pendingRequests[key] = math.Mod(float64(key)*math.Phi, 1) // keys do not come together
+				r.pendingRequests[key] = math.Mod(float64(key)*math.Phi, 1) // spreads the arrivals for different keys
 			}
 			r.pendingRequests[key] += rate * worldStep.Seconds()
 			if whole := int(r.pendingRequests[key]); whole > 0 {
@@ -77,7 +78,7 @@
 	}
 }
 
-// utilization returns the greatest utilisation of a server.
+// utilization returns the highest utilization of a server.
 func (r *keyReplay) utilization(rates map[Key]float64) float64 {
 	utilization := map[site.ServerID]float64{}
 	greatest := 0.0
@@ -89,7 +90,7 @@
 	return greatest
 }
 
-// spread returns rates that add up to a total, on keys all over.
+// spreadLoad returns rates on keys across the key space that add up to a total.
 func spreadLoad(total float64) map[Key]float64 {
 	rates := map[Key]float64{}
 	for i := range 400 {
@@ -103,7 +104,7 @@
 	slow = 350 * time.Millisecond
 )
 
-// A key on a slow server becomes busier than that server can be.
+// A key on a slow server becomes busier than that server can handle.
 func TestABusyKeyGoesToTheFastestServer(t *testing.T) {
 	g := gomega.NewWithT(t)
 	replays := map[bool]float64{}
@@ -119,12 +120,12 @@
 			g.Expect(r.serviceTimes[owner.Server]).To(gomega.Equal(fast))
 		}
 	}
-	t.Logf("greatest utilisation: %.2f balanced, %.2f left alone", replays[true], replays[false])
+	t.Logf("highest utilization: %.2f balanced, %.2f not balanced", replays[true], replays[false])
 	g.Expect(replays[true]).To(gomega.BeNumerically("<", 1))
 	g.Expect(replays[false]).To(gomega.BeNumerically(">", 1.5))
 }
 
-// Busy keys lie close together, on one server.
+// The busy keys are adjacent and belong to one server.
 func TestNeighbouringBusyKeysAreSpread(t *testing.T) {
 	g := gomega.NewWithT(t)
 	replays := map[bool]float64{}
@@ -139,7 +140,7 @@
 		replays[balanced] = r.utilization(rates)
 		moved += r.movedKeys
 	}
-	t.Logf("greatest utilisation: %.2f balanced, %.2f left alone; %d keys moved", replays[true], replays[false], moved)
+	t.Logf("highest utilization: %.2f balanced, %.2f not balanced; %d keys moved", replays[true], replays[false], moved)
 	g.Expect(replays[true]).To(gomega.BeNumerically("<", 0.75))
 	g.Expect(replays[false]).To(gomega.BeNumerically(">", 1.5))
 	g.Expect(moved).To(gomega.BeNumerically("<", 65536/2))
@@ -167,7 +168,7 @@
 	g.Expect(owned).To(gomega.BeNumerically(">", 20))
 }
 
-// What busy keys leave behind is put together again once they are quiet.
+// Pieces that balancing has created are merged once their keys are idle.
 func TestPiecesAreMergedWhenTheKeysAreIdle(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := newKeyReplay(fast, slow, fast, slow, fast)
--- a/gateway/ranges/busy_cluster_test.go
+++ b/gateway/ranges/busy_cluster_test.go
@@ -13,8 +13,8 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// A large site: 300 servers of unlike speed, whose keyed service is used for two
-// fifths, and reports of nodes that are on their way for a while.
+// A large site: 300 servers of different speeds, whose keyed service is utilized to two
+// fifths, and reports that reach the lessor with a delay.
 const (
 	largeServers = 300
 	largeRate    = 850.0 // requests a second, without the busy keys
@@ -26,10 +26,10 @@
 	*keyReplay
 	random  *rand.Rand
 	delayed []delayedCount
-	// offered and served count the requests for busy keys, and what their owners had
-	// room for.
+	// offered and served are the requests for busy keys, and how many of them their owners
+	// had capacity for.
 	offered, served float64
-	// others is the same for all other requests.
+	// othersOffered and othersServed are the same for all other requests.
 	othersOffered, othersServed float64
 }
 
@@ -54,8 +54,7 @@
 	return r
 }
 
-// play offers requests for keys all over, and so many a second for each of the busy
-// ones.
+// play offers requests for keys across the key space, and the given rate for each busy key.
 func (r *largeReplay) play(length time.Duration, busy map[Key]float64) {
 	for end := r.now.Add(length); r.now.Before(end); r.now = r.now.Add(worldStep) {
 		arrivals := map[Key]int{}
@@ -74,7 +73,7 @@
 	}
 }
 
-// report tells the lessor what nodes saw a while ago.
+// report counts the requests whose reports have reached the lessor.
 func (r *largeReplay) report() {
 	counted := 0
 	for _, c := range r.delayed {
@@ -91,7 +90,7 @@
 	}
 }
 
-// measure compares what is asked of each owner with what it has room for.
+// measure compares the offered load of each owner with its capacity.
 func (r *largeReplay) measure(busy map[Key]float64) {
 	offered, ofBusy := map[site.ServerID]float64{}, map[site.ServerID]float64{}
 	if len(r.allocator.leases[worldService]) == 0 {
@@ -103,7 +102,7 @@
 	for key, rate := range busy {
 		l := r.allocator.leaseOf(worldService, key)
 		if l.phase != granting {
-			r.offered += rate // nobody serves it while it moves
+			r.offered += rate // nobody serves the key while it moves
 			continue
 		}
 		offered[l.Server] += rate
@@ -118,7 +117,7 @@
 	}
 }
 
-// poisson returns a random count with a small mean.
+// poisson returns a Poisson-distributed count with a small mean.
 func poisson(random *rand.Rand, mean float64) int {
 	count := 0
 	for at := random.ExpFloat64(); at < mean; at += random.ExpFloat64() {
@@ -127,7 +126,7 @@
 	return count
 }
 
-// cluster returns neighbouring keys that share a rate.
+// cluster returns adjacent keys that share a total rate.
 func cluster(from Key, keys int, total float64) map[Key]float64 {
 	busy := map[Key]float64{}
 	for i := range keys {
@@ -136,11 +135,11 @@
 	return busy
 }
 
-// The load: within an instant, neighbouring keys get a third of all requests of a
-// service of 300 servers, for four to five seconds. A lessor that divided them in
-// halves, and moved a range only after a rest, needed longer than that.
+// Adjacent keys suddenly receive a third of all requests of a service of 300 servers, for
+// four to five seconds. A lessor that halved their ranges, and moved a range only after a
+// cooldown, needed longer than that to spread them.
 func TestABusyClusterIsSpreadWhileItLasts(t *testing.T) {
-	// Before that is known to the lessor and to nodes nothing can be done.
+	// The lessor and the nodes cannot react before they have received the reports.
 	const detectionDelay = reportDelay + shedInterval/2 + releaseNotice
 	for _, c := range []struct {
 		keys  int
@@ -158,7 +157,7 @@
 				r.play(6*time.Second, nil)
 				r.offered, r.served, r.othersOffered, r.othersServed = 0, 0, 0, 0
 				r.play(c.last, cluster(20_000, c.keys, c.total))
-				t.Logf("seed %d: room for %.3f of the requests for busy keys, %.3f of the others; %d ranges, %d keys moved", seed, r.served/r.offered, r.othersServed/r.othersOffered, r.allocator.Table().Ranges(), r.movedKeys)
+				t.Logf("seed %d: capacity for %.3f of the requests for busy keys, %.3f of the others; %d ranges, %d keys moved", seed, r.served/r.offered, r.othersServed/r.othersOffered, r.allocator.Table().Ranges(), r.movedKeys)
 				g.Expect(r.served/r.offered).To(gomega.BeNumerically(">", least), "seed %d", seed)
 				g.Expect(r.othersServed/r.othersOffered).To(gomega.BeNumerically(">", 0.98), "seed %d", seed)
 			}
@@ -166,8 +165,8 @@
 	}
 }
 
-// One key gets a fifth of all requests, 20 times what its owner can run: the other
-// keys of its owner are served elsewhere.
+// One key receives a fifth of all requests, 20 times what its owner can run. The other keys
+// of its owner must be served elsewhere.
 func TestOneBusyKeyDoesNotSlowOtherKeys(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := newLargeReplay(1)
@@ -175,8 +174,8 @@
 	r.play(2*time.Second, cluster(20_000, 1, 200))
 	r.othersOffered, r.othersServed = 0, 0
 	r.play(3*time.Second, cluster(20_000, 1, 200))
-	t.Logf("room for %.4f of the other requests", r.othersServed/r.othersOffered)
+	t.Logf("capacity for %.4f of the other requests", r.othersServed/r.othersOffered)
 	g.Expect(r.othersServed / r.othersOffered).To(gomega.BeNumerically(">", 0.999))
 	owner, _ := r.allocator.Table().Owner(worldService, 20_000)
-	g.Expect(r.serviceTimes[owner.Server]).To(gomega.Equal(407*time.Millisecond), "it is on a fast server")
+	g.Expect(r.serviceTimes[owner.Server]).To(gomega.Equal(407*time.Millisecond), "the key is on a fast server")
 }
--- a/gateway/ranges/claims_test.go
+++ b/gateway/ranges/claims_test.go
@@ -8,9 +8,9 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// Each new lessor calls the owner of a range anew. Calls that left no byte, as those to a
-// server that is lost, must not begin the wait for its holds anew while nodes that take each
-// other for lost claim the lease in turn.
+// Each new lessor calls the owner of a range again. Calls that sent no byte, such as those
+// to a lost server, must not restart the wait for its holds while nodes that cannot reach
+// each other claim the lease in turn.
 func TestRepeatedClaimsDoNotProlongTheWaitForALostOwner(t *testing.T) {
 	g := gomega.NewWithT(t)
 	timing := DefaultTiming()
--- a/gateway/ranges/compact.go
+++ b/gateway/ranges/compact.go
@@ -8,29 +8,30 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// Compaction keeps the number of ranges near that of the servers: each range is
-// granted again every Timing.Renew, and moves of busy keys leave pieces behind.
-// Neighbours of one owner become one range, and an idle piece goes to the owner of a
-// range beside it.
+// Compaction keeps the number of ranges close to the number of servers, because each range
+// is granted again every Timing.Renew and moves of busy keys leave small pieces behind.
+// Adjacent ranges of one owner are merged, and an idle piece moves to the owner of an
+// adjacent range.
 const (
-	// compactInterval is the least time between two compactions of a service, each of
+	// compactInterval is the minimum time between two compactions of a service, each of
 	// which is an append.
 	compactInterval = 2 * time.Second
-	// settleTime is for how long ranges must have had their owner.
+	// settleTime is how long ranges must have had their owner before they are compacted.
 	settleTime = 4 * time.Second
-	// idleUtilization is the utilisation below which a piece may go back.
+	// idleUtilization is the utilization at or below which a piece may move to a neighbour.
 	idleUtilization = 0.02
-	// maxReturnedPieces bounds the pieces that go back at once.
+	// maxReturnedPieces is the maximum number of idle pieces that start to move per
+	// compaction.
 	maxReturnedPieces = 16
 )
 
-// settled reports whether a range has had its owner for long and nothing is
-// under way with it.
+// settled reports whether a range has had its owner for settleTime and has no operation in
+// progress.
 func (l *lease) settled(now time.Time) bool {
 	return l.canRelease(now) && l.Server != "" && now.Sub(l.movedAt) >= settleTime
 }
 
-// compact merges neighbours of one owner and starts to give idle pieces back.
+// compact merges adjacent ranges of one owner and starts to move idle pieces.
 func (alloc *Allocator) compact(service site.ServiceName, s Site, at Fence, now time.Time, change *Change) {
 	if now.Sub(alloc.compactedAt[service]) < compactInterval {
 		return
@@ -40,8 +41,8 @@
 	alloc.merge(service, at, now, change)
 }
 
-// returnIdlePieces starts to move idle pieces to the owner of a neighbour. A server keeps one
-// range at least.
+// returnIdlePieces starts to move idle pieces to the owner of an adjacent range. A server
+// keeps at least one range.
 func (alloc *Allocator) returnIdlePieces(service site.ServiceName, s Site, now time.Time) {
 	leases := alloc.leases[service]
 	ranges := map[site.ServerID]int{}
@@ -66,8 +67,8 @@
 	}
 }
 
-// neighbour returns the range beside another one whose owner may get that too, or nil.
-// Where both have the same owner the three become one.
+// neighbour returns the adjacent range whose owner may also get the range at index i, or
+// nil. If both neighbours have the same owner, all three ranges are merged later.
 func neighbour(leases []*lease, i int, s Site, now time.Time) *lease {
 	var best *lease
 	for _, j := range []int{i - 1, i + 1} {
@@ -82,7 +83,7 @@
 	return best
 }
 
-// utilization returns the utilisation that a range causes at its owner.
+// utilization returns the utilization that a range causes at its owner.
 func (alloc *Allocator) utilization(service site.ServiceName, s Site, l *lease) float64 {
 	if s.Load == nil {
 		return 0
@@ -94,7 +95,7 @@
 	return s.Load.rate(service, l.Span) * serviceTime / float64(max(s.Servers[l.Server].Slots, 1))
 }
 
-// merge makes neighbours of one owner one range under a new fence.
+// merge merges adjacent ranges of one owner into one range under a new fence.
 func (alloc *Allocator) merge(service site.ServiceName, at Fence, now time.Time, change *Change) {
 	leases := alloc.leases[service]
 	for i := 0; i < len(leases); {
--- a/gateway/ranges/demand.go
+++ b/gateway/ranges/demand.go
@@ -7,8 +7,8 @@
 	"github.com/burdockspindle/burdockspindle/gateway/quota"
 )
 
-// Demands returns what callers ask of each server of the keyed services, what it can run,
-// and what it had at its answers since the last call.
+// Demands returns, for each server of the keyed services, the load that callers offer, its
+// capacity, and its mean occupancy at its responses since the last call.
 func (alloc *Allocator) Demands(s Site, now time.Time) []quota.Server {
 	if s.Load == nil {
 		return nil
@@ -32,8 +32,9 @@
 	return demands
 }
 
-// offeredRate returns the requests a second for a server's keys now. The steady load follows
-// seconds after keys have ceased to be busy; by then others would be refused for nothing.
+// offeredRate returns the requests a second that callers currently send for the keys of a
+// server. The long-term load falls only seconds after keys have ceased to be busy; until
+// then requests for other keys would be refused without need.
 func (r *round) offeredRate(u *usage) float64 {
 	longTerm, shortTerm := u.utilization/u.cost, 0.0
 	for _, l := range u.leases {
@@ -46,5 +47,5 @@
 	return longTerm
 }
 
-// shortTermSettled is after how long the quick load shows all that is asked.
+// shortTermSettled is the time after which the short-term load includes the full rate.
 const shortTermSettled = 5 * shortTermHalfLife
--- a/gateway/ranges/handoff.go
+++ b/gateway/ranges/handoff.go
@@ -7,21 +7,22 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// A former lessor that can be reached tells its successor until when its grants may be in
-// force. It answers a lessor that the store turns away while servers are cut off: without
-// it the keys of every silent owner had no owner for the former lessor's right and a hold,
-// more than eight seconds, though nothing had been granted to them for long.
+// A previous lessor that can be reached reports to its successor how long its grants may be
+// in force. This covers a lessor that loses access to the store while servers are
+// unreachable: without the report, the keys of every unresponsive owner had no owner for
+// the previous lessor's grant period and a hold, more than eight seconds, although they had
+// not been granted for a long time.
 
-// Remaining is for how long grants of a range may be in force.
+// Remaining describes how long grants of a range may be in force.
 type Remaining struct {
 	Service site.ServiceName
 	Span
 	Held  time.Duration
-	Doubt time.Duration // the same of grants without an answer
+	Doubt time.Duration // the same for uncertain grants
 }
 
-// Remaining returns what may be in force of each range, for the next lessor. Nothing may be
-// granted after it.
+// Remaining returns for the next lessor how long grants of each range may be in force.
+// Nothing may be granted after the call.
 func (alloc *Allocator) Remaining(now time.Time) []Remaining {
 	var list []Remaining
 	for service, leases := range alloc.leases {
@@ -36,8 +37,8 @@
 	return list
 }
 
-// LimitFormer takes what the former lessor said when it granted nothing any more. What it
-// did not name it never granted.
+// LimitFormer applies the report that the previous lessor made after its last grant. Ranges
+// that are missing from it were never granted by that lessor.
 func (alloc *Allocator) LimitFormer(list []Remaining, now time.Time) {
 	for service, leases := range alloc.leases {
 		for _, l := range leases {
@@ -51,12 +52,12 @@
 			l.limitPrevious(held, uncertain)
 		}
 	}
-	alloc.serial++ // silent ranges end sooner
+	alloc.serial++ // unresponsive ranges are reassigned earlier
 }
 
-// FormerHeld returns for how long grants of former lessors may be in force. Each record of a
-// lessor tells it: one whose process has ended can no longer say what those before it granted,
-// and they may go on for their right.
+// FormerHeld returns how long grants of previous lessors may be in force. Each record of a
+// lessor carries it, because a lessor whose process has ended can no longer report what its
+// predecessors granted, and these may continue to grant for their grant period.
 func (alloc *Allocator) FormerHeld(now time.Time) time.Duration {
 	held := time.Duration(0)
 	for _, leases := range alloc.leases {
@@ -67,8 +68,8 @@
 	return held
 }
 
-// FormerEnded takes that the former lessor's process had ended by a time, and that grants of
-// those before it may be in force until another one.
+// FormerEnded records that the previous lessor's process had ended by endedBy, and that
+// grants of lessors before it may be in force until earlierUntil.
 func (alloc *Allocator) FormerEnded(endedBy, earlierUntil time.Time) {
 	until := clock.Later(endedBy.Add(alloc.timing.EndedHold()), earlierUntil)
 	for _, leases := range alloc.leases {
@@ -76,10 +77,10 @@
 			l.limitPrevious(until, until)
 		}
 	}
-	alloc.serial++ // silent ranges end sooner
+	alloc.serial++ // unresponsive ranges are reassigned earlier
 }
 
-// limitPrevious shortens the time for which grants of the former lessor may be in force.
+// limitPrevious shortens the time for which grants of the previous lessor may be in force.
 func (l *lease) limitPrevious(held, uncertain time.Time) {
 	if held.Before(l.previousUntil) {
 		l.previousUntil = held
--- a/gateway/ranges/handoff_test.go
+++ b/gateway/ranges/handoff_test.go
@@ -9,14 +9,14 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// Three lessors in a row: the first is cut off from the store and goes on granting for its
-// right, the second claims and ends at once, and the next run of its node tells the third so.
-// The second cannot speak for the first.
+// Three successive lessors: the first loses the store and continues granting for its grant
+// period. The second claims and ends at once, and the next process of its node reports that
+// to the third. The end of the second does not limit the grants of the first.
 func TestAnEndedLessorDoesNotReportForEarlierLessors(t *testing.T) {
 	g := gomega.NewWithT(t)
 	timing := DefaultTiming()
 	table := &Table{Services: map[site.ServiceName][]Assignment{worldService: {{Span: Span{To: LastKey}, Server: "a", Fence: 1}}}}
-	lastConfirmed := allocatorStart // of the first
+	lastConfirmed := allocatorStart // by the first lessor
 	lastHold := lastConfirmed.Add(timing.GrantPeriod + timing.maxTimeInForce(timing.Hold))
 	claimedAt := lastConfirmed.Add(1500 * time.Millisecond)
 	second := NewAllocator(table, timing, timing.FormerHold(), claimedAt)
@@ -31,5 +31,5 @@
 
 	alone := NewAllocator(table, timing, timing.FormerHold(), now)
 	alone.FormerEnded(endedAt, time.Time{})
-	g.Expect(now.Add(alone.Held(now))).To(gomega.BeTemporally("<", lastHold), "the second alone says too little")
+	g.Expect(now.Add(alone.Held(now))).To(gomega.BeTemporally("<", lastHold), "the end of the second lessor alone gives too early a time")
 }
--- a/gateway/ranges/holds.go
+++ b/gateway/ranges/holds.go
@@ -6,8 +6,8 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// Held returns for how long what was granted may still be in force. After an
-// outage of the store that can be longer than a hold.
+// Held returns how long granted ranges may still be in force. After an outage of the store
+// that can be longer than a hold.
 func (alloc *Allocator) Held(now time.Time) time.Duration {
 	held := time.Duration(0)
 	for _, leases := range alloc.leases {
@@ -18,7 +18,7 @@
 	return held
 }
 
-// Doubt returns for how long a grant that has no answer may still be in force.
+// Doubt returns how long a grant without a response may still be in force.
 func (alloc *Allocator) Doubt(now time.Time) time.Duration {
 	uncertain := time.Duration(0)
 	for _, leases := range alloc.leases {
@@ -32,7 +32,7 @@
 	return uncertain
 }
 
-// Calling reports whether a grant is under way.
+// Calling reports whether a grant is in flight.
 func (alloc *Allocator) Calling() bool {
 	for _, leases := range alloc.leases {
 		for _, l := range leases {
@@ -44,8 +44,7 @@
 	return false
 }
 
-// LimitDoubt tells that grants of the former lessor without an answer may be in
-// force for no longer than doubt.
+// LimitDoubt limits how long uncertain grants of the previous lessor may be in force.
 func (alloc *Allocator) LimitDoubt(uncertain time.Duration, now time.Time) {
 	for _, leases := range alloc.leases {
 		for _, l := range leases {
@@ -54,10 +53,11 @@
 	}
 }
 
-// Silent returns the registered servers that own ranges and do not answer, and how
-// many own any. Those that have left say nothing of this node: after the loss of
-// most owners each new lessor gave the lease up before their holds had run out, and
-// the next one waited for them anew.
+// Silent returns the number of registered servers that own ranges and do not respond, and
+// the number of registered servers that own any. Servers that have left the registry are
+// excluded, because they say nothing about this node: when they were included, after the
+// loss of most owners each new lessor resigned before their holds had expired, and the next
+// lessor waited for these holds from the start.
 func (alloc *Allocator) Silent(registered map[site.ServerID]site.Server) (unresponsive, owners int) {
 	state := map[site.ServerID]bool{}
 	for _, leases := range alloc.leases {
@@ -75,14 +75,14 @@
 	return unresponsive, len(state)
 }
 
-// GrantAges sums up the grants of a lessor.
+// GrantAges summarizes the grants of a lessor.
 type GrantAges struct {
-	Ranges     int           // that have an owner
-	Unanswered int           // of these, whose owner has not answered its latest grant
-	Oldest     time.Duration // since the latest grant of an owner that has answered was sent
+	Ranges     int           // ranges with an owner
+	Unanswered int           // ranges whose owner has not answered its latest grant
+	Oldest     time.Duration // time since the oldest of the latest grants of the other ranges was sent
 }
 
-// Ages returns how old the grants in force are.
+// Ages returns the ages of the grants in force.
 func (alloc *Allocator) Ages(now time.Time) GrantAges {
 	var ages GrantAges
 	for _, leases := range alloc.leases {
--- a/gateway/ranges/incarnations.go
+++ b/gateway/ranges/incarnations.go
@@ -7,47 +7,46 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// A server that starts again under its name holds nothing and has forgotten every
-// fence. Calls that were sent to an earlier run, and late ones that nobody has
-// answered, may be carried out by the next one, which passes for the server that
-// they name. So what may be in force is counted by name, not by run:
+// A server that restarts under its name holds nothing and has forgotten every fence. Calls
+// that were sent to an earlier incarnation, and late calls without a response, may be
+// executed by the next one, which is addressed as the same server. Grants that may be in
+// force are therefore tracked by name, not by incarnation:
 //
-//   - A range goes to the next run of its owner at once, under a higher fence. No
-//     wait is needed, since all that is under way can reach only that run; and the
-//     holds that may be in force go on to count.
-//   - A later run is no proof that the keys are free for another server.
-//   - A range changes to another name only when every grant without an answer has run
-//     out. That a higher fence was answered shuts such a grant out no longer once the
-//     server has started again.
+//   - A range moves to the next incarnation of its owner at once, under a higher fence. No
+//     wait is needed, since all calls in flight can reach only that incarnation. The holds
+//     that may be in force remain recorded.
+//   - A later incarnation does not prove that the keys are free for another server.
+//   - A range moves to another name only when every grant without a response has expired.
+//     An answer under a higher fence does not exclude such a grant any more once the
+//     server has restarted.
 const (
-	// A server that has started again restartsOfLoop times within loopWindow loses
-	// its keys to others: it would be slow with them each time, and with the next
-	// start they have no owner until the register tells. That is longer than the
-	// move of a range takes after its holds have run out, and than a server is slow
-	// after its start.
+	// A server that has restarted crashLoopRestarts times within crashLoopWindow loses its
+	// keys to others: it would be slow with them each time, and after the next restart they
+	// have no owner until the registry shows the new incarnation. The window is longer than
+	// the move of a range takes after its holds have expired, and longer than a server is
+	// slow after its start.
 	crashLoopRestarts = 2
 	crashLoopWindow   = 15 * time.Second
 )
 
-// incarnations follows the present run of every server in the register.
+// incarnations tracks the current incarnation of every server in the registry.
 type incarnations struct {
 	current    map[site.ServerName]site.ServerID
-	restarts   map[site.ServerName][]time.Time // the latest, restartsOfLoop at most
+	restarts   map[site.ServerName][]time.Time // the latest crashLoopRestarts at most
 	unreported []Restart
 }
 
-// Restart is a server that has started again under its name, for the log.
+// Restart describes a restart of a server under its name, for the log.
 type Restart struct {
 	From, To site.ServerID
-	Loops    bool // it loses its keys
+	Loops    bool // the server loses its keys
 }
 
 func newIncarnations() incarnations {
 	return incarnations{current: map[site.ServerName]site.ServerID{}, restarts: map[site.ServerName][]time.Time{}}
 }
 
-// observe takes the register as it is now and returns the servers that have
-// started again.
+// observe processes the current registry and returns the restarts since the previous call.
 func (r *incarnations) observe(registered map[site.ServerID]site.Server, now time.Time) []Restart {
 	var restarts []Restart
 	for id := range registered {
@@ -75,14 +74,14 @@
 	r.restarts[name] = append(slices.Clone(times), now)
 }
 
-// isCrashLooping reports whether a server keeps starting again.
+// isCrashLooping reports whether a server restarts repeatedly.
 func (r *incarnations) isCrashLooping(name site.ServerName, now time.Time) bool {
 	times := r.restarts[name]
 	return len(times) >= crashLoopRestarts && now.Sub(times[0]) < crashLoopWindow
 }
 
-// LaterRun returns the run that is registered in place of another one of the same
-// name.
+// LaterRun returns the incarnation that is registered in place of an earlier one with the
+// same name.
 func LaterRun(registered map[site.ServerID]site.Server, id site.ServerID) (site.Server, bool) {
 	if id == "" {
 		return site.Server{}, false
@@ -98,9 +97,9 @@
 	return site.Server{}, false
 }
 
-// movesToSuccessor reports whether a range goes at once to the run that has taken the
-// place of its owner. One that keeps starting again gets nothing while others can
-// serve the keys.
+// movesToSuccessor reports whether a range moves at once to the incarnation that has
+// replaced its owner. A server that is crash looping gets nothing while others can serve
+// the keys.
 func (alloc *Allocator) movesToSuccessor(l *lease, s Site, eligible []site.Server, now time.Time) bool {
 	successor, exists := LaterRun(s.Servers, l.Server)
 	if !exists || successor.Service != l.service {
@@ -110,8 +109,9 @@
 	return !alloc.incarnations.isCrashLooping(successor.ID.Name(), now) || !slices.ContainsFunc(eligible, isOther)
 }
 
-// abandonOwner ends what is under way with an owner whose place another run has taken:
-// nothing is sent to it any more. What does not go to that run waits for its holds.
+// abandonOwner ends the operations with an owner that another incarnation has replaced: no
+// more calls are sent to it. A range that does not move to that incarnation waits for its
+// holds to expire.
 func (alloc *Allocator) abandonOwner(l *lease, s Site, eligible []site.Server, now time.Time) {
 	switch {
 	case l.callInFlight || l.appendPending || l.phase == released:
@@ -122,7 +122,7 @@
 	}
 }
 
-// Restarts returns the servers that have started again since the last call.
+// Restarts returns the restarts of servers since the previous call.
 func (alloc *Allocator) Restarts() []Restart {
 	news := alloc.incarnations.unreported
 	alloc.incarnations.unreported = nil
--- a/gateway/ranges/inflight.go
+++ b/gateway/ranges/inflight.go
@@ -7,25 +7,26 @@
 	"github.com/burdockspindle/burdockspindle/clock"
 )
 
-// Fate tells what became of the bytes of a call that had no answer.
+// Fate describes what happened to the bytes of a call that had no response.
 type Fate uint8
 
-// Fates of a call without an answer.
+// Outcomes of a call without a response.
 const (
 	// Underway calls had bytes that the server's machine had not acknowledged when their
-	// connection was reset. These may wait in the node's own link and arrive later.
+	// connection was reset. These bytes may wait in the node's own link and arrive later.
 	Underway Fate = iota
-	// NotSent calls left no byte.
+	// NotSent calls sent no byte.
 	NotSent
-	// Arrived calls were acknowledged whole on a connection that the server's process had
-	// accepted, or the server's machine ended their connection, or answered without a result.
-	// The process may yet carry them out.
+	// Arrived calls were acknowledged completely on a connection that the server's process
+	// had accepted, or the server's machine closed their connection, or the response was
+	// not a valid result. The process may still execute them.
 	Arrived
-	// Unaccepted calls left no byte: the server's process has not accepted the connection.
+	// Unaccepted calls sent no byte because the server's process has not accepted the
+	// connection.
 	Unaccepted
 )
 
-// String returns the fate for the log.
+// String returns the outcome for the log.
 func (f Fate) String() string {
 	switch f {
 	case NotSent:
@@ -38,24 +39,24 @@
 	return "under way"
 }
 
-// mayExecute reports whether a call may yet be carried out.
+// mayExecute reports whether the server may still execute the call.
 func (f Fate) mayExecute() bool { return f == Underway || f == Arrived }
 
 const (
-	// serverReadDelay is how long a server's process leaves bytes at most that its machine has
-	// acknowledged, on a connection that it has accepted: as long as a call may take.
+	// serverReadDelay is the longest time until a server's process reads bytes that its
+	// machine has acknowledged on an accepted connection. It equals the timeout of a call.
 	serverReadDelay = 400 * time.Millisecond
-	// pathAndReadDelay is how long it takes at most until bytes that have left the node's own link
-	// are carried out.
+	// pathAndReadDelay is the longest time until bytes that have left the node's own link
+	// are executed.
 	pathAndReadDelay = 100*time.Millisecond + serverReadDelay
 )
 
-// inFlightGrant is a grant whose arrival is not known: its call goes on, or has ended while bytes
-// were under way.
+// inFlightGrant is a grant whose arrival is unknown: its call is still running, or has
+// ended while bytes were in flight.
 type inFlightGrant struct {
 	hold    time.Duration
-	until   time.Time // when it has run out if it arrives as late as can be
-	endedAt time.Time // when the call's connection was reset; zero while it goes on
+	until   time.Time // when the grant expires if it arrives as late as possible
+	endedAt time.Time // when the call's connection was reset; zero while the call is running
 }
 
 // holdAfterArrival returns how long after its arrival a grant may be in force.
@@ -63,8 +64,8 @@
 	return time.Duration(float64(hold)*(1+clockDrift)) + holdMargin
 }
 
-// maxArrivalDelay returns how long after the end of its call a grant may arrive: what waits before it
-// in the node's own link, or until the server's process takes it.
+// maxArrivalDelay returns how long after the end of its call a grant may arrive: its bytes
+// may wait in the node's own link, or until the server's process reads them.
 func (t Timing) maxArrivalDelay() time.Duration { return max(t.Underway, serverReadDelay) }
 
 // maxTimeInForce returns how long after it was sent a grant may be in force.
@@ -72,7 +73,7 @@
 	return t.CallTimeout + t.maxArrivalDelay() + t.holdAfterArrival(hold)
 }
 
-// inForceUntil returns until when a grant may be in force.
+// inForceUntil returns when the last grant that may be in force expires.
 func (l *lease) inForceUntil() time.Time {
 	until := clock.Later(l.heldUntil, l.previousUntil)
 	for _, f := range l.inFlight {
@@ -81,7 +82,7 @@
 	return until
 }
 
-// likelyInForceUntil returns the same if nothing waits in the node's own link.
+// likelyInForceUntil returns the same, assuming that no bytes wait in the node's own link.
 func (l *lease) likelyInForceUntil(timing Timing) time.Time {
 	until := clock.Later(l.heldUntil, l.previousUntil)
 	for _, f := range l.inFlight {
@@ -90,8 +91,8 @@
 	return until
 }
 
-// uncertainInForceUntil returns until when a grant without an answer may be in force. One whose call goes
-// on is not among them.
+// uncertainInForceUntil returns when the last uncertain grant that may be in force expires.
+// Grants whose call is still running are not included.
 func (l *lease) uncertainInForceUntil() time.Time {
 	until := clock.Later(l.uncertainUntil, l.previousUncertainUntil)
 	for _, f := range l.inFlight {
@@ -102,7 +103,8 @@
 	return until
 }
 
-// earlierInForceUntil returns until when a grant to an earlier run of the owner may be in force.
+// earlierInForceUntil returns when the last grant to an earlier incarnation of the owner
+// that may be in force expires.
 func (l *lease) earlierInForceUntil() time.Time {
 	if l.Server.Start().IsZero() {
 		return l.earlierIncarnationUntil
@@ -110,12 +112,12 @@
 	return clock.Later(l.earlierIncarnationUntil, l.previousUntil)
 }
 
-// recordSent notes that a grant is sent.
+// recordSent records that a grant is sent.
 func (l *lease) recordSent(hold time.Duration, timing Timing, now time.Time) {
 	l.inFlight = append(l.inFlight, inFlightGrant{hold: hold, until: now.Add(timing.maxTimeInForce(hold))})
 }
 
-// recordResult takes the end of the call that goes on.
+// recordResult records the result of the running call.
 func (l *lease) recordResult(result Result, timing Timing, now time.Time) {
 	i := slices.IndexFunc(l.inFlight, func(f inFlightGrant) bool { return f.endedAt.IsZero() })
 	if i < 0 {
@@ -136,7 +138,8 @@
 	}
 }
 
-// arrivedBy returns by when a call that ended at a time had reached the server's machine.
+// arrivedBy returns the time by which a call that ended at endedAt had reached the server's
+// machine.
 func (r Result) arrivedBy(endedAt time.Time) time.Time {
 	if r.ArrivedBy.IsZero() || r.ArrivedBy.After(endedAt) {
 		return endedAt
@@ -144,7 +147,7 @@
 	return r.ArrivedBy
 }
 
-// extendHeld takes until when a grant is in force that has arrived.
+// extendHeld records that a grant that has arrived is in force until the given time.
 func (l *lease) extendHeld(until time.Time, isUncertain bool) {
 	l.heldUntil = clock.Later(l.heldUntil, until)
 	if isUncertain {
@@ -152,7 +155,8 @@
 	}
 }
 
-// settleAbandoned takes that what was reset by a time has left the node's own link.
+// settleAbandoned records that calls whose connection was reset by resetBy have left the
+// node's own link.
 func (l *lease) settleAbandoned(resetBy time.Time, timing Timing, now time.Time) {
 	kept := l.inFlight[:0]
 	for _, f := range l.inFlight {
@@ -169,10 +173,10 @@
 	l.inFlight = kept
 }
 
-// Answered takes that a call which was counted as sent at a time has its answer now. Bytes
-// leave the node's own link in the order in which they were written: what was reset before
-// the call has left it. It answers links that are full for seconds, in which a grant waits
-// that its lessor has abandoned.
+// Answered records that a call that was sent at sentAt has a response now. Bytes leave the
+// node's own link in the order in which they were written, so calls that were reset before
+// sentAt have left it. This shortens the wait for abandoned grants when the link has been
+// full for seconds.
 func (alloc *Allocator) Answered(sentAt, now time.Time) {
 	if !alloc.hasAbandonedGrants {
 		return
@@ -186,7 +190,7 @@
 	}
 }
 
-// hasAbandonedGrants reports whether calls have ended whose bytes may be under way.
+// hasAbandonedGrants reports whether calls have ended whose bytes may still be in flight.
 func (l *lease) hasAbandonedGrants() bool {
 	return slices.ContainsFunc(l.inFlight, func(f inFlightGrant) bool { return !f.endedAt.IsZero() })
 }
--- a/gateway/ranges/inflight_test.go
+++ b/gateway/ranges/inflight_test.go
@@ -7,8 +7,8 @@
 	"github.com/onsi/gomega"
 )
 
-// Bytes that a lessor wrote to an owner wait in the lessor's own link, which is full: the
-// call is abandoned and its connection reset, and the grant arrives two seconds later.
+// Bytes that a lessor wrote to an owner wait in the lessor's own saturated link. The call
+// is abandoned and its connection reset, but the grant arrives two seconds later.
 func TestAnAbandonedGrantIsInForceUntilItHasLeftTheLink(t *testing.T) {
 	timing := DefaultTiming()
 	hold := timing.holdAfterArrival(timing.Hold)
@@ -16,23 +16,23 @@
 	answered := ended.Add(700 * time.Millisecond)
 	for name, row := range map[string]struct {
 		result Result
-		sentAt time.Time // of another call that is answered; zero: none is
+		sentAt time.Time // when another call that is answered was sent; zero: there is none
 		want   time.Time
 	}{
-		"answered":                        {Result{}, time.Time{}, ended.Add(hold)},
-		"nothing left":                    {Result{Failed: true, Fate: NotSent}, time.Time{}, allocatorStart},
-		"all was acknowledged by the end": {Result{Failed: true, Fate: Arrived}, time.Time{}, ended.Add(serverReadDelay + hold)},
-		"all was acknowledged at once":    {Result{Failed: true, Fate: Arrived, ArrivedBy: allocatorStart}, time.Time{}, allocatorStart.Add(serverReadDelay + hold)},
-		"the connection is not accepted":  {Result{Failed: true, Fate: Unaccepted}, time.Time{}, allocatorStart},
-		"under way":                       {Result{Failed: true}, time.Time{}, ended.Add(timing.Underway + hold)},
-		"an earlier call is answered":     {Result{Failed: true}, ended.Add(-time.Millisecond), ended.Add(timing.Underway + hold)},
-		"a call sent after the reset is":  {Result{Failed: true}, ended, answered.Add(pathAndReadDelay + hold)},
+		"answered":                    {Result{}, time.Time{}, ended.Add(hold)},
+		"not sent":                    {Result{Failed: true, Fate: NotSent}, time.Time{}, allocatorStart},
+		"acknowledged by the end":     {Result{Failed: true, Fate: Arrived}, time.Time{}, ended.Add(serverReadDelay + hold)},
+		"acknowledged at once":        {Result{Failed: true, Fate: Arrived, ArrivedBy: allocatorStart}, time.Time{}, allocatorStart.Add(serverReadDelay + hold)},
+		"connection not accepted":     {Result{Failed: true, Fate: Unaccepted}, time.Time{}, allocatorStart},
+		"in flight":                   {Result{Failed: true}, time.Time{}, ended.Add(timing.Underway + hold)},
+		"an earlier call is answered": {Result{Failed: true}, ended.Add(-time.Millisecond), ended.Add(timing.Underway + hold)},
+		"a later call is answered":    {Result{Failed: true}, ended, answered.Add(pathAndReadDelay + hold)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			alloc, s := ownedRangeAfter(0)
 			call := alloc.Calls(s.Servers, Lease{ConfirmedAt: allocatorStart}, allocatorStart)[0]
-			g.Expect(alloc.leases[worldService][0].inForceUntil()).To(gomega.Equal(allocatorStart.Add(timing.maxTimeInForce(timing.Hold))), "it goes on")
+			g.Expect(alloc.leases[worldService][0].inForceUntil()).To(gomega.Equal(allocatorStart.Add(timing.maxTimeInForce(timing.Hold))), "the call is still running")
 			alloc.Done(call, row.result, ended)
 			if !row.sentAt.IsZero() {
 				alloc.Answered(row.sentAt, answered)
@@ -42,7 +42,7 @@
 	}
 }
 
-// A call that left no byte needs no higher fence, and holds no move up.
+// A call that sent no byte needs no higher fence and does not delay a move.
 func TestACallThatWasNotSentIsNotUncertain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	alloc, s := ownedRange(t)
--- a/gateway/ranges/late_execution_test.go
+++ b/gateway/ranges/late_execution_test.go
@@ -7,9 +7,9 @@
 	"github.com/onsi/gomega"
 )
 
-// A server's machine had acknowledged a grant whose call was given up; its process carried
-// the grant out 0.26 s later. The range went to another server 0.1 s before that hold ended,
-// and two servers worked on its keys.
+// A server's machine had acknowledged a grant whose call was abandoned, and its process
+// executed the grant 0.26 s later. The range moved to another server 0.1 s before that hold
+// ended, and two servers worked on its keys.
 func TestAnAcknowledgedGrantMayBeExecutedLater(t *testing.T) {
 	g := gomega.NewWithT(t)
 	timing := DefaultTiming()
--- a/gateway/ranges/loads.go
+++ b/gateway/ranges/loads.go
@@ -8,28 +8,30 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// Memories of the counts, as half-lives.
+// Half-lives of the averages of the request counts.
 const (
-	// longTermHalfLife is that of the load by which ranges are usually balanced: with a
-	// shorter one, ranges move for what is chance.
+	// longTermHalfLife is that of the load by which ranges are usually balanced. With a
+	// shorter half-life, ranges move because of random variation.
 	longTermHalfLife = 3 * time.Second
-	// shortTermHalfLife is that of the load which shows a surge: keys become busy within
-	// an instant, and are for five seconds.
+	// shortTermHalfLife is that of the load that detects a surge. Keys become busy suddenly
+	// and stay busy for about five seconds.
 	shortTermHalfLife = 400 * time.Millisecond
-	// decayInterval is how often the counts lose weight.
+	// decayInterval is the minimum time between two decays of the counts.
 	decayInterval = 100 * time.Millisecond
 )
 
-// surgeDeviations is by how many standard deviations the quick load must exceed the
-// steady one to be believed: by chance one of 300 servers does so in ten minutes.
+// surgeDeviations is the number of standard deviations by which the short-term load must
+// exceed the long-term load to be treated as a surge. By chance, one of 300 servers exceeds
+// it in ten minutes.
 const surgeDeviations = 4
 
-// deviation returns the standard deviation of a decayed rate, by the chance in the counts.
+// deviation returns the standard deviation of a decayed rate that follows from the random
+// variation of the counts.
 func deviation(rate float64, halfLife time.Duration) float64 {
 	return math.Sqrt(rate * math.Ln2 / (2 * halfLife.Seconds()))
 }
 
-// keyRates holds requests a second by key, decayed.
+// keyRates holds the decayed requests a second of each key.
 type keyRates [int(LastKey) + 1]float32
 
 func (r *keyRates) sum(span Span) float64 {
@@ -50,19 +52,19 @@
 // serviceLoad is the load of one service.
 type serviceLoad struct{ longTerm, shortTerm keyRates }
 
-// Loads is the load of each key and the pace of each server, as nodes report
-// them.
+// Loads holds the load of each key and the service time of each server, as reported by the
+// nodes.
 type Loads struct {
 	services     map[site.ServiceName]*serviceLoad
-	serviceTimes map[site.ServerID]float64      // seconds a request takes
-	occupancies  map[site.ServerID]occupancySum // since the latest Demands
+	serviceTimes map[site.ServerID]float64      // seconds per request
+	occupancies  map[site.ServerID]occupancySum // since the latest call of Demands
 	since        time.Time                      // of the first decay
 	last         time.Time                      // of the latest decay
-	shedAt       map[site.ServiceName]time.Time // of the latest round of balance
-	evenedAt     map[site.ServiceName]time.Time // of the latest one that evened loads out
+	shedAt       map[site.ServiceName]time.Time // of the latest round of balancing
+	evenedAt     map[site.ServiceName]time.Time // of the latest round that evened out loads
 }
 
-// NewLoads returns loads without any report.
+// NewLoads returns loads without any reports.
 func NewLoads() *Loads {
 	return &Loads{
 		services:     map[site.ServiceName]*serviceLoad{},
@@ -83,16 +85,16 @@
 		load = new(serviceLoad)
 		l.services[service] = load
 	}
-	// A steady rate r gives r x halfLife / ln 2 in the decayed sum.
+	// A constant rate r converges to r x halfLife / ln 2 in the decayed sum.
 	load.longTerm[key] += float32(requests) * float32(math.Ln2/longTermHalfLife.Seconds())
 	load.shortTerm[key] += float32(requests) * float32(math.Ln2/shortTermHalfLife.Seconds())
 }
 
-// occupancySum sums up what a server had at its answers.
+// occupancySum sums the requests that a server had at the times of its responses.
 type occupancySum struct{ answers, requests int }
 
-// Present reports how many requests a server had, running or waiting, added up over a
-// number of its answers.
+// Present reports the number of requests that a server had, running or queued, summed over
+// a number of its responses.
 func (l *Loads) Present(server site.ServerID, answers, requests int) {
 	p := l.occupancies[server]
 	p.answers += answers
@@ -100,10 +102,10 @@
 	l.occupancies[server] = p
 }
 
-// serviceTimeWeight is the weight of a new report in a server's pace.
+// serviceTimeWeight is the weight of a new report in the service time of a server.
 const serviceTimeWeight = 0.3
 
-// Pace reports the mean time that requests took at a server.
+// Pace reports the mean service time of requests at a server.
 func (l *Loads) Pace(server site.ServerID, mean time.Duration) {
 	if before, known := l.serviceTimes[server]; known {
 		l.serviceTimes[server] = before + serviceTimeWeight*(mean.Seconds()-before)
@@ -112,10 +114,10 @@
 	l.serviceTimes[server] = mean.Seconds()
 }
 
-// ForgetIncarnation forgets what was learnt of an earlier run of a server.
+// ForgetIncarnation drops the service time of the earlier incarnation of a server.
 func (l *Loads) ForgetIncarnation(r Restart) { delete(l.serviceTimes, r.From) }
 
-// Decay lowers the counts by the time passed.
+// Decay reduces the counts for the time since the latest decay.
 func (l *Loads) Decay(now time.Time) {
 	if l.last.IsZero() {
 		l.since = now
@@ -132,7 +134,7 @@
 	}
 }
 
-// isSurge reports whether a range has become so busy just now that the quick load counts.
+// isSurge reports whether a range has just become so busy that its short-term load applies.
 func (l *Loads) isSurge(service site.ServiceName, span Span) bool {
 	load := l.services[service]
 	if load == nil {
@@ -143,7 +145,7 @@
 	return shortTerm > load.longTerm.sum(span)*l.correction()+surgeDeviations*noise
 }
 
-// rate returns the requests a second for a range by the steady load.
+// rate returns the long-term requests a second for a range.
 func (l *Loads) rate(service site.ServiceName, span Span) float64 {
 	if l.services[service] == nil {
 		return 0
@@ -152,29 +154,30 @@
 	return rates.sum(span) * factor
 }
 
-// longTermRates returns the steady load of each key of a service that has one, and the factor
-// that makes requests a second of it.
+// longTermRates returns the long-term load of each key of a service that has a load, and
+// the factor that converts it to requests a second.
 func (l *Loads) longTermRates(service site.ServiceName) (rates *keyRates, factor float64) {
 	return &l.services[service].longTerm, l.correction()
 }
 
-// shortTermRates returns the same by the quick load, for keys that became busy a while ago. The
-// load has then seen only a part of what it will settle at.
+// shortTermRates returns the same of the short-term load, for keys that became busy busyFor
+// ago. The factor compensates for the part of the rate that the load does not include yet.
 func (l *Loads) shortTermRates(service site.ServiceName, busyFor time.Duration) (rates *keyRates, factor float64) {
 	seen := 1 - math.Exp2(-(busyFor+minSurgeAge).Seconds()/shortTermHalfLife.Seconds())
 	return &l.services[service].shortTerm, 1 / seen
 }
 
-// minSurgeAge is for how long keys have been busy, at the least, when a round notices.
+// minSurgeAge is the minimum time for which keys have been busy when a round detects a
+// surge.
 const minSurgeAge = 150 * time.Millisecond
 
-// rateDeviation returns the standard deviation of a rate by the steady load. It is large while
-// few counts have been collected.
+// rateDeviation returns the standard deviation of a long-term rate. It is large while few
+// counts have been collected.
 func (l *Loads) rateDeviation(rate float64) float64 {
 	return math.Sqrt(l.correction()) * deviation(rate, longTermHalfLife)
 }
 
-// counted returns how many requests for a key a rate stands for.
+// counted returns the number of counted requests that a rate corresponds to.
 func (l *Loads) counted(rate float64, shortTerm bool) float64 {
 	if shortTerm {
 		return rate * shortTermHalfLife.Seconds() / math.Ln2
@@ -182,17 +185,17 @@
 	return rate / l.correction() * longTermHalfLife.Seconds() / math.Ln2
 }
 
-// correction makes up for counts that have been collected for less than a few
-// half-lives.
+// correction returns the factor that compensates for counts that have been collected for
+// less than a few half-lives.
 func (l *Loads) correction() float64 {
 	collected := 1 - math.Exp2(-l.last.Sub(l.since).Seconds()/longTermHalfLife.Seconds())
 	return 1 / max(collected, minCollected)
 }
 
-// minCollected bounds the correction.
+// minCollected limits the correction.
 const minCollected = 0.2
 
-// defaultServiceTime is used until a server has answered.
+// defaultServiceTime is used until a server has answered, in seconds.
 const defaultServiceTime = 0.2
 
 func (l *Loads) typicalServiceTime(servers []site.Server) float64 {
@@ -209,7 +212,7 @@
 	return serviceTimes[len(serviceTimes)/2]
 }
 
-// Paces returns the pace of each server in milliseconds, for the log.
+// Paces returns the service time of each server in milliseconds, for the log.
 func (l *Loads) Paces() map[site.ServerID]int {
 	serviceTimes := make(map[site.ServerID]int, len(l.serviceTimes))
 	for id, serviceTime := range l.serviceTimes {
--- a/gateway/ranges/parts.go
+++ b/gateway/ranges/parts.go
@@ -1,14 +1,13 @@
 package ranges
 
-// maxEdgeKeys bounds the keys that are taken from the edge of a range. Beyond it few keys
-// in the midst are moved instead: each key that moves stands still for a moment, and two
-// more pieces are little on a site whose ranges are that long.
+// maxEdgeKeys is the maximum number of keys that are taken from the edge of a range. Beyond
+// it, fewer keys are taken from the middle instead: each key that moves is not served for a
+// moment, and two more pieces matter little on a site with ranges that long.
 const maxEdgeKeys = (int(LastKey) + 1) / 256
 
-// selectPart finds a part of a server's ranges that carries about want requests a second. It is
-// taken from the edge of a range if that can be: what lies in the midst of one leaves two
-// pieces behind, each of which is renewed, and a server that is asked for too much answers
-// few renewals in time.
+// selectPart finds a part of a server's ranges that carries about want requests a second.
+// It prefers a part at the edge of a range, because a part in the middle leaves two pieces
+// behind. Each piece is renewed, and an overloaded server answers few renewals in time.
 func (r *round) selectPart(from *usage, want float64) (best *lease, span Span, rate float64, found bool) {
 	best, span, rate, found = r.shortestPart(from, want, edgePart)
 	if found && span.Keys() <= maxEdgeKeys {
@@ -17,7 +16,7 @@
 	return r.shortestPart(from, want, windowPart)
 }
 
-// shortestPart returns the shortest part of a server's ranges that a rule finds.
+// shortestPart returns the shortest part of a server's ranges that the rule finds.
 func (r *round) shortestPart(from *usage, want float64, rule func(*keyRates, Span, float64) (Span, float64, bool)) (best *lease, span Span, rate float64, found bool) {
 	for _, l := range from.leases {
 		if !r.movable(l, from) {
@@ -32,8 +31,8 @@
 	return best, span, rate, found
 }
 
-// edgePart returns the shorter of the two parts at the ends of a span whose weight is near
-// want.
+// edgePart returns the shorter of the two parts at the ends of a span whose load is close
+// to want.
 func edgePart(keys *keyRates, span Span, want float64) (best Span, carried float64, found bool) {
 	first, sum := countFromEdge(keys, span.From, 1, span.Keys(), want)
 	last, sumLast := countFromEdge(keys, span.To, -1, span.Keys(), want)
@@ -47,8 +46,8 @@
 	return Span{}, 0, false
 }
 
-// countFromEdge counts the keys from the edge of a span that together weigh want, or as much
-// below that as does not weigh too much.
+// countFromEdge counts the keys from the edge of a span whose combined load reaches want,
+// without exceeding maxShare*want.
 func countFromEdge(keys *keyRates, edge, step Key, most int, want float64) (count int, sum float64) {
 	for ; count < most && sum < want; count++ {
 		weight := float64(keys[edge+step*Key(count)])
@@ -60,7 +59,7 @@
 	return count, sum
 }
 
-// windowPart returns the shortest window of a span whose weight is near want.
+// windowPart returns the shortest window of a span whose load is close to want.
 func windowPart(keys *keyRates, span Span, want float64) (Span, float64, bool) {
 	var best Span
 	var carried, sum float64
--- a/gateway/ranges/plan.go
+++ b/gateway/ranges/plan.go
@@ -8,30 +8,29 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// Site is what a plan is made for.
+// Site is the state of the site for which a plan is made.
 type Site struct {
 	Services map[site.ServiceName]site.Service
-	Servers  map[site.ServerID]site.Server // those registered now
-	Known    map[site.ServerID]site.Server // those registered at any time
-	// Writable tells that the store took an append lately. A range that is
-	// released while it does not would have no owner until it does.
+	Servers  map[site.ServerID]site.Server // currently registered
+	Known    map[site.ServerID]site.Server // registered at any time
+	// Writable is set if the store has recently accepted an append. A range that is
+	// released while the store accepts none has no owner until it does.
 	Writable bool
-	// Settled tells that the register has not grown lately. The keys of a
-	// service without ranges are cut for the servers that are registered then.
+	// Settled is set if no servers have recently been added to the registry. The keys of a
+	// service without ranges are divided among the servers that are registered then.
 	Settled bool
 	Load    *Loads
 }
 
-// Change is a table to be appended, and what it changes. It holds only if the
-// append at the offset succeeds.
+// Change is a table to be appended, and the state changes that follow from it. They apply
+// only if the append at the offset succeeds.
 type Change struct {
 	Table *Table
 	apply []func()
 }
 
-// Plan decides which ranges change their owner or fence by an append at an
-// offset. It returns nil if none does. It also starts releases, which Calls
-// returns afterwards.
+// Plan decides which ranges change their owner or fence by an append at an offset. It
+// returns nil if none does. It also starts releases, which Calls then returns.
 func (alloc *Allocator) Plan(s Site, at Fence, now time.Time) *Change {
 	change := &Change{}
 	for _, restart := range alloc.incarnations.observe(s.Servers, now) {
@@ -65,9 +64,9 @@
 	return change
 }
 
-// eligibleServers returns the servers of a service that may get ranges, by ID. Those that
-// keep starting again, and those that did not answer lately, are among them only if
-// there are no others.
+// eligibleServers returns the servers of a service that may get ranges, sorted by ID.
+// Servers that are crash looping or have recently not responded are included only if there
+// are no others.
 func (alloc *Allocator) eligibleServers(s Site, service site.ServiceName, now time.Time) []site.Server {
 	var servers, fallback []site.Server
 	for _, id := range slices.Sorted(maps.Keys(s.Servers)) {
@@ -86,8 +85,8 @@
 	return servers
 }
 
-// createRanges cuts the keys of a service that has no ranges into one range for each
-// server, as long as its slots say.
+// createRanges divides the keys of a service without ranges into one range per server, with
+// lengths in proportion to the servers' slots.
 func (alloc *Allocator) createRanges(service site.ServiceName, servers []site.Server, now time.Time) {
 	slots := 0
 	for _, server := range servers {
@@ -104,15 +103,15 @@
 	alloc.serial++
 }
 
-// Moves returns the moves that were planned since the last call.
+// Moves returns the moves that were planned since the previous call.
 func (alloc *Allocator) Moves() []Move {
 	moves := alloc.moves
 	alloc.moves = nil
 	return moves
 }
 
-// startReleases begins to take ranges from servers that leave, and those that
-// balance asks for.
+// startReleases starts to release the ranges of servers that are leaving, and those that
+// balancing moves.
 func (alloc *Allocator) startReleases(service site.ServiceName, s Site, servers []site.Server, now time.Time) {
 	for _, l := range alloc.leases[service] {
 		_, isEarlier := LaterRun(s.Servers, l.Server)
@@ -126,7 +125,8 @@
 	alloc.balance(service, s, servers, now)
 }
 
-// startRelease begins to take a range from its owner, for another one; empty: any.
+// startRelease starts to release a range so that it moves to the server next, or to any
+// server if next is empty.
 func (alloc *Allocator) startRelease(l *lease, next site.ServerID, now time.Time) {
 	l.next = next
 	l.releaseAt = now.Add(releaseNotice)
@@ -138,8 +138,8 @@
 	return l.Server != "" && (!registered || server.Draining)
 }
 
-// split cuts a span out of a lease and returns the lease of the span, and those of what
-// is left.
+// split splits a lease and returns the lease of the span, and the leases of the remaining
+// keys.
 func (alloc *Allocator) split(l *lease, span Span) (cut *lease, rest []*lease) {
 	if l.Span == span {
 		return l, nil
@@ -193,8 +193,8 @@
 	}
 }
 
-// validHandover returns what the owner gave with its release, unless the run that
-// gave it, or the one that was to get it, has ended.
+// validHandover returns the handover that the owner returned with its release, or nothing
+// if that incarnation, or the one that was to receive the range, has ended.
 func (l *lease) validHandover(s Site) string {
 	_, ownerEnded := LaterRun(s.Servers, l.Server)
 	_, nextEnded := LaterRun(s.Servers, l.next)
@@ -204,7 +204,8 @@
 	return l.handover
 }
 
-// canReassign reports whether the holds of a silent or vanished owner have run out.
+// canReassign reports whether the holds of an unresponsive or unregistered owner have
+// expired.
 func (l *lease) canReassign(s Site, now time.Time) bool {
 	if l.phase == releasing || l.phase == released {
 		return false
@@ -212,9 +213,9 @@
 	return (l.phase == expiring || l.leaving(s)) && (!now.Before(l.inForceUntil()) || l.addressTaken(s, now))
 }
 
-// addressTaken reports whether a server of another name has the owner's address: then
-// the owner has ended, and no call reaches a later run of it there. An entry of a
-// service that no configuration names comes from another writer, and proves nothing.
+// addressTaken reports whether a server with another name has the owner's address. The
+// owner has then ended, and no call can reach a later incarnation of it there. An entry of
+// a service that no configuration contains comes from another writer and proves nothing.
 func (l *lease) addressTaken(s Site, now time.Time) bool {
 	if now.Before(l.earlierInForceUntil()) {
 		return false
@@ -240,8 +241,8 @@
 	})
 }
 
-// afterChange returns the lease after a change. What may be in force at the owner goes
-// on to count as long as its name stays.
+// afterChange returns the lease after a change. Grants that may be in force at the owner
+// remain in force as long as the owner's name stays the same.
 func (l *lease) afterChange(next Assignment, now time.Time) lease {
 	c := lease{Assignment: next, service: l.service, movedAt: l.movedAt, surgeSince: l.surgeSince, surgeUntil: l.surgeUntil}
 	c.heldUntil, c.inFlight, c.uncertainUntil = l.heldUntil, l.inFlight, l.uncertainUntil
@@ -253,7 +254,7 @@
 	case l.Server.Name() == next.Server.Name():
 		c.earlierIncarnationUntil = l.inForceUntil()
 		c.movedAt = now
-	default: // nobody holds it: released, lapsed or never owned
+	default: // nobody holds the range: it was released, has expired or never had an owner
 		c.heldUntil, c.uncertainUntil, c.earlierIncarnationUntil = now, time.Time{}, time.Time{}
 		c.inFlight = nil
 		c.previousUntil, c.previousUncertainUntil = now, time.Time{}
@@ -263,7 +264,7 @@
 	return c
 }
 
-// tableWith returns the table as it is after a change, without applying it.
+// tableWith returns the table that results from a change, without applying the change.
 func (alloc *Allocator) tableWith(change *Change) *Table {
 	saved := make(map[*lease]lease)
 	lists := make(map[site.ServiceName][]*lease, len(alloc.leases))
@@ -286,14 +287,14 @@
 	return table
 }
 
-// Table returns the present table.
+// Table returns the current table.
 func (alloc *Allocator) Table() *Table {
 	table := &Table{Lessor: alloc.self, Services: map[site.ServiceName][]Assignment{}}
 	for service, leases := range alloc.leases {
 		for _, l := range leases {
 			a := l.Assignment
 			if l.confirmed {
-				a.Handover = "" // the owner has it
+				a.Handover = "" // the owner has received it
 			}
 			table.Services[service] = append(table.Services[service], a)
 		}
@@ -308,8 +309,8 @@
 	}
 }
 
-// spread counts the keys of each server, so that ranges without a load go to
-// the server with the fewest.
+// spread counts the keys of each server, so that a range whose target is not chosen by load
+// goes to the server with the fewest keys per slot.
 type spread struct {
 	order []site.ServerID
 	keys  map[site.ServerID]int
--- a/gateway/ranges/restart_test.go
+++ b/gateway/ranges/restart_test.go
@@ -9,17 +9,18 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// incarnation returns the ID of a run of server a; runs are numbered by their start.
+// incarnation returns the ID of an incarnation of a server. Incarnations are numbered by
+// their start time.
 func incarnation(name site.ServerName, number int64) site.ServerID {
 	return site.RunID(name, time.Unix(number, 0))
 }
 
-// restartedServer returns a lessor whose server a owned all keys in its first run, was
-// granted them, and is registered with its second run.
+// restartedServer returns a lessor whose server a owned all keys in its first incarnation,
+// was granted them, and is registered with its second incarnation.
 func restartedServer(t *testing.T) (*Allocator, Site) {
 	t.Helper()
 	table := &Table{Services: map[site.ServiceName][]Assignment{worldService: {
-		{Span: Span{To: LastKey}, Server: incarnation("a", 1), Fence: 1, Handover: "given to the first run"},
+		{Span: Span{To: LastKey}, Server: incarnation("a", 1), Fence: 1, Handover: "given to the first incarnation"},
 	}}}
 	first := keyedSite(site.Server{ID: incarnation("a", 1), Slots: 4, Address: "x"}, site.Server{ID: incarnation("b", 1), Slots: 4, Address: "y"})
 	alloc := NewAllocator(table, DefaultTiming(), 0, allocatorStart)
@@ -29,7 +30,7 @@
 	return alloc, withRestart(first, "a", 1)
 }
 
-// withRestart returns the site after a run of a server was replaced by the next one.
+// withRestart returns the site after the next incarnation has replaced one of a server.
 func withRestart(s Site, name site.ServerName, number int64) Site {
 	next := keyedSite()
 	for id, server := range s.Servers {
@@ -47,12 +48,12 @@
 	return next
 }
 
-// appendPlan appends what a lessor plans and returns the owner of a key.
+// appendPlan appends the planned change and returns the assignment of a key.
 func appendPlan(t *testing.T, alloc *Allocator, s Site, now time.Time) Assignment {
 	t.Helper()
 	change := alloc.Plan(s, 3, now)
 	if change == nil {
-		t.Fatal("nothing is planned")
+		t.Fatal("no change is planned")
 	}
 	alloc.Appended(change)
 	owner, _ := change.Table.Owner(worldService, 7)
@@ -63,7 +64,7 @@
 	g := gomega.NewWithT(t)
 	alloc, s := restartedServer(t)
 	server := s.Servers[incarnation("a", 2)]
-	server.Draining = true // it is not to get keys, so others would
+	server.Draining = true // it must not get keys, so other servers would
 	s.Servers[server.ID] = server
 	g.Expect(appendPlan(t, alloc, s, allocatorStart).Server.Name()).To(gomega.Equal(site.ServerName("a")))
 }
@@ -74,14 +75,14 @@
 	held := alloc.Held(allocatorStart)
 	lease := Lease{ConfirmedAt: allocatorStart}
 	later := allocatorStart.Add(time.Second)
-	g.Expect(alloc.Calls(s.Servers, lease, later)).To(gomega.BeEmpty(), "no call under the assignment to the earlier run")
+	g.Expect(alloc.Calls(s.Servers, lease, later)).To(gomega.BeEmpty(), "no call under the assignment to the earlier incarnation")
 
 	change := alloc.Plan(s, 3, later)
 	g.Expect(change).NotTo(gomega.BeNil())
 	owner, _ := change.Table.Owner(worldService, 7)
 	g.Expect(owner).To(gomega.Equal(Assignment{Span: Span{To: LastKey}, Server: incarnation("a", 2), Fence: 3}))
 	alloc.Appended(change)
-	g.Expect(alloc.Held(allocatorStart)).To(gomega.Equal(held), "what the earlier run was granted may be in force at the new one")
+	g.Expect(alloc.Held(allocatorStart)).To(gomega.Equal(held), "grants to the earlier incarnation may be in force at the new one")
 	g.Expect(alloc.Routes()[worldService][0].State).To(gomega.Equal(Moving))
 
 	call := alloc.Calls(s.Servers, lease, later)[0]
@@ -90,8 +91,8 @@
 	g.Expect(alloc.Routes()[worldService][0].State).To(gomega.Equal(Ready))
 }
 
-// The owner is released when its next run registers: nothing is sent to either
-// run until the table names the new one.
+// The next incarnation of the owner registers while the range is being released. Nothing is
+// sent to either incarnation until the table names the new one.
 func TestNoReleaseIsSentToAnEarlierIncarnation(t *testing.T) {
 	g := gomega.NewWithT(t)
 	alloc, s := restartedServer(t)
@@ -101,8 +102,8 @@
 	g.Expect(owner.Server).To(gomega.Equal(incarnation("a", 2)))
 }
 
-// The answer to a release came when the next run was registered already: the keys
-// are free, but what the answer carried is of no use.
+// The response to a release arrives when the next incarnation is already registered: the
+// keys are free, but the handover is useless.
 func TestAHandoverFromAnEarlierIncarnationIsDropped(t *testing.T) {
 	g := gomega.NewWithT(t)
 	alloc, s := restartedServer(t)
@@ -114,8 +115,8 @@
 	g.Expect(owner).To(gomega.Equal(Assignment{Span: Span{To: LastKey}, Server: incarnation("b", 1), Fence: 3}))
 }
 
-// The server that was to get the keys has started again: it gets nothing on the
-// strength of the move that was planned for its earlier run.
+// The target of a move has restarted. It must not get the range or the handover that were
+// meant for its earlier incarnation.
 func TestAHandoverForAnEarlierIncarnationIsDropped(t *testing.T) {
 	g := gomega.NewWithT(t)
 	alloc, s := restartedServer(t)
@@ -149,8 +150,8 @@
 	g.Expect(calls[0].Release).To(gomega.BeTrue())
 }
 
-// A server that starts again and again does not get its keys back each time: they
-// are served by others once the holds that may be in force have run out.
+// A server that restarts repeatedly does not get its keys back each time. Other servers get
+// them once the holds that may be in force have expired.
 func TestACrashLoopingServerLosesItsKeys(t *testing.T) {
 	g := gomega.NewWithT(t)
 	alloc, s := restartedServer(t)
@@ -168,7 +169,7 @@
 	g.Expect(owner.Server).To(gomega.Equal(incarnation("b", 1)))
 }
 
-// Where nobody else can serve the keys, the server gets them back every time.
+// If no other server can serve the keys, the server gets them back every time.
 func TestACrashLoopingServerKeepsKeysThatNoOtherServerCanServe(t *testing.T) {
 	g := gomega.NewWithT(t)
 	alloc, s := restartedServer(t)
@@ -181,7 +182,7 @@
 	g.Expect(owner.Server).To(gomega.Equal(incarnation("a", 3)))
 }
 
-// A restart makes a server forget the fence that shut a late grant out.
+// A restart makes a server forget the fence that excluded a late grant.
 func TestAnUnansweredGrantIsWaitedForAfterAHigherFenceWasAnswered(t *testing.T) {
 	g := gomega.NewWithT(t)
 	timing := DefaultTiming()
@@ -201,8 +202,8 @@
 	g.Expect(startsRelease(alloc, s, end)).To(gomega.BeTrue())
 }
 
-// startsRelease reports whether a lessor takes the keys from server a now, were it told
-// that the server drains.
+// startsRelease reports whether the lessor would start to release the range now if its
+// owner were draining.
 func startsRelease(alloc *Allocator, s Site, now time.Time) bool {
 	server := s.Servers[alloc.leases[worldService][0].Server]
 	server.Draining = true
@@ -220,8 +221,8 @@
 	g.Expect(startsRelease(alloc, s, end)).To(gomega.BeTrue())
 }
 
-// What was sent to the first run's address may be taken by a third run there,
-// whoever has the second run's address.
+// A call that was sent to the address of the first incarnation may reach a third
+// incarnation there, even if another server has the address of the second one.
 func TestAReusedAddressDoesNotProveThatCallsToEarlierIncarnationsEnded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	alloc, s := restartedServer(t)
@@ -235,8 +236,8 @@
 	g.Expect(alloc.Plan(s, 4, allocatorStart.Add(alloc.Held(allocatorStart)))).NotTo(gomega.BeNil())
 }
 
-// The owner has no known start in a table that an earlier release wrote, or in an
-// entry that does not tell it.
+// The owner has no start time in a table that an earlier release wrote, or in a registry
+// entry without one.
 func TestAnOwnerWithoutAStartIsReplacedByAnIncarnationWithOne(t *testing.T) {
 	g := gomega.NewWithT(t)
 	alloc, s := ownedRange(t)
@@ -259,8 +260,7 @@
 	g.Expect(loads.Paces()).To(gomega.Equal(map[site.ServerID]int{incarnation("b", 1): 100}))
 }
 
-// The new owner has not answered yet when the one that gave the handover starts
-// again.
+// The source of the handover restarts before the new owner has responded.
 func TestAHandoverIsDroppedOnceItsSourceHasRestarted(t *testing.T) {
 	g := gomega.NewWithT(t)
 	alloc, s := restartedServer(t)
--- a/gateway/ranges/rules_test.go
+++ b/gateway/ranges/rules_test.go
@@ -8,26 +8,25 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// rules can be dropped one at a time, to show that the check finds what they
-// prevent.
+// rules are safety rules that can be disabled one at a time, to show that the check detects
+// the faults that they prevent.
 type rules struct {
-	noPreviousWait   bool // a new lessor does not count the former one's right
-	noExpiryWait     bool // a silent owner's holds are not waited out
-	noUncertainCheck bool // a range is released although a grant had no answer
-	noLeaseCheck     bool // a lessor grants without a fresh lease
-	noFreshTable     bool // a claim rests on an older table than the newest
-	noResignedHolds  bool // a resignation counts as if nothing were in force
-	noNameMatch      bool // a later run is taken for proof that the owner holds nothing
-	noCarriedHolds   bool // what was granted to an earlier run is forgotten
-	noLinkQueue      bool // what was reset is taken for gone, although it waits in the node's link
-	noHandOffReport  bool // a former lessor that is asked does not tell what it granted
+	noPreviousWait   bool // a new lessor ignores the grant period of the previous one
+	noExpiryWait     bool // the holds of an unresponsive owner are not waited for
+	noUncertainCheck bool // a range is released although it has an uncertain grant
+	noLeaseCheck     bool // a lessor grants without a recently confirmed lease
+	noFreshTable     bool // a claim is based on the table before the newest one
+	noResignedHolds  bool // a resignation is treated as if no grants were in force
+	noNameMatch      bool // a later incarnation is treated as proof that the owner holds nothing
+	noCarriedHolds   bool // grants to an earlier incarnation are forgotten
+	noLinkQueue      bool // calls that were reset are treated as gone, although they wait in the node's link
+	noHandOffReport  bool // a previous lessor does not report its grants when asked
 	noAcceptWait     bool // a call is sent on a connection that the server has not accepted
-	noReadDelay      bool // what a server's machine has acknowledged is taken for carried out
-	noUncertainWait  bool // an answer under a higher fence ends the wait for unanswered grants
+	noReadDelay      bool // calls that a server's machine has acknowledged are treated as executed
+	noUncertainWait  bool // an answer under a higher fence ends the wait for uncertain grants
 }
 
-// drop changes what a lessor knows of a range as if it lacked the rules that are
-// dropped.
+// drop changes the lessor's state of a range as if the disabled rules did not exist.
 func (r rules) drop(alloc *Allocator, l *lease, registered map[site.ServerID]site.Server, now time.Time) {
 	if r.noUncertainCheck {
 		l.hasUncertainGrant = false
@@ -54,11 +53,11 @@
 	}
 	if isEarlier && r.noNameMatch {
 		l.dropHolds(now)
-		alloc.incarnations.restarts[later.ID.Name()] = []time.Time{now, now} // others get the keys
+		alloc.incarnations.restarts[later.ID.Name()] = []time.Time{now, now} // other servers get the keys
 	}
 }
 
-// dropUncertain forgets that grants had no answer, and keeps that they may be in force.
+// dropUncertain forgets that grants are uncertain, but keeps them in force.
 func (l *lease) dropUncertain() {
 	l.uncertainUntil, l.previousUncertainUntil = time.Time{}, time.Time{}
 	for _, f := range l.inFlight {
@@ -69,5 +68,5 @@
 	l.inFlight = slices.DeleteFunc(l.inFlight, func(f inFlightGrant) bool { return !f.endedAt.IsZero() })
 }
 
-// dropHolds forgets what may be in force.
+// dropHolds forgets all grants that may be in force.
 func (l *lease) dropHolds(now time.Time) { l.heldUntil, l.previousUntil, l.inFlight = now, now, nil }
--- a/gateway/ranges/search_run_test.go
+++ b/gateway/ranges/search_run_test.go
@@ -8,13 +8,13 @@
 	"github.com/onsi/gomega"
 )
 
-// maxStates ends a search whose states would not fit into 2 GB.
+// maxStates ends a search before its states exceed 2 GB.
 const maxStates = 30_000_000
 
-// longSearch plays larger bounds, which take minutes and some GB.
+// longSearch enables searches with larger bounds, which take minutes and several GB.
 var longSearch = flag.Bool("long-search", false, "search with larger bounds")
 
-// searchCase is a search that plays all histories within bounds.
+// searchCase is a search of all histories within bounds.
 type searchCase struct {
 	name   string
 	bounds searchBounds
@@ -22,14 +22,14 @@
 
 func TestNoHistoryHasTwoOwners(t *testing.T) {
 	t.Parallel()
-	cases := []searchCase{{"one start beside a planned move", searchBounds{restarts: 1, moves: 1}}}
+	cases := []searchCase{{"a restart and a planned move", searchBounds{restarts: 1, moves: 1}}}
 	if *longSearch {
 		cases = append(cases,
 			searchCase{"a claim", searchBounds{claims: 1}},
-			searchCase{"two starts beside a planned move", searchBounds{restarts: 2, moves: 1}},
-			searchCase{"three starts", searchBounds{restarts: 3}},
-			searchCase{"a claim beside a planned move", searchBounds{claims: 1, moves: 1}},
-			searchCase{"one start beside a claim", searchBounds{restarts: 1, claims: 1}},
+			searchCase{"two restarts and a planned move", searchBounds{restarts: 2, moves: 1}},
+			searchCase{"three restarts", searchBounds{restarts: 3}},
+			searchCase{"a claim and a planned move", searchBounds{claims: 1, moves: 1}},
+			searchCase{"a restart and a claim", searchBounds{restarts: 1, claims: 1}},
 			searchCase{"a resignation and a claim", searchBounds{claims: 1, resigns: 1}},
 		)
 	}
@@ -51,15 +51,15 @@
 		dropped rules
 		bounds  searchBounds
 	}{
-		"the former lessor's right is not waited for":          {rules{noPreviousWait: true}, searchBounds{claims: 1}},
-		"a silent owner's holds are not waited out":            {rules{noExpiryWait: true}, searchBounds{}},
-		"a range is released although a grant had no answer":   {rules{noUncertainCheck: true}, searchBounds{moves: 1}},
-		"a lessor grants although its lease was not confirmed": {rules{noLeaseCheck: true}, searchBounds{claims: 1}},
-		"what was reset is taken for gone":                     {rules{noLinkQueue: true}, searchBounds{}},
-		"a former lessor hides what it granted":                {rules{noHandOffReport: true}, searchBounds{claims: 1}},
-		"a later run is proof that the owner holds nothing":    {rules{noNameMatch: true}, searchBounds{restarts: 1}},
-		"what an earlier run was granted is forgotten":         {rules{noCarriedHolds: true}, searchBounds{restarts: 2, moves: 1}},
-		"a higher fence ends the wait for unanswered grants":   {rules{noUncertainWait: true}, searchBounds{restarts: 1, moves: 1}},
+		"the previous lessor's grant period is not waited for":    {rules{noPreviousWait: true}, searchBounds{claims: 1}},
+		"an unresponsive owner's holds are not waited for":        {rules{noExpiryWait: true}, searchBounds{}},
+		"a range is released although a grant had no response":    {rules{noUncertainCheck: true}, searchBounds{moves: 1}},
+		"a lessor grants although its lease was not confirmed":    {rules{noLeaseCheck: true}, searchBounds{claims: 1}},
+		"calls that were reset are treated as gone":               {rules{noLinkQueue: true}, searchBounds{}},
+		"a previous lessor does not report its grants":            {rules{noHandOffReport: true}, searchBounds{claims: 1}},
+		"a later incarnation proves that the owner holds nothing": {rules{noNameMatch: true}, searchBounds{restarts: 1}},
+		"grants to an earlier incarnation are forgotten":          {rules{noCarriedHolds: true}, searchBounds{restarts: 2, moves: 1}},
+		"a higher fence ends the wait for uncertain grants":       {rules{noUncertainWait: true}, searchBounds{restarts: 1, moves: 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			fault, states, _ := search(c.bounds, c.dropped, maxStates)
--- a/gateway/ranges/search_state_test.go
+++ b/gateway/ranges/search_state_test.go
@@ -7,27 +7,27 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// The search plays every order of events, within its bounds, that one range, two
-// servers and two nodes can see: the functions of Allocator that run in a node decide
-// what the nodes send and append. Time goes in whole seconds; within one, events
-// come in any order and any of them may stay out, so that nodes, calls and the
-// register may be as slow as can be.
+// The search explores every order of events, within its bounds, that one range, two servers
+// and two nodes can go through. The production functions of Allocator decide what the nodes
+// send and append. Time advances in whole seconds. Within a second, events occur in any
+// order and any of them may be omitted, so that nodes, calls and the registry may be as
+// slow as possible.
 //
-// What is older than it matters is made equal: times that have passed, and fences
-// but for their order. So the length of the histories has no bound, only the number
-// of starts, claims and planned moves in them and of calls that are under way.
+// State that can no longer matter is normalized: times that have passed, and fences except
+// for their order. The length of the histories is therefore unbounded; only the numbers of
+// restarts, claims, planned moves and calls in flight are bounded.
 const (
 	searchHold        = time.Second
 	searchTimeout     = time.Second
 	searchGrantPeriod = 2 * time.Second
-	// searchLinkDelay is for how long a call may arrive after its sender has abandoned it.
+	// searchLinkDelay is how long after its sender has abandoned it a call may arrive.
 	searchLinkDelay = time.Second
-	// searchWait is for how long a call without an answer may wait at a server: with
-	// the hold, until it can no longer be in force.
+	// searchWait is how many seconds a call without a response may wait at a server. After
+	// that time and the hold it cannot be in force any more.
 	searchWait = 1
-	// searchCalls bounds the calls on their way or waiting at a server.
+	// searchCalls is the maximum number of calls in flight or waiting at a server.
 	searchCalls = 2
-	// searchStarts bounds the runs of a server.
+	// searchStarts is the maximum number of incarnations of a server.
 	searchStarts = 4
 )
 
@@ -37,40 +37,40 @@
 	searchTimes = Timing{Hold: searchHold, GrantPeriod: searchGrantPeriod, CallTimeout: searchTimeout, Underway: searchLinkDelay, ReleaseTimeout: searchTimeout}
 )
 
-// searchState is one state. It is a map's key: states that are equal have the same
+// searchState is a state of the search. It is comparable: equal states have the same
 // future. Times are relative to now.
 type searchState struct {
 	nodes     [2]searchNode
 	servers   [2]searchServer
-	calls     [searchCalls]searchCall // in order; empty ones last
+	calls     [searchCalls]searchCall // sorted; empty ones last
 	table     searchTable
 	remaining searchBounds
 }
 
-// searchBounds is how many events of a kind may still come.
+// searchBounds is the number of events of each kind that may still occur.
 type searchBounds struct{ restarts, claims, resigns, moves int8 }
 
 // searchTable is the newest table.
 type searchTable struct {
 	server, incarnation int8
 	end                 int8 // fence of the next append
-	// resigned tells that the lessor has given its lease up, and held and doubt what
-	// it told with that.
+	// resigned is set if the lessor has resigned; held and uncertain are the durations that
+	// it reported with that, in milliseconds.
 	resigned        bool
 	held, uncertain int16
 }
 
-// searchNode is what a node knows as lessor; the zero value: it is none.
+// searchNode is the state of a node as lessor. The zero value is a node that is none.
 type searchNode struct {
 	isLessor     bool
-	atEnd        bool // nobody has appended since
+	atEnd        bool // no other node has appended since
 	confirmed    int8 // seconds since its latest append
 	claim        int8 // fence of its claim
 	incarnations [2]int8
 	restarts     [2]int8
 
 	server, incarnation   int8
-	next, nextIncarnation int8 // of a planned move; next -1: none
+	next, nextIncarnation int8 // target of a planned move; next -1: none
 	fence                 int8
 	phase                 phase
 	callInFlight          bool
@@ -78,37 +78,37 @@
 	answered              bool
 	raiseFence            bool
 	failures              int8
-	held                  int16 // milliseconds
+	held                  int16 // milliseconds, as for the following durations
 	uncertain             int16
-	previous              int16 // the same as held and doubt, of former lessors
+	previous              int16 // the same as held and uncertain, for previous lessors
 	previousUncertain     int16
-	// callUntil is the end of the grant whose call goes on, and strayUntil the latest one
-	// of those that were abandoned while their bytes were under way; 0: none.
+	// callUntil is when the grant of the running call expires, and abandonedUntil when the
+	// last of the abandoned grants with bytes in flight expires; 0: none.
 	callUntil, abandonedUntil int16
 }
 
-// searchServer is a server's present run.
+// searchServer is the current incarnation of a server.
 type searchServer struct {
-	incarnation, registered int8 // shown: in the register
+	incarnation, registered int8 // registered: the one in the registry
 	highest                 int8
-	highestHeld             int8 // highest fence with which any run held the range
+	highestHeld             int8 // highest fence under which any incarnation held the range
 	held                    int16
 }
 
-// searchCall is a call on its way, or one that waits at a server and has no answer.
+// searchCall is a call in flight, or one that waits at a server and has no response.
 type searchCall struct {
 	exists              bool
-	node, claim         int8 // the sender, as the lessor of that claim
+	node, claim         int8 // the sender, and the fence of the claim that made it lessor
 	server, incarnation int8
 	fence               int8
 	release             bool
 	waits               bool
-	abandoned           bool // by its sender, while it is on its way
+	abandoned           bool // by its sender, while it is in flight
 	age                 int8 // seconds since it was sent, was abandoned, or arrived
 }
 
-// The runs of both servers, and the registers that show one of each, are made once:
-// the search asks for them at every step.
+// The incarnations of both servers, and the registries that contain one of each, are
+// created once because the search needs them at every step.
 var (
 	searchIncarnations       [len(searchNames)][searchStarts]site.ServerID
 	searchIncarnationNumbers = map[site.ServerID][2]int8{}
@@ -137,7 +137,7 @@
 	return run[0], run[1]
 }
 
-// searchSite returns a register that shows a run of each server.
+// searchSite returns a registry that contains one incarnation of each server.
 func searchSite(shown [2]int8) Site {
 	view := keyedSite()
 	for name := range int8(len(searchNames)) {
@@ -159,12 +159,12 @@
 	return searchStart.Add(time.Duration(milliseconds) * time.Millisecond)
 }
 
-// site returns the register as the nodes see it.
+// site returns the registry as the nodes see it.
 func (s *searchState) site() Site {
 	return searchSites[s.servers[0].registered][s.servers[1].registered]
 }
 
-// newSearchAllocator returns a lessor that allocator makes the one of a node.
+// newSearchAllocator returns a lessor into which load copies the state of a node.
 func newSearchAllocator() *Allocator {
 	return &Allocator{
 		timing:        searchTimes,
@@ -175,7 +175,7 @@
 	}
 }
 
-// load makes k the lessor that a node is.
+// load sets alloc to the state of the node and returns its lease.
 func (n *searchNode) load(alloc *Allocator) *lease {
 	l := alloc.leases[worldService][0]
 	*l = lease{
@@ -208,8 +208,8 @@
 	return l
 }
 
-// inFlight returns the grants whose arrival a node does not know. What was abandoned was
-// reset before any call that goes on was sent.
+// inFlight returns the grants of the node whose arrival is unknown. Abandoned calls were
+// reset before any running call was sent.
 func (n *searchNode) inFlight() []inFlightGrant {
 	var flights []inFlightGrant
 	if n.callUntil > 0 {
@@ -221,7 +221,7 @@
 	return flights
 }
 
-// saveInFlight takes the grants whose arrival is not known.
+// saveInFlight stores the grants whose arrival is unknown.
 func (n *searchNode) saveInFlight(flights []inFlightGrant) {
 	n.callUntil, n.abandonedUntil = 0, 0
 	for _, f := range flights {
@@ -235,7 +235,7 @@
 
 var searchRestarts = slices.Repeat([]time.Time{searchStart}, crashLoopRestarts)
 
-// save takes what the lessor of a node knows after an event.
+// save stores the state of the lessor in the node after an event.
 func (n *searchNode) save(alloc *Allocator) {
 	l := alloc.leases[worldService][0]
 	n.server, n.incarnation = searchIncarnationOf(l.Server)
@@ -263,7 +263,7 @@
 	for i := range s.nodes {
 		for name, restarts := range s.nodes[i].restarts {
 			if restarts+s.remaining.restarts < crashLoopRestarts {
-				s.nodes[i].restarts[name] = 0 // it will never count
+				s.nodes[i].restarts[name] = 0 // too few restarts remain for a crash loop
 			}
 		}
 	}
--- a/gateway/ranges/search_test.go
+++ b/gateway/ranges/search_test.go
@@ -11,13 +11,14 @@
 type searcher struct {
 	rules     rules
 	seeds     [2]maphash.Seed
-	seen      map[[2]uint64]struct{} // two hashes of each state, which takes a tenth of its room
+	seen      map[[2]uint64]struct{} // two hashes of each state, which take a tenth of its memory
 	todo      []searchState
 	allocator *Allocator
 	fault     string
 }
 
-// search returns a fault if there is one, and the number of states.
+// search returns a fault if there is one, the number of states, and whether all states
+// within the bounds were explored.
 func search(bounds searchBounds, r rules, most int) (fault string, states int, complete bool) {
 	s := &searcher{
 		rules:     r,
@@ -27,8 +28,8 @@
 	}
 	first := searchState{remaining: bounds}
 	first.table.end = 1
-	first.table.server = 1   // what a silent owner loses goes to the first server
-	first.remaining.claims++ // the first one has no former lessor
+	first.table.server = 1   // the range of an unresponsive owner moves to the first server
+	first.remaining.claims++ // the first lessor has no previous lessor
 	s.claim(first, 0)
 	for len(s.todo) > 0 && len(s.seen) < most {
 		state := s.todo[len(s.todo)-1]
@@ -41,7 +42,7 @@
 	return "", len(s.seen), len(s.todo) == 0
 }
 
-// add takes a state that was reached.
+// add adds a state that was reached.
 func (s *searcher) add(state searchState) {
 	state.normalize()
 	if state.servers[0].held > 0 && state.servers[1].held > 0 {
@@ -108,8 +109,8 @@
 	s.add(state)
 }
 
-// handOff has a new lessor hear from the other node, if that is the one before it, what it
-// granted. That one grants nothing any more.
+// handOff lets a new lessor receive the report of the previous lessor from the other node,
+// which then grants nothing any more.
 func (s *searcher) handOff(state searchState, node int8) {
 	n, former := &state.nodes[node], &state.nodes[1-node]
 	if !former.isLessor || former.claim >= n.claim {
@@ -128,7 +129,7 @@
 	s.add(state)
 }
 
-// recordAppend notes that a node appends.
+// recordAppend records that a node appends.
 func (s *searchState) recordAppend(node int8) {
 	s.table.resigned, s.table.held, s.table.uncertain = false, 0, 0
 	for i := range s.nodes {
@@ -137,8 +138,8 @@
 	s.nodes[node].confirmed = 0
 }
 
-// append has a lessor plan and append, or confirm its lease, or learn that there
-// is another one.
+// append lets a lessor plan and append, or confirm its lease, or discover that another node
+// has claimed it.
 func (s *searcher) append(state searchState, node int8) {
 	n := &state.nodes[node]
 	if !n.atEnd {
@@ -162,7 +163,7 @@
 	s.add(state)
 }
 
-// resign has a lessor give its lease up.
+// resign lets a lessor resign.
 func (s *searcher) resign(state searchState, node int8) {
 	n := &state.nodes[node]
 	if state.remaining.resigns == 0 || !n.atEnd {
@@ -179,7 +180,7 @@
 	s.add(state)
 }
 
-// call has a lessor send a call that is due.
+// call lets a lessor send a call that is due.
 func (s *searcher) call(state searchState, node int8) {
 	if state.calls[searchCalls-1].exists {
 		return
@@ -202,7 +203,7 @@
 	s.add(state)
 }
 
-// move has a lessor begin to move the range to the other server.
+// move lets a lessor start to move the range to the other server.
 func (s *searcher) move(state searchState, node int8) {
 	n := &state.nodes[node]
 	alloc := s.allocator
@@ -219,7 +220,7 @@
 	s.add(state)
 }
 
-// expireRestarts lets the time pass after which restarts no longer count.
+// expireRestarts skips the time after which restarts do not indicate a crash loop any more.
 func (s *searcher) expireRestarts(state searchState, node int8) {
 	if state.nodes[node].restarts != [2]int8{} {
 		state.nodes[node].restarts = [2]int8{}
@@ -227,8 +228,8 @@
 	}
 }
 
-// deliver has a call be lost, wait at the server, or be carried out there, with or
-// without an answer to the sender.
+// deliver explores the outcomes of a call: it is lost, waits at the server, or is executed
+// there, with or without a response to the sender.
 func (s *searcher) deliver(state searchState, i int) {
 	c := state.calls[i]
 	if c.waits {
@@ -239,7 +240,7 @@
 	}
 	if !c.abandoned && state.isBehind(c) {
 		s.abandon(state, i)
-		return // it leaves the sender's link after what was abandoned before
+		return // it leaves the sender's link after the calls that were abandoned before
 	}
 	lost := state
 	lost.calls[i] = searchCall{}
@@ -267,7 +268,7 @@
 	s.add(state)
 }
 
-// abandon has a call's sender reset its connection while its bytes are on their way.
+// abandon lets the sender of a call reset its connection while its bytes are in flight.
 func (s *searcher) abandon(state searchState, i int) {
 	c := state.calls[i]
 	state.calls[i].abandoned = true
@@ -276,8 +277,8 @@
 	s.add(state)
 }
 
-// isBehind reports whether bytes of the same sender that were written before a call are
-// still on their way.
+// isBehind reports whether bytes that the same sender wrote before a call are still in
+// flight.
 func (s *searchState) isBehind(c searchCall) bool {
 	for _, other := range s.calls {
 		if other.exists && other.abandoned && other.node == c.node {
@@ -287,7 +288,7 @@
 	return false
 }
 
-// execute carries a call out that arrived a while ago.
+// execute executes a call that arrived age seconds ago.
 func (s *searcher) execute(state *searchState, c searchCall, age int8) (fenced bool) {
 	server := &state.servers[c.server]
 	if c.release {
@@ -307,12 +308,12 @@
 	}
 	server.highestHeld = max(server.highestHeld, c.fence)
 	if state.servers[1-c.server].highestHeld >= c.fence {
-		s.fault = "a fence that is not above the other server's"
+		s.fault = "a fence is not above that of the other server"
 	}
 	return false
 }
 
-// finish gives the result of a call to its sender.
+// finish reports the result of a call to its sender.
 func (s *searcher) finish(state *searchState, c searchCall, result Result) {
 	n := &state.nodes[c.node]
 	if c.abandoned || !n.isLessor || n.claim != c.claim {
@@ -327,7 +328,7 @@
 	n.save(alloc)
 }
 
-// start has a server start again, or its entry reach the register.
+// start explores a restart of a server, and its registration after one.
 func (s *searcher) start(state searchState, name int) {
 	server := &state.servers[name]
 	if server.registered != server.incarnation {
@@ -344,7 +345,7 @@
 	s.add(state)
 }
 
-// tick lets a second pass. Calls must be delivered within their timeout.
+// tick advances the time by a second. Calls must be delivered within their timeout.
 func (s *searcher) tick(state searchState) {
 	for i := range state.calls {
 		c := &state.calls[i]
@@ -355,7 +356,7 @@
 		case !c.waits && !c.abandoned && time.Duration(c.age)*time.Second >= searchTimeout:
 			return
 		case c.waits && c.age >= searchWait:
-			*c = searchCall{} // what it could still do has run out
+			*c = searchCall{} // a grant from it would have expired
 		default:
 			c.age++
 		}
--- a/gateway/ranges/shed.go
+++ b/gateway/ranges/shed.go
@@ -6,26 +6,29 @@
 	"time"
 )
 
-// Shedding answers a cluster of busy keys on one server, or a few: within an instant
-// 60 to 200 neighbours get a third or more of the requests of a service of 300 servers,
-// for four to five seconds. Their owner cannot run a fiftieth of that. Divided in halves
-// from server to server, and resting after each move, they were spread when it was over.
+// Shedding handles a cluster of busy keys on one or a few servers: suddenly 60 to 200
+// adjacent keys receive a third or more of the requests of a service of 300 servers, for
+// four to five seconds. Their owner can run less than a fiftieth of that. When such ranges
+// were halved from server to server with a cooldown after each move, the load was spread
+// only after the cluster had ended.
 const (
-	// shedInterval is the least time between two rounds: by then most moves of the last
-	// one are done.
+	// shedInterval is the minimum time between two rounds, in which most moves of the
+	// previous round complete.
 	shedInterval = 250 * time.Millisecond
-	// overloadUtilization is the utilisation above which a server gives pieces to many others,
-	// and fillTo the one up to which others are filled. Above it their queues grow.
+	// overloadUtilization is the utilization above which a server moves pieces to many
+	// others. targetUtilization is the utilization up to which these are filled; above it
+	// their queues grow.
 	overloadUtilization = 0.95
 	targetUtilization   = 0.8
-	// maxShedPieces bounds the pieces of a round, each of which is released, granted and
-	// renewed.
+	// maxShedPieces is the maximum number of pieces per round, each of which is released,
+	// granted and renewed.
 	maxShedPieces = 64
-	// minPieceUtilization is the utilisation that a piece is worth at the server that gets it.
+	// minPieceUtilization is the minimum utilization that a piece must cause at its new
+	// owner.
 	minPieceUtilization = 0.08
 )
 
-// shed spreads the load of servers that are used beyond what they can run.
+// shed spreads the load of overloaded servers.
 func (r *round) shed() {
 	slices.SortStableFunc(r.usages, func(a, b *usage) int { return cmp.Compare(b.utilization, a.utilization) })
 	for _, from := range slices.Clone(r.usages) {
@@ -37,9 +40,10 @@
 	}
 }
 
-// shedPiece moves a piece of a server's load to the one with the most room, and reports
-// whether it did. Where every key is too much for that one, the busiest key goes where
-// it can be run best. One that nobody can run keeps its server for itself.
+// shedPiece moves a piece of a server's load to the server with the most headroom, and
+// reports whether it did. If every key exceeds that headroom, the busiest key moves to the
+// server with the lowest utilization including that key. A key that exceeds the capacity of
+// every server keeps its server for itself.
 func (r *round) shedPiece(from *usage) bool {
 	to := r.mostHeadroom(from)
 	if to != nil {
@@ -63,18 +67,18 @@
 	return false
 }
 
-// isOverloaded reports whether a server is asked for more than it can run, chance left
-// out.
+// isOverloaded reports whether the load of a server exceeds its capacity by more than
+// random variation explains.
 func (u *usage) isOverloaded() bool {
 	return u.utilization-noiseDeviations*u.deviation > overloadUtilization
 }
 
-// headroom returns the requests a second that a server can get.
+// headroom returns the requests a second that a server can take in addition.
 func (u *usage) headroom() float64 { return (targetUtilization - u.utilization) / u.cost }
 
-// hottestPart returns the busiest key of a server if it is worth moving, with what lies
-// between it and the edge of its range: one of many busy keys takes little else along, and
-// one piece is left.
+// hottestPart returns the busiest key of a server if it is worth moving, together with the
+// keys between it and the edge of its range. One of many busy keys takes little other load
+// along, and a single piece is left.
 func (r *round) hottestPart(from *usage) (l *lease, span Span, rate float64, found bool) {
 	l, key, rate := r.hottest(from)
 	if rate*from.cost < minPieceUtilization || !r.movable(l, from) || from.ownsOnly(l, key) {
@@ -93,13 +97,13 @@
 	return l, span, rate, true
 }
 
-// ownsOnly reports whether a server owns a key and no other.
+// ownsOnly reports whether a server owns a single key and no other.
 func (u *usage) ownsOnly(l *lease, key Key) bool {
 	return len(u.leases) == 1 && l.From == key && l.To == key
 }
 
-// mostHeadroom returns the server that can get the most requests, or nil if none can get a
-// piece that is worth it.
+// mostHeadroom returns the server that can take the most additional requests, or nil if
+// none can take a piece of minPieceUtilization.
 func (r *round) mostHeadroom(from *usage) *usage {
 	var best *usage
 	for _, u := range r.usages {
--- a/gateway/ranges/timing.go
+++ b/gateway/ranges/timing.go
@@ -8,34 +8,34 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// Hold is for how long a server owns a range, from the arrival of the grant.
+// Hold is how long a server owns a range, measured from the arrival of the grant.
 type Hold = time.Duration
 
-// Timing holds the intervals of ownership.
+// Timing holds the intervals and timeouts of ownership.
 type Timing struct {
-	// Hold is the hold of every grant. A lost server's keys are served again
-	// after it; a lessor must be replaced within it for its loss to go unseen.
+	// Hold is the hold of every grant. The keys of a lost server get a new owner after it.
+	// A lessor must be replaced within it for its loss to have no effect.
 	Hold time.Duration
-	// Renew is the interval between grants of a range. It leaves a lost grant
-	// time to be repeated within Hold.
+	// Renew is the interval between grants of a range. It leaves time to repeat a lost
+	// grant within Hold.
 	Renew time.Duration
-	// GrantPeriod is for how long a lessor goes on granting after it last confirmed its
-	// lease in the store; what it grants ends a Hold later. Ownership lives through
-	// outages of the store of that length, and a new lessor waits as long for an
-	// owner that does not answer.
+	// GrantPeriod is how long a lessor continues granting after it last confirmed its lease
+	// in the store; its last grant expires a Hold later. Ownership survives outages of the
+	// store of that length, and a new lessor waits as long for an owner that does not
+	// respond.
 	GrantPeriod time.Duration
-	// CallTimeout ends a call to a server.
+	// CallTimeout is the timeout of a call to a server.
 	CallTimeout time.Duration
 	// Underway is how long bytes may wait in the node's own link after their connection was
-	// reset: a VM of 10 Mbit/s whose link is full holds them for more than two seconds.
+	// reset. A VM with a saturated link of 10 Mbit/s holds them for more than two seconds.
 	Underway time.Duration
-	// ReleaseTimeout ends a release, which the server answers when the work on
+	// ReleaseTimeout is the timeout of a release, which the server answers when the work on
 	// the keys has ended.
 	ReleaseTimeout time.Duration
 }
 
-// DefaultTiming suits servers whose hold may be 10 s: a replaced lessor needs
-// about 2 s, and outages of the store of up to 8 s are lived through.
+// DefaultTiming suits servers that allow a hold of 10 s: the replacement of a lessor takes
+// about 2 s, and ownership survives outages of the store of up to 8 s.
 func DefaultTiming() Timing {
 	return Timing{
 		Hold:           3 * time.Second,
@@ -49,26 +49,26 @@
 
 // Servers measure a hold by their own clock.
 const (
-	clockDrift = 0.02                   // share by which it may be slow
+	clockDrift = 0.02                   // maximum fraction by which the clock may be slow
 	holdMargin = 100 * time.Millisecond // for timers that fire late
 )
 
 // Granter calls servers.
 type Granter interface {
-	// Grant gives a range to a server or renews it. It returns a *FencedError if
-	// the server has seen a higher fence, and a *CallError if it had no answer; then the
-	// grant may take effect late.
+	// Grant gives a range to a server or renews it. It returns a *FencedError if the server
+	// has seen a higher fence, and a *CallError if there was no response; the grant may
+	// then take effect late.
 	Grant(ctx context.Context, server site.Server, grant Grant) error
-	// Release takes a range back. It returns when the server's work on the keys
-	// has ended, with what the next owner needs.
+	// Release takes a range back. It returns when the server's work on the keys has ended,
+	// with the handover for the next owner.
 	Release(ctx context.Context, server site.Server, span Span, fence Fence) (handover string, err error)
 }
 
-// CallError reports a call without an answer.
+// CallError reports a call without a response.
 type CallError struct {
 	Fate Fate
-	// ArrivedBy is by when an Arrived call had reached the server's machine, by package
-	// clock; zero: by its end.
+	// ArrivedBy is the time by which an Arrived call had reached the server's machine, by
+	// package clock; zero: the end of the call.
 	ArrivedBy time.Time
 	Cause     error
 }
--- a/gateway/ranges/unaccepted_test.go
+++ b/gateway/ranges/unaccepted_test.go
@@ -8,8 +8,8 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// A full server accepts a new lessor's connection seconds late and serves its keys meanwhile.
-// It was taken for silent, and requests for its keys were refused.
+// A full server accepts a new lessor's connection seconds late and serves its keys
+// meanwhile. It was treated as unresponsive, and requests for its keys were refused.
 func TestAnOwnerThatHasNotAcceptedAConnectionYetIsNotUnresponsive(t *testing.T) {
 	g := gomega.NewWithT(t)
 	alloc, s := ownedRange(t)
@@ -35,6 +35,6 @@
 	for end := now.Add(acceptTimeout + 3*timing.CallTimeout); now.Before(end) && state() == Ready; {
 		call(unaccepted)
 	}
-	g.Expect(state()).To(gomega.Equal(Silent), "its process may stand still")
+	g.Expect(state()).To(gomega.Equal(Silent), "its process may be stalled")
 	g.Expect(alloc.eligibleServers(s, worldService, now)).NotTo(gomega.ContainElement(gomega.HaveField("ID", site.ServerID("a"))))
 }
--- a/gateway/ranges/uncertain_test.go
+++ b/gateway/ranges/uncertain_test.go
@@ -7,8 +7,8 @@
 	"github.com/onsi/gomega"
 )
 
-// A lessor that gives its lease up says which of its grants had no answer. With
-// answers to all of them the next lessor need not wait with a move.
+// A resigning lessor reports how long its grants without a response may be in force. If all
+// grants were answered, the next lessor need not delay a move.
 func TestAResigningLessorReportsUnansweredGrants(t *testing.T) {
 	g := gomega.NewWithT(t)
 	timing := DefaultTiming()
@@ -16,10 +16,10 @@
 	alloc, s := ownedRange(t)
 	alloc.LimitDoubt(0, allocatorStart)
 	g.Expect(alloc.Doubt(allocatorStart)).To(gomega.BeZero())
-	g.Expect(alloc.Held(allocatorStart)).To(gomega.Equal(timing.FormerHold()), "the holds go on")
+	g.Expect(alloc.Held(allocatorStart)).To(gomega.Equal(timing.FormerHold()), "the holds stay in force")
 
 	call := alloc.Calls(s.Servers, lease, allocatorStart)[0]
-	g.Expect(alloc.Doubt(allocatorStart)).To(gomega.Equal(timing.FormerHold()), "one is under way")
+	g.Expect(alloc.Doubt(allocatorStart)).To(gomega.Equal(timing.FormerHold()), "a grant is in flight")
 	alloc.Done(call, Result{}, allocatorStart)
 	g.Expect(alloc.Doubt(allocatorStart)).To(gomega.BeZero())
 
--- a/gateway/ranges/unresponsive_test.go
+++ b/gateway/ranges/unresponsive_test.go
@@ -9,8 +9,8 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// failRenewals has the lessor call the owner of every range, in vain, until it counts as
-// silent, and returns when.
+// failRenewals lets the calls of the lessor to the owner of every range fail until the
+// owner is treated as unresponsive, and returns the time at which that is so.
 func failRenewals(alloc *Allocator, s Site, now time.Time) time.Time {
 	for range failuresToExpire {
 		for _, call := range alloc.Calls(s.Servers, Lease{ConfirmedAt: now}, now) {
@@ -21,8 +21,8 @@
 	return now
 }
 
-// A server that cannot be reached and stays in the register owns no keys once its
-// ranges lapse, the fewest of all. It does not get them back at once.
+// A server that cannot be reached and stays in the registry owns no keys once its ranges
+// expire, the fewest of all servers. It must not get them back at once.
 func TestTheRangesOfAnUnresponsiveServerMoveToAnother(t *testing.T) {
 	g := gomega.NewWithT(t)
 	alloc, s := ownedRange(t)
@@ -31,7 +31,7 @@
 	g.Expect(appendPlan(t, alloc, s, now).Server).To(gomega.Equal(site.ServerID("b")))
 }
 
-// With no other server the silent one is tried again.
+// If there is no other server, the unresponsive one is tried again.
 func TestTheRangesOfTheOnlyServerReturnToIt(t *testing.T) {
 	g := gomega.NewWithT(t)
 	alloc, s := ownedRange(t)
@@ -41,7 +41,7 @@
 	g.Expect(appendPlan(t, alloc, s, now).Server).To(gomega.Equal(site.ServerID("a")))
 }
 
-// A server that answers again may get ranges again.
+// A server that responds again may get ranges again.
 func TestAServerThatAnswersAgainTakesRanges(t *testing.T) {
 	g := gomega.NewWithT(t)
 	alloc, s := ownedRange(t)
@@ -53,9 +53,10 @@
 	g.Expect(alloc.eligibleServers(s, worldService, now)).To(gomega.HaveLen(2))
 }
 
-// An entry of another writer may name a service that nobody knows, and the address
-// of a server that lives and holds keys: its own entry was broken before. Keys were
-// run by one server and held by the other for as long as the holds lasted.
+// A registry entry from another writer may name an unknown service and the address of a
+// running server that holds keys and whose own entry is broken. Such an entry was treated
+// as proof that the owner had ended, so one server ran keys that another one held until its
+// holds expired.
 func TestAnEntryOfAnUnknownServiceDoesNotProveThatTheOwnerEnded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	alloc, s := ownedRange(t)
--- a/gateway/ranges/unsent_test.go
+++ b/gateway/ranges/unsent_test.go
@@ -9,8 +9,8 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// A server that took no connection for a moment when it got a range was never called again,
-// and the range's keys had no owner for as long as it stayed in the register.
+// A server that briefly accepted no connection when it got a range was never called again,
+// and the keys of the range had no owner for as long as the server stayed registered.
 func TestAGrantThatWasNotSentIsRetried(t *testing.T) {
 	g := gomega.NewWithT(t)
 	timing := DefaultTiming()
@@ -27,7 +27,7 @@
 	}
 	unsent()
 	unsent()
-	g.Expect(appendPlan(t, alloc, s, now).Server).To(gomega.Equal(site.ServerID("a")), "b is silent, and holds nothing")
+	g.Expect(appendPlan(t, alloc, s, now).Server).To(gomega.Equal(site.ServerID("a")), "b is unresponsive and holds nothing")
 
 	unsent()
 	calls := alloc.Calls(s.Servers, Lease{ConfirmedAt: now}, now)
@@ -36,7 +36,7 @@
 	g.Expect(alloc.Routes()[worldService][0].State).To(gomega.Equal(Ready))
 }
 
-// While a grant may be in force, one more must not prolong the wait for it.
+// While a grant may be in force, another grant must not prolong the wait for it.
 func TestAGrantAfterAMissDoesNotProlongTheWait(t *testing.T) {
 	g := gomega.NewWithT(t)
 	alloc, s := ownedRangeAfter(time.Second)
--- a/gateway/ranges/usage.go
+++ b/gateway/ranges/usage.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// surgeDuration is for how long the load of a range that has become busy is taken from
-	// the quick memory: by then the steady one shows it.
+	// surgeDuration is how long the load of a range that has become busy is taken from the
+	// short-term average. After that the long-term average includes it.
 	surgeDuration = 2 * time.Second
-	// serviceTimeSpread bounds how much faster or slower than others a server counts:
-	// measured times include its queue.
+	// serviceTimeSpread limits the factor by which the service time of a server may differ
+	// from the median, because measured times include the server's queue.
 	serviceTimeSpread = 3
 )
 
 // usage is the load of one server.
 type usage struct {
 	server      site.Server
-	cost        float64 // utilisation that one request a second causes
-	utilization float64 // utilisation
-	deviation   float64 // standard deviation of it, by the chance in the counts
+	cost        float64 // utilization per request a second
+	utilization float64
+	deviation   float64 // standard deviation of the utilization that follows from the random variation of the counts
 	ranges      int
-	leases      []*lease // that it owns and keeps
+	leases      []*lease // leases that the server owns and keeps
 }
 
-// measure returns the load of each server. A range that is on its way to another one
-// counts there.
+// measure returns the load of each server. A range that is moving is included in the load
+// of its target.
 func (r *round) measure(servers []site.Server) []*usage {
 	typical := r.loads.typicalServiceTime(servers)
 	usages := make([]*usage, 0, len(servers))
@@ -63,7 +63,7 @@
 	return usages
 }
 
-// updateSurge looks whether a range has become busy just now.
+// updateSurge records whether a range has just become busy.
 func (r *round) updateSurge(l *lease) {
 	if !r.loads.isSurge(r.service, l.Span) {
 		return
@@ -74,7 +74,8 @@
 	l.surgeUntil = r.now.Add(surgeDuration)
 }
 
-// isSurging reports whether a range, or one of which it is a part, has become busy lately.
+// isSurging reports whether a range, or one from which it was split, has recently become
+// busy.
 func (r *round) isSurging(l *lease) bool { return r.now.Before(l.surgeUntil) }
 
 // rate returns the requests a second for a range.
@@ -83,8 +84,8 @@
 	return rates.sum(l.Span) * factor
 }
 
-// weights returns the load of each key of a range, and the factor that makes requests a
-// second of it.
+// weights returns the load of each key of a range, and the factor that converts it to
+// requests a second.
 func (r *round) weights(l *lease) (rates *keyRates, factor float64) {
 	if r.isSurging(l) {
 		return r.loads.shortTermRates(r.service, r.now.Sub(l.surgeSince))
--- a/gateway/ranges/world_links_test.go
+++ b/gateway/ranges/world_links_test.go
@@ -6,12 +6,13 @@
 	"github.com/burdockspindle/burdockspindle/clock"
 )
 
-// saturatedLinks tells whether the links of a world's nodes are full at times. Without them
-// grants arrive within their call's time, and the other rules have less to spare.
+// saturatedLinks states whether the links of the simulated nodes are saturated at times.
+// Without saturation grants arrive within the timeout of their calls, and the other rules
+// are tested with smaller safety margins.
 type saturatedLinks bool
 
-// maxSimulatedLinkDelay is the longest time that bytes wait in a node's own link. Resetting their
-// connection does not take them back.
+// maxSimulatedLinkDelay is the longest time that bytes wait in a node's own link. Resetting
+// their connection does not remove them.
 const maxSimulatedLinkDelay = 2500 * time.Millisecond
 
 // leavesLink returns when bytes that a node writes now leave its own link.
@@ -25,12 +26,12 @@
 }
 
 // maxAcceptDelay is the longest time for which a full server leaves a new connection
-// waiting. Its machine acknowledges what is sent on it meanwhile, and a reset that is lost
-// does not take it back.
+// unaccepted. Its machine acknowledges bytes that are sent on it meanwhile, and a reset
+// that is lost does not remove them.
 const maxAcceptDelay = 5 * time.Second
 
-// route puts the bytes of a call on their way over the node's connection to the server, or
-// over a new one.
+// route sends the bytes of a call over the node's connection to the server, or over a new
+// one.
 func (w *world) route(c *worldCall, latency time.Duration) {
 	n, server := c.node, c.call.Server
 	if _, isOpen := n.acceptsAt[server]; !isOpen {
@@ -55,7 +56,8 @@
 	}
 }
 
-// result returns what the sender's machine knows of the bytes of a call without an answer.
+// result returns what the sender's machine knows about the bytes of a call without a
+// response.
 func (w *world) result(c *worldCall) Result {
 	result := Result{Failed: true, Fate: Underway}
 	switch {
@@ -70,16 +72,17 @@
 	return result
 }
 
-// resetConnection has a node reset its connection to a server, unless that has yet to accept it.
+// resetConnection resets the connection of a node to a server, unless the server has yet to
+// accept it.
 func (n *worldNode) resetConnection(c *worldCall) {
 	if !c.isUnsent {
 		delete(n.acceptsAt, c.call.Server)
 	}
 }
 
-// handOff has a new lessor ask the one before it. That one may not be reached, and does not
-// answer while it is paused. A later process of its node tells that it has ended; what lessors
-// before it granted may be in force for the time before.
+// handOff lets a new lessor ask the previous one for its grants. The previous lessor may be
+// unreachable, and does not respond while it is paused. A later process of its node reports
+// that it has ended; grants of lessors before it may be in force for the duration before.
 func (w *world) handOff(n *worldNode, previous Lessor, before time.Duration) {
 	if !w.links {
 		return
--- a/gateway/ranges/world_run_test.go
+++ b/gateway/ranges/world_run_test.go
@@ -9,23 +9,23 @@
 	"github.com/onsi/gomega"
 )
 
-const worldLength = 90 * time.Second // simulated
+const worldLength = 90 * time.Second // simulated time
 
-// worldSeeds is how many worlds are played; -worlds raises it for a longer run.
-var worldSeeds = flag.Uint64("worlds", 40, "worlds to play in each test")
+// worldSeeds is the number of simulated clusters; -worlds raises it for a longer run.
+var worldSeeds = flag.Uint64("worlds", 40, "number of simulated clusters in each test")
 
 func TestNoKeyHasTwoOwners(t *testing.T) {
 	t.Parallel()
 	for _, links := range []saturatedLinks{false, true} {
-		t.Run(fmt.Sprintf("full links %v", links), func(t *testing.T) {
+		t.Run(fmt.Sprintf("saturated links %v", links), func(t *testing.T) {
 			t.Parallel()
 			checkSoleOwners(t, links)
 		})
 	}
 }
 
-// checkSoleOwners plays worlds and fails if a key has two owners in one of them, or if the
-// worlds were too quiet to tell.
+// checkSoleOwners runs simulated clusters. It fails if a key has two owners in one of them,
+// or if too few events occurred for the test to be meaningful.
 func checkSoleOwners(t *testing.T, links saturatedLinks) {
 	moves, claims, starts, handOffs := uint64(0), uint64(0), uint64(0), uint64(0)
 	held := 0.0
@@ -41,17 +41,17 @@
 		held += w.heldShare() / float64(*worldSeeds)
 	}
 	g := gomega.NewWithT(t)
-	g.Expect(moves).To(gomega.BeNumerically(">", *worldSeeds), "moves played")
-	g.Expect(claims).To(gomega.BeNumerically(">", 2**worldSeeds), "claims played")
-	g.Expect(starts).To(gomega.BeNumerically(">", 4**worldSeeds), "servers that started again")
+	g.Expect(moves).To(gomega.BeNumerically(">", *worldSeeds), "moves")
+	g.Expect(claims).To(gomega.BeNumerically(">", 2**worldSeeds), "claims")
+	g.Expect(starts).To(gomega.BeNumerically(">", 4**worldSeeds), "server restarts")
 	if links {
-		g.Expect(handOffs).To(gomega.BeNumerically(">", *worldSeeds), "former lessors that told what they had granted")
+		g.Expect(handOffs).To(gomega.BeNumerically(">", *worldSeeds), "reports of previous lessors")
 	}
 	g.Expect(held).To(gomega.BeNumerically(">", 0.5), "share of keys held at the end")
 }
 
-// Each rule that is dropped alone must show as two owners, or the world is too
-// kind to tell anything.
+// If a single rule is disabled, the simulation must find two owners. Otherwise it is too
+// weak to detect violations.
 func TestEveryRuleIsNeeded(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -59,26 +59,26 @@
 		dropped rules
 		from    uint64 // first seed
 	}{
-		{"the former lessor's right is not waited for", rules{noPreviousWait: true}, 0},
-		{"a silent owner's holds are not waited out", rules{noExpiryWait: true}, 0},
-		{"a range is released although a grant had no answer", rules{noUncertainCheck: true}, 0},
+		{"the previous lessor's grant period is not waited for", rules{noPreviousWait: true}, 0},
+		{"an unresponsive owner's holds are not waited for", rules{noExpiryWait: true}, 0},
+		{"a range is released although a grant had no response", rules{noUncertainCheck: true}, 0},
 		{"a lessor grants although its lease was not confirmed", rules{noLeaseCheck: true}, 0},
-		{"a claim rests on an older table", rules{noFreshTable: true}, 0},
-		{"a resignation hides what may be in force", rules{noResignedHolds: true}, 0},
-		{"a later run is proof that the owner holds nothing", rules{noNameMatch: true}, 0},
-		{"what an earlier run was granted is forgotten", rules{noCarriedHolds: true}, 0},
-		{"what was reset is taken for gone", rules{noLinkQueue: true}, 0},
-		{"a former lessor hides what it granted", rules{noHandOffReport: true}, 0},
+		{"a claim is based on an older table", rules{noFreshTable: true}, 0},
+		{"a resignation does not report grants in force", rules{noResignedHolds: true}, 0},
+		{"a later incarnation proves that the owner holds nothing", rules{noNameMatch: true}, 0},
+		{"grants to an earlier incarnation are forgotten", rules{noCarriedHolds: true}, 0},
+		{"calls that were reset are treated as gone", rules{noLinkQueue: true}, 0},
+		{"a previous lessor does not report its grants", rules{noHandOffReport: true}, 0},
 		{"a call is sent before its connection is accepted", rules{noAcceptWait: true}, 0},
-		{"an acknowledged call is taken for carried out", rules{noReadDelay: true}, 0},
-		{"a higher fence ends the wait for unanswered grants", rules{noUncertainWait: true}, 0},
+		{"an acknowledged call is treated as executed", rules{noReadDelay: true}, 0},
+		{"a higher fence ends the wait for uncertain grants", rules{noUncertainWait: true}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := c.from; seed < c.from+8**worldSeeds; seed++ {
 				for _, links := range []saturatedLinks{false, true} {
 					if fault := newWorld(seed, c.dropped, links).run(worldLength); fault != "" {
-						t.Logf("seed %d, full links %v: %s", seed, links, fault)
+						t.Logf("seed %d, saturated links %v: %s", seed, links, fault)
 						return
 					}
 				}
--- a/gateway/ranges/world_server_test.go
+++ b/gateway/ranges/world_server_test.go
@@ -9,18 +9,17 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// worldServer holds keys like a backend server: until the arrival of a grant
-// plus the hold, by a clock that is 2 % slow. A run that starts knows nothing of
-// those before.
+// worldServer holds keys like a backend server: until the arrival of a grant plus the hold,
+// by a clock that is 2 % slow. A new incarnation knows nothing of earlier ones.
 type worldServer struct {
-	site.Server  // the present run
+	site.Server  // the current incarnation
 	up           bool
-	startsAt     time.Time // with up unset: when it starts again; zero: never
-	restartsLeft int       // how often it starts again soon after the next start
+	startsAt     time.Time // when it restarts, or crashes while it is up; zero: never
+	restartsLeft int       // number of further crashes soon after a start
 	highest      [sampleCount]Fence
 	heldUntil    [sampleCount]time.Time
-	highestHeld  [sampleCount]Fence // highest with which any run of it held a key
-	// registered is its entry in the register, which follows a while after a start.
+	highestHeld  [sampleCount]Fence // highest under which any of its incarnations held a key
+	// registered is its entry in the registry, which is updated some time after a start.
 	registered   site.Server
 	isRegistered bool
 	registersAt  time.Time
@@ -37,7 +36,7 @@
 	server.register(w)
 }
 
-// freeAddress returns the address of a server that is gone for good, or nothing.
+// freeAddress returns the address of a server that is permanently gone, or "".
 func (w *world) freeAddress() string {
 	used := map[string]bool{}
 	for _, s := range w.servers {
@@ -51,14 +50,14 @@
 	return ""
 }
 
-// register puts the present run into the register.
+// register puts the current incarnation into the registry.
 func (s *worldServer) register(w *world) {
 	s.registered, s.isRegistered, s.registersAt = s.Server, true, time.Time{}
 	w.known[s.ID] = s.Server
 }
 
-// crash ends a run. The next one starts soon, mostly at the same address, and may
-// end as soon as it has started.
+// crash ends an incarnation. The next one starts soon, usually at the same address, and may
+// crash soon after its start.
 func (s *worldServer) crash(w *world) {
 	s.up = false
 	s.startsAt = w.randomTime(800 * time.Millisecond)
@@ -68,7 +67,7 @@
 	}
 }
 
-// start begins the next run of a server.
+// start starts the next incarnation of a server.
 func (s *worldServer) start(w *world) {
 	w.starts++
 	next := s.Server
@@ -84,7 +83,7 @@
 	}
 }
 
-// advanceServers starts, ends and registers servers whose time has come.
+// advanceServers starts, crashes and registers the servers that are due.
 func (w *world) advanceServers() {
 	for _, name := range slices.Sorted(maps.Keys(w.servers)) {
 		s := w.servers[name]
@@ -104,8 +103,8 @@
 	}
 }
 
-// registered returns the servers in the register: those that drain too, and
-// earlier runs of those that have just started again.
+// registered returns the servers in the registry, including draining ones and earlier
+// incarnations of those that have just restarted.
 func (w *world) registered() map[site.ServerID]site.Server {
 	list := map[site.ServerID]site.Server{}
 	for _, s := range w.servers {
@@ -116,7 +115,7 @@
 	return list
 }
 
-// execute applies a call at the run that is at its address now.
+// execute executes a call at the incarnation that is at its address now.
 func (w *world) execute(c *worldCall) {
 	server := w.servers[c.call.Server.Name()]
 	if !server.up || server.Address != c.address {
@@ -132,12 +131,12 @@
 	}
 }
 
-// checkFences notes a fault if a server has taken a key under a fence that is not
-// above all with which others held it.
+// checkFences records a fault if a server has taken a key under a fence that is not above
+// every fence under which other servers held it.
 func (w *world) checkFences(server *worldServer, grant Grant) {
 	for i := range sampleCount {
 		if !grant.Contains(sampleKey(i)) || !w.now.Before(server.heldUntil[i]) {
-			continue // ran out before it was carried out
+			continue // expired before it was executed
 		}
 		server.highestHeld[i] = max(server.highestHeld[i], grant.Fence)
 		for name, other := range w.servers {
@@ -148,7 +147,7 @@
 	}
 }
 
-// execute carries a call out; it reports whether a higher fence was seen.
+// execute executes a call and reports whether a higher fence was seen.
 func (s *worldServer) execute(c *worldCall, now time.Time) (fenced bool) {
 	grant := c.call.Grant
 	for i := range sampleCount {
--- a/gateway/ranges/world_test.go
+++ b/gateway/ranges/world_test.go
@@ -10,11 +10,10 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// world is a small site in simulated time: a store, nodes that run the lessor's
-// duty with a Allocator, and servers. Calls are delayed, lost, or carried out late
-// without an answer; nodes pause and lose the store or servers for a while;
-// servers start again under their names, and calls to an earlier run reach the
-// next one.
+// world is a simulated cluster: a store, nodes that run the lessor with an Allocator, and
+// servers. Calls are delayed, lost, or executed late without a response. Nodes pause and
+// temporarily lose the store or servers. Servers restart under their names, and calls to an
+// earlier incarnation reach the next one.
 type world struct {
 	random  *rand.Rand
 	rules   rules
@@ -24,14 +23,14 @@
 	records []worldRecord
 	nodes   []*worldNode
 	servers map[site.ServerName]*worldServer
-	known   map[site.ServerID]site.Server // every run that was registered
+	known   map[site.ServerID]site.Server // every incarnation that was registered
 	calls   []*worldCall
-	fault   string // found while a call was applied
+	fault   string // found while a call was executed
 	moves   int
 	claims  int
-	// handOffs is how often a new lessor heard from the one before.
+	// handOffs is the number of reports that new lessors received from previous ones.
 	handOffs int
-	starts   int // of servers again
+	starts   int // number of server restarts
 }
 
 const (
@@ -46,21 +45,21 @@
 	table        *Table // nil for a confirmation
 	node         int
 	resigned     bool
-	held         time.Duration // with resigned
-	uncertain    time.Duration // with resigned
-	previousHold time.Duration // for which grants of lessors before the writer may be in force
+	held         time.Duration // set if resigned
+	uncertain    time.Duration // set if resigned
+	previousHold time.Duration // how long grants of lessors before the writer may be in force
 }
 
 type worldCall struct {
 	node    *worldNode
 	call    Call
-	address string // to which it was sent
-	// acknowledgedAt is when the server's machine has it, and arrives when its process takes it;
-	// both zero: lost.
+	address string // address to which it was sent
+	// acknowledgedAt is when the server's machine acknowledges the call, and arrivesAt when
+	// its process reads it; both zero: the call is lost.
 	acknowledgedAt, arrivesAt time.Time
-	isUnsent                  bool      // no byte of it leaves: the connection is not accepted in time
-	executesAt                time.Time // late calls are applied after their arrival
-	answered                  bool      // the node gets the answer
+	isUnsent                  bool      // no byte of it is sent: the connection is not accepted in time
+	executesAt                time.Time // late calls are executed some time after their arrival
+	answered                  bool      // the node receives the response
 	executed                  bool
 	abandoned                 bool
 }
@@ -69,28 +68,30 @@
 	id              int
 	allocator       *Allocator
 	loads           *Loads
-	busyKey         Key       // that gets half of the requests
-	busyUntil       time.Time // when another one does
+	busyKey         Key       // key that receives half of the requests
+	busyUntil       time.Time // when another key becomes busy
 	end             Fence
 	confirmedAt     time.Time
 	nextConfirm     time.Time
-	pausedUntil     time.Time // until
-	storeLostUntil  time.Time // until
+	pausedUntil     time.Time
+	storeLostUntil  time.Time
 	serverLostUntil map[site.ServerName]time.Time
-	// acceptsAt is when the process of a server accepts the node's connection.
+	// acceptsAt is when the process of each server accepts the node's connection.
 	acceptsAt map[site.ServerID]time.Time
-	// linkFullUntil is until when the node's own link is full, and linkDelay for how long
-	// bytes wait in it then. They leave it in the order in which they were written.
+	// linkFullUntil is when the node's own link ceases to be full, and linkDelay is how
+	// long bytes wait in it until then. They leave it in the order in which they were
+	// written.
 	linkFullUntil time.Time
-	// endedLessor is the lessor that an earlier process of the node was, which ended at endedAt.
+	// endedLessor is the lessor that an earlier process of the node was; that process ended
+	// at endedAt.
 	endedLessor      Lessor
 	endedAt          time.Time
 	linkDelay        time.Duration
-	leftLinkAt       time.Time // when the latest written bytes leave it
+	leftLinkAt       time.Time // when the bytes that were written last leave the link
 	readAt           time.Time
 	readEnd          int
 	readEndChangedAt time.Time
-	resignAt         time.Time // when it gives the lease up; zero: not
+	resignAt         time.Time // when it resigns; zero: never
 }
 
 func newWorld(seed uint64, r rules, links saturatedLinks) *world {
@@ -115,8 +116,8 @@
 	return w
 }
 
-// run plays the world for a while and returns the first time at which two
-// servers hold a key, as text, or nothing.
+// run simulates the cluster for the given duration and describes the first time at which
+// two servers hold a key. It returns "" if there is none.
 func (w *world) run(length time.Duration) string {
 	for end := w.now.Add(length); w.now.Before(end); w.now = w.now.Add(worldStep) {
 		w.injectFaults()
@@ -134,7 +135,7 @@
 	return ""
 }
 
-// occurs is true about once in a mean time.
+// occurs reports whether an event with the given mean interval occurs in this step.
 func (w *world) occurs(mean time.Duration) bool {
 	return w.random.Float64() < float64(worldStep)/float64(mean)
 }
@@ -143,7 +144,7 @@
 	return w.now.Add(time.Duration(w.random.Int64N(int64(limit))))
 }
 
-// injectFaults starts pauses, cuts, losses and drains.
+// injectFaults starts pauses, network cuts, server losses and drains.
 func (w *world) injectFaults() {
 	names := slices.Sorted(maps.Keys(w.servers))
 	for _, n := range w.nodes {
@@ -182,7 +183,7 @@
 	}
 }
 
-// send puts a call on its way.
+// send sends a call.
 func (w *world) send(n *worldNode, call Call) {
 	c := &worldCall{node: n, call: call, address: w.known[call.Server].Address, answered: true}
 	latency := time.Duration(w.random.Int64N(int64(30 * time.Millisecond)))
@@ -206,7 +207,7 @@
 	w.calls = append(w.calls, c)
 }
 
-// deliver applies calls at servers, and gives nodes answers and timeouts.
+// deliver executes calls at servers, and passes responses and timeouts to nodes.
 func (w *world) deliver() {
 	kept := w.calls[:0]
 	for _, c := range w.calls {
@@ -237,7 +238,7 @@
 	}
 }
 
-// append appends a record at an offset if the node reaches the store.
+// append appends a record at an offset if the node can reach the store.
 func (w *world) append(n *worldNode, at Fence, record worldRecord) (done, conflict bool) {
 	if w.now.Before(n.storeLostUntil) {
 		return false, false
@@ -307,14 +308,14 @@
 	w.confirmed(n, change, record)
 }
 
-// dropRules makes a node's lessor lack the rules that are dropped.
+// dropRules applies the disabled rules to the lessor of a node.
 func (w *world) dropRules(n *worldNode) {
 	for _, l := range n.allocator.leases[worldService] {
 		w.rules.drop(n.allocator, l, w.registered(), w.now)
 	}
 }
 
-// discardPlan drops a change that the store did not take; it is planned anew.
+// discardPlan discards a change that the store did not accept; it is planned again.
 func (n *worldNode) discardPlan() {
 	for _, l := range n.allocator.leases[worldService] {
 		l.appendPending = false
@@ -348,7 +349,7 @@
 	}
 }
 
-// considerClaim claims the lease when the topic has been quiet, as package duty does.
+// considerClaim claims the lease when the topic has been idle, as package duty does.
 func (w *world) considerClaim(n *worldNode) {
 	if w.now.Before(n.storeLostUntil) || w.now.Sub(n.readAt) < 400*time.Millisecond {
 		return
@@ -383,7 +384,7 @@
 	n.allocator = NewAllocator(next, w.timing, previousHold, w.now)
 	clear(n.acceptsAt)
 	if resigned {
-		n.allocator.LimitDoubt(w.records[len(w.records)-2].uncertain, w.now) // before the claim
+		n.allocator.LimitDoubt(w.records[len(w.records)-2].uncertain, w.now) // the record before the claim
 	}
 	n.loads = NewLoads()
 	n.end = at + 1
@@ -403,8 +404,8 @@
 	return w.timing.FormerHoldAfter(idle)
 }
 
-// check returns the first key that two servers hold, or that one has taken under a
-// low fence.
+// check describes the first key that two servers hold, or that a server has taken under a
+// fence that is too low.
 func (w *world) check() string {
 	if w.fault != "" {
 		return w.fault
