--- a/gateway/ranges/allocator_test.go
+++ b/gateway/ranges/allocator_test.go
@@ -66,10 +66,10 @@
 
 // ownedRangeAfter is like ownedRange with the given time for which grants of the previous
 // lessor may be in force.
-func ownedRangeAfter(formerHold time.Duration) (*Allocator, Site) {
+func ownedRangeAfter(previousHold time.Duration) (*Allocator, Site) {
 	table := &Table{Services: map[site.ServiceName][]Assignment{worldService: {{Span: Span{To: LastKey}, Server: "a", Fence: 1}}}}
 	s := keyedSite(site.Server{ID: "a", Slots: 4, Address: "x"}, site.Server{ID: "b", Slots: 4, Address: "y"})
-	return NewAllocator(table, DefaultTiming(), formerHold, allocatorStart), s
+	return NewAllocator(table, DefaultTiming(), previousHold, allocatorStart), s
 }
 
 // ownedByRestartable is like ownedRange with servers that report their start times.
@@ -187,12 +187,12 @@
 	alloc := NewAllocator(&Table{}, timing, 0, allocatorStart)
 	for sent := time.Duration(0); sent < timing.GrantPeriod; sent += 50 * time.Millisecond {
 		hold := alloc.hold(Lease{ConfirmedAt: allocatorStart}, allocatorStart.Add(sent))
-		for _, quiet := range []time.Duration{0, time.Second, 3 * time.Second} {
-			end := quiet + timing.FormerHoldAfter(quiet)
-			if quiet == 0 {
+		for _, idle := range []time.Duration{0, time.Second, 3 * time.Second} {
+			end := idle + timing.FormerHoldAfter(idle)
+			if idle == 0 {
 				end += idleMargin // only a node that has just started claims without observing an idle topic
 			}
-			gomega.NewWithT(t).Expect(sent+timing.maxTimeInForce(hold)).To(gomega.BeNumerically("<=", end), "sent %v, idle %v", sent, quiet)
+			gomega.NewWithT(t).Expect(sent+timing.maxTimeInForce(hold)).To(gomega.BeNumerically("<=", end), "sent %v, idle %v", sent, idle)
 		}
 	}
 }
--- a/gateway/ranges/balance.go
+++ b/gateway/ranges/balance.go
@@ -125,8 +125,8 @@
 	to := r.usages[len(r.usages)-1]
 	for _, from := range r.usages {
 		gap := from.utilization - to.utilization
-		significant := gap - noiseDeviations*(from.deviation+to.deviation)
-		isEven := significant < minGap || significant < idleGap && from.utilization < busyUtilization
+		reliableGap := gap - noiseDeviations*(from.deviation+to.deviation)
+		isEven := reliableGap < minGap || reliableGap < idleGap && from.utilization < busyUtilization
 		if gap <= 0 || isEven && to.ranges > 0 || to.ranges >= maxServerRanges {
 			return false
 		}
--- a/gateway/ranges/balance_test.go
+++ b/gateway/ranges/balance_test.go
@@ -100,8 +100,8 @@
 }
 
 const (
-	fast = 150 * time.Millisecond
-	slow = 350 * time.Millisecond
+	fastServiceTime = 150 * time.Millisecond
+	slowServiceTime = 350 * time.Millisecond
 )
 
 // A key on a slow server becomes busier than that server can handle.
@@ -109,7 +109,7 @@
 	g := gomega.NewWithT(t)
 	replays := map[bool]float64{}
 	for _, balanced := range []bool{true, false} {
-		r := newKeyReplay(slow, fast, slow, fast, slow)
+		r := newKeyReplay(slowServiceTime, fastServiceTime, slowServiceTime, fastServiceTime, slowServiceTime)
 		rates := spreadLoad(20)
 		r.play(5*time.Second, rates, balanced)
 		rates[1] += 20
@@ -117,7 +117,7 @@
 		replays[balanced] = r.utilization(rates)
 		owner, _ := r.allocator.Table().Owner(worldService, 1)
 		if balanced {
-			g.Expect(r.serviceTimes[owner.Server]).To(gomega.Equal(fast))
+			g.Expect(r.serviceTimes[owner.Server]).To(gomega.Equal(fastServiceTime))
 		}
 	}
 	t.Logf("highest utilization: %.2f balanced, %.2f not balanced", replays[true], replays[false])
@@ -131,7 +131,7 @@
 	replays := map[bool]float64{}
 	moved := 0
 	for _, balanced := range []bool{true, false} {
-		r := newKeyReplay(fast, fast, fast, fast, fast)
+		r := newKeyReplay(fastServiceTime, fastServiceTime, fastServiceTime, fastServiceTime, fastServiceTime)
 		rates := spreadLoad(20)
 		for i := range 40 {
 			rates[Key(30000+i)] += 1.2
@@ -154,10 +154,10 @@
 
 func testJoin(t *testing.T, rates map[Key]float64) {
 	g := gomega.NewWithT(t)
-	r := newKeyReplay(fast, fast, fast)
+	r := newKeyReplay(fastServiceTime, fastServiceTime, fastServiceTime)
 	r.play(4*time.Second, rates, true)
 	r.servers["new"] = site.Server{ID: "new", Service: worldService, Slots: 4, Address: "new"}
-	r.serviceTimes["new"] = fast
+	r.serviceTimes["new"] = fastServiceTime
 	r.play(4*time.Second, rates, true)
 	owned := 0
 	for key := range rates {
@@ -171,7 +171,7 @@
 // Pieces that balancing has created are merged once their keys are idle.
 func TestPiecesAreMergedWhenTheKeysAreIdle(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := newKeyReplay(fast, slow, fast, slow, fast)
+	r := newKeyReplay(fastServiceTime, slowServiceTime, fastServiceTime, slowServiceTime, fastServiceTime)
 	for round := range 6 {
 		rates := spreadLoad(20)
 		for i := range 20 {
--- a/gateway/ranges/compact.go
+++ b/gateway/ranges/compact.go
@@ -32,13 +32,13 @@
 }
 
 // compact merges adjacent ranges of one owner and starts to move idle pieces.
-func (alloc *Allocator) compact(service site.ServiceName, s Site, at Fence, now time.Time, change *Change) {
+func (alloc *Allocator) compact(service site.ServiceName, s Site, fence Fence, now time.Time, change *Change) {
 	if now.Sub(alloc.compactedAt[service]) < compactInterval {
 		return
 	}
 	alloc.compactedAt[service] = now
 	alloc.returnIdlePieces(service, s, now)
-	alloc.merge(service, at, now, change)
+	alloc.merge(service, fence, now, change)
 }
 
 // returnIdlePieces starts to move idle pieces to the owner of an adjacent range. A server
@@ -96,7 +96,7 @@
 }
 
 // merge merges adjacent ranges of one owner into one range under a new fence.
-func (alloc *Allocator) merge(service site.ServiceName, at Fence, now time.Time, change *Change) {
+func (alloc *Allocator) merge(service site.ServiceName, fence Fence, now time.Time, change *Change) {
 	leases := alloc.leases[service]
 	for i := 0; i < len(leases); {
 		first, end := leases[i], i+1
@@ -104,13 +104,13 @@
 			end++
 		}
 		if end-i > 1 {
-			alloc.mergeNeighbours(service, slices.Clone(leases[i:end]), at, now, change)
+			alloc.mergeNeighbours(service, slices.Clone(leases[i:end]), fence, now, change)
 		}
 		i = end
 	}
 }
 
-func (alloc *Allocator) mergeNeighbours(service site.ServiceName, neighbours []*lease, at Fence, now time.Time, change *Change) {
+func (alloc *Allocator) mergeNeighbours(service site.ServiceName, neighbours []*lease, fence Fence, now time.Time, change *Change) {
 	first, last := neighbours[0], neighbours[len(neighbours)-1]
 	heldUntil, earlierUntil := first.inForceUntil(), first.earlierInForceUntil()
 	for _, l := range neighbours {
@@ -119,7 +119,7 @@
 		earlierUntil = clock.Later(earlierUntil, l.earlierInForceUntil())
 	}
 	merged := &lease{
-		Assignment:              Assignment{Span: Span{From: first.From, To: last.To}, Server: first.Server, Fence: at},
+		Assignment:              Assignment{Span: Span{From: first.From, To: last.To}, Server: first.Server, Fence: fence},
 		service:                 service,
 		heldUntil:               heldUntil,
 		earlierIncarnationUntil: earlierUntil,
--- a/gateway/ranges/incarnations.go
+++ b/gateway/ranges/incarnations.go
@@ -47,36 +47,36 @@
 }
 
 // observe processes the current registry and returns the restarts since the previous call.
-func (r *incarnations) observe(registered map[site.ServerID]site.Server, now time.Time) []Restart {
+func (inc *incarnations) observe(registered map[site.ServerID]site.Server, now time.Time) []Restart {
 	var restarts []Restart
 	for id := range registered {
 		name := id.Name()
-		before, isKnown := r.current[name]
+		before, isKnown := inc.current[name]
 		if _, isRegistered := registered[before]; isKnown && isRegistered {
 			continue
 		}
-		r.current[name] = id
+		inc.current[name] = id
 		if !isKnown || before == id {
 			continue
 		}
-		r.recordRestart(name, now)
-		restarts = append(restarts, Restart{From: before, To: id, Loops: r.isCrashLooping(name, now)})
+		inc.recordRestart(name, now)
+		restarts = append(restarts, Restart{From: before, To: id, Loops: inc.isCrashLooping(name, now)})
 	}
-	r.unreported = append(r.unreported, restarts...)
+	inc.unreported = append(inc.unreported, restarts...)
 	return restarts
 }
 
-func (r *incarnations) recordRestart(name site.ServerName, now time.Time) {
-	times := r.restarts[name]
+func (inc *incarnations) recordRestart(name site.ServerName, now time.Time) {
+	times := inc.restarts[name]
 	if len(times) >= crashLoopRestarts {
 		times = times[1:]
 	}
-	r.restarts[name] = append(slices.Clone(times), now)
+	inc.restarts[name] = append(slices.Clone(times), now)
 }
 
 // isCrashLooping reports whether a server restarts repeatedly.
-func (r *incarnations) isCrashLooping(name site.ServerName, now time.Time) bool {
-	times := r.restarts[name]
+func (inc *incarnations) isCrashLooping(name site.ServerName, now time.Time) bool {
+	times := inc.restarts[name]
 	return len(times) >= crashLoopRestarts && now.Sub(times[0]) < crashLoopWindow
 }
 
@@ -124,7 +124,7 @@
 
 // Restarts returns the restarts of servers since the previous call.
 func (alloc *Allocator) Restarts() []Restart {
-	news := alloc.incarnations.unreported
+	restarts := alloc.incarnations.unreported
 	alloc.incarnations.unreported = nil
-	return news
+	return restarts
 }
--- a/gateway/ranges/inflight.go
+++ b/gateway/ranges/inflight.go
@@ -27,8 +27,8 @@
 )
 
 // String returns the outcome for the log.
-func (f Fate) String() string {
-	switch f {
+func (outcome Fate) String() string {
+	switch outcome {
 	case NotSent:
 		return "not sent"
 	case Arrived:
@@ -40,7 +40,7 @@
 }
 
 // mayExecute reports whether the server may still execute the call.
-func (f Fate) mayExecute() bool { return f == Underway || f == Arrived }
+func (outcome Fate) mayExecute() bool { return outcome == Underway || outcome == Arrived }
 
 const (
 	// serverReadDelay is the longest time until a server's process reads bytes that its
--- a/gateway/ranges/plan.go
+++ b/gateway/ranges/plan.go
@@ -31,7 +31,7 @@
 
 // Plan decides which ranges change their owner or fence by an append at an offset. It
 // returns nil if none does. It also starts releases, which Calls then returns.
-func (alloc *Allocator) Plan(s Site, at Fence, now time.Time) *Change {
+func (alloc *Allocator) Plan(s Site, fence Fence, now time.Time) *Change {
 	change := &Change{}
 	for _, restart := range alloc.incarnations.observe(s.Servers, now) {
 		if s.Load != nil {
@@ -54,8 +54,8 @@
 			alloc.createRanges(name, servers, now)
 		}
 		alloc.startReleases(name, s, servers, now)
-		alloc.collectChanges(name, s, servers, at, now, change)
-		alloc.compact(name, s, at, now, change)
+		alloc.collectChanges(name, s, servers, fence, now, change)
+		alloc.compact(name, s, fence, now, change)
 	}
 	if len(change.apply) == 0 {
 		return nil
@@ -165,7 +165,7 @@
 }
 
 // collectChanges adds every range that can change now to the change.
-func (alloc *Allocator) collectChanges(service site.ServiceName, s Site, servers []site.Server, at Fence, now time.Time, change *Change) {
+func (alloc *Allocator) collectChanges(service site.ServiceName, s Site, servers []site.Server, fence Fence, now time.Time, change *Change) {
 	spread := newSpread(alloc.leases[service], servers)
 	for _, l := range alloc.leases[service] {
 		switch {
@@ -176,18 +176,18 @@
 				to = spread.least()
 			}
 			spread.add(to, l.Keys())
-			alloc.change(change, l, Assignment{Span: l.Span, Server: to, Fence: at, Handover: l.validHandover(s)}, now)
+			alloc.change(change, l, Assignment{Span: l.Span, Server: to, Fence: fence, Handover: l.validHandover(s)}, now)
 		case alloc.movesToSuccessor(l, s, servers, now):
 			successor, _ := LaterRun(s.Servers, l.Server)
 			spread.add(successor.ID, l.Keys())
-			alloc.change(change, l, Assignment{Span: l.Span, Server: successor.ID, Fence: at}, now)
+			alloc.change(change, l, Assignment{Span: l.Span, Server: successor.ID, Fence: fence}, now)
 		case l.canReassign(s, now):
 			to := spread.least()
 			spread.add(to, l.Keys())
-			alloc.change(change, l, Assignment{Span: l.Span, Server: to, Fence: at}, now)
+			alloc.change(change, l, Assignment{Span: l.Span, Server: to, Fence: fence}, now)
 		case l.raiseFence:
 			next := l.Assignment
-			next.Fence = at
+			next.Fence = fence
 			alloc.change(change, l, next, now)
 		}
 	}
--- a/gateway/ranges/search_state_test.go
+++ b/gateway/ranges/search_state_test.go
@@ -22,13 +22,13 @@
 	searchGrantPeriod = 2 * time.Second
 	// searchLinkDelay is how long after its sender has abandoned it a call may arrive.
 	searchLinkDelay = time.Second
-	// searchWait is how many seconds a call without a response may wait at a server. After
+	// maxSearchWait is how many seconds a call without a response may wait at a server. After
 	// that time and the hold it cannot be in force any more.
-	searchWait = 1
-	// searchCalls is the maximum number of calls in flight or waiting at a server.
-	searchCalls = 2
-	// searchStarts is the maximum number of incarnations of a server.
-	searchStarts = 4
+	maxSearchWait = 1
+	// maxSearchCalls is the maximum number of calls in flight or waiting at a server.
+	maxSearchCalls = 2
+	// maxSearchIncarnations is the maximum number of incarnations of a server.
+	maxSearchIncarnations = 4
 )
 
 var (
@@ -42,7 +42,7 @@
 type searchState struct {
 	nodes     [2]searchNode
 	servers   [2]searchServer
-	calls     [searchCalls]searchCall // sorted; empty ones last
+	calls     [maxSearchCalls]searchCall // sorted; empty ones last
 	table     searchTable
 	remaining searchBounds
 }
@@ -110,21 +110,21 @@
 // The incarnations of both servers, and the registries that contain one of each, are
 // created once because the search needs them at every step.
 var (
-	searchIncarnations       [len(searchNames)][searchStarts]site.ServerID
+	searchIncarnations       [len(searchNames)][maxSearchIncarnations]site.ServerID
 	searchIncarnationNumbers = map[site.ServerID][2]int8{}
-	searchSites              [searchStarts][searchStarts]Site
+	searchSites              [maxSearchIncarnations][maxSearchIncarnations]Site
 )
 
 func init() {
 	for name := range searchNames {
-		for number := range searchStarts {
+		for number := range maxSearchIncarnations {
 			id := site.RunID(searchNames[name], time.Unix(int64(number)+1, 0))
 			searchIncarnations[name][number] = id
 			searchIncarnationNumbers[id] = [2]int8{int8(name), int8(number)}
 		}
 	}
-	for a := range int8(searchStarts) {
-		for b := range int8(searchStarts) {
+	for a := range int8(maxSearchIncarnations) {
+		for b := range int8(maxSearchIncarnations) {
 			searchSites[a][b] = searchSite([2]int8{a, b})
 		}
 	}
@@ -138,14 +138,14 @@
 }
 
 // searchSite returns a registry that contains one incarnation of each server.
-func searchSite(shown [2]int8) Site {
+func searchSite(registered [2]int8) Site {
 	view := keyedSite()
 	for name := range int8(len(searchNames)) {
-		for run := range shown[name] + 1 {
+		for run := range registered[name] + 1 {
 			id := searchIncarnation(name, run)
 			server := site.Server{ID: id, Service: worldService, Slots: 1, Address: string(searchNames[name])}
 			view.Known[id] = server
-			if run == shown[name] {
+			if run == registered[name] {
 				view.Servers[id] = server
 			}
 		}
--- a/gateway/ranges/search_test.go
+++ b/gateway/ranges/search_test.go
@@ -19,7 +19,7 @@
 
 // search returns a fault if there is one, the number of states, and whether all states
 // within the bounds were explored.
-func search(bounds searchBounds, r rules, most int) (fault string, states int, complete bool) {
+func search(bounds searchBounds, r rules, limit int) (fault string, states int, complete bool) {
 	s := &searcher{
 		rules:     r,
 		seeds:     [2]maphash.Seed{maphash.MakeSeed(), maphash.MakeSeed()},
@@ -31,7 +31,7 @@
 	first.table.server = 1   // the range of an unresponsive owner moves to the first server
 	first.remaining.claims++ // the first lessor has no previous lessor
 	s.claim(first, 0)
-	for len(s.todo) > 0 && len(s.seen) < most {
+	for len(s.todo) > 0 && len(s.seen) < limit {
 		state := s.todo[len(s.todo)-1]
 		s.todo = s.todo[:len(s.todo)-1]
 		s.expand(state)
@@ -91,16 +91,16 @@
 		{Span: Span{To: LastKey}, Server: searchIncarnation(state.table.server, state.table.incarnation)},
 	}}}
 	fence := state.table.end
-	former := searchTimes.FormerHold()
-	doubt := former
+	previous := searchTimes.FormerHold()
+	uncertain := previous
 	switch {
 	case s.rules.noPreviousWait:
-		former = searchTimes.maxTimeInForce(searchHold)
+		previous = searchTimes.maxTimeInForce(searchHold)
 	case state.table.resigned:
-		former, doubt = absolute(state.table.held).Sub(searchStart), absolute(state.table.uncertain).Sub(searchStart)
+		previous, uncertain = absolute(state.table.held).Sub(searchStart), absolute(state.table.uncertain).Sub(searchStart)
 	}
-	alloc := NewAllocator(table.Refenced(Lessor{}, Fence(fence)), searchTimes, former, searchStart)
-	alloc.LimitDoubt(doubt, searchStart)
+	alloc := NewAllocator(table.Refenced(Lessor{}, Fence(fence)), searchTimes, previous, searchStart)
+	alloc.LimitDoubt(uncertain, searchStart)
 	alloc.incarnations.observe(state.site().Servers, searchStart)
 	n := &state.nodes[node]
 	n.isLessor, n.claim = true, fence
@@ -112,17 +112,17 @@
 // handOff lets a new lessor receive the report of the previous lessor from the other node,
 // which then grants nothing any more.
 func (s *searcher) handOff(state searchState, node int8) {
-	n, former := &state.nodes[node], &state.nodes[1-node]
-	if !former.isLessor || former.claim >= n.claim {
+	n, previous := &state.nodes[node], &state.nodes[1-node]
+	if !previous.isLessor || previous.claim >= n.claim {
 		return
 	}
 	alloc := s.allocator
-	former.load(alloc)
+	previous.load(alloc)
 	list := alloc.Remaining(searchStart)
 	if s.rules.noHandOffReport {
 		list = nil
 	}
-	*former = searchNode{}
+	*previous = searchNode{}
 	n.load(alloc)
 	alloc.LimitFormer(list, searchStart)
 	n.save(alloc)
@@ -172,17 +172,17 @@
 	state.remaining.resigns--
 	alloc := s.allocator
 	n.load(alloc)
-	held, doubt := alloc.Held(searchStart), alloc.Doubt(searchStart)
+	held, uncertain := alloc.Held(searchStart), alloc.Doubt(searchStart)
 	state.recordAppend(node)
 	*n = searchNode{}
 	state.table.resigned = true
-	state.table.held, state.table.uncertain = relative(searchStart.Add(held)), relative(searchStart.Add(doubt))
+	state.table.held, state.table.uncertain = relative(searchStart.Add(held)), relative(searchStart.Add(uncertain))
 	s.add(state)
 }
 
 // call lets a lessor send a call that is due.
 func (s *searcher) call(state searchState, node int8) {
-	if state.calls[searchCalls-1].exists {
+	if state.calls[maxSearchCalls-1].exists {
 		return
 	}
 	n := &state.nodes[node]
@@ -198,7 +198,7 @@
 		return
 	}
 	server, run := searchIncarnationOf(calls[0].Server)
-	state.calls[searchCalls-1] = searchCall{exists: true, node: node, claim: n.claim, server: server, incarnation: run, fence: n.fence, release: calls[0].Release}
+	state.calls[maxSearchCalls-1] = searchCall{exists: true, node: node, claim: n.claim, server: server, incarnation: run, fence: n.fence, release: calls[0].Release}
 	n.save(alloc)
 	s.add(state)
 }
@@ -355,7 +355,7 @@
 			return
 		case !c.waits && !c.abandoned && time.Duration(c.age)*time.Second >= searchTimeout:
 			return
-		case c.waits && c.age >= searchWait:
+		case c.waits && c.age >= maxSearchWait:
 			*c = searchCall{} // a grant from it would have expired
 		default:
 			c.age++
--- a/gateway/ranges/world_run_test.go
+++ b/gateway/ranges/world_run_test.go
@@ -27,8 +27,8 @@
 // checkSoleOwners runs simulated clusters. It fails if a key has two owners in one of them,
 // or if too few events occurred for the test to be meaningful.
 func checkSoleOwners(t *testing.T, links saturatedLinks) {
-	moves, claims, starts, handOffs := uint64(0), uint64(0), uint64(0), uint64(0)
-	held := 0.0
+	moves, claims, restarts, handOffs := uint64(0), uint64(0), uint64(0), uint64(0)
+	heldShare := 0.0
 	for seed := range *worldSeeds {
 		w := newWorld(seed, rules{}, links)
 		if fault := w.run(worldLength); fault != "" {
@@ -36,18 +36,18 @@
 		}
 		moves += uint64(w.moves)
 		claims += uint64(w.claims)
-		starts += uint64(w.starts)
+		restarts += uint64(w.restarts)
 		handOffs += uint64(w.handOffs)
-		held += w.heldShare() / float64(*worldSeeds)
+		heldShare += w.heldShare() / float64(*worldSeeds)
 	}
 	g := gomega.NewWithT(t)
 	g.Expect(moves).To(gomega.BeNumerically(">", *worldSeeds), "moves")
 	g.Expect(claims).To(gomega.BeNumerically(">", 2**worldSeeds), "claims")
-	g.Expect(starts).To(gomega.BeNumerically(">", 4**worldSeeds), "server restarts")
+	g.Expect(restarts).To(gomega.BeNumerically(">", 4**worldSeeds), "server restarts")
 	if links {
 		g.Expect(handOffs).To(gomega.BeNumerically(">", *worldSeeds), "reports of previous lessors")
 	}
-	g.Expect(held).To(gomega.BeNumerically(">", 0.5), "share of keys held at the end")
+	g.Expect(heldShare).To(gomega.BeNumerically(">", 0.5), "share of keys held at the end")
 }
 
 // If a single rule is disabled, the simulation must find two owners. Otherwise it is too
--- a/gateway/ranges/world_server_test.go
+++ b/gateway/ranges/world_server_test.go
@@ -14,7 +14,7 @@
 type worldServer struct {
 	site.Server  // the current incarnation
 	up           bool
-	startsAt     time.Time // when it restarts, or crashes while it is up; zero: never
+	restartsAt   time.Time // when it restarts, or crashes while it is up; zero: never
 	restartsLeft int       // number of further crashes soon after a start
 	highest      [sampleCount]Fence
 	heldUntil    [sampleCount]time.Time
@@ -40,7 +40,7 @@
 func (w *world) freeAddress() string {
 	used := map[string]bool{}
 	for _, s := range w.servers {
-		used[s.Address] = used[s.Address] || s.up || !s.startsAt.IsZero()
+		used[s.Address] = used[s.Address] || s.up || !s.restartsAt.IsZero()
 	}
 	for _, name := range slices.Sorted(maps.Keys(w.servers)) {
 		if address := w.servers[name].Address; !used[address] {
@@ -60,7 +60,7 @@
 // crash soon after its start.
 func (s *worldServer) crash(w *world) {
 	s.up = false
-	s.startsAt = w.randomTime(800 * time.Millisecond)
+	s.restartsAt = w.randomTime(800 * time.Millisecond)
 	s.restartsLeft = max(s.restartsLeft-1, 0)
 	if s.restartsLeft == 0 && w.random.IntN(4) == 0 {
 		s.restartsLeft = 1 + w.random.IntN(3)
@@ -69,7 +69,7 @@
 
 // start starts the next incarnation of a server.
 func (s *worldServer) start(w *world) {
-	w.starts++
+	w.restarts++
 	next := s.Server
 	next.ID = site.RunID(s.ID.Name(), w.now)
 	next.Draining = w.random.IntN(12) == 0
@@ -79,7 +79,7 @@
 	*s = worldServer{Server: next, up: true, restartsLeft: s.restartsLeft, highestHeld: s.highestHeld, registered: s.registered, isRegistered: s.isRegistered}
 	s.registersAt = w.randomTime(1500 * time.Millisecond)
 	if s.restartsLeft > 0 {
-		s.startsAt = w.randomTime(3 * time.Second) // when it crashes again
+		s.restartsAt = w.randomTime(3 * time.Second) // when it crashes again
 	}
 }
 
@@ -87,7 +87,7 @@
 func (w *world) advanceServers() {
 	for _, name := range slices.Sorted(maps.Keys(w.servers)) {
 		s := w.servers[name]
-		if !s.startsAt.IsZero() && !w.now.Before(s.startsAt) {
+		if !s.restartsAt.IsZero() && !w.now.Before(s.restartsAt) {
 			if s.up {
 				s.crash(w)
 			} else {
@@ -97,7 +97,7 @@
 		if s.up && !s.registersAt.IsZero() && !w.now.Before(s.registersAt) {
 			s.register(w)
 		}
-		if !s.up && s.startsAt.IsZero() {
+		if !s.up && s.restartsAt.IsZero() {
 			s.isRegistered = false
 		}
 	}
--- a/gateway/ranges/world_test.go
+++ b/gateway/ranges/world_test.go
@@ -30,7 +30,7 @@
 	claims  int
 	// handOffs is the number of reports that new lessors received from previous ones.
 	handOffs int
-	starts   int // number of server restarts
+	restarts int // number of server restarts
 }
 
 const (
@@ -178,7 +178,7 @@
 		server.registersAt = w.now
 	case w.occurs(10*time.Second) && server.up:
 		server.crash(w)
-	case w.occurs(40*time.Second) && server.startsAt.IsZero():
+	case w.occurs(40*time.Second) && server.restartsAt.IsZero():
 		server.up = false
 	}
 }
