--- a/gateway/ranges/incarnations.go
+++ b/gateway/ranges/incarnations.go
@@ -22,9 +22,9 @@
 const (
 	// A server that has restarted crashLoopRestarts times within crashLoopWindow loses its
 	// keys to others: it would be slow with them each time, and after the next restart they
-	// have no owner until the registry shows the new incarnation. The window is longer than
-	// the move of a range takes after its holds have expired, and longer than a server is
-	// slow after its start.
+	// have no owner until the registry shows the new incarnation. That takes longer than
+	// the move of a range after its holds have expired, and longer than a server is slow
+	// after its start.
 	crashLoopRestarts = 2
 	crashLoopWindow   = 15 * time.Second
 )
