--- a/gateway/ranges/balance_test.go
+++ b/gateway/ranges/balance_test.go
@@ -11,51 +11,52 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// replayKeys plays load on keys against a lessor whose calls all succeed at once.
-type replayKeys struct {
-	allocator *Allocator
-	loads     *Loads
-	servers   map[site.ServerID]site.Server
-	paces     map[site.ServerID]time.Duration
-	now       time.Time
-	end       Fence
-	carried   map[Key]float64 // parts of requests that are still to come
-	moved     int             // keys
+// keyReplay replays load on keys against a lessor whose calls all succeed at once.
+type keyReplay struct {
+	allocator       *Allocator
+	loads           *Loads
+	servers         map[site.ServerID]site.Server
+	serviceTimes    map[site.ServerID]time.Duration
+	now             time.Time
+	end             Fence
+	pendingRequests map[Key]float64 // fractions of requests that have not arrived yet
+	movedKeys       int             // keys
 }
 
-func newReplayKeys(paces ...time.Duration) *replayKeys {
-	r := &replayKeys{loads: NewLoads(), carried: map[Key]float64{}, servers: map[site.ServerID]site.Server{}, paces: map[site.ServerID]time.Duration{}, now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), end: 1}
-	for i, pace := range paces {
+func newKeyReplay(serviceTimes ...time.Duration) *keyReplay {
+	r := &keyReplay{loads: NewLoads(), pendingRequests: map[Key]float64{}, servers: map[site.ServerID]site.Server{}, serviceTimes: map[site.ServerID]time.Duration{}, now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), end: 1}
+	for i, serviceTime := range serviceTimes {
 		id := site.ServerID(fmt.Sprintf("s%d", i))
 		r.servers[id] = site.Server{ID: id, Service: worldService, Slots: 4, Address: string(id)}
-		r.paces[id] = pace
+		r.serviceTimes[id] = serviceTime
 	}
 	r.allocator = NewAllocator(&Table{}, DefaultTiming(), 0, r.now)
 	return r
 }
 
-// play offers the load for a while. balanced false leaves the ranges alone.
-func (r *replayKeys) play(length time.Duration, rates map[Key]float64, balanced bool) {
+// play offers the load for the given duration. If balanced is false, no load is passed to
+// the lessor and ranges are not balanced.
+func (r *keyReplay) play(length time.Duration, rates map[Key]float64, balanced bool) {
 	for end := r.now.Add(length); r.now.Before(end); r.now = r.now.Add(worldStep) {
 		for key, rate := range rates {
-			if _, started := r.carried[key]; !started {
-				r.carried[key] = math.Mod(float64(key)*math.Phi, 1) // keys do not come together
+			if _, started := r.pendingRequests[key]; !started {
+				r.pendingRequests[key] = math.Mod(float64(key)*math.Phi, 1) // spreads the arrivals for different keys
 			}
-			r.carried[key] += rate * worldStep.Seconds()
-			if whole := int(r.carried[key]); whole > 0 {
+			r.pendingRequests[key] += rate * worldStep.Seconds()
+			if whole := int(r.pendingRequests[key]); whole > 0 {
 				r.loads.Count(worldService, key, whole)
-				r.carried[key] -= float64(whole)
+				r.pendingRequests[key] -= float64(whole)
 			}
 		}
 		r.loads.Decay(r.now)
-		for id, pace := range r.paces {
-			r.loads.Pace(id, pace)
+		for id, serviceTime := range r.serviceTimes {
+			r.loads.Pace(id, serviceTime)
 		}
 		r.step(balanced)
 	}
 }
 
-func (r *replayKeys) step(balanced bool) {
+func (r *keyReplay) step(balanced bool) {
 	s := Site{
 		Services: map[site.ServiceName]site.Service{worldService: {Name: worldService, Keyed: true}},
 		Servers:  r.servers,
@@ -70,26 +71,26 @@
 		r.allocator.Appended(change)
 	}
 	for _, move := range r.allocator.Moves() {
-		r.moved += move.Span.Keys()
+		r.movedKeys += move.Span.Keys()
 	}
 	for _, call := range r.allocator.Calls(r.servers, Lease{ConfirmedAt: r.now}, r.now) {
 		r.allocator.Done(call, Result{Handover: "h"}, r.now)
 	}
 }
 
-// used returns the greatest utilisation of a server.
-func (r *replayKeys) used(rates map[Key]float64) float64 {
-	used := map[site.ServerID]float64{}
-	most := 0.0
+// utilization returns the highest utilization of a server.
+func (r *keyReplay) utilization(rates map[Key]float64) float64 {
+	utilization := map[site.ServerID]float64{}
+	greatest := 0.0
 	for key, rate := range rates {
 		owner, _ := r.allocator.Table().Owner(worldService, key)
-		used[owner.Server] += rate * r.paces[owner.Server].Seconds() / 4
-		most = max(most, used[owner.Server])
+		utilization[owner.Server] += rate * r.serviceTimes[owner.Server].Seconds() / 4
+		greatest = max(greatest, utilization[owner.Server])
 	}
-	return most
+	return greatest
 }
 
-// spread returns rates that add up to a total, on keys all over.
+// spreadLoad returns rates on keys across the key space that add up to a total.
 func spreadLoad(total float64) map[Key]float64 {
 	rates := map[Key]float64{}
 	for i := range 400 {
@@ -99,47 +100,47 @@
 }
 
 const (
-	fast = 150 * time.Millisecond
-	slow = 350 * time.Millisecond
+	fastServiceTime = 150 * time.Millisecond
+	slowServiceTime = 350 * time.Millisecond
 )
 
-// A key on a slow server becomes busier than that server can be.
+// A key on a slow server becomes busier than that server can handle.
 func TestABusyKeyGoesToTheFastestServer(t *testing.T) {
 	g := gomega.NewWithT(t)
 	replays := map[bool]float64{}
 	for _, balanced := range []bool{true, false} {
-		r := newReplayKeys(slow, fast, slow, fast, slow)
+		r := newKeyReplay(slowServiceTime, fastServiceTime, slowServiceTime, fastServiceTime, slowServiceTime)
 		rates := spreadLoad(20)
 		r.play(5*time.Second, rates, balanced)
 		rates[1] += 20
 		r.play(4*time.Second, rates, balanced)
-		replays[balanced] = r.used(rates)
+		replays[balanced] = r.utilization(rates)
 		owner, _ := r.allocator.Table().Owner(worldService, 1)
 		if balanced {
-			g.Expect(r.paces[owner.Server]).To(gomega.Equal(fast))
+			g.Expect(r.serviceTimes[owner.Server]).To(gomega.Equal(fastServiceTime))
 		}
 	}
-	t.Logf("greatest utilisation: %.2f balanced, %.2f left alone", replays[true], replays[false])
+	t.Logf("highest utilization: %.2f balanced, %.2f not balanced", replays[true], replays[false])
 	g.Expect(replays[true]).To(gomega.BeNumerically("<", 1))
 	g.Expect(replays[false]).To(gomega.BeNumerically(">", 1.5))
 }
 
-// Busy keys lie close together, on one server.
+// The busy keys are adjacent and belong to one server.
 func TestNeighbouringBusyKeysAreSpread(t *testing.T) {
 	g := gomega.NewWithT(t)
 	replays := map[bool]float64{}
 	moved := 0
 	for _, balanced := range []bool{true, false} {
-		r := newReplayKeys(fast, fast, fast, fast, fast)
+		r := newKeyReplay(fastServiceTime, fastServiceTime, fastServiceTime, fastServiceTime, fastServiceTime)
 		rates := spreadLoad(20)
 		for i := range 40 {
 			rates[Key(30000+i)] += 1.2
 		}
 		r.play(8*time.Second, rates, balanced)
-		replays[balanced] = r.used(rates)
-		moved += r.moved
+		replays[balanced] = r.utilization(rates)
+		moved += r.movedKeys
 	}
-	t.Logf("greatest utilisation: %.2f balanced, %.2f left alone; %d keys moved", replays[true], replays[false], moved)
+	t.Logf("highest utilization: %.2f balanced, %.2f not balanced; %d keys moved", replays[true], replays[false], moved)
 	g.Expect(replays[true]).To(gomega.BeNumerically("<", 0.75))
 	g.Expect(replays[false]).To(gomega.BeNumerically(">", 1.5))
 	g.Expect(moved).To(gomega.BeNumerically("<", 65536/2))
@@ -153,10 +154,10 @@
 
 func testJoin(t *testing.T, rates map[Key]float64) {
 	g := gomega.NewWithT(t)
-	r := newReplayKeys(fast, fast, fast)
+	r := newKeyReplay(fastServiceTime, fastServiceTime, fastServiceTime)
 	r.play(4*time.Second, rates, true)
 	r.servers["new"] = site.Server{ID: "new", Service: worldService, Slots: 4, Address: "new"}
-	r.paces["new"] = fast
+	r.serviceTimes["new"] = fastServiceTime
 	r.play(4*time.Second, rates, true)
 	owned := 0
 	for key := range rates {
@@ -167,10 +168,10 @@
 	g.Expect(owned).To(gomega.BeNumerically(">", 20))
 }
 
-// What busy keys leave behind is put together again once they are quiet.
-func TestPiecesAreMergedWhenTheKeysAreQuiet(t *testing.T) {
+// Pieces that balancing has created are merged once their keys are idle.
+func TestPiecesAreMergedWhenTheKeysAreIdle(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := newReplayKeys(fast, slow, fast, slow, fast)
+	r := newKeyReplay(fastServiceTime, slowServiceTime, fastServiceTime, slowServiceTime, fastServiceTime)
 	for round := range 6 {
 		rates := spreadLoad(20)
 		for i := range 20 {
--- a/gateway/ranges/search_test.go
+++ b/gateway/ranges/search_test.go
@@ -11,26 +11,27 @@
 type searcher struct {
 	rules     rules
 	seeds     [2]maphash.Seed
-	seen      map[[2]uint64]struct{} // two hashes of each state, which takes a tenth of its room
+	seen      map[[2]uint64]struct{} // two hashes of each state, which take a tenth of its memory
 	todo      []searchState
 	allocator *Allocator
 	fault     string
 }
 
-// search returns a fault if there is one, and the number of states.
-func search(bounds searchBounds, r rules, most int) (fault string, states int, complete bool) {
+// search returns a fault if there is one, the number of states, and whether all states
+// within the bounds were explored.
+func search(bounds searchBounds, r rules, limit int) (fault string, states int, complete bool) {
 	s := &searcher{
 		rules:     r,
 		seeds:     [2]maphash.Seed{maphash.MakeSeed(), maphash.MakeSeed()},
 		seen:      map[[2]uint64]struct{}{},
 		allocator: newSearchAllocator(),
 	}
-	first := searchState{left: bounds}
+	first := searchState{remaining: bounds}
 	first.table.end = 1
-	first.table.server = 1 // what a silent owner loses goes to the first server
-	first.left.claims++    // the first one has no former lessor
+	first.table.server = 1   // the range of an unresponsive owner moves to the first server
+	first.remaining.claims++ // the first lessor has no previous lessor
 	s.claim(first, 0)
-	for len(s.todo) > 0 && len(s.seen) < most {
+	for len(s.todo) > 0 && len(s.seen) < limit {
 		state := s.todo[len(s.todo)-1]
 		s.todo = s.todo[:len(s.todo)-1]
 		s.expand(state)
@@ -41,7 +42,7 @@
 	return "", len(s.seen), len(s.todo) == 0
 }
 
-// add takes a state that was reached.
+// add adds a state that was reached.
 func (s *searcher) add(state searchState) {
 	state.normalize()
 	if state.servers[0].held > 0 && state.servers[1].held > 0 {
@@ -59,7 +60,7 @@
 func (s *searcher) expand(state searchState) {
 	for node := range int8(len(state.nodes)) {
 		if !state.nodes[node].isLessor {
-			if state.left.claims > 0 {
+			if state.remaining.claims > 0 {
 				s.claim(state, node)
 			}
 			continue
@@ -68,7 +69,7 @@
 		s.resign(state, node)
 		s.call(state, node)
 		s.move(state, node)
-		s.forget(state, node)
+		s.expireRestarts(state, node)
 		s.handOff(state, node)
 	}
 	for i := range state.calls {
@@ -84,61 +85,61 @@
 
 // claim makes a node the lessor.
 func (s *searcher) claim(state searchState, node int8) {
-	state.left.claims--
-	state.appendBy(node)
+	state.remaining.claims--
+	state.recordAppend(node)
 	table := &Table{Services: map[site.ServiceName][]Assignment{worldService: {
-		{Span: Span{To: LastKey}, Server: searchRun(state.table.server, state.table.run)},
+		{Span: Span{To: LastKey}, Server: searchIncarnation(state.table.server, state.table.incarnation)},
 	}}}
 	fence := state.table.end
-	former := searchTimes.FormerHold()
-	doubt := former
+	previous := searchTimes.FormerHold()
+	uncertain := previous
 	switch {
-	case s.rules.noFormer:
-		former = searchTimes.lapse(searchHold)
+	case s.rules.noPreviousWait:
+		previous = searchTimes.maxTimeInForce(searchHold)
 	case state.table.resigned:
-		former, doubt = absolute(state.table.held).Sub(searchStart), absolute(state.table.doubt).Sub(searchStart)
+		previous, uncertain = absolute(state.table.held).Sub(searchStart), absolute(state.table.uncertain).Sub(searchStart)
 	}
-	k := NewAllocator(table.Refenced(Lessor{}, Fence(fence)), searchTimes, former, searchStart)
-	k.LimitDoubt(doubt, searchStart)
-	k.runs.observe(state.site().Servers, searchStart)
+	alloc := NewAllocator(table.Refenced(Lessor{}, Fence(fence)), searchTimes, previous, searchStart)
+	alloc.LimitDoubt(uncertain, searchStart)
+	alloc.incarnations.observe(state.site().Servers, searchStart)
 	n := &state.nodes[node]
 	n.isLessor, n.claim = true, fence
-	n.keep(k)
+	n.save(alloc)
 	state.table.end++
 	s.add(state)
 }
 
-// handOff has a new lessor hear from the other node, if that is the one before it, what it
-// granted. That one grants nothing any more.
+// handOff lets a new lessor receive the report of the previous lessor from the other node,
+// which then grants nothing any more.
 func (s *searcher) handOff(state searchState, node int8) {
-	n, former := &state.nodes[node], &state.nodes[1-node]
-	if !former.isLessor || former.claim >= n.claim {
+	n, previous := &state.nodes[node], &state.nodes[1-node]
+	if !previous.isLessor || previous.claim >= n.claim {
 		return
 	}
-	k := s.allocator
-	former.allocator(k)
-	list := k.Remaining(searchStart)
-	if s.rules.noReport {
+	alloc := s.allocator
+	previous.load(alloc)
+	list := alloc.Remaining(searchStart)
+	if s.rules.noHandOffReport {
 		list = nil
 	}
-	*former = searchNode{}
-	n.allocator(k)
-	k.LimitFormer(list, searchStart)
-	n.keep(k)
+	*previous = searchNode{}
+	n.load(alloc)
+	alloc.LimitFormer(list, searchStart)
+	n.save(alloc)
 	s.add(state)
 }
 
-// appendBy notes that a node appends.
-func (s *searchState) appendBy(node int8) {
-	s.table.resigned, s.table.held, s.table.doubt = false, 0, 0
+// recordAppend records that a node appends.
+func (s *searchState) recordAppend(node int8) {
+	s.table.resigned, s.table.held, s.table.uncertain = false, 0, 0
 	for i := range s.nodes {
 		s.nodes[i].atEnd = int8(i) == node
 	}
 	s.nodes[node].confirmed = 0
 }
 
-// append has a lessor plan and append, or confirm its lease, or learn that there
-// is another one.
+// append lets a lessor plan and append, or confirm its lease, or discover that another node
+// has claimed it.
 func (s *searcher) append(state searchState, node int8) {
 	n := &state.nodes[node]
 	if !n.atEnd {
@@ -146,115 +147,115 @@
 		s.add(state)
 		return
 	}
-	k := s.allocator
-	l := n.allocator(k)
+	alloc := s.allocator
+	l := n.load(alloc)
 	view := state.site()
-	s.rules.drop(k, l, view.Servers, searchStart)
-	change := k.Plan(view, Fence(state.table.end), searchStart)
+	s.rules.drop(alloc, l, view.Servers, searchStart)
+	change := alloc.Plan(view, Fence(state.table.end), searchStart)
 	if change != nil {
-		k.Appended(change)
+		alloc.Appended(change)
 		owner, _ := change.Table.Owner(worldService, 0)
-		state.table.server, state.table.run = searchRunOf(owner.Server)
+		state.table.server, state.table.incarnation = searchIncarnationOf(owner.Server)
 		state.table.end++
 	}
-	state.appendBy(node)
-	n.keep(k)
+	state.recordAppend(node)
+	n.save(alloc)
 	s.add(state)
 }
 
-// resign has a lessor give its lease up.
+// resign lets a lessor resign.
 func (s *searcher) resign(state searchState, node int8) {
 	n := &state.nodes[node]
-	if state.left.resigns == 0 || !n.atEnd {
+	if state.remaining.resigns == 0 || !n.atEnd {
 		return
 	}
-	state.left.resigns--
-	k := s.allocator
-	n.allocator(k)
-	held, doubt := k.Held(searchStart), k.Doubt(searchStart)
-	state.appendBy(node)
+	state.remaining.resigns--
+	alloc := s.allocator
+	n.load(alloc)
+	held, uncertain := alloc.Held(searchStart), alloc.Doubt(searchStart)
+	state.recordAppend(node)
 	*n = searchNode{}
 	state.table.resigned = true
-	state.table.held, state.table.doubt = relative(searchStart.Add(held)), relative(searchStart.Add(doubt))
+	state.table.held, state.table.uncertain = relative(searchStart.Add(held)), relative(searchStart.Add(uncertain))
 	s.add(state)
 }
 
-// call has a lessor send a call that is due.
+// call lets a lessor send a call that is due.
 func (s *searcher) call(state searchState, node int8) {
-	if state.calls[searchCalls-1].exists {
+	if state.calls[maxSearchCalls-1].exists {
 		return
 	}
 	n := &state.nodes[node]
-	k := s.allocator
-	n.allocator(k)
+	alloc := s.allocator
+	n.load(alloc)
 	view := state.site()
 	confirmedAt := searchStart.Add(-time.Duration(n.confirmed) * time.Second)
-	if s.rules.noRight {
+	if s.rules.noLeaseCheck {
 		confirmedAt = searchStart
 	}
-	calls := k.Calls(view.Servers, Lease{ConfirmedAt: confirmedAt}, searchStart)
+	calls := alloc.Calls(view.Servers, Lease{ConfirmedAt: confirmedAt}, searchStart)
 	if len(calls) == 0 {
 		return
 	}
-	server, run := searchRunOf(calls[0].Server)
-	state.calls[searchCalls-1] = searchCall{exists: true, node: node, claim: n.claim, server: server, run: run, fence: n.fence, release: calls[0].Release}
-	n.keep(k)
+	server, run := searchIncarnationOf(calls[0].Server)
+	state.calls[maxSearchCalls-1] = searchCall{exists: true, node: node, claim: n.claim, server: server, incarnation: run, fence: n.fence, release: calls[0].Release}
+	n.save(alloc)
 	s.add(state)
 }
 
-// move has a lessor begin to move the range to the other server.
+// move lets a lessor start to move the range to the other server.
 func (s *searcher) move(state searchState, node int8) {
 	n := &state.nodes[node]
-	k := s.allocator
-	l := n.allocator(k)
-	s.rules.drop(k, l, state.site().Servers, searchStart)
-	if state.left.moves == 0 || !l.canRelease(searchStart) {
+	alloc := s.allocator
+	l := n.load(alloc)
+	s.rules.drop(alloc, l, state.site().Servers, searchStart)
+	if state.remaining.moves == 0 || !l.canRelease(searchStart) {
 		return
 	}
-	state.left.moves--
+	state.remaining.moves--
 	other := 1 - n.server
-	l.next = searchRun(other, state.servers[other].shown)
-	k.setPhase(l, releasing)
-	n.keep(k)
+	l.next = searchIncarnation(other, state.servers[other].registered)
+	alloc.setPhase(l, releasing)
+	n.save(alloc)
 	s.add(state)
 }
 
-// forget lets the time pass after which restarts no longer count.
-func (s *searcher) forget(state searchState, node int8) {
+// expireRestarts skips the time after which restarts do not indicate a crash loop any more.
+func (s *searcher) expireRestarts(state searchState, node int8) {
 	if state.nodes[node].restarts != [2]int8{} {
 		state.nodes[node].restarts = [2]int8{}
 		s.add(state)
 	}
 }
 
-// deliver has a call be lost, wait at the server, or be carried out there, with or
-// without an answer to the sender.
+// deliver explores the outcomes of a call: it is lost, waits at the server, or is executed
+// there, with or without a response to the sender.
 func (s *searcher) deliver(state searchState, i int) {
 	c := state.calls[i]
 	if c.waits {
 		state.calls[i] = searchCall{}
-		s.apply(&state, c, c.age)
+		s.execute(&state, c, c.age)
 		s.add(state)
 		return
 	}
 	if !c.abandoned && state.isBehind(c) {
 		s.abandon(state, i)
-		return // it leaves the sender's link after what was abandoned before
+		return // it leaves the sender's link after the calls that were abandoned before
 	}
 	lost := state
 	lost.calls[i] = searchCall{}
-	s.answer(&lost, c, Result{Failed: true, Fate: Underway})
+	s.finish(&lost, c, Result{Failed: true, Fate: Underway})
 	s.add(lost)
 
 	waiting := state
 	waiting.calls[i] = searchCall{exists: true, waits: true, server: c.server, fence: c.fence, release: c.release}
-	s.answer(&waiting, c, Result{Failed: true, Fate: Arrived})
+	s.finish(&waiting, c, Result{Failed: true, Fate: Arrived})
 	s.add(waiting)
 
 	unanswered := state
 	unanswered.calls[i] = searchCall{}
-	s.apply(&unanswered, c, 0)
-	s.answer(&unanswered, c, Result{Failed: true, Fate: Arrived})
+	s.execute(&unanswered, c, 0)
+	s.finish(&unanswered, c, Result{Failed: true, Fate: Arrived})
 	s.add(unanswered)
 	if c.abandoned {
 		return
@@ -262,22 +263,22 @@
 	s.abandon(state, i)
 
 	state.calls[i] = searchCall{}
-	fenced := s.apply(&state, c, 0)
-	s.answer(&state, c, Result{Fenced: fenced})
+	fenced := s.execute(&state, c, 0)
+	s.finish(&state, c, Result{Fenced: fenced})
 	s.add(state)
 }
 
-// abandon has a call's sender reset its connection while its bytes are on their way.
+// abandon lets the sender of a call reset its connection while its bytes are in flight.
 func (s *searcher) abandon(state searchState, i int) {
 	c := state.calls[i]
 	state.calls[i].abandoned = true
 	state.calls[i].age = 0
-	s.answer(&state, c, Result{Failed: true, Fate: Underway})
+	s.finish(&state, c, Result{Failed: true, Fate: Underway})
 	s.add(state)
 }
 
-// isBehind reports whether bytes of the same sender that were written before a call are
-// still on their way.
+// isBehind reports whether bytes that the same sender wrote before a call are still in
+// flight.
 func (s *searchState) isBehind(c searchCall) bool {
 	for _, other := range s.calls {
 		if other.exists && other.abandoned && other.node == c.node {
@@ -287,8 +288,8 @@
 	return false
 }
 
-// apply carries a call out that arrived a while ago.
-func (s *searcher) apply(state *searchState, c searchCall, age int8) (fenced bool) {
+// execute executes a call that arrived age seconds ago.
+func (s *searcher) execute(state *searchState, c searchCall, age int8) (fenced bool) {
 	server := &state.servers[c.server]
 	if c.release {
 		if server.highest <= c.fence {
@@ -305,72 +306,72 @@
 	if server.held == 0 {
 		return false
 	}
-	server.had = max(server.had, c.fence)
-	if state.servers[1-c.server].had >= c.fence {
-		s.fault = "a fence that is not above the other server's"
+	server.highestHeld = max(server.highestHeld, c.fence)
+	if state.servers[1-c.server].highestHeld >= c.fence {
+		s.fault = "a fence is not above that of the other server"
 	}
 	return false
 }
 
-// answer gives the result of a call to its sender.
-func (s *searcher) answer(state *searchState, c searchCall, result Result) {
+// finish reports the result of a call to its sender.
+func (s *searcher) finish(state *searchState, c searchCall, result Result) {
 	n := &state.nodes[c.node]
 	if c.abandoned || !n.isLessor || n.claim != c.claim {
 		return
 	}
-	k := s.allocator
-	l := n.allocator(k)
-	call := Call{Service: worldService, Server: searchRun(c.server, c.run), Release: c.release, SentAt: searchStart.Add(-time.Duration(c.age) * time.Second), lease: l}
+	alloc := s.allocator
+	l := n.load(alloc)
+	call := Call{Service: worldService, Server: searchIncarnation(c.server, c.incarnation), Release: c.release, SentAt: searchStart.Add(-time.Duration(c.age) * time.Second), lease: l}
 	call.Grant = Grant{Assignment: l.Assignment, Hold: searchHold}
 	call.Grant.Fence = Fence(c.fence)
-	k.Done(call, result, searchStart)
-	n.keep(k)
+	alloc.Done(call, result, searchStart)
+	n.save(alloc)
 }
 
-// start has a server start again, or its entry reach the register.
+// start explores a restart of a server, and its registration after one.
 func (s *searcher) start(state searchState, name int) {
 	server := &state.servers[name]
-	if server.shown != server.run {
+	if server.registered != server.incarnation {
 		shown := state
-		shown.servers[name].shown = server.run
+		shown.servers[name].registered = server.incarnation
 		s.add(shown)
 	}
-	if state.left.starts == 0 {
+	if state.remaining.restarts == 0 {
 		return
 	}
-	state.left.starts--
-	server.run++
+	state.remaining.restarts--
+	server.incarnation++
 	server.highest, server.held = 0, 0
 	s.add(state)
 }
 
-// tick lets a second pass. Calls must be delivered within their timeout.
+// tick advances the time by a second. Calls must be delivered within their timeout.
 func (s *searcher) tick(state searchState) {
 	for i := range state.calls {
 		c := &state.calls[i]
 		switch {
 		case !c.exists:
-		case c.abandoned && time.Duration(c.age)*time.Second >= searchUnderway:
+		case c.abandoned && time.Duration(c.age)*time.Second >= searchLinkDelay:
 			return
 		case !c.waits && !c.abandoned && time.Duration(c.age)*time.Second >= searchTimeout:
 			return
-		case c.waits && c.age >= searchLate:
-			*c = searchCall{} // what it could still do has run out
+		case c.waits && c.age >= maxSearchWait:
+			*c = searchCall{} // a grant from it would have expired
 		default:
 			c.age++
 		}
 	}
 	for i := range state.nodes {
 		n := &state.nodes[i]
-		n.held, n.doubt = later(n.held), later(n.doubt)
-		n.former, n.formerDoubt = later(n.former), later(n.formerDoubt)
-		n.callUntil, n.strayUntil = later(n.callUntil), later(n.strayUntil)
+		n.held, n.uncertain = subtractSecond(n.held), subtractSecond(n.uncertain)
+		n.previous, n.previousUncertain = subtractSecond(n.previous), subtractSecond(n.previousUncertain)
+		n.callUntil, n.abandonedUntil = subtractSecond(n.callUntil), subtractSecond(n.abandonedUntil)
 		if n.isLessor {
-			n.confirmed = min(n.confirmed+1, int8(searchRight/time.Second))
+			n.confirmed = min(n.confirmed+1, int8(searchGrantPeriod/time.Second))
 		}
-		state.servers[i].held = later(state.servers[i].held)
+		state.servers[i].held = subtractSecond(state.servers[i].held)
 	}
 	s.add(state)
 }
 
-func later(milliseconds int16) int16 { return max(milliseconds-1000, 0) }
+func subtractSecond(milliseconds int16) int16 { return max(milliseconds-1000, 0) }
