--- a/gateway/duty/calls.go
+++ b/gateway/duty/calls.go
@@ -18,9 +18,9 @@
 
 func (d *Duty) sendCalls(ctx context.Context, now time.Time) {
 	registered := d.State.Now().Servers.Servers
-	maps.Copy(d.known, registered)
+	maps.Copy(d.knownServers, registered)
 	for _, call := range d.allocator.Calls(registered, d.lease(), now) {
-		server, known := d.known[call.Server]
+		server, known := d.knownServers[call.Server]
 		if !known {
 			d.allocator.Done(call, ranges.Result{Failed: true}, now)
 			continue
@@ -40,9 +40,9 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout-clock.Since(call.SentAt))
 	defer cancel()
 	var result ranges.Result
-	err := d.limiter.enter(ctx, call)
+	err := d.limiter.acquire(ctx, call)
 	if err == nil {
-		defer d.limiter.leave(call)
+		defer d.limiter.release(call)
 	}
 	switch {
 	case err != nil:
@@ -57,18 +57,18 @@
 	var fenced *ranges.FencedError
 	result.Fenced = errors.As(err, &fenced)
 	result.Failed = err != nil && !result.Fenced
-	var lost *ranges.CallError
-	if errors.As(err, &lost) {
-		result.Fate, result.ArrivedBy = lost.Fate, lost.ArrivedBy
+	var callErr *ranges.CallError
+	if errors.As(err, &callErr) {
+		result.Fate, result.ArrivedBy = callErr.Fate, callErr.ArrivedBy
 	}
 	if err != nil {
 		eventCallFailed.Log(d.Logger, "server", server.ID, "release", call.Release, "from", call.Grant.From, "to", call.Grant.To, "fence", call.Grant.Fence, "hold", call.Grant.Hold, "fenced", result.Fenced, "fate", result.Fate, "arrivedAgo", arrivedAgo(result, clock.Now()), "since", clock.Since(call.SentAt), "cause", err)
 	}
 	countCall(call, result)
-	d.called <- callResult{call, result}
+	d.callResults <- callResult{call, result}
 }
 
-func (d *Duty) takeCall(r callResult) {
+func (d *Duty) completeCall(r callResult) {
 	if d.allocator != nil {
 		d.allocator.Done(r.call, r.result, clock.Now())
 	}
--- a/gateway/duty/calls_test.go
+++ b/gateway/duty/calls_test.go
@@ -14,24 +14,24 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// silentGranter tells when its calls end.
-type silentGranter struct{ endedAt time.Time }
+// unresponsiveGranter tells when its calls end.
+type unresponsiveGranter struct{ endedAt time.Time }
 
 // Grant implements ranges.Granter.
-func (g *silentGranter) Grant(ctx context.Context, _ site.Server, _ ranges.Grant) error {
+func (g *unresponsiveGranter) Grant(ctx context.Context, _ site.Server, _ ranges.Grant) error {
 	<-ctx.Done()
 	g.endedAt = clock.Now()
 	return ctx.Err()
 }
 
 // Release implements ranges.Granter.
-func (g *silentGranter) Release(ctx context.Context, server site.Server, _ ranges.Span, _ ranges.Fence) (string, error) {
+func (g *unresponsiveGranter) Release(ctx context.Context, server site.Server, _ ranges.Span, _ ranges.Fence) (string, error) {
 	return "", g.Grant(ctx, server, ranges.Grant{})
 }
 
 // The lessor counts a grant from when it was sent, and the call's timeout after that: a
 // process that is short of processor time must not make it longer.
-func TestACallEndsATimeoutAfterItWasCountedAsSent(t *testing.T) {
+func TestCallTimeoutIsMeasuredFromSentAt(t *testing.T) {
 	for name, row := range map[string]struct {
 		began time.Duration // after it was counted as sent
 		made  bool
@@ -43,7 +43,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := gomega.NewWithT(t)
-				granter := &silentGranter{}
+				granter := &unresponsiveGranter{}
 				d := New()
 				d.Logger = hclog.NewNullLogger()
 				d.Granter = granter
@@ -51,7 +51,7 @@
 				call := ranges.Call{Server: "a", SentAt: clock.Now()}
 				time.Sleep(row.began)
 				go d.call(t.Context(), site.Server{ID: "a"}, call)
-				result := <-d.called
+				result := <-d.callResults
 				g.Expect(result.result.Failed).To(gomega.BeTrue())
 				g.Expect(granter.endedAt.IsZero()).To(gomega.Equal(!row.made))
 				if row.made {
--- a/gateway/duty/duty.go
+++ b/gateway/duty/duty.go
@@ -22,45 +22,45 @@
 
 // Timing of the duty.
 const (
-	// tick is how often due calls and changes are looked for. After every answer would be
+	// lessorTick is how often due calls and changes are looked for. After every answer would be
 	// too often for a lessor of hundreds of owners.
-	tick = 25 * time.Millisecond
+	lessorTick = 25 * time.Millisecond
 	// idleTick is the same for a node that is not the lessor and reads the ownership
 	// topic, and sleepTick for one that does not: it can claim nothing, and wakes when it
 	// reads.
 	idleTick  = 100 * time.Millisecond
 	sleepTick = time.Second
-	// changePause is the least time between two changes of the table: releases that are
+	// minChangeInterval is the least time between two changes of the table: releases that are
 	// answered one after the other become one change, and each is a call to the store.
-	changePause = 50 * time.Millisecond
-	// confirmEvery is the interval of the lessor's records in the store. Others
+	minChangeInterval = 50 * time.Millisecond
+	// confirmInterval is the interval of the lessor's records in the store. Others
 	// take two missing ones for the loss of the lessor.
-	confirmEvery = 500 * time.Millisecond
-	// suspectAfter is for how long the ownership topic must not have grown before
+	confirmInterval = 500 * time.Millisecond
+	// suspectTimeout is for how long the ownership topic must not have grown before
 	// another node claims: two records of the lessor, with the interval of reading.
-	suspectAfter = 1200 * time.Millisecond
-	// claimStep is how much longer a node waits before a claim for each stronger
+	suspectTimeout = 1200 * time.Millisecond
+	// claimRankDelay is how much longer a node waits before a claim for each stronger
 	// one, so that mostly one appends and a strong one does; the store settles the
 	// rest. The calls of a lessor on a weak VM time out, and the lease changes hands again.
-	claimStep = 40 * time.Millisecond
-	// claimSpread is the random time that is added, and longestClaimDelay bounds
+	claimRankDelay = 40 * time.Millisecond
+	// claimJitter is the random time that is added, and longestClaimDelay bounds
 	// both, since stronger nodes may be lost as well.
-	claimSpread       = 80 * time.Millisecond
-	longestClaimDelay = 600 * time.Millisecond
-	// claimPause follows a claim that another node was quicker with: the topic is
+	claimJitter   = 80 * time.Millisecond
+	maxClaimDelay = 600 * time.Millisecond
+	// lostClaimPause follows a claim that another node was quicker with: the topic is
 	// read again meanwhile.
-	claimPause = time.Second
-	// freshRead is how recent the reading of the topic must be for a claim.
-	freshRead = 900 * time.Millisecond
-	// retryAppend is the pause after an append failed.
-	retryAppend = 300 * time.Millisecond
-	// writableFor is how long after an append the store counts as writable.
-	writableFor = 1200 * time.Millisecond
-	// reportEvery is how often the node takes its own reports.
-	reportEvery = 500 * time.Millisecond
-	// settleTime is for how long the register must keep its size before ranges
+	lostClaimPause = time.Second
+	// maxReadAge is how recent the reading of the topic must be for a claim.
+	maxReadAge = 900 * time.Millisecond
+	// appendRetryDelay is the pause after an append failed.
+	appendRetryDelay = 300 * time.Millisecond
+	// writableDuration is how long after an append the store counts as writable.
+	writableDuration = 1200 * time.Millisecond
+	// reportInterval is how often the node takes its own reports.
+	reportInterval = 500 * time.Millisecond
+	// registrySettleTime is for how long the register must keep its size before ranges
 	// are cut for a service that has none: servers write once in about a second.
-	settleTime = 1300 * time.Millisecond
+	registrySettleTime = 1300 * time.Millisecond
 )
 
 // Duty is the lessor's duty of one node.
@@ -82,53 +82,53 @@
 	isLessor atomic.Bool
 	resign   chan chan struct{}
 
-	allocator    *ranges.Allocator
-	loads        *ranges.Loads
-	end          store.Offset // of the ownership topic
-	serial       uint64       // of this node's records
-	confirmedAt  time.Time    // start of the latest append that succeeded
-	appending    *pendingAppend
-	appended     chan appendResult
-	called       chan callResult
-	reported     chan formerReport
-	limiter      callLimiter
-	beforeUntil  time.Time       // until when grants of lessors before the former one may be in force
-	handingOff   *follow.HandOff // that is to be told; nil: none
-	handedOff    bool            // the next lessor has been told what was granted
-	nextChange   time.Time       // not before
-	nextConfirm  time.Time
-	nextReport   time.Time
-	claimAt      time.Time // when to claim, zero: no reason to
-	noClaim      time.Time // not before
-	lessorSince  time.Time
-	shown        uint64 // serial of the routes that the view has
-	quota        *quota.Quota
-	leaseOffset  store.Offset // of the record with which the lease began
-	nextShares   time.Time
-	toldAt       time.Time // when shares were told last
-	sharesSerial uint64
-	resigning    chan struct{}
-	leaving      bool // the node shuts down
-	yielding     bool // the lease is to go to a stronger node
-	yieldedAt    time.Time
-	givenUp      bool // the record that gives the lease up may be in the store
-	registered   int  // servers in the register, since registeredAt
-	registeredAt time.Time
-	table        view.Table
-	// known holds every server ever seen: one that has left the register may
+	allocator        *ranges.Allocator
+	loads            *ranges.Loads
+	topicEnd         store.Offset // of the ownership topic
+	serial           uint64       // of this node's records
+	confirmedAt      time.Time    // start of the latest append that succeeded
+	appending        *pendingAppend
+	appendResults    chan appendResult
+	callResults      chan callResult
+	previousReports  chan previousReport
+	limiter          callLimiter
+	earlierHoldEnd   time.Time       // until when grants of lessors before the former one may be in force
+	pendingHandOff   *follow.HandOff // that is to be told; nil: none
+	handedOff        bool            // the next lessor has been told what was granted
+	nextChange       time.Time       // not before
+	nextConfirm      time.Time
+	nextReport       time.Time
+	claimAt          time.Time // when to claim, zero: no reason to
+	noClaimBefore    time.Time // not before
+	lessorSince      time.Time
+	shownSerial      uint64 // serial of the routes that the view has
+	quota            *quota.Quota
+	leaseOffset      store.Offset // of the record with which the lease began
+	nextShares       time.Time
+	sharesSentAt     time.Time // when shares were told last
+	sharesSerial     uint64
+	resigning        chan struct{}
+	shuttingDown     bool // the node shuts down
+	yielding         bool // the lease is to go to a stronger node
+	yieldedAt        time.Time
+	resignationSent  bool // the record that gives the lease up may be in the store
+	serverCount      int  // servers in the register, since registeredAt
+	serverCountSince time.Time
+	table            view.Table
+	// knownServers holds every server ever seen: one that has left the register may
 	// still answer a release.
-	known map[site.ServerID]site.Server
+	knownServers map[site.ServerID]site.Server
 }
 
 // New returns a duty; its exported fields are set by the caller before Run.
 func New() *Duty {
 	return &Duty{
-		resign:   make(chan chan struct{}, 1),
-		appended: make(chan appendResult, 1),
-		called:   make(chan callResult, 256),
-		reported: make(chan formerReport, 1),
-		loads:    ranges.NewLoads(),
-		known:    map[site.ServerID]site.Server{},
+		resign:          make(chan chan struct{}, 1),
+		appendResults:   make(chan appendResult, 1),
+		callResults:     make(chan callResult, 256),
+		previousReports: make(chan previousReport, 1),
+		loads:           ranges.NewLoads(),
+		knownServers:    map[site.ServerID]site.Server{},
 	}
 }
 
@@ -137,29 +137,29 @@
 
 // Run performs the duty until ctx ends.
 func (d *Duty) Run(ctx context.Context) {
-	timer := time.NewTimer(tick)
+	timer := time.NewTimer(lessorTick)
 	defer timer.Stop()
 	for {
 		read := d.Reader.OwnershipRead()
 		select {
 		case <-timer.C:
 			d.step(ctx, clock.Now())
-			timer.Reset(d.tick(clock.Now()))
+			timer.Reset(d.nextInterval(clock.Now()))
 		case <-read:
 			timer.Reset(0)
-		case result := <-d.appended:
-			d.takeAppend(ctx, result)
-		case result := <-d.called:
-			d.takeCall(result)
+		case result := <-d.appendResults:
+			d.handleAppend(ctx, result)
+		case result := <-d.callResults:
+			d.completeCall(result)
 		case report := <-d.Feed.Reports:
-			d.takeReport(report)
+			d.handleReport(report)
 		case asked := <-d.Feed.HandOffs:
-			d.handOff(asked)
+			d.beginHandOff(asked)
 			timer.Reset(0)
-		case report := <-d.reported:
-			d.takeFormer(report)
+		case report := <-d.previousReports:
+			d.handlePreviousGrants(report)
 		case done := <-d.resign:
-			d.leaving = true
+			d.shuttingDown = true
 			d.resigning = done
 			timer.Reset(0)
 		case <-ctx.Done():
@@ -168,11 +168,11 @@
 	}
 }
 
-// tick returns the time until the next look for what is due.
-func (d *Duty) tick(now time.Time) time.Duration {
+// nextInterval returns the time until the next look for what is due.
+func (d *Duty) nextInterval(now time.Time) time.Duration {
 	switch {
 	case d.allocator != nil:
-		return tick
+		return lessorTick
 	case isFresh(d.Reader.Ownership(), now):
 		return idleTick
 	}
@@ -181,50 +181,50 @@
 
 // isFresh reports whether the ownership topic has been read lately.
 func isFresh(ownership follow.Ownership, now time.Time) bool {
-	return ownership.Known && now.Sub(ownership.ReadAt) < freshRead
+	return ownership.Known && now.Sub(ownership.ReadAt) < maxReadAge
 }
 
 // step does what is due now.
 func (d *Duty) step(ctx context.Context, now time.Time) {
 	if d.allocator == nil {
-		d.consider(ctx, now)
+		d.considerClaim(ctx, now)
 		return
 	}
-	if d.handingOff != nil || d.handedOff {
+	if d.pendingHandOff != nil || d.handedOff {
 		d.finishHandOff(now)
 		return
 	}
 	d.considerYielding(now)
-	if d.givenUp || (d.resigning != nil || d.yielding) && d.writable(now) {
+	if d.resignationSent || (d.resigning != nil || d.yielding) && d.isStoreWritable(now) {
 		// The next lessor waits with moves for grants that have no answer.
 		if !d.allocator.Calling() {
-			d.giveUp(ctx)
+			d.appendResignation(ctx)
 		}
 		return
 	}
 	d.balanceInput(now)
 	d.sendCalls(ctx, now)
-	d.change(ctx, now)
+	d.appendDue(ctx, now)
 	d.showRoutes()
-	d.decideShares(now)
+	d.updateShares(now)
 }
 
-// consider claims the lease if there is no lessor.
-func (d *Duty) consider(ctx context.Context, now time.Time) {
+// considerClaim claims the lease if there is no lessor.
+func (d *Duty) considerClaim(ctx context.Context, now time.Time) {
 	if d.resigning != nil {
 		close(d.resigning)
 		d.resigning = nil
 	}
 	ownership := d.Reader.Ownership()
-	if d.leaving || d.appending != nil || !isFresh(ownership, now) || now.Before(d.noClaim) || !d.State.Now().Complete() {
+	if d.shuttingDown || d.appending != nil || !isFresh(ownership, now) || now.Before(d.noClaimBefore) || !d.State.Now().Complete() {
 		d.claimAt = time.Time{}
 		return
 	}
-	if !isVacant(ownership, d.Self, now) {
+	if !isLeaseVacant(ownership, d.Self, now) {
 		d.claimAt = time.Time{}
 		return
 	}
-	if d.claimAt.IsZero() && isEarlierRun(ownership, d.Self) {
+	if d.claimAt.IsZero() && isEarlierIncarnation(ownership, d.Self) {
 		d.claimAt = now // nobody else knows yet
 	}
 	if d.claimAt.IsZero() {
@@ -236,21 +236,21 @@
 	d.claim(ctx, ownership)
 }
 
-// isVacant reports whether there is no lessor as far as can be told: none has
+// isLeaseVacant reports whether there is no lessor as far as can be told: none has
 // been, it has resigned or does not confirm its lease, or it was an earlier run of
 // this very node. After the loss of all nodes the last one saves the wait for
 // records that nobody writes, 1.2 s, in which holds run out. A claim is safe in any
 // case: owners answer the new lessor before they refuse the former one.
-func isVacant(ownership follow.Ownership, self ranges.Lessor, now time.Time) bool {
+func isLeaseVacant(ownership follow.Ownership, self ranges.Lessor, now time.Time) bool {
 	table := ownership.Table.Table
 	if table == nil || ownership.Resigned {
 		return true
 	}
-	return isEarlierRun(ownership, self) || now.Sub(ownership.MovedAt) > suspectAfter
+	return isEarlierIncarnation(ownership, self) || now.Sub(ownership.MovedAt) > suspectTimeout
 }
 
-// isEarlierRun reports whether the lessor is an earlier run of a node.
-func isEarlierRun(ownership follow.Ownership, self ranges.Lessor) bool {
+// isEarlierIncarnation reports whether the lessor is an earlier run of a node.
+func isEarlierIncarnation(ownership follow.Ownership, self ranges.Lessor) bool {
 	table := ownership.Table.Table
 	return table != nil && table.Lessor.Node == self.Node && table.Lessor.Boot != self.Boot
 }
@@ -258,36 +258,36 @@
 // claimDelay returns how long a node waits before a claim. At the start nobody
 // knows who else is there, and the node's own strength decides.
 func claimDelay(self view.Member, v *view.View) time.Duration {
-	spread := time.Duration(rand.Int64N(int64(claimSpread)))
+	jitter := time.Duration(rand.Int64N(int64(claimJitter)))
 	if rank, known := follow.Rank(self, v); known {
-		return min(time.Duration(rank)*claimStep+spread, longestClaimDelay)
+		return min(time.Duration(rank)*claimRankDelay+jitter, maxClaimDelay)
 	}
-	weakness := 1 - min(self.Strength, 1)
-	spread = time.Duration((0.5 + 5*weakness) * float64(spread))
-	return min(time.Duration(weakness*float64(longestClaimDelay)/2)+spread, longestClaimDelay)
+	missingCapacity := 1 - min(self.Strength, 1)
+	jitter = time.Duration((0.5 + 5*missingCapacity) * float64(jitter))
+	return min(time.Duration(missingCapacity*float64(maxClaimDelay)/2)+jitter, maxClaimDelay)
 }
 
 func (d *Duty) claim(ctx context.Context, ownership follow.Ownership) {
 	d.claimAt = time.Time{}
-	d.end = ownership.End
+	d.topicEnd = ownership.End
 	table := ownership.Table.Table
 	if table == nil {
 		table = &ranges.Table{}
 	}
-	next := table.Refenced(d.Self, ranges.Fence(d.end))
-	eventClaiming.Log(d.Logger, "offset", d.end, "formerLessor", table.Lessor.Node, "resigned", ownership.Resigned, "quietFor", clock.Since(ownership.MovedAt))
-	former := d.Timing.FormerHoldAfter(clock.Since(ownership.MovedAt))
-	p := &pendingAppend{claim: next, former: former, doubt: former, after: table.Lessor, before: d.Timing.FormerHold()}
+	next := table.Refenced(d.Self, ranges.Fence(d.topicEnd))
+	eventClaiming.Log(d.Logger, "offset", d.topicEnd, "formerLessor", table.Lessor.Node, "resigned", ownership.Resigned, "quietFor", clock.Since(ownership.MovedAt))
+	previousHold := d.Timing.FormerHoldAfter(clock.Since(ownership.MovedAt))
+	p := &pendingAppend{claim: next, previousHold: previousHold, uncertainHold: previousHold, previousLessor: table.Lessor, earlierHold: d.Timing.FormerHold()}
 	if ownership.KnowsFormer {
-		p.before = ownership.FormerHeld
+		p.earlierHold = ownership.FormerHeld
 	}
-	if isEarlierRun(ownership, d.Self) {
-		ended := max(d.Timing.EndedHold()-clock.Since(d.StartedAt), p.before)
-		p.former, p.doubt = min(p.former, ended), min(p.doubt, ended)
+	if isEarlierIncarnation(ownership, d.Self) {
+		earlierHold := max(d.Timing.EndedHold()-clock.Since(d.StartedAt), p.earlierHold)
+		p.previousHold, p.uncertainHold = min(p.previousHold, earlierHold), min(p.uncertainHold, earlierHold)
 	}
 	if ownership.Resigned {
-		p.former, p.doubt = ownership.Held, ownership.Doubt
-		p.after = ranges.Lessor{}
+		p.previousHold, p.uncertainHold = ownership.Held, ownership.Doubt
+		p.previousLessor = ranges.Lessor{}
 	}
 	d.append(ctx, p)
 }
@@ -298,16 +298,16 @@
 	if now.Before(d.nextReport) {
 		return
 	}
-	d.nextReport = now.Add(reportEvery)
-	d.takeReport(d.Reports.Drain())
+	d.nextReport = now.Add(reportInterval)
+	d.handleReport(d.Reports.Drain())
 	if now.Sub(d.lessorSince) > follow.MemberTimeout {
 		d.State.SetMembers(d.Feed.Members())
 	}
 }
 
-// takeReport takes what a node observed. A node that is not the lessor is a
+// handleReport takes what a node observed. A node that is not the lessor is a
 // relay, and passes it on.
-func (d *Duty) takeReport(report follow.Report) {
+func (d *Duty) handleReport(report follow.Report) {
 	if d.allocator == nil {
 		d.Reports.Merge(report)
 		return
@@ -330,17 +330,17 @@
 	return ranges.Lease{ConfirmedAt: d.confirmedAt}
 }
 
-// writable reports whether the store took an append lately.
-func (d *Duty) writable(now time.Time) bool { return now.Sub(d.confirmedAt) < writableFor }
+// isStoreWritable reports whether the store took an append lately.
+func (d *Duty) isStoreWritable(now time.Time) bool { return now.Sub(d.confirmedAt) < writableDuration }
 
-// change appends what the allocator decides, or confirms the lease when that is due.
-func (d *Duty) change(ctx context.Context, now time.Time) {
+// appendDue appends what the allocator decides, or confirms the lease when that is due.
+func (d *Duty) appendDue(ctx context.Context, now time.Time) {
 	if d.appending != nil {
 		return
 	}
 	if d.mustResign(now) {
-		d.noClaim = now.Add(claimBreak)
-		d.giveUp(ctx)
+		d.noClaimBefore = now.Add(resignedClaimPause)
+		d.appendResignation(ctx)
 		return
 	}
 	if !now.Before(d.nextChange) && d.changeTable(ctx, now) {
@@ -353,7 +353,7 @@
 
 // changeTable appends what the allocator decides, and reports whether it decided anything.
 func (d *Duty) changeTable(ctx context.Context, now time.Time) bool {
-	change := d.allocator.Plan(d.site(now), ranges.Fence(d.end), now)
+	change := d.allocator.Plan(d.site(now), ranges.Fence(d.topicEnd), now)
 	for _, r := range d.allocator.Restarts() {
 		eventRestart.Log(d.Logger, "server", r.To, "earlier", r.From, "losesKeys", r.Loops)
 	}
@@ -373,18 +373,18 @@
 	return ranges.Site{
 		Services: v.Config.Services,
 		Servers:  v.Servers.Servers,
-		Known:    d.known,
-		Writable: d.writable(now) && d.resigning == nil,
-		Settled:  d.settled(v, now),
+		Known:    d.knownServers,
+		Writable: d.isStoreWritable(now) && d.resigning == nil,
+		Settled:  d.isRegistrySettled(v, now),
 		Load:     d.loads,
 	}
 }
 
-// settled reports whether the register of servers has kept its size for a while.
-func (d *Duty) settled(v *view.View, now time.Time) bool {
-	if size := len(v.Servers.Servers); size != d.registered {
-		d.registered = size
-		d.registeredAt = now
+// isRegistrySettled reports whether the register of servers has kept its size for a while.
+func (d *Duty) isRegistrySettled(v *view.View, now time.Time) bool {
+	if size := len(v.Servers.Servers); size != d.serverCount {
+		d.serverCount = size
+		d.serverCountSince = now
 	}
-	return now.Sub(d.registeredAt) > settleTime
+	return now.Sub(d.serverCountSince) > registrySettleTime
 }
--- a/gateway/duty/duty_test.go
+++ b/gateway/duty/duty_test.go
@@ -13,7 +13,7 @@
 
 // All nodes are killed and started again. The former lessor's node knows that its
 // earlier run has ended and claims at once; the others wait for a sign of it.
-func TestANodeTakesItsOwnEarlierRunForGone(t *testing.T) {
+func TestNodeTreatsItsEarlierIncarnationAsEnded(t *testing.T) {
 	now := time.Unix(1000, 0)
 	self := ranges.Lessor{Node: "n1", Boot: "second"}
 	owned := func(node, boot string, quiet time.Duration) follow.Ownership {
@@ -29,28 +29,28 @@
 		"no lessor yet":            {follow.Ownership{Known: true}, true},
 		"it has resigned":          {resigned, true},
 		"it confirms its lease":    {owned("n2", "x", 0), false},
-		"it was slow once":         {owned("n2", "x", suspectAfter), false},
-		"it is silent":             {owned("n2", "x", suspectAfter+1), true},
+		"it was slow once":         {owned("n2", "x", suspectTimeout), false},
+		"it is silent":             {owned("n2", "x", suspectTimeout+1), true},
 		"an earlier run of itself": {owned("n1", "first", 0), true},
 		"this run":                 {owned("n1", "second", 0), false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			gomega.NewWithT(t).Expect(isVacant(row.ownership, self, now)).To(gomega.Equal(row.want))
+			gomega.NewWithT(t).Expect(isLeaseVacant(row.ownership, self, now)).To(gomega.Equal(row.want))
 		})
 	}
 }
 
 // On a site of 295 nodes nearly all are told what the lessor does. None of them can claim
 // the lease, and none looks for it.
-func TestANodeThatDoesNotReadTheOwnershipTopicSleeps(t *testing.T) {
+func TestNodeThatDoesNotReadTheOwnershipTopicSleeps(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1000, 0)
 	d := New()
 	d.Reader = new(follow.Reader)
-	g.Expect(d.tick(now)).To(gomega.Equal(sleepTick), "it has never read it")
+	g.Expect(d.nextInterval(now)).To(gomega.Equal(sleepTick), "it has never read it")
 	read := follow.Ownership{Known: true, ReadAt: now}
-	g.Expect(isFresh(read, now.Add(freshRead-1))).To(gomega.BeTrue())
-	g.Expect(isFresh(read, now.Add(freshRead))).To(gomega.BeFalse())
+	g.Expect(isFresh(read, now.Add(maxReadAge-1))).To(gomega.BeTrue())
+	g.Expect(isFresh(read, now.Add(maxReadAge))).To(gomega.BeFalse())
 	d.allocator = ranges.NewAllocator(new(ranges.Table), d.Timing, 0, now)
-	g.Expect(d.tick(now)).To(gomega.Equal(tick))
+	g.Expect(d.nextInterval(now)).To(gomega.Equal(lessorTick))
 }
--- a/gateway/duty/handoff_test.go
+++ b/gateway/duty/handoff_test.go
@@ -27,27 +27,27 @@
 	d.Logger, d.Timing, d.Reader = hclog.NewNullLogger(), ranges.DefaultTiming(), new(follow.Reader)
 	d.State = view.NewState()
 	d.allocator = ranges.NewAllocator(table, d.Timing, formerHold, now)
-	d.end, d.confirmedAt = 8, now
+	d.topicEnd, d.confirmedAt = 8, now
 	d.setLessor(true)
 	return d
 }
 
-func ask(node, boot string, claim store.Offset) *follow.HandOff {
+func handOffRequest(node, boot string, claim store.Offset) *follow.HandOff {
 	return &follow.HandOff{Former: ranges.Lessor{Node: node, Boot: boot}, Claim: claim, Reply: make(chan follow.FormerGrants, 1)}
 }
 
 // The store turns the lessor's node away, and another node claims the lease. The former
 // lessor hears so from that node, waits for the call that is under way, and tells what it
 // granted.
-func TestALessorThatHasAClaimBeforeItHandsOff(t *testing.T) {
+func TestLessorHandsOffAfterAnotherNodeClaims(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := clock.Now()
 	servers := map[site.ServerID]site.Server{"a": {ID: "a", Service: "s"}}
 	d := lessorOf(now, 0)
 	call := d.allocator.Calls(servers, d.lease(), now)[0]
 
-	asked := ask("n1", "b1", 8)
-	d.handOff(asked)
+	asked := handOffRequest("n1", "b1", 8)
+	d.beginHandOff(asked)
 	g.Expect(d.IsLessor()).To(gomega.BeFalse())
 	d.step(t.Context(), now)
 	g.Expect(asked.Reply).To(gomega.BeEmpty(), "a call is under way")
@@ -60,16 +60,16 @@
 	g.Expect(d.allocator).To(gomega.BeNil())
 }
 
-func TestAHandOffOfAnotherLeaseIsRefused(t *testing.T) {
+func TestHandOffOfAnotherLeaseIsRefused(t *testing.T) {
 	for name, asked := range map[string]*follow.HandOff{
-		"another node":          ask("n2", "b2", 8),
-		"an earlier claim":      ask("n1", "b1", 7),
-		"a claim long replaced": ask("n1", "b1", 1),
+		"another node":          handOffRequest("n2", "b2", 8),
+		"an earlier claim":      handOffRequest("n1", "b1", 7),
+		"a claim long replaced": handOffRequest("n1", "b1", 1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			d := lessorOf(clock.Now(), 0)
-			d.handOff(asked)
+			d.beginHandOff(asked)
 			_, isTold := <-asked.Reply
 			g.Expect(isTold).To(gomega.BeFalse())
 			g.Expect(d.IsLessor()).To(gomega.BeTrue())
@@ -78,29 +78,29 @@
 }
 
 // An append of the former lessor may still be under way: the duty ends with its answer.
-func TestAHandOffWaitsForTheFateOfAnAppend(t *testing.T) {
+func TestHandOffWaitsForTheOutcomeOfAnAppend(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := clock.Now()
 	d := lessorOf(now, 0)
-	d.appending = &pendingAppend{at: 8}
-	asked := ask("n1", "b1", 8)
-	d.handOff(asked)
+	d.appending = &pendingAppend{offset: 8}
+	asked := handOffRequest("n1", "b1", 8)
+	d.beginHandOff(asked)
 	d.step(t.Context(), now)
 	g.Expect(asked.Reply).To(gomega.HaveLen(1), "what was granted does not depend on it")
 	g.Expect(d.allocator).NotTo(gomega.BeNil())
-	d.takeAppend(t.Context(), appendResult{pending: d.appending, startedAt: now, err: &store.ConflictError{}})
+	d.handleAppend(t.Context(), appendResult{pending: d.appending, startedAt: now, err: &store.ConflictError{}})
 	g.Expect(d.allocator).To(gomega.BeNil())
 }
 
-// formerNode is a former lessor that answers.
-type formerNode struct{ grants follow.FormerGrants }
+// previousNode is a former lessor that answers.
+type previousNode struct{ grants follow.FormerGrants }
 
 // AskFormer implements Former.
-func (f formerNode) AskFormer(context.Context, ranges.Lessor, store.Offset) (follow.FormerGrants, error) {
+func (f previousNode) AskFormer(context.Context, ranges.Lessor, store.Offset) (follow.FormerGrants, error) {
 	return f.grants, nil
 }
 
-func TestANewLessorWaitsNoLongerThanTheFormerOneTells(t *testing.T) {
+func TestNewLessorWaitsNoLongerThanThePreviousOneReports(t *testing.T) {
 	told := ranges.Remaining{Service: "s", Span: ranges.Span{To: ranges.LastKey}, Held: time.Second}
 	ended := follow.FormerGrants{HasEnded: true, EndedFor: 4 * time.Second}
 	for name, row := range map[string]struct {
@@ -116,24 +116,24 @@
 			g := gomega.NewWithT(t)
 			d := lessorOf(clock.Now(), ranges.DefaultTiming().FormerHold())
 			d.leaseOffset = 7
-			d.Former = formerNode{row.grants}
-			d.askFormer(t.Context(), &pendingAppend{at: 7, after: ranges.Lessor{Node: "n2", Boot: "b2"}})
-			report := <-d.reported
-			d.beforeUntil = report.at.Add(row.before)
-			d.takeFormer(report)
-			g.Expect(d.allocator.Held(report.at)).To(gomega.Equal(row.want))
+			d.Former = previousNode{row.grants}
+			d.queryPreviousLessor(t.Context(), &pendingAppend{offset: 7, previousLessor: ranges.Lessor{Node: "n2", Boot: "b2"}})
+			report := <-d.previousReports
+			d.earlierHoldEnd = report.receivedAt.Add(row.before)
+			d.handlePreviousGrants(report)
+			g.Expect(d.allocator.Held(report.receivedAt)).To(gomega.Equal(row.want))
 		})
 	}
 }
 
 // All nodes lose power and start again. The lessor's node tells the next one, or itself,
 // that nothing was granted since.
-func TestTheNextRunOfALessorTellsThatItHasEnded(t *testing.T) {
+func TestNextIncarnationReportsThatThePreviousOneEnded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d := lessorOf(clock.Now(), 0)
 	d.StartedAt = clock.Now().Add(-time.Second)
-	asked := ask("n1", "b0", 8)
-	d.handOff(asked)
+	asked := handOffRequest("n1", "b0", 8)
+	d.beginHandOff(asked)
 	told := <-asked.Reply
 	g.Expect(told.HasEnded).To(gomega.BeTrue())
 	g.Expect(told.EndedFor).To(gomega.BeNumerically(">=", time.Second))
@@ -156,7 +156,7 @@
 	return follow.FormerGrants{HasEnded: true}, nil
 }
 
-func TestAFormerLessorIsAskedUntilItsNodeHasStartedAgain(t *testing.T) {
+func TestPreviousLessorIsQueriedUntilItsNodeRestarts(t *testing.T) {
 	for name, row := range map[string]struct {
 		former startingNode
 		isTold bool
@@ -173,7 +173,7 @@
 				d.Logger = hclog.NewNullLogger()
 				former := row.former
 				d.Former = &former
-				_, isTold := d.awaitFormer(t.Context(), &pendingAppend{former: 3*askAgain - time.Millisecond})
+				_, isTold := d.awaitPreviousGrants(t.Context(), &pendingAppend{previousHold: 3*queryRetryDelay - time.Millisecond})
 				g.Expect(isTold).To(gomega.Equal(row.isTold))
 				g.Expect(former.asked).To(gomega.Equal(row.asked))
 			})
--- a/gateway/duty/limiter_test.go
+++ b/gateway/duty/limiter_test.go
@@ -15,43 +15,43 @@
 
 // An owner of a dozen pieces was sent a dozen renewals at once, each on a connection of its
 // own, which a server that is full does not take.
-func TestFewCallsAreMadeToOneServerAtOnce(t *testing.T) {
+func TestConcurrentCallsToOneServerAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		var l callLimiter
 		grant, release, other := ranges.Call{Server: "a"}, ranges.Call{Server: "a", Release: true}, ranges.Call{Server: "b"}
-		for range grantsAtOnce {
-			g.Expect(l.enter(t.Context(), grant)).To(gomega.Succeed())
+		for range maxConcurrentGrants {
+			g.Expect(l.acquire(t.Context(), grant)).To(gomega.Succeed())
 		}
-		for range releasesAtOnce {
-			g.Expect(l.enter(t.Context(), release)).To(gomega.Succeed(), "grants do not hold releases back")
+		for range maxConcurrentReleases {
+			g.Expect(l.acquire(t.Context(), release)).To(gomega.Succeed(), "grants do not hold releases back")
 		}
-		g.Expect(l.enter(t.Context(), other)).To(gomega.Succeed())
+		g.Expect(l.acquire(t.Context(), other)).To(gomega.Succeed())
 
 		short, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		g.Expect(l.enter(short, grant)).To(gomega.MatchError(context.DeadlineExceeded), "it has not been made")
+		g.Expect(l.acquire(short, grant)).To(gomega.MatchError(context.DeadlineExceeded), "it has not been made")
 
 		entered := false
-		go func() { entered = l.enter(t.Context(), grant) == nil }()
+		go func() { entered = l.acquire(t.Context(), grant) == nil }()
 		synctest.Wait()
 		g.Expect(entered).To(gomega.BeFalse())
-		l.leave(grant)
+		l.release(grant)
 		synctest.Wait()
 		g.Expect(entered).To(gomega.BeTrue())
 	})
 }
 
 // Servers that have left are forgotten, also while calls to them are under way.
-func TestTheLimiterForgetsServers(t *testing.T) {
+func TestLimiterForgetsServers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := callLimiter{}
 	call := ranges.Call{Server: "a"}
-	g.Expect(l.enter(t.Context(), call)).To(gomega.Succeed())
-	for i := range mostLimited {
+	g.Expect(l.acquire(t.Context(), call)).To(gomega.Succeed())
+	for i := range maxTrackedServers {
 		other := ranges.Call{Server: site.ServerID(strconv.Itoa(i))}
-		g.Expect(l.enter(t.Context(), other)).To(gomega.Succeed())
+		g.Expect(l.acquire(t.Context(), other)).To(gomega.Succeed())
 	}
-	g.Expect(len(l.places)).To(gomega.BeNumerically("<=", mostLimited))
-	l.leave(call)
+	g.Expect(len(l.slots)).To(gomega.BeNumerically("<=", maxTrackedServers))
+	l.release(call)
 }
--- a/gateway/duty/metrics.go
+++ b/gateway/duty/metrics.go
@@ -6,20 +6,20 @@
 )
 
 var (
-	group    = metrics.New("gateway_duty")
-	calls    = group.Map("calls")
-	lessorIs = group.Counter("is_lessor")
+	group       = metrics.New("gateway_duty")
+	calls       = group.Map("calls")
+	lessorGauge = group.Counter("is_lessor")
 	// Of a lessor; all 0 on other nodes.
-	grantRanges     = group.Counter("ranges")
-	grantUnanswered = group.Counter("ranges_unanswered")
-	grantOldest     = group.Counter("oldest_grant_ms")
+	rangesGauge      = group.Counter("ranges")
+	unansweredGauge  = group.Counter("ranges_unanswered")
+	oldestGrantGauge = group.Counter("oldest_grant_ms")
 )
 
-// showGrants tells how old the grants of a lessor are.
-func showGrants(ages ranges.GrantAges) {
-	grantRanges.Set(int64(ages.Ranges))
-	grantUnanswered.Set(int64(ages.Unanswered))
-	grantOldest.Set(ages.Oldest.Milliseconds())
+// setGrantMetrics tells how old the grants of a lessor are.
+func setGrantMetrics(ages ranges.GrantAges) {
+	rangesGauge.Set(int64(ages.Ranges))
+	unansweredGauge.Set(int64(ages.Unanswered))
+	oldestGrantGauge.Set(ages.Oldest.Milliseconds())
 }
 
 func countCall(call ranges.Call, result ranges.Result) {
--- a/gateway/duty/outcome.go
+++ b/gateway/duty/outcome.go
@@ -12,121 +12,121 @@
 	"github.com/burdockspindle/burdockspindle/gateway/view"
 )
 
-// takeAppend acts on the outcome of an append. One without a usable answer is
+// handleAppend acts on the outcome of an append. One without a usable answer is
 // tried again as it was, since it may still take effect; only one of the tries
 // can.
-func (d *Duty) takeAppend(ctx context.Context, r appendResult) {
+func (d *Duty) handleAppend(ctx context.Context, r appendResult) {
 	p := r.pending
-	if r.err == nil || r.mine {
-		d.succeeded(ctx, p, r.startedAt)
+	if r.err == nil || r.alreadyApplied {
+		d.completeAppend(ctx, p, r.startedAt)
 		return
 	}
 	var conflict *store.ConflictError
 	var trimmed *store.TrimmedError
 	if errors.As(r.err, &conflict) || errors.As(r.err, &trimmed) {
 		d.appending = nil
-		d.depose(p)
+		d.handleConflict(p)
 		return
 	}
-	if p.claim != nil && d.mayDropClaim(r.err) {
+	if p.claim != nil && d.hadNoEffect(r.err) {
 		d.appending = nil
-		d.noClaim = clock.Now().Add(retryAppend) // a store that refuses is not asked at every tick
+		d.noClaimBefore = clock.Now().Add(appendRetryDelay) // a store that refuses is not asked at every tick
 		return
 	}
-	eventAppendFailed.Log(d.Logger, "offset", p.at, "key", p.record.Key, "cause", r.err)
+	eventAppendFailed.Log(d.Logger, "offset", p.offset, "key", p.record.Key, "cause", r.err)
 	go func() {
-		if clock.Wait(ctx, retryAppend) {
-			d.send(ctx, p)
+		if clock.Wait(ctx, appendRetryDelay) {
+			d.sendAppend(ctx, p)
 		}
 	}()
 }
 
-// mayDropClaim reports whether a claim surely had no effect.
-func (d *Duty) mayDropClaim(err error) bool {
+// hadNoEffect reports whether a claim surely had no effect.
+func (d *Duty) hadNoEffect(err error) bool {
 	var unavailable *store.UnavailableError
 	return errors.As(err, &unavailable) && unavailable.NotDone
 }
 
-func (d *Duty) succeeded(ctx context.Context, p *pendingAppend, startedAt time.Time) {
+func (d *Duty) completeAppend(ctx context.Context, p *pendingAppend, startedAt time.Time) {
 	now := clock.Now()
 	d.appending = nil
-	d.end = p.at + 1
+	d.topicEnd = p.offset + 1
 	d.confirmedAt = startedAt
-	d.nextConfirm = now.Add(confirmEvery)
+	d.nextConfirm = now.Add(confirmInterval)
 	if d.allocator != nil {
 		d.allocator.Answered(startedAt, now)
-		showGrants(d.allocator.Ages(now))
+		setGrantMetrics(d.allocator.Ages(now))
 	}
 	switch {
 	case p.claim != nil:
-		d.begin(p, now)
-		d.askFormer(ctx, p)
+		d.beginLease(p, now)
+		d.queryPreviousLessor(ctx, p)
 	case p.change != nil:
 		d.allocator.Appended(p.change)
-		d.nextChange = now.Add(changePause)
-		d.table = view.Table{Offset: p.at, Table: p.change.Table}
-		d.shown = 0
-		eventTableChanged.Log(d.Logger, "offset", p.at, "ranges", d.table.Table.Ranges())
+		d.nextChange = now.Add(minChangeInterval)
+		d.table = view.Table{Offset: p.offset, Table: p.change.Table}
+		d.shownSerial = 0
+		eventTableChanged.Log(d.Logger, "offset", p.offset, "ranges", d.table.Table.Ranges())
 	case p.resigns:
-		eventResigned.Log(d.Logger, "offset", p.at)
-		d.stop()
+		eventResigned.Log(d.Logger, "offset", p.offset)
+		d.endLease()
 		d.Feed.SetResigned(true)
 	}
 }
 
-func (d *Duty) begin(p *pendingAppend, now time.Time) {
-	eventLessor.Log(d.Logger, "offset", p.at, "formerHold", p.former)
-	d.allocator = ranges.NewAllocator(p.claim, d.Timing, p.former, now)
-	d.allocator.LimitDoubt(p.doubt, now)
-	d.beforeUntil = now.Add(p.before)
+func (d *Duty) beginLease(p *pendingAppend, now time.Time) {
+	eventLessor.Log(d.Logger, "offset", p.offset, "formerHold", p.previousHold)
+	d.allocator = ranges.NewAllocator(p.claim, d.Timing, p.previousHold, now)
+	d.allocator.LimitDoubt(p.uncertainHold, now)
+	d.earlierHoldEnd = now.Add(p.earlierHold)
 	d.loads = ranges.NewLoads()
 	d.quota = quota.New()
-	d.leaseOffset, d.sharesSerial = p.at, 0
-	d.tellShares(nil, now) // those of the former lessor hold no longer
+	d.leaseOffset, d.sharesSerial = p.offset, 0
+	d.sendShares(nil, now) // those of the former lessor hold no longer
 	d.lessorSince = now
-	d.shown = 0
+	d.shownSerial = 0
 	d.setLessor(true)
 	d.Feed.SetResigned(false)
-	d.table = view.Table{Offset: p.at, Table: p.claim}
+	d.table = view.Table{Offset: p.offset, Table: p.claim}
 }
 
-// depose ends the duty after another node's record was found in the topic.
-func (d *Duty) depose(p *pendingAppend) {
+// handleConflict ends the duty after another node's record was found in the topic.
+func (d *Duty) handleConflict(p *pendingAppend) {
 	if p.claim != nil {
-		eventClaimLost.Log(d.Logger, "offset", p.at)
-		d.noClaim = clock.Now().Add(claimPause)
+		eventClaimLost.Log(d.Logger, "offset", p.offset)
+		d.noClaimBefore = clock.Now().Add(lostClaimPause)
 		return
 	}
-	eventDeposed.Log(d.Logger, "offset", p.at)
-	d.stop()
+	eventDeposed.Log(d.Logger, "offset", p.offset)
+	d.endLease()
 }
 
-func (d *Duty) stop() {
+func (d *Duty) endLease() {
 	d.allocator = nil
-	d.givenUp = false
+	d.resignationSent = false
 	d.yielding = false
 	d.endHandOff()
 	d.setLessor(false)
-	showGrants(ranges.GrantAges{})
+	setGrantMetrics(ranges.GrantAges{})
 }
 
 // setLessor has the node's other parts take it for the lessor, or not.
 func (d *Duty) setLessor(isLessor bool) {
 	d.isLessor.Store(isLessor)
-	lessorIs.Set(0)
+	lessorGauge.Set(0)
 	if isLessor {
-		lessorIs.Set(1)
+		lessorGauge.Set(1)
 	}
 	d.Reader.SetLessor(isLessor)
 }
 
 // showRoutes puts the allocator's routes into the view when they have changed.
 func (d *Duty) showRoutes() {
-	if d.allocator == nil || d.allocator.Serial() == d.shown {
+	if d.allocator == nil || d.allocator.Serial() == d.shownSerial {
 		return
 	}
-	d.shown = d.allocator.Serial()
-	routes := view.Routes{Lessor: d.Self, Offset: d.table.Offset, Serial: d.shown, Services: d.allocator.Routes()}
+	d.shownSerial = d.allocator.Serial()
+	routes := view.Routes{Lessor: d.Self, Offset: d.table.Offset, Serial: d.shownSerial, Services: d.allocator.Routes()}
 	d.State.MergeRoutes(routes)
 }
 
--- a/gateway/duty/resign.go
+++ b/gateway/duty/resign.go
@@ -9,20 +9,20 @@
 
 // When a lessor gives its lease up, and for how long it does not claim then.
 const (
-	// resignAfter is for how long most owners must be silent, while the lessor
+	// unresponsiveTimeout is for how long most owners must be silent, while the lessor
 	// has held the lease, before it gives the lease to a node that may reach them.
-	resignAfter = 2 * time.Second
-	// claimBreak is how long a node that resigned so does not claim.
-	claimBreak = 6 * time.Second
-	// yieldAfter is how long a lessor has had the lease before it gives it to a node
+	unresponsiveTimeout = 2 * time.Second
+	// resignedClaimPause is how long a node that resigned so does not claim.
+	resignedClaimPause = 6 * time.Second
+	// minLeaseBeforeYield is how long a lessor has had the lease before it gives it to a node
 	// that is yieldFactor times as strong. A weak node claims when the strong ones are
 	// not there: at the start, at which few nodes read the store, or after they were
 	// lost. On one of 0.16 cores the renewals of 308 owners come late.
-	yieldAfter  = 3 * time.Second
-	yieldFactor = 2
-	// yieldRest is how long a lessor that has claimed again keeps the lease: the
+	minLeaseBeforeYield = 3 * time.Second
+	yieldFactor         = 2
+	// minYieldInterval is how long a lessor that has claimed again keeps the lease: the
 	// stronger node cannot take it.
-	yieldRest = 30 * time.Second
+	minYieldInterval = 30 * time.Second
 )
 
 // Resign gives the lease up, if the node has it, and ends the node's claims. It
@@ -44,33 +44,33 @@
 // mustResign reports whether most owners have been silent to this node for so
 // long that another node had better be lessor.
 func (d *Duty) mustResign(now time.Time) bool {
-	silent, owners := d.allocator.Silent(d.State.Now().Servers.Servers)
-	return owners > 2 && 2*silent > owners && now.Sub(d.lessorSince) > resignAfter && len(d.State.Now().Members) > 1
+	unresponsive, owners := d.allocator.Silent(d.State.Now().Servers.Servers)
+	return owners > 2 && 2*unresponsive > owners && now.Sub(d.lessorSince) > unresponsiveTimeout && len(d.State.Now().Members) > 1
 }
 
 // considerYielding decides whether the lease goes to a stronger node.
 func (d *Duty) considerYielding(now time.Time) {
-	if d.yielding || d.resigning != nil || now.Sub(d.lessorSince) < yieldAfter || !d.yieldedAt.IsZero() && now.Sub(d.yieldedAt) < yieldRest {
+	if d.yielding || d.resigning != nil || now.Sub(d.lessorSince) < minLeaseBeforeYield || !d.yieldedAt.IsZero() && now.Sub(d.yieldedAt) < minYieldInterval {
 		return
 	}
 	for _, m := range d.State.Now().Members {
 		if m.Strength > 0 && m.Strength >= yieldFactor*d.Member.Strength && m.Node != d.Self.Node {
 			d.yielding = true
 			d.yieldedAt = now
-			d.noClaim = now.Add(claimBreak)
+			d.noClaimBefore = now.Add(resignedClaimPause)
 			eventYielding.Log(d.Logger, "strength", d.Member.Strength, "stronger", m.Node, "itsStrength", m.Strength)
 			return
 		}
 	}
 }
 
-// giveUp appends the record that gives the lease up. Nothing is granted any more.
-func (d *Duty) giveUp(ctx context.Context) {
+// appendResignation appends the record that gives the lease up. Nothing is granted any more.
+func (d *Duty) appendResignation(ctx context.Context) {
 	if d.appending != nil {
 		return
 	}
-	d.givenUp = true
-	eventResigning.Log(d.Logger, "offset", d.end)
+	d.resignationSent = true
+	eventResigning.Log(d.Logger, "offset", d.topicEnd)
 	now := clock.Now()
-	d.append(ctx, &pendingAppend{resigns: true, held: d.allocator.Held(now), doubt: d.allocator.Doubt(now)})
+	d.append(ctx, &pendingAppend{resigns: true, outstandingHold: d.allocator.Held(now), uncertainHold: d.allocator.Doubt(now)})
 }
--- a/gateway/duty/resign_test.go
+++ b/gateway/duty/resign_test.go
@@ -39,21 +39,21 @@
 
 // Another node may have claimed between the try that took effect and the one that
 // tells of it: the lease counts from the first.
-func TestALeaseIsConfirmedAsOfTheFirstTryOfAnAppend(t *testing.T) {
+func TestLeaseIsConfirmedAsOfTheFirstAttemptOfAnAppend(t *testing.T) {
 	g := gomega.NewWithT(t)
 	record := store.Record{Key: follow.HeartbeatKey, Value: []byte("x")}
 	d := New()
 	d.Store = conflictingStore{record: record}
 	firstTry := clock.Now().Add(-time.Second)
-	d.send(t.Context(), &pendingAppend{record: record, startedAt: firstTry})
-	result := <-d.appended
-	g.Expect(result.mine).To(gomega.BeTrue())
+	d.sendAppend(t.Context(), &pendingAppend{record: record, startedAt: firstTry})
+	result := <-d.appendResults
+	g.Expect(result.alreadyApplied).To(gomega.BeTrue())
 	g.Expect(result.startedAt).To(gomega.Equal(firstTry))
 }
 
 // A lessor that gives its lease up while a grant is under way would leave the next
 // one in doubt of it, which then moves nothing for 3.6 s.
-func TestALessorWaitsForAnswersBeforeItResigns(t *testing.T) {
+func TestLessorWaitsForResponsesBeforeItResigns(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := clock.Now()
 	servers := map[site.ServerID]site.Server{"a": {ID: "a", Service: "s"}}
--- a/gateway/duty/shares.go
+++ b/gateway/duty/shares.go
@@ -8,14 +8,14 @@
 	"github.com/burdockspindle/burdockspindle/gateway/view"
 )
 
-// sharesAgain is how often shares that have not changed are told again. Nodes drop them
+// sharesResendInterval is how often shares that have not changed are told again. Nodes drop them
 // after router.ShareLife: a node that the lessor's news do not reach must not refuse by
 // old ones.
-const sharesAgain = 2 * time.Second
+const sharesResendInterval = 2 * time.Second
 
-// decideShares decides which part of the requests for servers' keys nodes may send, and
+// updateShares decides which part of the requests for servers' keys nodes may send, and
 // tells them.
-func (d *Duty) decideShares(now time.Time) {
+func (d *Duty) updateShares(now time.Time) {
 	if d.allocator == nil || now.Before(d.nextShares) {
 		return
 	}
@@ -23,28 +23,28 @@
 	nodes := len(d.State.Now().Members)
 	shares, changed := d.quota.Update(d.allocator.Demands(d.site(now), now), nodes)
 	if changed {
-		least := leastOf(shares)
-		eventShares.Log(d.Logger, "servers", len(shares), "leastOf", least, "least", shares[least], "nodes", nodes)
+		smallest := smallestShare(shares)
+		eventShares.Log(d.Logger, "servers", len(shares), "leastOf", smallest, "least", shares[smallest], "nodes", nodes)
 	}
-	isOld := len(shares) > 0 && now.Sub(d.toldAt) > sharesAgain
-	if changed || isOld {
-		d.tellShares(shares, now)
+	isStale := len(shares) > 0 && now.Sub(d.sharesSentAt) > sharesResendInterval
+	if changed || isStale {
+		d.sendShares(shares, now)
 	}
 }
 
-// leastOf returns the server with the least share; empty if none has one.
-func leastOf(shares quota.Shares) site.ServerID {
-	var least site.ServerID
+// smallestShare returns the server with the least share; empty if none has one.
+func smallestShare(shares quota.Shares) site.ServerID {
+	var smallest site.ServerID
 	for id, share := range shares {
-		if least == "" || share < shares[least] {
-			least = id
+		if smallest == "" || share < shares[smallest] {
+			smallest = id
 		}
 	}
-	return least
+	return smallest
 }
 
-func (d *Duty) tellShares(shares quota.Shares, now time.Time) {
-	d.toldAt = now
+func (d *Duty) sendShares(shares quota.Shares, now time.Time) {
+	d.sharesSentAt = now
 	d.sharesSerial++
 	d.State.MergeShares(view.Shares{Offset: d.leaseOffset, Serial: d.sharesSerial, Of: shares})
 }
--- a/gateway/duty/shares_test.go
+++ b/gateway/duty/shares_test.go
@@ -9,8 +9,8 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-func TestTheLineOfSharesNamesTheServerThatIsWantedMost(t *testing.T) {
+func TestSmallestShareReturnsTheServerWithTheHighestDemand(t *testing.T) {
 	g := gomega.NewWithT(t)
-	g.Expect(leastOf(quota.Shares{"a": 0.5, "b": 0.1, "c": 0.9})).To(gomega.Equal(site.ServerID("b")))
-	g.Expect(leastOf(nil)).To(gomega.BeEmpty())
+	g.Expect(smallestShare(quota.Shares{"a": 0.5, "b": 0.1, "c": 0.9})).To(gomega.Equal(site.ServerID("b")))
+	g.Expect(smallestShare(nil)).To(gomega.BeEmpty())
 }
--- a/gateway/duty/yield_test.go
+++ b/gateway/duty/yield_test.go
@@ -14,7 +14,7 @@
 
 // Of 295 nodes 15 are strong. Seeds are the first to read the store, and may be weak:
 // the lease then goes to a strong node, once.
-func TestAWeakLessorGivesItsLeaseToAStrongNode(t *testing.T) {
+func TestLessorYieldsToANodeWithMoreCapacity(t *testing.T) {
 	g := gomega.NewWithT(t)
 	start := time.Unix(1000, 0)
 	lessorOf := func(strength float64, others ...float64) *Duty {
@@ -36,14 +36,14 @@
 		d.considerYielding(start.Add(after))
 		return d.yielding
 	}
-	g.Expect(yields(lessorOf(0.03, 0.03, 0.8), yieldAfter)).To(gomega.BeTrue())
-	g.Expect(yields(lessorOf(0.03, 0.8), yieldAfter-1)).To(gomega.BeFalse(), "the others may not have told of themselves yet")
-	g.Expect(yields(lessorOf(0.32, 0.32, 0.5), yieldAfter)).To(gomega.BeFalse(), "about as strong")
-	g.Expect(yields(lessorOf(0, 0), yieldAfter)).To(gomega.BeFalse(), "nobody's strength is known")
+	g.Expect(yields(lessorOf(0.03, 0.03, 0.8), minLeaseBeforeYield)).To(gomega.BeTrue())
+	g.Expect(yields(lessorOf(0.03, 0.8), minLeaseBeforeYield-1)).To(gomega.BeFalse(), "the others may not have told of themselves yet")
+	g.Expect(yields(lessorOf(0.32, 0.32, 0.5), minLeaseBeforeYield)).To(gomega.BeFalse(), "about as strong")
+	g.Expect(yields(lessorOf(0, 0), minLeaseBeforeYield)).To(gomega.BeFalse(), "nobody's strength is known")
 
 	d := lessorOf(0.03, 0.8)
-	g.Expect(yields(d, yieldAfter)).To(gomega.BeTrue())
-	d.stop()
+	g.Expect(yields(d, minLeaseBeforeYield)).To(gomega.BeTrue())
+	d.endLease()
 	g.Expect(d.yielding).To(gomega.BeFalse())
-	g.Expect(yields(d, 2*yieldAfter+claimBreak)).To(gomega.BeFalse(), "it had to claim again: the strong one cannot take the lease")
+	g.Expect(yields(d, 2*minLeaseBeforeYield+resignedClaimPause)).To(gomega.BeFalse(), "it had to claim again: the strong one cannot take the lease")
 }
