--- a/gateway/duty/append.go
+++ b/gateway/duty/append.go
@@ -12,19 +12,19 @@
 	"github.com/burdockspindle/burdockspindle/gateway/store"
 )
 
-// pendingAppend is an append whose fate is not known yet.
+// pendingAppend is an append whose outcome is not known yet.
 type pendingAppend struct {
 	record          store.Record
 	change          *ranges.Change // nil for a heartbeat or claim
 	claim           *ranges.Table  // not nil for a claim
-	previousHold    time.Duration  // for a claim: how long the former lessor's grants may be in force
-	uncertainHold   time.Duration  // for a claim and with resigns: the same of grants without an answer
-	previousLessor  ranges.Lessor  // for a claim: the lessor before it, if that has not resigned
-	earlierHold     time.Duration  // for a claim: how long grants of lessors before that one may be in force
-	resigns         bool           // it gives the lease up
-	outstandingHold time.Duration  // with resigns: how long what was granted may be in force
+	previousHold    time.Duration  // for a claim: how long grants of the previous lessor may be in force
+	uncertainHold   time.Duration  // for a claim and with resigns: how long grants of uncertain outcome may be in force
+	previousLessor  ranges.Lessor  // for a claim: the lessor before it, unless that has resigned
+	earlierHold     time.Duration  // for a claim: how long grants of lessors before previousLessor may be in force
+	resigns         bool           // the record releases the lease
+	outstandingHold time.Duration  // with resigns: how long outstanding grants may be in force
 	offset          store.Offset
-	// startedAt is the start of the first try.
+	// startedAt is the start of the first attempt.
 	startedAt time.Time
 }
 
@@ -32,7 +32,7 @@
 	pending        *pendingAppend
 	startedAt      time.Time
 	err            error
-	alreadyApplied bool // after a conflict: the record at the offset is this append's
+	alreadyApplied bool // after a conflict: the record at the offset is from this append
 }
 
 func (d *Duty) append(ctx context.Context, p *pendingAppend) {
@@ -48,7 +48,8 @@
 	go d.sendAppend(ctx, p)
 }
 
-// previousHold returns for how long grants of former lessors may be in force, for a record.
+// previousHold returns how long grants of previous lessors may be in force, for the next
+// record.
 func (d *Duty) previousHold(p *pendingAppend, now time.Time) time.Duration {
 	if p.claim != nil {
 		return p.previousHold
@@ -77,8 +78,8 @@
 	return store.Record{Key: follow.HeartbeatKey, Value: text}, err
 }
 
-// sendAppend appends and, after a conflict, looks whose record stands at the offset:
-// an earlier try whose answer was lost may have succeeded.
+// sendAppend appends the record. After a conflict it compares the record at the offset with
+// its own, because an earlier attempt whose response was lost may have succeeded.
 func (d *Duty) sendAppend(ctx context.Context, p *pendingAppend) {
 	startedAt := clock.Now()
 	if p.startedAt.IsZero() {
@@ -94,7 +95,8 @@
 		} else if len(batch.Records) > 0 {
 			first := batch.Records[0]
 			result.alreadyApplied = first.Key == p.record.Key && string(first.Value) == string(p.record.Value)
-			// Which try took effect is not known, and others may have claimed since.
+			// It is unknown which attempt took effect, and another node may have claimed
+			// since the first one.
 			result.startedAt = p.startedAt
 		}
 	}
--- a/gateway/duty/calls.go
+++ b/gateway/duty/calls.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// call makes one call to a server. What it grants is counted from SentAt, so it ends a
-// timeout after that, however long it took to begin: the machine may have been suspended
-// or short of processor time meanwhile.
+// call makes one call to a server. The hold of a grant is measured from SentAt. The timeout
+// is measured from there too, because the VM may be suspended or short of CPU time before
+// the call begins.
 func (d *Duty) call(ctx context.Context, server site.Server, call ranges.Call) {
 	timeout := d.Timing.CallTimeout
 	if call.Release {
@@ -74,8 +74,8 @@
 	}
 }
 
-// arrivedAgo returns how long ago a call without an answer had reached the server's machine,
-// for the log; 0: not known.
+// arrivedAgo returns, for the log, the time since a call without a response is known to
+// have reached the server's VM; 0 if unknown.
 func arrivedAgo(result ranges.Result, now time.Time) time.Duration {
 	if result.ArrivedBy.IsZero() {
 		return 0
--- a/gateway/duty/calls_test.go
+++ b/gateway/duty/calls_test.go
@@ -14,7 +14,7 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// unresponsiveGranter tells when its calls end.
+// unresponsiveGranter never responds and records when its call ends.
 type unresponsiveGranter struct{ endedAt time.Time }
 
 // Grant implements ranges.Granter.
@@ -29,16 +29,16 @@
 	return "", g.Grant(ctx, server, ranges.Grant{})
 }
 
-// The lessor counts a grant from when it was sent, and the call's timeout after that: a
-// process that is short of processor time must not make it longer.
+// The lessor measures a grant and the timeout of its call from SentAt. A call that starts
+// late, in a process short of CPU time, must not extend the grant.
 func TestCallTimeoutIsMeasuredFromSentAt(t *testing.T) {
 	for name, row := range map[string]struct {
-		began time.Duration // after it was counted as sent
+		began time.Duration // after SentAt
 		made  bool
 	}{
-		"at once":                 {0, true},
-		"after most of its time":  {300 * time.Millisecond, true},
-		"after its time was over": {400 * time.Millisecond, false},
+		"immediately":               {0, true},
+		"after most of the timeout": {300 * time.Millisecond, true},
+		"after the whole timeout":   {400 * time.Millisecond, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/gateway/duty/duty.go
+++ b/gateway/duty/duty.go
@@ -1,6 +1,6 @@
-// Package duty runs the lessor's duty on a node: it claims the lease when there
-// is no lessor, confirms it in the store, and grants, releases and moves ranges
-// as package ranges decides.
+// Package duty runs the lessor's duty on a node: it claims the lease when there is no
+// lessor, confirms the lease in the store, and grants, releases and moves ranges as package
+// ranges decides.
 package duty
 
 import (
@@ -22,44 +22,48 @@
 
 // Timing of the duty.
 const (
-	// lessorTick is how often due calls and changes are looked for. After every answer would be
-	// too often for a lessor of hundreds of owners.
+	// lessorTick is the interval of checks for due calls and changes. Checking after every
+	// response would be too often for a lessor of hundreds of owners.
 	lessorTick = 25 * time.Millisecond
-	// idleTick is the same for a node that is not the lessor and reads the ownership
-	// topic, and sleepTick for one that does not: it can claim nothing, and wakes when it
-	// reads.
+	// idleTick is the interval on a node that is not the lessor and reads the ownership
+	// topic. sleepTick applies to a node that does not read it: the node cannot claim, and
+	// it wakes when it reads the topic.
 	idleTick  = 100 * time.Millisecond
 	sleepTick = time.Second
-	// minChangeInterval is the least time between two changes of the table: releases that are
-	// answered one after the other become one change, and each is a call to the store.
+	// minChangeInterval is the minimum time between two changes of the table. It combines
+	// releases that complete shortly after each other, because each change is a call to the
+	// store.
 	minChangeInterval = 50 * time.Millisecond
-	// confirmInterval is the interval of the lessor's records in the store. Others
-	// take two missing ones for the loss of the lessor.
+	// confirmInterval is the interval of the lessor's records in the store. Other nodes
+	// treat the lessor as lost after two missing records.
 	confirmInterval = 500 * time.Millisecond
-	// suspectTimeout is for how long the ownership topic must not have grown before
-	// another node claims: two records of the lessor, with the interval of reading.
+	// suspectTimeout is how long the ownership topic must be idle before another node
+	// claims: two records of the lessor plus the read interval.
 	suspectTimeout = 1200 * time.Millisecond
-	// claimRankDelay is how much longer a node waits before a claim for each stronger
-	// one, so that mostly one appends and a strong one does; the store settles the
-	// rest. The calls of a lessor on a weak VM time out, and the lease changes hands again.
+	// claimRankDelay is the additional delay of a claim for each node with more capacity,
+	// so that usually a single node appends, and one with high capacity. The store resolves
+	// concurrent claims. On a lessor with a weak VM calls time out, and the lease changes
+	// hands again.
 	claimRankDelay = 40 * time.Millisecond
-	// claimJitter is the random time that is added, and longestClaimDelay bounds
-	// both, since stronger nodes may be lost as well.
+	// claimJitter bounds the random part of the delay. maxClaimDelay bounds the whole
+	// delay, because nodes with more capacity may be lost as well.
 	claimJitter   = 80 * time.Millisecond
 	maxClaimDelay = 600 * time.Millisecond
-	// lostClaimPause follows a claim that another node was quicker with: the topic is
-	// read again meanwhile.
+	// lostClaimPause is the pause after another node claimed first. The topic is read again
+	// during this time.
 	lostClaimPause = time.Second
-	// maxReadAge is how recent the reading of the topic must be for a claim.
+	// maxReadAge is the maximum age of the latest read of the topic for a claim.
 	maxReadAge = 900 * time.Millisecond
-	// appendRetryDelay is the pause after an append failed.
+	// appendRetryDelay is the pause after a failed append.
 	appendRetryDelay = 300 * time.Millisecond
-	// writableDuration is how long after an append the store counts as writable.
+	// writableDuration is how long the store is treated as writable after an append.
 	writableDuration = 1200 * time.Millisecond
-	// reportInterval is how often the node takes its own reports.
+	// reportInterval is the interval at which the lessor processes the reports of its own
+	// node.
 	reportInterval = 500 * time.Millisecond
-	// registrySettleTime is for how long the register must keep its size before ranges
-	// are cut for a service that has none: servers write once in about a second.
+	// registrySettleTime is how long the server registry must keep its size before ranges
+	// are created for a service that has none. Servers write to the registry about once a
+	// second.
 	registrySettleTime = 1300 * time.Millisecond
 )
 
@@ -74,7 +78,8 @@
 	Reader  *follow.Reader
 	Feed    *follow.Feed
 	Former  Former
-	// StartedAt is when this process started. Earlier ones of the node had ended by then.
+	// StartedAt is when this process started. Earlier incarnations of the node had ended by
+	// then.
 	StartedAt time.Time
 	Reports   *follow.Reports
 	Logger    hclog.Logger
@@ -92,35 +97,35 @@
 	callResults      chan callResult
 	previousReports  chan previousReport
 	limiter          callLimiter
-	earlierHoldEnd   time.Time       // until when grants of lessors before the former one may be in force
-	pendingHandOff   *follow.HandOff // that is to be told; nil: none
-	handedOff        bool            // the next lessor has been told what was granted
-	nextChange       time.Time       // not before
+	earlierHoldEnd   time.Time       // end of the grants of lessors before the previous one
+	pendingHandOff   *follow.HandOff // request without a reply; nil if there is none
+	handedOff        bool            // the next lessor has received the outstanding grants
+	nextChange       time.Time       // earliest time of the next change of the table
 	nextConfirm      time.Time
 	nextReport       time.Time
-	claimAt          time.Time // when to claim, zero: no reason to
-	noClaimBefore    time.Time // not before
+	claimAt          time.Time // scheduled claim; zero if none
+	noClaimBefore    time.Time // earliest time of the next claim
 	lessorSince      time.Time
-	shownSerial      uint64 // serial of the routes that the view has
+	shownSerial      uint64 // serial of the routes in the view
 	quota            *quota.Quota
-	leaseOffset      store.Offset // of the record with which the lease began
+	leaseOffset      store.Offset // of the claim that started the lease
 	nextShares       time.Time
-	sharesSentAt     time.Time // when shares were told last
+	sharesSentAt     time.Time
 	sharesSerial     uint64
 	resigning        chan struct{}
-	shuttingDown     bool // the node shuts down
-	yielding         bool // the lease is to go to a stronger node
+	shuttingDown     bool
+	yielding         bool // the lease is being released for a node with more capacity
 	yieldedAt        time.Time
-	resignationSent  bool // the record that gives the lease up may be in the store
-	serverCount      int  // servers in the register, since registeredAt
+	resignationSent  bool // the record that releases the lease may be in the store
+	serverCount      int  // servers in the registry since serverCountSince
 	serverCountSince time.Time
 	table            view.Table
-	// knownServers holds every server ever seen: one that has left the register may
-	// still answer a release.
+	// knownServers holds every server ever observed: a server that has left the registry
+	// may still respond to a release.
 	knownServers map[site.ServerID]site.Server
 }
 
-// New returns a duty; its exported fields are set by the caller before Run.
+// New returns a duty. The caller sets its exported fields before Run.
 func New() *Duty {
 	return &Duty{
 		resign:          make(chan chan struct{}, 1),
@@ -132,7 +137,7 @@
 	}
 }
 
-// IsLessor reports whether the node holds the lease, as far as it knows.
+// IsLessor reports whether the node holds the lease, to its own knowledge.
 func (d *Duty) IsLessor() bool { return d.isLessor.Load() }
 
 // Run performs the duty until ctx ends.
@@ -153,8 +158,8 @@
 			d.completeCall(result)
 		case report := <-d.Feed.Reports:
 			d.handleReport(report)
-		case asked := <-d.Feed.HandOffs:
-			d.beginHandOff(asked)
+		case request := <-d.Feed.HandOffs:
+			d.beginHandOff(request)
 			timer.Reset(0)
 		case report := <-d.previousReports:
 			d.handlePreviousGrants(report)
@@ -168,7 +173,7 @@
 	}
 }
 
-// nextInterval returns the time until the next look for what is due.
+// nextInterval returns the time until the next check for due work.
 func (d *Duty) nextInterval(now time.Time) time.Duration {
 	switch {
 	case d.allocator != nil:
@@ -179,12 +184,13 @@
 	return sleepTick
 }
 
-// isFresh reports whether the ownership topic has been read lately.
+// isFresh reports whether the latest read of the ownership topic is younger than
+// maxReadAge.
 func isFresh(ownership follow.Ownership, now time.Time) bool {
 	return ownership.Known && now.Sub(ownership.ReadAt) < maxReadAge
 }
 
-// step does what is due now.
+// step performs the work that is due now.
 func (d *Duty) step(ctx context.Context, now time.Time) {
 	if d.allocator == nil {
 		d.considerClaim(ctx, now)
@@ -196,7 +202,7 @@
 	}
 	d.considerYielding(now)
 	if d.resignationSent || (d.resigning != nil || d.yielding) && d.isStoreWritable(now) {
-		// The next lessor waits with moves for grants that have no answer.
+		// The next lessor defers moves while grants have an uncertain outcome.
 		if !d.allocator.Calling() {
 			d.appendResignation(ctx)
 		}
@@ -209,7 +215,8 @@
 	d.updateShares(now)
 }
 
-// considerClaim claims the lease if there is no lessor.
+// considerClaim claims the lease if there is no lessor and the delay of the claim has
+// passed.
 func (d *Duty) considerClaim(ctx context.Context, now time.Time) {
 	if d.resigning != nil {
 		close(d.resigning)
@@ -225,7 +232,7 @@
 		return
 	}
 	if d.claimAt.IsZero() && isEarlierIncarnation(ownership, d.Self) {
-		d.claimAt = now // nobody else knows yet
+		d.claimAt = now // other nodes have not detected the restart yet
 	}
 	if d.claimAt.IsZero() {
 		d.claimAt = now.Add(claimDelay(d.Member, d.State.Now()))
@@ -236,11 +243,11 @@
 	d.claim(ctx, ownership)
 }
 
-// isLeaseVacant reports whether there is no lessor as far as can be told: none has
-// been, it has resigned or does not confirm its lease, or it was an earlier run of
-// this very node. After the loss of all nodes the last one saves the wait for
-// records that nobody writes, 1.2 s, in which holds run out. A claim is safe in any
-// case: owners answer the new lessor before they refuse the former one.
+// isLeaseVacant reports whether there is no lessor to this node's knowledge: there has been
+// none, the lessor has resigned or does not confirm its lease, or it was an earlier
+// incarnation of this node. The last case saves waiting 1.2 s for records that nobody
+// writes after the loss of all nodes, while holds expire. A claim is safe in any case,
+// because owners respond to the new lessor before they refuse the previous one.
 func isLeaseVacant(ownership follow.Ownership, self ranges.Lessor, now time.Time) bool {
 	table := ownership.Table.Table
 	if table == nil || ownership.Resigned {
@@ -249,14 +256,15 @@
 	return isEarlierIncarnation(ownership, self) || now.Sub(ownership.MovedAt) > suspectTimeout
 }
 
-// isEarlierIncarnation reports whether the lessor is an earlier run of a node.
+// isEarlierIncarnation reports whether the lessor is an earlier incarnation of the node of
+// self.
 func isEarlierIncarnation(ownership follow.Ownership, self ranges.Lessor) bool {
 	table := ownership.Table.Table
 	return table != nil && table.Lessor.Node == self.Node && table.Lessor.Boot != self.Boot
 }
 
-// claimDelay returns how long a node waits before a claim. At the start nobody
-// knows who else is there, and the node's own strength decides.
+// claimDelay returns how long a node waits before a claim. At startup no node knows the
+// other members, so the delay depends on the node's own capacity.
 func claimDelay(self view.Member, v *view.View) time.Duration {
 	jitter := time.Duration(rand.Int64N(int64(claimJitter)))
 	if rank, known := follow.Rank(self, v); known {
@@ -282,8 +290,8 @@
 		p.earlierHold = ownership.FormerHeld
 	}
 	if isEarlierIncarnation(ownership, d.Self) {
-		earlierHold := max(d.Timing.EndedHold()-clock.Since(d.StartedAt), p.earlierHold)
-		p.previousHold, p.uncertainHold = min(p.previousHold, earlierHold), min(p.uncertainHold, earlierHold)
+		endedHold := max(d.Timing.EndedHold()-clock.Since(d.StartedAt), p.earlierHold)
+		p.previousHold, p.uncertainHold = min(p.previousHold, endedHold), min(p.uncertainHold, endedHold)
 	}
 	if ownership.Resigned {
 		p.previousHold, p.uncertainHold = ownership.Held, ownership.Doubt
@@ -292,7 +300,8 @@
 	d.append(ctx, p)
 }
 
-// balanceInput takes the node's own reports and lets old ones lose weight.
+// balanceInput processes the reports of the lessor's own node and decays the weight of old
+// ones.
 func (d *Duty) balanceInput(now time.Time) {
 	d.loads.Decay(now)
 	if now.Before(d.nextReport) {
@@ -305,8 +314,8 @@
 	}
 }
 
-// handleReport takes what a node observed. A node that is not the lessor is a
-// relay, and passes it on.
+// handleReport processes the observations of a node. A node that is not the lessor is a
+// relay and forwards them.
 func (d *Duty) handleReport(report follow.Report) {
 	if d.allocator == nil {
 		d.Reports.Merge(report)
@@ -330,10 +339,10 @@
 	return ranges.Lease{ConfirmedAt: d.confirmedAt}
 }
 
-// isStoreWritable reports whether the store took an append lately.
+// isStoreWritable reports whether an append that succeeded started within writableDuration.
 func (d *Duty) isStoreWritable(now time.Time) bool { return now.Sub(d.confirmedAt) < writableDuration }
 
-// appendDue appends what the allocator decides, or confirms the lease when that is due.
+// appendDue appends the allocator's decision, or confirms the lease when that is due.
 func (d *Duty) appendDue(ctx context.Context, now time.Time) {
 	if d.appending != nil {
 		return
@@ -351,7 +360,7 @@
 	}
 }
 
-// changeTable appends what the allocator decides, and reports whether it decided anything.
+// changeTable appends the allocator's decision, and reports whether there was one.
 func (d *Duty) changeTable(ctx context.Context, now time.Time) bool {
 	change := d.allocator.Plan(d.site(now), ranges.Fence(d.topicEnd), now)
 	for _, r := range d.allocator.Restarts() {
@@ -367,7 +376,7 @@
 	return true
 }
 
-// site returns what the allocator decides by.
+// site returns the input of the allocator's decisions.
 func (d *Duty) site(now time.Time) ranges.Site {
 	v := d.State.Now()
 	return ranges.Site{
@@ -380,7 +389,8 @@
 	}
 }
 
-// isRegistrySettled reports whether the register of servers has kept its size for a while.
+// isRegistrySettled reports whether the server registry has kept its size for more than
+// registrySettleTime.
 func (d *Duty) isRegistrySettled(v *view.View, now time.Time) bool {
 	if size := len(v.Servers.Servers); size != d.serverCount {
 		d.serverCount = size
--- a/gateway/duty/duty_test.go
+++ b/gateway/duty/duty_test.go
@@ -11,8 +11,9 @@
 	"github.com/burdockspindle/burdockspindle/gateway/view"
 )
 
-// All nodes are killed and started again. The former lessor's node knows that its
-// earlier run has ended and claims at once; the others wait for a sign of it.
+// All nodes are killed and restart. The node of the previous lessor knows that its earlier
+// incarnation has ended and claims immediately; the others wait until the topic has been
+// idle for suspectTimeout.
 func TestNodeTreatsItsEarlierIncarnationAsEnded(t *testing.T) {
 	now := time.Unix(1000, 0)
 	self := ranges.Lessor{Node: "n1", Boot: "second"}
@@ -26,13 +27,13 @@
 		ownership follow.Ownership
 		want      bool
 	}{
-		"no lessor yet":            {follow.Ownership{Known: true}, true},
-		"it has resigned":          {resigned, true},
-		"it confirms its lease":    {owned("n2", "x", 0), false},
-		"it was slow once":         {owned("n2", "x", suspectTimeout), false},
-		"it is silent":             {owned("n2", "x", suspectTimeout+1), true},
-		"an earlier run of itself": {owned("n1", "first", 0), true},
-		"this run":                 {owned("n1", "second", 0), false},
+		"no lessor yet":                    {follow.Ownership{Known: true}, true},
+		"the lessor has resigned":          {resigned, true},
+		"the lessor confirms its lease":    {owned("n2", "x", 0), false},
+		"one confirmation is late":         {owned("n2", "x", suspectTimeout), false},
+		"the lessor is unresponsive":       {owned("n2", "x", suspectTimeout+1), true},
+		"earlier incarnation of this node": {owned("n1", "first", 0), true},
+		"this incarnation":                 {owned("n1", "second", 0), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			gomega.NewWithT(t).Expect(isLeaseVacant(row.ownership, self, now)).To(gomega.Equal(row.want))
@@ -40,14 +41,14 @@
 	}
 }
 
-// On a site of 295 nodes nearly all are told what the lessor does. None of them can claim
-// the lease, and none looks for it.
+// On a site of 295 nodes nearly all receive the lessor's decisions from other nodes. They
+// cannot claim the lease and do not check whether it is vacant.
 func TestNodeThatDoesNotReadTheOwnershipTopicSleeps(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1000, 0)
 	d := New()
 	d.Reader = new(follow.Reader)
-	g.Expect(d.nextInterval(now)).To(gomega.Equal(sleepTick), "it has never read it")
+	g.Expect(d.nextInterval(now)).To(gomega.Equal(sleepTick), "the topic has never been read")
 	read := follow.Ownership{Known: true, ReadAt: now}
 	g.Expect(isFresh(read, now.Add(maxReadAge-1))).To(gomega.BeTrue())
 	g.Expect(isFresh(read, now.Add(maxReadAge))).To(gomega.BeFalse())
--- a/gateway/duty/handoff.go
+++ b/gateway/duty/handoff.go
@@ -11,23 +11,25 @@
 	"github.com/burdockspindle/burdockspindle/gateway/store"
 )
 
-// Former asks the lessor before a claim what it granted.
+// Former queries the previous lessor for its outstanding grants.
 type Former interface {
 	AskFormer(ctx context.Context, former ranges.Lessor, claim store.Offset) (follow.FormerGrants, error)
 }
 
-// previousReport is what the lessor before this one's claim granted.
+// previousReport holds the outstanding grants of the lessor that preceded a claim.
 type previousReport struct {
 	claim      store.Offset
 	grants     follow.FormerGrants
-	receivedAt time.Time // when it came
+	receivedAt time.Time
 }
 
-// queryRetryDelay is the pause after a former lessor did not answer: a node whose process was killed
-// starts again within a second or two, and then knows that it has ended.
+// queryRetryDelay is the pause after the previous lessor did not respond. A node whose
+// process was killed restarts within a second or two, and then reports that the process has
+// ended.
 const queryRetryDelay = 500 * time.Millisecond
 
-// queryPreviousLessor asks the lessor before this one's claim, unless that has resigned and told.
+// queryPreviousLessor queries the lessor before this node's claim, unless that lessor has
+// resigned and its record states the remaining holds.
 func (d *Duty) queryPreviousLessor(ctx context.Context, p *pendingAppend) {
 	if p.previousLessor.Boot == "" || p.previousLessor.Node == d.Self.Node || d.Former == nil {
 		return
@@ -44,8 +46,8 @@
 	}()
 }
 
-// awaitPreviousGrants asks the former lessor until it answers, for as long as its grants may be in
-// force.
+// awaitPreviousGrants queries the previous lessor until it responds or its grants have
+// expired.
 func (d *Duty) awaitPreviousGrants(ctx context.Context, p *pendingAppend) (grants follow.FormerGrants, isKnown bool) {
 	end := clock.Now().Add(p.previousHold)
 	for tries := 0; ; tries++ {
@@ -63,7 +65,7 @@
 	}
 }
 
-// handlePreviousGrants takes what the former lessor granted.
+// handlePreviousGrants applies the outstanding grants that the previous lessor reported.
 func (d *Duty) handlePreviousGrants(r previousReport) {
 	if d.allocator == nil || d.leaseOffset != r.claim {
 		return
@@ -76,9 +78,9 @@
 	eventPreviousReported.Log(d.Logger, "offset", r.claim, "ranges", len(r.grants.Ranges), "hasEnded", r.grants.HasEnded, "endedFor", r.grants.EndedFor, "held", d.allocator.Held(r.receivedAt))
 }
 
-// beginHandOff takes the request of a node that has claimed the lease. The claim stands in the
-// store, so nothing that this node appends succeeds any more, and its grants are refused
-// wherever the next lessor's were.
+// beginHandOff handles the request of a node that has claimed the lease. Because the claim
+// is in the store, no append of this node succeeds any more, and owners that have accepted
+// a grant of the next lessor refuse the grants of this one.
 func (d *Duty) beginHandOff(request *follow.HandOff) {
 	if request.Former.Node == d.Self.Node && request.Former.Boot != d.Self.Boot {
 		request.Reply <- follow.FormerGrants{HasEnded: true, EndedFor: clock.Since(d.StartedAt)}
@@ -89,13 +91,13 @@
 		return
 	}
 	eventHandingOff.Log(d.Logger, "claim", request.Claim, "confirmedAgo", clock.Since(d.confirmedAt))
-	d.endHandOff() // an earlier request
+	d.endHandOff() // closes an earlier request
 	d.pendingHandOff = request
 	d.setLessor(false)
 }
 
-// finishHandOff tells the next lessor what was granted, once no call is under way, and ends
-// the duty when the fate of this node's own append is known.
+// finishHandOff reports the outstanding grants to the next lessor once no call is in
+// flight, and ends the duty once the outcome of this node's own append is known.
 func (d *Duty) finishHandOff(now time.Time) {
 	if d.pendingHandOff != nil && !d.allocator.Calling() {
 		d.pendingHandOff.Reply <- follow.FormerGrants{Ranges: d.allocator.Remaining(now)}
@@ -107,7 +109,7 @@
 	}
 }
 
-// endHandOff ends a hand-off, without a reply if there was none yet.
+// endHandOff ends a hand-off. A request without a reply is closed.
 func (d *Duty) endHandOff() {
 	if d.pendingHandOff != nil {
 		close(d.pendingHandOff.Reply)
--- a/gateway/duty/handoff_test.go
+++ b/gateway/duty/handoff_test.go
@@ -18,7 +18,7 @@
 	"github.com/burdockspindle/burdockspindle/gateway/view"
 )
 
-// lessorOf returns the duty of a node that is the lessor and owns one range with server a.
+// lessorOf returns the duty of a lessor whose table assigns one range, to server a.
 func lessorOf(now time.Time, formerHold time.Duration) *Duty {
 	owned := ranges.Assignment{Span: ranges.Span{To: ranges.LastKey}, Server: "a", Fence: 1}
 	table := &ranges.Table{Services: map[site.ServiceName][]ranges.Assignment{"s": {owned}}}
@@ -36,9 +36,9 @@
 	return &follow.HandOff{Former: ranges.Lessor{Node: node, Boot: boot}, Claim: claim, Reply: make(chan follow.FormerGrants, 1)}
 }
 
-// The store turns the lessor's node away, and another node claims the lease. The former
-// lessor hears so from that node, waits for the call that is under way, and tells what it
-// granted.
+// The store is unreachable from the lessor's node, and another node claims the lease. The
+// previous lessor is notified by that node, waits for the call in flight and reports its
+// outstanding grants.
 func TestLessorHandsOffAfterAnotherNodeClaims(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := clock.Now()
@@ -50,7 +50,7 @@
 	d.beginHandOff(asked)
 	g.Expect(d.IsLessor()).To(gomega.BeFalse())
 	d.step(t.Context(), now)
-	g.Expect(asked.Reply).To(gomega.BeEmpty(), "a call is under way")
+	g.Expect(asked.Reply).To(gomega.BeEmpty(), "a call is in flight")
 	d.allocator.Done(call, ranges.Result{}, now)
 	d.step(t.Context(), now)
 	list := (<-asked.Reply).Ranges
@@ -62,22 +62,23 @@
 
 func TestHandOffOfAnotherLeaseIsRefused(t *testing.T) {
 	for name, asked := range map[string]*follow.HandOff{
-		"another node":          handOffRequest("n2", "b2", 8),
-		"an earlier claim":      handOffRequest("n1", "b1", 7),
-		"a claim long replaced": handOffRequest("n1", "b1", 1),
+		"another node":      handOffRequest("n2", "b2", 8),
+		"an earlier claim":  handOffRequest("n1", "b1", 7),
+		"an outdated claim": handOffRequest("n1", "b1", 1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			d := lessorOf(clock.Now(), 0)
 			d.beginHandOff(asked)
-			_, isTold := <-asked.Reply
-			g.Expect(isTold).To(gomega.BeFalse())
+			_, isReported := <-asked.Reply
+			g.Expect(isReported).To(gomega.BeFalse())
 			g.Expect(d.IsLessor()).To(gomega.BeTrue())
 		})
 	}
 }
 
-// An append of the former lessor may still be under way: the duty ends with its answer.
+// An append of the previous lessor may still be in flight: the duty ends when its outcome
+// is known.
 func TestHandOffWaitsForTheOutcomeOfAnAppend(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := clock.Now()
@@ -86,13 +87,13 @@
 	asked := handOffRequest("n1", "b1", 8)
 	d.beginHandOff(asked)
 	d.step(t.Context(), now)
-	g.Expect(asked.Reply).To(gomega.HaveLen(1), "what was granted does not depend on it")
+	g.Expect(asked.Reply).To(gomega.HaveLen(1), "outstanding grants do not depend on the append")
 	g.Expect(d.allocator).NotTo(gomega.BeNil())
 	d.handleAppend(t.Context(), appendResult{pending: d.appending, startedAt: now, err: &store.ConflictError{}})
 	g.Expect(d.allocator).To(gomega.BeNil())
 }
 
-// previousNode is a former lessor that answers.
+// previousNode is a previous lessor that responds.
 type previousNode struct{ grants follow.FormerGrants }
 
 // AskFormer implements Former.
@@ -105,12 +106,12 @@
 	ended := follow.FormerGrants{HasEnded: true, EndedFor: 4 * time.Second}
 	for name, row := range map[string]struct {
 		grants follow.FormerGrants
-		before time.Duration // for which grants of lessors before that one may be in force
+		before time.Duration // how long grants of lessors before the previous one may be in force
 		want   time.Duration
 	}{
-		"it tells":                        {follow.FormerGrants{Ranges: []ranges.Remaining{told}}, 0, time.Second},
-		"its process has ended":           {ended, 0, ranges.DefaultTiming().EndedHold() - 4*time.Second},
-		"another one before it may go on": {ended, 9 * time.Second, 9 * time.Second},
+		"it reports its grants":                       {follow.FormerGrants{Ranges: []ranges.Remaining{told}}, 0, time.Second},
+		"its process has ended":                       {ended, 0, ranges.DefaultTiming().EndedHold() - 4*time.Second},
+		"grants of an earlier lessor may be in force": {ended, 9 * time.Second, 9 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
@@ -126,8 +127,8 @@
 	}
 }
 
-// All nodes lose power and start again. The lessor's node tells the next one, or itself,
-// that nothing was granted since.
+// All nodes lose power and restart. The node of the previous lessor reports to the next
+// lessor, which may be itself, that nothing was granted since the process ended.
 func TestNextIncarnationReportsThatThePreviousOneEnded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d := lessorOf(clock.Now(), 0)
@@ -140,7 +141,8 @@
 	g.Expect(d.IsLessor()).To(gomega.BeTrue())
 }
 
-// startingNode is the node of a former lessor that was killed: nobody listens at first.
+// startingNode is the node of a previous lessor that was killed. It does not listen at
+// first.
 type startingNode struct {
 	refusals int
 	err      error
@@ -162,9 +164,9 @@
 		isTold bool
 		asked  int
 	}{
-		"it starts":           {startingNode{refusals: 3, err: syscall.ECONNREFUSED}, true, 4},
-		"it knows nothing":    {startingNode{refusals: 3, err: &follow.NotFormerLessorError{}}, false, 1},
-		"it is gone for good": {startingNode{refusals: 100, err: syscall.ECONNREFUSED}, false, 4},
+		"it restarts":             {startingNode{refusals: 3, err: syscall.ECONNREFUSED}, true, 4},
+		"not the previous lessor": {startingNode{refusals: 3, err: &follow.NotFormerLessorError{}}, false, 1},
+		"it does not restart":     {startingNode{refusals: 100, err: syscall.ECONNREFUSED}, false, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/gateway/duty/limiter.go
+++ b/gateway/duty/limiter.go
@@ -8,29 +8,30 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// Bounds of the calls to one server at a time, each of which needs a connection. A server
-// that is asked for too much takes no new ones, and would lose all of its keys. One after
-// the other the calls go over connections that are kept.
+// Limits of concurrent calls to one server. Each concurrent call needs a connection, and a
+// server with too many connections accepts no new ones and would lose all of its keys.
+// Consecutive calls reuse connections.
 const (
 	maxConcurrentGrants = 2
-	// maxConcurrentReleases is more, since a release lasts as long as the work on its keys.
+	// maxConcurrentReleases is higher because a release lasts as long as the work on its
+	// keys.
 	maxConcurrentReleases = 4
 )
 
-// callLimiter holds back calls to servers that have as many as they may.
+// callLimiter delays calls to servers that have reached their limit.
 type callLimiter struct {
 	mu    sync.Mutex
-	slots map[limiterKey]chan struct{} // a call under way is an element
+	slots map[limiterKey]chan struct{} // one element for each call in flight; guarded by mu
 }
 
-// limiterKey names the calls that wait for each other.
+// limiterKey identifies the calls that share a limit.
 type limiterKey struct {
 	server  site.ServerID
 	release bool
 }
 
-// maxTrackedServers bounds the servers that are remembered; those that have left are dropped
-// with it.
+// maxTrackedServers bounds the entries of the limiter. Reaching it drops all of them,
+// including those of servers that have left.
 const maxTrackedServers = 4096
 
 func (l *callLimiter) slotsFor(call ranges.Call) chan struct{} {
@@ -52,7 +53,8 @@
 	return slots
 }
 
-// acquire waits until a call may be made, or ctx ends: then it has not been made.
+// acquire waits until a call may be made. It returns an error if ctx ends first; the call
+// must not be made then.
 func (l *callLimiter) acquire(ctx context.Context, call ranges.Call) error {
 	select {
 	case l.slotsFor(call) <- struct{}{}:
@@ -62,10 +64,10 @@
 	}
 }
 
-// release ends a call.
+// release ends a call that acquire admitted.
 func (l *callLimiter) release(call ranges.Call) {
 	select {
 	case <-l.slotsFor(call):
-	default: // the server was dropped meanwhile
+	default: // the entry was dropped in the meantime
 	}
 }
--- a/gateway/duty/limiter_test.go
+++ b/gateway/duty/limiter_test.go
@@ -13,8 +13,8 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// An owner of a dozen pieces was sent a dozen renewals at once, each on a connection of its
-// own, which a server that is full does not take.
+// Guards against sending an owner of a dozen ranges a dozen renewals at once, each on its
+// own connection, which a full server does not accept.
 func TestConcurrentCallsToOneServerAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -24,13 +24,13 @@
 			g.Expect(l.acquire(t.Context(), grant)).To(gomega.Succeed())
 		}
 		for range maxConcurrentReleases {
-			g.Expect(l.acquire(t.Context(), release)).To(gomega.Succeed(), "grants do not hold releases back")
+			g.Expect(l.acquire(t.Context(), release)).To(gomega.Succeed(), "grants do not delay releases")
 		}
 		g.Expect(l.acquire(t.Context(), other)).To(gomega.Succeed())
 
 		short, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		g.Expect(l.acquire(short, grant)).To(gomega.MatchError(context.DeadlineExceeded), "it has not been made")
+		g.Expect(l.acquire(short, grant)).To(gomega.MatchError(context.DeadlineExceeded), "the call was not admitted")
 
 		entered := false
 		go func() { entered = l.acquire(t.Context(), grant) == nil }()
@@ -42,7 +42,7 @@
 	})
 }
 
-// Servers that have left are forgotten, also while calls to them are under way.
+// Entries of servers that have left are dropped, even while calls to them are in flight.
 func TestLimiterForgetsServers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := callLimiter{}
--- a/gateway/duty/metrics.go
+++ b/gateway/duty/metrics.go
@@ -9,13 +9,13 @@
 	group       = metrics.New("gateway_duty")
 	calls       = group.Map("calls")
 	lessorGauge = group.Counter("is_lessor")
-	// Of a lessor; all 0 on other nodes.
+	// Gauges of a lessor; 0 on other nodes.
 	rangesGauge      = group.Counter("ranges")
 	unansweredGauge  = group.Counter("ranges_unanswered")
 	oldestGrantGauge = group.Counter("oldest_grant_ms")
 )
 
-// setGrantMetrics tells how old the grants of a lessor are.
+// setGrantMetrics exports the ages of the lessor's grants.
 func setGrantMetrics(ages ranges.GrantAges) {
 	rangesGauge.Set(int64(ages.Ranges))
 	unansweredGauge.Set(int64(ages.Unanswered))
--- a/gateway/duty/outcome.go
+++ b/gateway/duty/outcome.go
@@ -12,9 +12,9 @@
 	"github.com/burdockspindle/burdockspindle/gateway/view"
 )
 
-// handleAppend acts on the outcome of an append. One without a usable answer is
-// tried again as it was, since it may still take effect; only one of the tries
-// can.
+// handleAppend processes the result of an append. An append without a usable response is
+// retried unchanged, because an earlier attempt may still take effect; the offset ensures
+// that only one attempt does.
 func (d *Duty) handleAppend(ctx context.Context, r appendResult) {
 	p := r.pending
 	if r.err == nil || r.alreadyApplied {
@@ -30,7 +30,7 @@
 	}
 	if p.claim != nil && d.hadNoEffect(r.err) {
 		d.appending = nil
-		d.noClaimBefore = clock.Now().Add(appendRetryDelay) // a store that refuses is not asked at every tick
+		d.noClaimBefore = clock.Now().Add(appendRetryDelay) // avoids a request at every tick to a store that refuses
 		return
 	}
 	eventAppendFailed.Log(d.Logger, "offset", p.offset, "key", p.record.Key, "cause", r.err)
@@ -41,7 +41,7 @@
 	}()
 }
 
-// hadNoEffect reports whether a claim surely had no effect.
+// hadNoEffect reports whether a failed claim is known to have had no effect.
 func (d *Duty) hadNoEffect(err error) bool {
 	var unavailable *store.UnavailableError
 	return errors.As(err, &unavailable) && unavailable.NotDone
@@ -82,7 +82,7 @@
 	d.loads = ranges.NewLoads()
 	d.quota = quota.New()
 	d.leaseOffset, d.sharesSerial = p.offset, 0
-	d.sendShares(nil, now) // those of the former lessor hold no longer
+	d.sendShares(nil, now) // replaces the shares of the previous lessor
 	d.lessorSince = now
 	d.shownSerial = 0
 	d.setLessor(true)
@@ -90,7 +90,8 @@
 	d.table = view.Table{Offset: p.offset, Table: p.claim}
 }
 
-// handleConflict ends the duty after another node's record was found in the topic.
+// handleConflict ends the lease or the claim after another node's record was found in the
+// topic.
 func (d *Duty) handleConflict(p *pendingAppend) {
 	if p.claim != nil {
 		eventClaimLost.Log(d.Logger, "offset", p.offset)
@@ -110,7 +111,8 @@
 	setGrantMetrics(ranges.GrantAges{})
 }
 
-// setLessor has the node's other parts take it for the lessor, or not.
+// setLessor records whether this node is the lessor, here, in the metrics and in the
+// reader.
 func (d *Duty) setLessor(isLessor bool) {
 	d.isLessor.Store(isLessor)
 	lessorGauge.Set(0)
@@ -120,7 +122,7 @@
 	d.Reader.SetLessor(isLessor)
 }
 
-// showRoutes puts the allocator's routes into the view when they have changed.
+// showRoutes merges the allocator's routes into the view when they have changed.
 func (d *Duty) showRoutes() {
 	if d.allocator == nil || d.allocator.Serial() == d.shownSerial {
 		return
--- a/gateway/duty/resign.go
+++ b/gateway/duty/resign.go
@@ -7,27 +7,29 @@
 	"github.com/burdockspindle/burdockspindle/clock"
 )
 
-// When a lessor gives its lease up, and for how long it does not claim then.
+// Conditions under which a lessor releases its lease, and how long it does not claim
+// afterwards.
 const (
-	// unresponsiveTimeout is for how long most owners must be silent, while the lessor
-	// has held the lease, before it gives the lease to a node that may reach them.
+	// unresponsiveTimeout is how long a lessor holds the lease before it resigns because
+	// most owners are unresponsive to it, so that a node that may reach them takes over.
 	unresponsiveTimeout = 2 * time.Second
-	// resignedClaimPause is how long a node that resigned so does not claim.
+	// resignedClaimPause is how long a node does not claim after it resigned for
+	// unresponsive owners or yielded.
 	resignedClaimPause = 6 * time.Second
-	// minLeaseBeforeYield is how long a lessor has had the lease before it gives it to a node
-	// that is yieldFactor times as strong. A weak node claims when the strong ones are
-	// not there: at the start, at which few nodes read the store, or after they were
-	// lost. On one of 0.16 cores the renewals of 308 owners come late.
+	// minLeaseBeforeYield is how long a lessor has held the lease before it yields to a
+	// node with at least yieldFactor times its capacity. A node with little capacity claims
+	// when the others are absent: at startup, when few nodes read the store, or after their
+	// loss. On a node with 0.16 cores the renewals of 308 owners are late.
 	minLeaseBeforeYield = 3 * time.Second
 	yieldFactor         = 2
-	// minYieldInterval is how long a lessor that has claimed again keeps the lease: the
-	// stronger node cannot take it.
+	// minYieldInterval is how long a lessor that had to claim again after yielding keeps
+	// the lease, because the node with more capacity cannot take it.
 	minYieldInterval = 30 * time.Second
 )
 
-// Resign gives the lease up, if the node has it, and ends the node's claims. It
-// returns when the store has taken that, or ctx ends. While the store does not
-// answer the duty goes on: nobody else could take it over.
+// Resign releases the lease if the node holds it, and ends the node's claims. It returns
+// when the store has accepted the record or ctx ends. While the store does not respond the
+// duty continues, because no other node could take over.
 func (d *Duty) Resign(ctx context.Context) {
 	done := make(chan struct{})
 	select {
@@ -41,14 +43,14 @@
 	}
 }
 
-// mustResign reports whether most owners have been silent to this node for so
-// long that another node had better be lessor.
+// mustResign reports whether most owners are unresponsive to this node and it has held the
+// lease for more than unresponsiveTimeout, so that another node should be the lessor.
 func (d *Duty) mustResign(now time.Time) bool {
 	unresponsive, owners := d.allocator.Silent(d.State.Now().Servers.Servers)
 	return owners > 2 && 2*unresponsive > owners && now.Sub(d.lessorSince) > unresponsiveTimeout && len(d.State.Now().Members) > 1
 }
 
-// considerYielding decides whether the lease goes to a stronger node.
+// considerYielding decides whether to yield the lease to a node with more capacity.
 func (d *Duty) considerYielding(now time.Time) {
 	if d.yielding || d.resigning != nil || now.Sub(d.lessorSince) < minLeaseBeforeYield || !d.yieldedAt.IsZero() && now.Sub(d.yieldedAt) < minYieldInterval {
 		return
@@ -64,7 +66,8 @@
 	}
 }
 
-// appendResignation appends the record that gives the lease up. Nothing is granted any more.
+// appendResignation appends the record that releases the lease. Nothing is granted after
+// that.
 func (d *Duty) appendResignation(ctx context.Context) {
 	if d.appending != nil {
 		return
--- a/gateway/duty/resign_test.go
+++ b/gateway/duty/resign_test.go
@@ -15,14 +15,14 @@
 	"github.com/burdockspindle/burdockspindle/gateway/store"
 )
 
-// acceptingStore takes every append.
+// acceptingStore accepts every append.
 type acceptingStore struct{ store.Store }
 
 func (acceptingStore) AppendAt(context.Context, store.Topic, store.Offset, store.Record) error {
 	return nil
 }
 
-// conflictingStore has the record of an append already: the answer to an earlier try
+// conflictingStore already has the record of an append: the response to an earlier attempt
 // was lost.
 type conflictingStore struct {
 	store.Store
@@ -37,22 +37,22 @@
 	return store.Batch{Records: []store.Record{s.record}}, nil
 }
 
-// Another node may have claimed between the try that took effect and the one that
-// tells of it: the lease counts from the first.
+// Another node may have claimed between the attempt that took effect and the one that
+// reveals it, so the lease is measured from the first attempt.
 func TestLeaseIsConfirmedAsOfTheFirstAttemptOfAnAppend(t *testing.T) {
 	g := gomega.NewWithT(t)
 	record := store.Record{Key: follow.HeartbeatKey, Value: []byte("x")}
 	d := New()
 	d.Store = conflictingStore{record: record}
-	firstTry := clock.Now().Add(-time.Second)
-	d.sendAppend(t.Context(), &pendingAppend{record: record, startedAt: firstTry})
+	firstAttempt := clock.Now().Add(-time.Second)
+	d.sendAppend(t.Context(), &pendingAppend{record: record, startedAt: firstAttempt})
 	result := <-d.appendResults
 	g.Expect(result.alreadyApplied).To(gomega.BeTrue())
-	g.Expect(result.startedAt).To(gomega.Equal(firstTry))
+	g.Expect(result.startedAt).To(gomega.Equal(firstAttempt))
 }
 
-// A lessor that gives its lease up while a grant is under way would leave the next
-// one in doubt of it, which then moves nothing for 3.6 s.
+// If a lessor resigned with a grant in flight, the outcome of the grant would be uncertain
+// to the next lessor, which then moves nothing for 3.6 s.
 func TestLessorWaitsForResponsesBeforeItResigns(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := clock.Now()
@@ -67,9 +67,9 @@
 	d.allocator.Done(call, ranges.Result{}, now)
 	d.step(t.Context(), now)
 	g.Expect(d.appending).NotTo(gomega.BeNil())
-	var beat follow.Heartbeat
-	g.Expect(json.Unmarshal(d.appending.record.Value, &beat)).To(gomega.Succeed())
-	g.Expect(beat.Resigned).To(gomega.BeTrue())
-	g.Expect(*beat.DoubtMs).To(gomega.BeZero())
-	g.Expect(time.Duration(beat.HeldMs) * time.Millisecond).To(gomega.BeNumerically(">", d.Timing.Hold))
+	var heartbeat follow.Heartbeat
+	g.Expect(json.Unmarshal(d.appending.record.Value, &heartbeat)).To(gomega.Succeed())
+	g.Expect(heartbeat.Resigned).To(gomega.BeTrue())
+	g.Expect(*heartbeat.DoubtMs).To(gomega.BeZero())
+	g.Expect(time.Duration(heartbeat.HeldMs) * time.Millisecond).To(gomega.BeNumerically(">", d.Timing.Hold))
 }
--- a/gateway/duty/shares.go
+++ b/gateway/duty/shares.go
@@ -8,13 +8,13 @@
 	"github.com/burdockspindle/burdockspindle/gateway/view"
 )
 
-// sharesResendInterval is how often shares that have not changed are told again. Nodes drop them
-// after router.ShareLife: a node that the lessor's news do not reach must not refuse by
-// old ones.
+// sharesResendInterval is the interval at which unchanged shares are sent again. Nodes drop
+// shares after router.ShareLife, so that a node that receives no updates from the lessor
+// does not refuse requests by outdated shares.
 const sharesResendInterval = 2 * time.Second
 
-// updateShares decides which part of the requests for servers' keys nodes may send, and
-// tells them.
+// updateShares decides which share of the requests for servers' keys nodes may send, and
+// sends the shares when they have changed or are due again.
 func (d *Duty) updateShares(now time.Time) {
 	if d.allocator == nil || now.Before(d.nextShares) {
 		return
@@ -32,7 +32,7 @@
 	}
 }
 
-// smallestShare returns the server with the least share; empty if none has one.
+// smallestShare returns the server with the smallest share, or "" if there are no shares.
 func smallestShare(shares quota.Shares) site.ServerID {
 	var smallest site.ServerID
 	for id, share := range shares {
--- a/gateway/duty/yield_test.go
+++ b/gateway/duty/yield_test.go
@@ -12,8 +12,8 @@
 	"github.com/burdockspindle/burdockspindle/gateway/view"
 )
 
-// Of 295 nodes 15 are strong. Seeds are the first to read the store, and may be weak:
-// the lease then goes to a strong node, once.
+// On a site of 295 nodes, 15 have much capacity. Seeds are the first to read the store and
+// may have little; the lease then moves once, to a node with much capacity.
 func TestLessorYieldsToANodeWithMoreCapacity(t *testing.T) {
 	g := gomega.NewWithT(t)
 	start := time.Unix(1000, 0)
@@ -37,13 +37,13 @@
 		return d.yielding
 	}
 	g.Expect(yields(lessorOf(0.03, 0.03, 0.8), minLeaseBeforeYield)).To(gomega.BeTrue())
-	g.Expect(yields(lessorOf(0.03, 0.8), minLeaseBeforeYield-1)).To(gomega.BeFalse(), "the others may not have told of themselves yet")
-	g.Expect(yields(lessorOf(0.32, 0.32, 0.5), minLeaseBeforeYield)).To(gomega.BeFalse(), "about as strong")
-	g.Expect(yields(lessorOf(0, 0), minLeaseBeforeYield)).To(gomega.BeFalse(), "nobody's strength is known")
+	g.Expect(yields(lessorOf(0.03, 0.8), minLeaseBeforeYield-1)).To(gomega.BeFalse(), "the other members may not have reported their capacity yet")
+	g.Expect(yields(lessorOf(0.32, 0.32, 0.5), minLeaseBeforeYield)).To(gomega.BeFalse(), "similar capacity")
+	g.Expect(yields(lessorOf(0, 0), minLeaseBeforeYield)).To(gomega.BeFalse(), "no member's capacity is known")
 
 	d := lessorOf(0.03, 0.8)
 	g.Expect(yields(d, minLeaseBeforeYield)).To(gomega.BeTrue())
 	d.endLease()
 	g.Expect(d.yielding).To(gomega.BeFalse())
-	g.Expect(yields(d, 2*minLeaseBeforeYield+resignedClaimPause)).To(gomega.BeFalse(), "it had to claim again: the strong one cannot take the lease")
+	g.Expect(yields(d, 2*minLeaseBeforeYield+resignedClaimPause)).To(gomega.BeFalse(), "it had to claim again: the node with more capacity cannot take the lease")
 }
