--- a/gateway/replay/agenda.go
+++ b/gateway/replay/agenda.go
@@ -6,42 +6,42 @@
 )
 
 type event struct {
-	at time.Time
-	do func()
+	at  time.Time
+	run func()
 }
 
-// agenda holds what is to come, the next first.
-type agenda []event
+// eventQueue holds what is to come, the next first.
+type eventQueue []event
 
-func (a agenda) Len() int           { return len(a) }
-func (a agenda) Less(i, j int) bool { return a[i].at.Before(a[j].at) }
-func (a agenda) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (q eventQueue) Len() int           { return len(q) }
+func (q eventQueue) Less(i, j int) bool { return q[i].at.Before(q[j].at) }
+func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
 
 // Push implements heap.Interface.
-func (a *agenda) Push(x any) {
+func (q *eventQueue) Push(x any) {
 	if e, isEvent := x.(event); isEvent {
-		*a = append(*a, e)
+		*q = append(*q, e)
 	}
 }
 
 // Pop implements heap.Interface.
-func (a *agenda) Pop() any {
-	last := (*a)[len(*a)-1]
-	*a = (*a)[:len(*a)-1]
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-// at has something done after a while.
-func (r *replay) at(after time.Duration, do func()) {
-	heap.Push(&r.agenda, event{at: r.now.Add(after), do: do})
+// schedule has something done after a while.
+func (r *replay) schedule(delay time.Duration, run func()) {
+	heap.Push(&r.events, event{at: r.now.Add(delay), run: run})
 }
 
-// runAll does all that is to come, and what that brings.
-func (r *replay) runAll() {
-	for len(r.agenda) > 0 {
-		next := r.agenda[0]
-		heap.Pop(&r.agenda)
+// runEvents does all that is to come, and what that brings.
+func (r *replay) runEvents() {
+	for len(r.events) > 0 {
+		next := r.events[0]
+		heap.Pop(&r.events)
 		r.now = next.at
-		next.do()
+		next.run()
 	}
 }
--- a/gateway/replay/caller.go
+++ b/gateway/replay/caller.go
@@ -8,37 +8,37 @@
 
 // caller is who waits for an answer, over all of its retries.
 type caller struct {
-	arrived  time.Time
-	priority int
-	retries  int // left
-	atOnce   bool
+	arrived       time.Time
+	priority      int
+	retriesLeft   int // left
+	retriesAtOnce bool
 }
 
 const (
-	// atOnceFactor is how much more often those return who return at once.
-	atOnceFactor = 4
-	// atOnceGap is what a new connection takes.
-	atOnceGap = 5 * time.Millisecond
-	// honoured is the part of the time left up to which callers wait as told.
-	honoured = 3
+	// immediateRetryFactor is how much more often those return who return at once.
+	immediateRetryFactor = 4
+	// immediateRetryDelay is what a new connection takes.
+	immediateRetryDelay = 5 * time.Millisecond
+	// maxRetryAfterDivisor is the part of the time left up to which callers wait as told.
+	maxRetryAfterDivisor = 3
 	// serverRetryAfter is what callers are told whose request servers refused.
 	serverRetryAfter = 100 * time.Millisecond
-	// mostSends is how often a node sends one request at most.
-	mostSends = 3
+	// maxSends is how often a node sends one request at most.
+	maxSends = 3
 )
 
-// comeBack has a refused caller ask again if it has retries and time left.
-func (r *replay) comeBack(c caller, retryAfter time.Duration) {
+// retryLater has a refused caller ask again if it has retries and time left.
+func (r *replay) retryLater(c caller, retryAfter time.Duration) {
 	left := c.arrived.Add(r.Patient).Sub(r.now)
-	if c.retries == 0 || left <= 0 {
+	if c.retriesLeft == 0 || left <= 0 {
 		return
 	}
-	c.retries--
-	wait := min(retryAfter, left/honoured)
-	if c.atOnce {
-		wait = atOnceGap
+	c.retriesLeft--
+	wait := min(retryAfter, left/maxRetryAfterDivisor)
+	if c.retriesAtOnce {
+		wait = immediateRetryDelay
 	}
-	r.at(wait, func() { r.ask(c) })
+	r.schedule(wait, func() { r.sendRequest(c) })
 }
 
 // newBudget returns a node's budget of resends, or nil.
@@ -52,19 +52,19 @@
 // resend sends a request that has not run to another server if the node may, and
 // tells the caller to come back otherwise.
 func (r *replay) resend(ended *request) {
-	if !r.mayResend(ended) {
-		r.comeBack(ended.caller, serverRetryAfter)
+	if !r.canResend(ended) {
+		r.retryLater(ended.caller, serverRetryAfter)
 		return
 	}
 	again := *ended
 	w := *ended.waiter
 	w.Not = append(append(w.Not[:0:0], w.Not...), ended.id)
 	again.waiter = &w
-	r.place(&again)
+	r.admit(&again)
 }
 
-func (r *replay) mayResend(ended *request) bool {
-	if r.Resends == nil || ended.sends >= mostSends || r.now.Sub(ended.arrived) >= r.Patient {
+func (r *replay) canResend(ended *request) bool {
+	if r.Resends == nil || ended.sends >= maxSends || r.now.Sub(ended.arrived) >= r.Patient {
 		return false
 	}
 	return r.Policy == NoBudget || r.budgets[ended.node].Spend(r.Nodes, r.now)
--- a/gateway/replay/replay.go
+++ b/gateway/replay/replay.go
@@ -32,23 +32,23 @@
 	Load
 	servers []server
 	// arrivals is apart so that every policy has the same callers.
-	arrivals *rand.Rand
-	random   *rand.Rand
-	start    time.Time
-	zones    []string
-	now      time.Time
-	agenda   agenda
-	pools    []*pool.Pool
-	budgets  []*budget.Budget
-	waiting  map[*pool.Waiter]*request
-	wakes    map[int]time.Time // by node
-	result   Result
-	lessor   lessor
+	arrivals   *rand.Rand
+	random     *rand.Rand
+	start      time.Time
+	zones      []string
+	now        time.Time
+	events     eventQueue
+	pools      []*pool.Pool
+	budgets    []*budget.Budget
+	waiting    map[*pool.Waiter]*request
+	nextRoomAt map[int]time.Time // by node
+	result     Result
+	lessor     lessor
 }
 
 // Run replays a load.
 func Run(l Load, seed uint64) Result {
-	r := &replay{Load: l, arrivals: rand.New(rand.NewPCG(seed, seed)), random: rand.New(rand.NewPCG(seed, seed+1)), start: Start(), zones: Zones(), now: Start(), waiting: map[*pool.Waiter]*request{}, wakes: map[int]time.Time{}}
+	r := &replay{Load: l, arrivals: rand.New(rand.NewPCG(seed, seed)), random: rand.New(rand.NewPCG(seed, seed+1)), start: Start(), zones: Zones(), now: Start(), waiting: map[*pool.Waiter]*request{}, nextRoomAt: map[int]time.Time{}}
 	for _, s := range l.Servers {
 		r.servers = append(r.servers, server{Server: s})
 	}
@@ -56,51 +56,51 @@
 		r.pools = append(r.pools, pool.New(r.zones[i%len(r.zones)], 0, rand.New(rand.NewPCG(uint64(i), 1))))
 		r.budgets = append(r.budgets, r.newBudget())
 	}
-	r.register()
+	r.updatePools()
 	for i, s := range r.servers {
 		if s.CrashEvery > 0 {
-			r.at(s.CrashEvery, func() { r.crash(i) })
+			r.schedule(s.CrashEvery, func() { r.crash(i) })
 		}
 	}
-	r.at(0, r.arrive)
+	r.schedule(0, r.addCaller)
 	if r.SaidToRun > 0 && r.Policy != NoShares {
 		r.lessor.quota = quota.New()
-		r.at(shareEvery, r.decideShares)
+		r.schedule(shareInterval, r.updateShares)
 	}
-	r.runAll()
+	r.runEvents()
 	return r.result
 }
 
-// arrive lets a caller come, and the next one after it.
-func (r *replay) arrive() {
+// addCaller lets a caller come, and the next one after it.
+func (r *replay) addCaller() {
 	elapsed := r.now.Sub(r.start)
 	if elapsed > r.Length {
 		return
 	}
 	gap := r.arrivals.ExpFloat64() / r.Rate(elapsed)
-	r.at(time.Duration(gap*float64(time.Second)), r.arrive)
+	r.schedule(time.Duration(gap*float64(time.Second)), r.addCaller)
 	r.result.Asked++
-	c := caller{arrived: r.now, retries: r.Callers.Retries}
+	c := caller{arrived: r.now, retriesLeft: r.Callers.Retries}
 	if r.LessUrgent > 0 && r.arrivals.Float64() < r.LessUrgent {
 		c.priority = 1
 	} else {
 		r.result.Urgent++
 	}
 	if r.Callers.AtOnce > 0 && r.arrivals.Float64() < r.Callers.AtOnce {
-		c.atOnce = true
-		c.retries *= atOnceFactor
+		c.retriesAtOnce = true
+		c.retriesLeft *= immediateRetryFactor
 	}
-	r.ask(c)
+	r.sendRequest(c)
 }
 
-// ask has a caller send its request to a node.
-func (r *replay) ask(c caller) {
+// sendRequest has a caller send its request to a node.
+func (r *replay) sendRequest(c caller) {
 	r.lessor.asked++
-	next := &request{caller: c, waiter: r.newWaiter(c), node: r.random.IntN(r.Nodes)}
+	req := &request{caller: c, waiter: r.newWaiter(c), node: r.random.IntN(r.Nodes)}
 	if r.Resends != nil {
-		r.budgets[next.node].Request(r.Nodes, r.now)
+		r.budgets[req.node].Request(r.Nodes, r.now)
 	}
-	r.place(next)
+	r.admit(req)
 }
 
 // newWaiter returns what the pool is told of a request.
@@ -119,66 +119,66 @@
 	return w
 }
 
-// place finds a server for a request, or has it wait or refused.
-func (r *replay) place(next *request) {
+// admit finds a server for a request, or has it wait or refused.
+func (r *replay) admit(req *request) {
 	if r.Policy == Blind {
-		next.server = r.random.IntN(len(r.servers))
-		r.reach(next)
+		req.server = r.random.IntN(len(r.servers))
+		r.receive(req)
 		return
 	}
-	admission, refusal := r.pools[next.node].Ask(next.waiter, r.now)
+	admission, refusal := r.pools[req.node].Ask(req.waiter, r.now)
 	switch {
 	case refusal != nil:
 		r.result.Refused++
-		r.comeBack(next.caller, refusal.RetryAfter)
+		r.retryLater(req.caller, refusal.RetryAfter)
 	case admission != nil:
-		r.send(next, admission.Server)
+		r.send(req, admission.Server)
 	default:
-		r.waiting[next.waiter] = next
-		r.leaveInTime(next)
-		r.wakeAtNextRoom(next.node)
+		r.waiting[req.waiter] = req
+		r.scheduleTimeout(req)
+		r.scheduleNextRoom(req.node)
 	}
 }
 
-// leaveInTime has a caller leave when its time is over.
-func (r *replay) leaveInTime(next *request) {
-	r.at(next.arrived.Add(r.Patient).Sub(r.now), func() {
-		if r.waiting[next.waiter] == next {
-			delete(r.waiting, next.waiter)
-			r.pools[next.node].Leave(next.waiter)
-			r.leave(next)
+// scheduleTimeout has a caller leave when its time is over.
+func (r *replay) scheduleTimeout(req *request) {
+	r.schedule(req.arrived.Add(r.Patient).Sub(r.now), func() {
+		if r.waiting[req.waiter] == req {
+			delete(r.waiting, req.waiter)
+			r.pools[req.node].Leave(req.waiter)
+			r.countTimeout(req)
 		}
 	})
 }
 
-// leave counts a caller that has left.
-func (r *replay) leave(left *request) {
+// countTimeout counts a caller that has left.
+func (r *replay) countTimeout(req *request) {
 	r.result.Left++
-	r.result.Unserved += min(r.Patient, r.now.Sub(left.waiter.Since))
+	r.result.Unserved += min(r.Patient, r.now.Sub(req.waiter.Since))
 }
 
-// wakeAtNextRoom has what waits for the end of a pause sent then.
-func (r *replay) wakeAtNextRoom(node int) {
+// scheduleNextRoom has what waits for the end of a pause sent then.
+func (r *replay) scheduleNextRoom(node int) {
 	p := r.pools[node]
 	at, waits := p.NextRoom(r.now)
-	if !waits || r.wakes[node].After(r.now) && !at.Before(r.wakes[node]) {
+	if !waits || r.nextRoomAt[node].After(r.now) && !at.Before(r.nextRoomAt[node]) {
 		return
 	}
-	r.wakes[node] = at
-	r.at(at.Sub(r.now), func() { r.deliver(node, p.Admit(r.now)) })
+	r.nextRoomAt[node] = at
+	r.schedule(at.Sub(r.now), func() { r.deliver(node, p.Admit(r.now)) })
 }
 
 // deliver sends what has got a place and drops what waits in vain.
 func (r *replay) deliver(node int, admissions []pool.Admission) {
 	for _, a := range admissions {
-		next := r.waiting[a.Waiter]
+		req := r.waiting[a.Waiter]
 		delete(r.waiting, a.Waiter)
-		r.send(next, a.Server)
+		r.send(req, a.Server)
 	}
 	if r.Policy != NoEviction {
 		r.evict(node)
 	}
-	r.wakeAtNextRoom(node)
+	r.scheduleNextRoom(node)
 }
 
 // evict refuses what waits in vain.
@@ -188,33 +188,33 @@
 		delete(r.waiting, e.Waiter)
 		r.result.Refused++
 		r.result.Unserved += r.now.Sub(e.Waiter.Since)
-		r.comeBack(evicted.caller, e.Refusal.RetryAfter)
+		r.retryLater(evicted.caller, e.Refusal.RetryAfter)
 	}
 }
 
-func (r *replay) send(next *request, to site.Server) {
+func (r *replay) send(req *request, to site.Server) {
 	for i := range r.servers {
 		if serverID(i).Name() == to.ID.Name() || strings.HasPrefix(string(to.ID), string(serverID(i))+"-") {
-			next.server = i
-			next.id = to.ID
+			req.server = i
+			req.id = to.ID
 		}
 	}
-	r.reach(next)
+	r.receive(req)
 }
 
-// finish tells the node how a request ended at a server.
-func (r *replay) finish(ended *request, outcome pool.Outcome) {
+// complete tells the node how a request ended at a server.
+func (r *replay) complete(ended *request, outcome pool.Outcome) {
 	if r.Policy != Blind {
-		r.deliver(ended.node, r.pools[ended.node].Done(ended.id, r.told(outcome), r.now))
+		r.deliver(ended.node, r.pools[ended.node].Done(ended.id, r.reportedOutcome(outcome), r.now))
 	}
 	if outcome.NoRoom || outcome.NotReached {
 		r.resend(ended)
 	}
 }
 
-// told returns what the pool hears of an outcome. For AtLeastOne it hears nothing by
+// reportedOutcome returns what the pool hears of an outcome. For AtLeastOne it hears nothing by
 // which it would change a limit.
-func (r *replay) told(outcome pool.Outcome) pool.Outcome {
+func (r *replay) reportedOutcome(outcome pool.Outcome) pool.Outcome {
 	if r.Policy != AtLeastOne {
 		return outcome
 	}
--- a/gateway/replay/replay_test.go
+++ b/gateway/replay/replay_test.go
@@ -30,7 +30,7 @@
 	return replay.Run(l, seed)
 }
 
-func TestTheSameSeedGivesTheSameFigures(t *testing.T) {
+func TestSameSeedGivesSameResult(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := scenario(t, "outage")
 	g.Expect(replay.Run(l, 5)).To(gomega.Equal(replay.Run(l, 5)))
@@ -57,7 +57,7 @@
 }
 
 // Each decision against the decision left out, where it is to gain.
-func TestDecisionsGain(t *testing.T) {
+func TestEachDecisionImprovesTheResult(t *testing.T) {
 	cases := []struct {
 		scenario string
 		without  replay.Policy
@@ -96,7 +96,7 @@
 }
 
 // Eviction serves no more; it tells those early who get nothing.
-func TestEvictionTellsEarly(t *testing.T) {
+func TestEvictionRefusesEarly(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := scenario(t, "burst")
 	for _, seed := range seeds {
@@ -122,7 +122,7 @@
 
 // Those who come back get an answer more often, and those who come back at once
 // make more work for nodes.
-func TestCallersComeBack(t *testing.T) {
+func TestRetriesIncreaseAnswersAndLoad(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := scenario(t, "burst")
 	l.Callers = replay.Callers{}
@@ -139,7 +139,7 @@
 // Whatever servers do, callers are better served than by a random server at once. Where all
 // servers refused at random and did not tell their load the pool once answered 30 % in time
 // and blind choice 67 %.
-func TestThePoolIsNeverWorseThanBlindChoice(t *testing.T) {
+func TestPoolIsNeverWorseThanRandomChoice(t *testing.T) {
 	for _, s := range replay.Scenarios() {
 		if !slices.Contains(s.Policies, replay.Blind) {
 			continue
--- a/gateway/replay/scenarios.go
+++ b/gateway/replay/scenarios.go
@@ -17,9 +17,9 @@
 
 // Times of the scenarios.
 const (
-	length  = 20 * time.Second
-	target  = 300 * time.Millisecond
-	patient = 2 * time.Second
+	length        = 20 * time.Second
+	target        = 300 * time.Millisecond
+	callerTimeout = 2 * time.Second
 )
 
 // Scenarios returns every scenario, by the decision that it is for.
@@ -48,7 +48,7 @@
 }
 
 func base() Load {
-	return Load{Nodes: 8, Servers: Eight(), Rate: Steady(320), Length: length, Target: target, Patient: patient}
+	return Load{Nodes: 8, Servers: Eight(), Rate: Steady(320), Length: length, Target: target, Patient: callerTimeout}
 }
 
 func unlikeSpeeds() Scenario {
@@ -60,8 +60,8 @@
 	return &budget.Terms{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}
 }
 
-// third applies a fault to the first third of the servers.
-func third(servers []Server, fault func(*Server)) {
+// faultThird applies a fault to the first third of the servers.
+func faultThird(servers []Server, fault func(*Server)) {
 	for i := range 3 {
 		fault(&servers[i])
 	}
@@ -69,7 +69,7 @@
 
 func shedding() Scenario {
 	l := base()
-	third(l.Servers, func(s *Server) { s.Sheds = 0.5 })
+	faultThird(l.Servers, func(s *Server) { s.Sheds = 0.5 })
 	l.Rate = Steady(150)
 	l.Resends = resends()
 	return Scenario{Name: "shedding", Description: "a third of the servers refuse half of what they get", Policies: []Policy{Pooled, Blind}, Load: l}
@@ -89,7 +89,7 @@
 
 func hanging() Scenario {
 	l := base()
-	third(l.Servers, func(s *Server) { s.Hangs = 0.5 })
+	faultThird(l.Servers, func(s *Server) { s.Hangs = 0.5 })
 	l.Rate = Steady(120)
 	return Scenario{Name: "hanging", Description: "a third of the servers never answer half of what they get", Policies: []Policy{Pooled, Blind}, Load: l}
 }
--- a/gateway/replay/server.go
+++ b/gateway/replay/server.go
@@ -15,26 +15,26 @@
 	running, waiting int
 	backlog          []*request
 	isDown           bool
-	starts           int // runs that have ended
-	inRun            []*request
+	crashes          int // runs that have ended
+	inFlight         []*request
 }
 
 // coldFactor is how much longer work takes at a cold server.
 const coldFactor = 2
 
-// registerLag is how long after its start nodes see a run.
-const registerLag = 300 * time.Millisecond
+// registryDelay is how long after its start nodes see a run.
+const registryDelay = 300 * time.Millisecond
 
 // ServerID names the first run of a server of a load.
 func ServerID(i int) site.ServerID { return serverID(i) }
 
 func serverID(i int) site.ServerID { return site.ServerID(fmt.Sprintf("s%02d", i)) }
 
-// register has every pool see the present runs.
-func (r *replay) register() {
+// updatePools has every pool see the present runs.
+func (r *replay) updatePools() {
 	var list []site.Server
 	for i, s := range r.servers {
-		list = append(list, site.Server{ID: r.runID(i), Zone: s.Zone, Slots: s.Slots, WarmUp: s.Cold})
+		list = append(list, site.Server{ID: r.currentID(i), Zone: s.Zone, Slots: s.Slots, WarmUp: s.Cold})
 	}
 	for i, p := range r.pools {
 		p.Update(list, r.Nodes, r.now)
@@ -42,9 +42,9 @@
 	}
 }
 
-// runID names the present run of a server.
-func (r *replay) runID(i int) site.ServerID {
-	runs := r.servers[i].starts
+// currentID names the present run of a server.
+func (r *replay) currentID(i int) site.ServerID {
+	runs := r.servers[i].crashes
 	switch {
 	case runs == 0:
 		return serverID(i)
@@ -57,93 +57,93 @@
 // crash ends a server with the requests that it has.
 func (r *replay) crash(i int) {
 	s := &r.servers[i]
-	lost := slices.Concat(s.inRun, s.backlog)
-	s.inRun, s.backlog, s.running, s.waiting = nil, nil, 0, 0
+	lost := slices.Concat(s.inFlight, s.backlog)
+	s.inFlight, s.backlog, s.running, s.waiting = nil, nil, 0, 0
 	s.isDown = true
-	s.starts++
+	s.crashes++
 	for _, ended := range lost {
 		r.result.Lost++
-		r.finish(ended, pool.Outcome{Failed: true, Reset: true, Took: r.now.Sub(ended.sent)})
+		r.complete(ended, pool.Outcome{Failed: true, Reset: true, Took: r.now.Sub(ended.sent)})
 	}
-	r.at(s.Down, func() { s.isDown = false })
-	r.at(s.Down+registerLag, r.register)
+	r.schedule(s.Down, func() { s.isDown = false })
+	r.schedule(s.Down+registryDelay, r.updatePools)
 	if r.now.Sub(r.start) < r.Length {
-		r.at(s.CrashEvery, func() { r.crash(i) })
+		r.schedule(s.CrashEvery, func() { r.crash(i) })
 	}
 }
 
-// reach has a request come to its server.
-func (r *replay) reach(next *request) {
-	s := &r.servers[next.server]
-	next.sent = r.now
-	next.sends++
+// receive has a request come to its server.
+func (r *replay) receive(req *request) {
+	s := &r.servers[req.server]
+	req.sent = r.now
+	req.sends++
 	r.result.Sends++
-	if s.Zone != r.zones[next.node%len(r.zones)] {
+	if s.Zone != r.zones[req.node%len(r.zones)] {
 		r.result.CrossZone++
 	}
 	switch {
 	case s.isDown:
 		r.result.NotReached++
-		r.finish(next, pool.Outcome{Failed: true, NotReached: true})
+		r.complete(req, pool.Outcome{Failed: true, NotReached: true})
 	case s.Hangs > 0 && r.random.Float64() < s.Hangs:
 		r.result.Hung++
-		r.at(r.Patient-r.now.Sub(next.arrived), func() {
-			r.finish(next, pool.Outcome{Abandoned: true, Took: r.now.Sub(next.sent)})
+		r.schedule(r.Patient-r.now.Sub(req.arrived), func() {
+			r.complete(req, pool.Outcome{Abandoned: true, Took: r.now.Sub(req.sent)})
 		})
 	case r.random.Float64() < s.Sheds:
-		r.shed(next)
+		r.shed(req)
 	case s.running < s.Slots:
-		r.run(next)
+		r.run(req)
 	case s.waiting < s.Queue:
 		s.waiting++
-		s.backlog = append(s.backlog, next)
+		s.backlog = append(s.backlog, req)
 	default:
-		r.overflow(next)
+		r.overflow(req)
 	}
 }
 
 // shed ends a request at a server that refuses it although it has room.
-func (r *replay) shed(next *request) {
+func (r *replay) shed(req *request) {
 	r.result.Shed++
-	s := &r.servers[next.server]
+	s := &r.servers[req.server]
 	outcome := pool.Outcome{NoRoom: true}
 	if s.ShedsWithLoad {
 		outcome.Load = &site.Load{Running: s.running, Waiting: s.waiting, Slots: s.Slots}
 	}
-	r.finish(next, outcome)
+	r.complete(req, outcome)
 }
 
 // overflow ends a request at a full server.
-func (r *replay) overflow(next *request) {
+func (r *replay) overflow(req *request) {
 	r.result.Overflow++
-	if r.servers[next.server].Resets {
+	if r.servers[req.server].Resets {
 		r.result.Lost++
-		r.finish(next, pool.Outcome{Failed: true, Reset: true})
+		r.complete(req, pool.Outcome{Failed: true, Reset: true})
 		return
 	}
-	r.finish(next, pool.Outcome{NoRoom: true})
+	r.complete(req, pool.Outcome{NoRoom: true})
 }
 
 // run has a request take a slot of its server.
-func (r *replay) run(next *request) {
-	s := &r.servers[next.server]
+func (r *replay) run(req *request) {
+	s := &r.servers[req.server]
 	s.running++
-	s.inRun = append(s.inRun, next)
-	runs := s.starts
+	s.inFlight = append(s.inFlight, req)
+	runs := s.crashes
 	work := float64(s.Work) * (0.5 + r.random.Float64())
 	if r.now.Sub(r.start) < s.Cold {
 		work *= coldFactor
 	}
-	r.at(time.Duration(work), func() {
-		if s.starts == runs { // else it was lost
-			r.end(next, s)
+	r.schedule(time.Duration(work), func() {
+		if s.crashes == runs { // else it was lost
+			r.finishWork(req, s)
 		}
 	})
 }
 
-// end lets a request leave its slot, and the next one have it.
-func (r *replay) end(ended *request, s *server) {
-	s.inRun = slices.DeleteFunc(s.inRun, func(other *request) bool { return other == ended })
+// finishWork lets a request leave its slot, and the next one have it.
+func (r *replay) finishWork(ended *request, s *server) {
+	s.inFlight = slices.DeleteFunc(s.inFlight, func(other *request) bool { return other == ended })
 	loadNow := site.Load{Running: s.running, Waiting: s.waiting, Slots: s.Slots}
 	r.lessor.present += loadNow.Total()
 	r.lessor.answers++
@@ -155,7 +155,7 @@
 		r.run(next)
 	}
 	r.count(ended)
-	r.finish(ended, pool.Outcome{Took: r.now.Sub(ended.sent), Load: &loadNow})
+	r.complete(ended, pool.Outcome{Took: r.now.Sub(ended.sent), Load: &loadNow})
 }
 
 // count takes the answer of a request into the result.
--- a/gateway/replay/shares.go
+++ b/gateway/replay/shares.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// shareEvery is how often the lessor decides shares.
-	shareEvery = quota.Round
+	// shareInterval is how often the lessor decides shares.
+	shareInterval = quota.Round
 	// shareDelay is how long reports and what the lessor makes of them are on their way.
 	shareDelay = 800 * time.Millisecond
 )
@@ -21,29 +21,29 @@
 	answers int
 }
 
-// decideShares has the lessor decide and tell, as long as requests come.
-func (r *replay) decideShares() {
+// updateShares has the lessor decide and tell, as long as requests come.
+func (r *replay) updateShares() {
 	if r.now.Sub(r.start) > r.Length {
 		return
 	}
 	s := r.servers[0]
-	told := quota.Server{
-		ID:      r.runID(0),
+	observed := quota.Server{
+		ID:      r.currentID(0),
 		Slots:   s.Slots,
-		Asked:   float64(r.lessor.asked) / shareEvery.Seconds(),
+		Asked:   float64(r.lessor.asked) / shareInterval.Seconds(),
 		Runs:    r.SaidToRun * float64(s.Slots) / s.Work.Seconds(),
 		Answers: r.lessor.answers,
 	}
-	if told.Answers > 0 {
-		told.Present = float64(r.lessor.present) / float64(told.Answers)
+	if observed.Answers > 0 {
+		observed.Present = float64(r.lessor.present) / float64(observed.Answers)
 	}
 	r.lessor.asked, r.lessor.present, r.lessor.answers = 0, 0, 0
-	if shares, changed := r.lessor.quota.Update([]quota.Server{told}, r.Nodes); changed {
-		r.at(shareDelay, func() {
+	if shares, changed := r.lessor.quota.Update([]quota.Server{observed}, r.Nodes); changed {
+		r.schedule(shareDelay, func() {
 			for _, p := range r.pools {
 				p.SetShares(shares, r.now.Add(r.Length))
 			}
 		})
 	}
-	r.at(shareEvery, r.decideShares)
+	r.schedule(shareInterval, r.updateShares)
 }
--- a/gateway/replay/shares_test.go
+++ b/gateway/replay/shares_test.go
@@ -9,14 +9,14 @@
 	"github.com/burdockspindle/burdockspindle/gateway/replay"
 )
 
-// onset is the time in which nodes do not know yet that an owner's keys are busy, and what
+// warmUpTime is the time in which nodes do not know yet that an owner's keys are busy, and what
 // came in it is worked off.
-const onset = 5 * time.Second
+const warmUpTime = 5 * time.Second
 
-// afterOnset returns what became of requests in the rest of a replay.
-func afterOnset(l replay.Load, seed uint64) replay.Result {
+// resultAfterWarmUp returns what became of requests in the rest of a replay.
+func resultAfterWarmUp(l replay.Load, seed uint64) replay.Result {
 	whole := replay.Run(l, seed)
-	l.Length = onset
+	l.Length = warmUpTime
 	before := replay.Run(l, seed)
 	return replay.Result{
 		InTime:   whole.InTime - before.InTime,
@@ -29,17 +29,17 @@
 // A busy owner is kept full by nodes that each see it once in seconds, and its queue stays
 // so short that most is answered in time. The aim is nine tenths of what it can run, and
 // eight if it is said to run a quarter more or less than it does; six of them in time.
-func TestSharesKeepABusyOwnerFull(t *testing.T) {
+func TestSharesKeepABusyOwnerUtilized(t *testing.T) {
 	for _, name := range []string{"busy-owner-21", "busy-owner-64", "busy-owner-295", "overused-owner-21", "overused-owner-64", "overused-owner-295"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			l := scenario(t, name)
-			runs := 15 * (l.Length - onset).Seconds()
+			runs := 15 * (l.Length - warmUpTime).Seconds()
 			for _, said := range []float64{0.8, 1, 1.25} {
 				l.SaidToRun = said
 				total, inTime := 0.0, 0.0
 				for seed := range uint64(6) {
-					result := afterOnset(l, seed)
+					result := resultAfterWarmUp(l, seed)
 					total += float64(result.InTime+result.Late) / runs / 6
 					inTime += float64(result.InTime) / runs / 6
 				}
@@ -57,13 +57,13 @@
 }
 
 // The aim is that one in fifty requests arrives at a full owner.
-func TestAnOwnerWithAShareIsNotOverfilled(t *testing.T) {
+func TestOwnerWithAShareRarelyOverflows(t *testing.T) {
 	for _, name := range []string{"busy-owner-64", "busy-owner-295", "overused-owner-64", "overused-owner-295"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			full, sends := 0, 0
 			for seed := range uint64(6) {
-				result := afterOnset(scenario(t, name), seed)
+				result := resultAfterWarmUp(scenario(t, name), seed)
 				full += result.Overflow
 				sends += result.Sends
 			}
