--- a/gateway/replay/caller.go
+++ b/gateway/replay/caller.go
@@ -6,28 +6,30 @@
 	"github.com/burdockspindle/burdockspindle/gateway/budget"
 )
 
-// caller is who waits for an answer, over all of its retries.
+// caller waits for an answer to its request, over all of its retries.
 type caller struct {
 	arrived       time.Time
 	priority      int
-	retriesLeft   int // left
+	retriesLeft   int // that are left
 	retriesAtOnce bool
 }
 
 const (
-	// immediateRetryFactor is how much more often those return who return at once.
+	// immediateRetryFactor is how many times more retries callers have that retry
+	// immediately.
 	immediateRetryFactor = 4
-	// immediateRetryDelay is what a new connection takes.
+	// immediateRetryDelay is the time for a new connection.
 	immediateRetryDelay = 5 * time.Millisecond
-	// maxRetryAfterDivisor is the part of the time left up to which callers wait as told.
+	// maxRetryAfterDivisor limits the retry delay that callers accept: the time left until
+	// their timeout divided by it.
 	maxRetryAfterDivisor = 3
-	// serverRetryAfter is what callers are told whose request servers refused.
+	// serverRetryAfter is the retry delay for callers whose request was refused by servers.
 	serverRetryAfter = 100 * time.Millisecond
 	// maxSends is how often a node sends one request at most.
 	maxSends = 3
 )
 
-// retryLater has a refused caller ask again if it has retries and time left.
+// retryLater schedules the retry of a refused caller that has retries and time left.
 func (r *replay) retryLater(c caller, retryAfter time.Duration) {
 	left := c.arrived.Add(r.Patient).Sub(r.now)
 	if c.retriesLeft == 0 || left <= 0 {
@@ -41,7 +43,7 @@
 	r.schedule(wait, func() { r.sendRequest(c) })
 }
 
-// newBudget returns a node's budget of resends, or nil.
+// newBudget returns a node's retry budget, or nil.
 func (r *replay) newBudget() *budget.Budget {
 	if r.Resends == nil {
 		return nil
@@ -49,8 +51,8 @@
 	return budget.New(*r.Resends)
 }
 
-// resend sends a request that has not run to another server if the node may, and
-// tells the caller to come back otherwise.
+// resend sends a request that has not run to another server if the node may resend, and has
+// the caller retry otherwise.
 func (r *replay) resend(ended *request) {
 	if !r.canResend(ended) {
 		r.retryLater(ended.caller, serverRetryAfter)
--- a/gateway/replay/agenda.go
+++ b/gateway/replay/events.go
@@ -10,7 +10,7 @@
 	run func()
 }
 
-// eventQueue holds what is to come, the next first.
+// eventQueue is a heap of the pending events, ordered by time.
 type eventQueue []event
 
 func (q eventQueue) Len() int           { return len(q) }
@@ -31,12 +31,12 @@
 	return last
 }
 
-// schedule has something done after a while.
+// schedule queues a function to run after a delay.
 func (r *replay) schedule(delay time.Duration, run func()) {
 	heap.Push(&r.events, event{at: r.now.Add(delay), run: run})
 }
 
-// runEvents does all that is to come, and what that brings.
+// runEvents runs all pending events in order, including those that are scheduled meanwhile.
 func (r *replay) runEvents() {
 	for len(r.events) > 0 {
 		next := r.events[0]
--- a/gateway/replay/pattern.go
+++ b/gateway/replay/pattern.go
@@ -2,8 +2,7 @@
 
 import "time"
 
-// Eight returns eight servers in three zones whose speeds differ by a factor of
-// two.
+// Eight returns eight servers in three zones whose speeds differ by a factor of two.
 func Eight() []Server {
 	var servers []Server
 	zones := Zones()
@@ -17,12 +16,12 @@
 	return servers
 }
 
-// Steady returns a rate that does not change.
+// Steady returns a constant rate.
 func Steady(rate float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return rate }
 }
 
-// Burst returns a rate that is higher for some time.
+// Burst returns a rate that is high between two times.
 func Burst(rate, high float64, from, to time.Duration) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		if at > from && at < to {
--- a/gateway/replay/replay.go
+++ b/gateway/replay/replay.go
@@ -14,24 +14,24 @@
 // Start is the simulated time at which every replay begins.
 func Start() time.Time { return time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC) }
 
-// Zones returns the zones in which nodes are, one after the other.
+// Zones returns the zones to which nodes are assigned in turn.
 func Zones() []string { return []string{"a", "b", "c"} }
 
-// request is one of a caller, or of its retries.
+// request is the request of a caller or one of its retries.
 type request struct {
 	caller
 	node   int
 	waiter *pool.Waiter
 	sent   time.Time
 	server int
-	id     site.ServerID // of the run that it was sent to
+	id     site.ServerID // of the incarnation that it was sent to
 	sends  int
 }
 
 type replay struct {
 	Load
 	servers []server
-	// arrivals is apart so that every policy has the same callers.
+	// arrivals is a separate source so that every policy has the same callers.
 	arrivals   *rand.Rand
 	random     *rand.Rand
 	start      time.Time
@@ -41,12 +41,12 @@
 	pools      []*pool.Pool
 	budgets    []*budget.Budget
 	waiting    map[*pool.Waiter]*request
-	nextRoomAt map[int]time.Time // by node
+	nextRoomAt map[int]time.Time // next scheduled admission, by node
 	result     Result
 	lessor     lessor
 }
 
-// Run replays a load.
+// Run replays a load with the random numbers of a seed.
 func Run(l Load, seed uint64) Result {
 	r := &replay{Load: l, arrivals: rand.New(rand.NewPCG(seed, seed)), random: rand.New(rand.NewPCG(seed, seed+1)), start: Start(), zones: Zones(), now: Start(), waiting: map[*pool.Waiter]*request{}, nextRoomAt: map[int]time.Time{}}
 	for _, s := range l.Servers {
@@ -71,7 +71,7 @@
 	return r.result
 }
 
-// addCaller lets a caller come, and the next one after it.
+// addCaller adds a caller and schedules the arrival of the next one.
 func (r *replay) addCaller() {
 	elapsed := r.now.Sub(r.start)
 	if elapsed > r.Length {
@@ -93,7 +93,7 @@
 	r.sendRequest(c)
 }
 
-// sendRequest has a caller send its request to a node.
+// sendRequest sends the request of a caller to a random node.
 func (r *replay) sendRequest(c caller) {
 	r.lessor.asked++
 	req := &request{caller: c, waiter: r.newWaiter(c), node: r.random.IntN(r.Nodes)}
@@ -103,7 +103,7 @@
 	r.admit(req)
 }
 
-// newWaiter returns what the pool is told of a request.
+// newWaiter returns the request as the pool sees it.
 func (r *replay) newWaiter(c caller) *pool.Waiter {
 	w := &pool.Waiter{Priority: c.priority, Since: r.now, Target: c.arrived.Add(r.Target), Deadline: c.arrived.Add(r.Patient)}
 	if r.Only {
@@ -119,7 +119,8 @@
 	return w
 }
 
-// admit finds a server for a request, or has it wait or refused.
+// admit asks the node's pool for a server. The pool admits the request, queues it or
+// refuses it.
 func (r *replay) admit(req *request) {
 	if r.Policy == Blind {
 		req.server = r.random.IntN(len(r.servers))
@@ -140,7 +141,7 @@
 	}
 }
 
-// scheduleTimeout has a caller leave when its time is over.
+// scheduleTimeout removes a caller from the queue of its node at its timeout.
 func (r *replay) scheduleTimeout(req *request) {
 	r.schedule(req.arrived.Add(r.Patient).Sub(r.now), func() {
 		if r.waiting[req.waiter] == req {
@@ -157,7 +158,7 @@
 	r.result.Unserved += min(r.Patient, r.now.Sub(req.waiter.Since))
 }
 
-// scheduleNextRoom has what waits for the end of a pause sent then.
+// scheduleNextRoom schedules the admission of waiting requests at the end of a pause.
 func (r *replay) scheduleNextRoom(node int) {
 	p := r.pools[node]
 	at, waits := p.NextRoom(r.now)
@@ -168,7 +169,7 @@
 	r.schedule(at.Sub(r.now), func() { r.deliver(node, p.Admit(r.now)) })
 }
 
-// deliver sends what has got a place and drops what waits in vain.
+// deliver sends admitted requests and evicts those that would wait in vain.
 func (r *replay) deliver(node int, admissions []pool.Admission) {
 	for _, a := range admissions {
 		req := r.waiting[a.Waiter]
@@ -181,7 +182,7 @@
 	r.scheduleNextRoom(node)
 }
 
-// evict refuses what waits in vain.
+// evict refuses requests that would wait in vain.
 func (r *replay) evict(node int) {
 	for _, e := range r.pools[node].Evict(r.now) {
 		evicted := r.waiting[e.Waiter]
@@ -202,7 +203,7 @@
 	r.receive(req)
 }
 
-// complete tells the node how a request ended at a server.
+// complete reports the outcome of a request at a server to the node.
 func (r *replay) complete(ended *request, outcome pool.Outcome) {
 	if r.Policy != Blind {
 		r.deliver(ended.node, r.pools[ended.node].Done(ended.id, r.reportedOutcome(outcome), r.now))
@@ -212,8 +213,8 @@
 	}
 }
 
-// reportedOutcome returns what the pool hears of an outcome. For AtLeastOne it hears nothing by
-// which it would change a limit.
+// reportedOutcome returns the outcome that the pool receives. With AtLeastOne it contains
+// nothing that would change a limit.
 func (r *replay) reportedOutcome(outcome pool.Outcome) pool.Outcome {
 	if r.Policy != AtLeastOne {
 		return outcome
--- a/gateway/replay/replay_test.go
+++ b/gateway/replay/replay_test.go
@@ -11,7 +11,7 @@
 	"github.com/burdockspindle/burdockspindle/gateway/replay"
 )
 
-// seeds are those of the comparisons.
+// seeds are the seeds of the comparisons.
 var seeds = []uint64{1, 2}
 
 func scenario(t *testing.T, name string) replay.Load {
@@ -37,7 +37,7 @@
 	g.Expect(replay.Run(l, 5)).NotTo(gomega.Equal(replay.Run(l, 6)))
 }
 
-// Every policy has the same callers, and a caller has one answer at most.
+// Every policy has the same callers, and each caller has at most one answer.
 func TestEveryPolicyHasTheSameCallers(t *testing.T) {
 	for _, s := range replay.Scenarios() {
 		t.Run(s.Name, func(t *testing.T) {
@@ -56,12 +56,12 @@
 	}
 }
 
-// Each decision against the decision left out, where it is to gain.
+// Compares the pool with a pool without one decision, in scenarios that need the decision.
 func TestEachDecisionImprovesTheResult(t *testing.T) {
 	cases := []struct {
 		scenario string
 		without  replay.Policy
-		gain     float64 // least ratio of answers in time
+		gain     float64 // minimum ratio of answers in time
 	}{
 		{"unlike-speeds", replay.Blind, 1.5},
 		{"shedding", replay.Blind, 1.04},
@@ -95,7 +95,7 @@
 	}
 }
 
-// Eviction serves no more; it tells those early who get nothing.
+// Eviction does not serve more requests; it refuses early those that would get no answer.
 func TestEvictionRefusesEarly(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := scenario(t, "burst")
@@ -106,7 +106,7 @@
 	}
 }
 
-// A node's resends stay within the budget of all nodes.
+// The resends of all nodes stay within their common budget.
 func TestResendsStayWithinTheBudget(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := scenario(t, "all-shedding")
@@ -120,25 +120,25 @@
 	}
 }
 
-// Those who come back get an answer more often, and those who come back at once
-// make more work for nodes.
+// Callers that retry get an answer more often, and callers that retry immediately add load
+// to nodes.
 func TestRetriesIncreaseAnswersAndLoad(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := scenario(t, "burst")
 	l.Callers = replay.Callers{}
-	leaving := replay.Run(l, 1)
+	withoutRetries := replay.Run(l, 1)
 	l.Callers = replay.Callers{Retries: 2}
-	waiting := replay.Run(l, 1)
+	withRetries := replay.Run(l, 1)
 	l.Callers = replay.Callers{Retries: 2, AtOnce: 0.3}
-	atOnce := replay.Run(l, 1)
-	g.Expect(waiting.InTime + waiting.Late).To(gomega.BeNumerically(">=", leaving.InTime+leaving.Late))
-	g.Expect(waiting.Refused).To(gomega.BeNumerically(">", leaving.Refused*2))
-	g.Expect(atOnce.Refused).To(gomega.BeNumerically(">", waiting.Refused))
+	immediate := replay.Run(l, 1)
+	g.Expect(withRetries.InTime + withRetries.Late).To(gomega.BeNumerically(">=", withoutRetries.InTime+withoutRetries.Late))
+	g.Expect(withRetries.Refused).To(gomega.BeNumerically(">", withoutRetries.Refused*2))
+	g.Expect(immediate.Refused).To(gomega.BeNumerically(">", withRetries.Refused))
 }
 
-// Whatever servers do, callers are better served than by a random server at once. Where all
-// servers refused at random and did not tell their load the pool once answered 30 % in time
-// and blind choice 67 %.
+// In every scenario the pool serves at least as many callers in time as the choice of a
+// random server. When all servers refused at random and did not report their load, the pool
+// once answered 30 % in time and the random choice 67 %.
 func TestPoolIsNeverWorseThanRandomChoice(t *testing.T) {
 	for _, s := range replay.Scenarios() {
 		if !slices.Contains(s.Policies, replay.Blind) {
--- a/gateway/replay/scenarios.go
+++ b/gateway/replay/scenarios.go
@@ -7,7 +7,7 @@
 	"github.com/burdockspindle/burdockspindle/gateway/budget"
 )
 
-// Scenario is a load with a name, and the decisions that it can be run without.
+// Scenario is a named load with the policies that apply to it.
 type Scenario struct {
 	Name        string
 	Description string
@@ -15,24 +15,24 @@
 	Load        Load
 }
 
-// Times of the scenarios.
+// Common times of the scenarios.
 const (
 	length        = 20 * time.Second
 	target        = 300 * time.Millisecond
 	callerTimeout = 2 * time.Second
 )
 
-// Scenarios returns every scenario, by the decision that it is for.
+// Scenarios returns every scenario, grouped by the decision that it tests.
 func Scenarios() []Scenario {
 	return []Scenario{
 		unlikeSpeeds(),
 		shedding(),
-		allShedding("all-shedding", "all servers refuse seven in ten of what they get, and tell their load", true),
-		allShedding("all-shedding-silent", "the same, but they do not tell their load", false),
+		allShedding("all-shedding", "all servers refuse seven in ten requests and report their load", true),
+		allShedding("all-shedding-silent", "all servers refuse seven in ten requests and do not report their load", false),
 		hanging(),
 		coldStart(),
 		burst(),
-		returning("clients-at-once", "the burst; three in ten callers return at once and often", Callers{Retries: 2, AtOnce: 0.3}),
+		returning("clients-at-once", "the burst; three in ten callers retry immediately and often", Callers{Retries: 2, AtOnce: 0.3}),
 		returning("resetting", "the burst; full servers reset connections, which loses the request", Callers{}, resets),
 		busyServer("busy-server-8", 8),
 		busyServer("busy-server-30", 30),
@@ -55,12 +55,12 @@
 	return Scenario{Name: "unlike-speeds", Description: "80 % of the capacity of servers whose speeds differ by a factor of two", Policies: []Policy{Pooled, Blind, FirstCome}, Load: base()}
 }
 
-// resends are what nodes may send beyond the first send of each request.
+// resends returns the budget of nodes for sends beyond the first send of each request.
 func resends() *budget.Terms {
 	return &budget.Terms{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}
 }
 
-// faultThird applies a fault to the first third of the servers.
+// faultThird applies a fault to the first three of the eight servers.
 func faultThird(servers []Server, fault func(*Server)) {
 	for i := range 3 {
 		fault(&servers[i])
@@ -72,7 +72,7 @@
 	faultThird(l.Servers, func(s *Server) { s.Sheds = 0.5 })
 	l.Rate = Steady(150)
 	l.Resends = resends()
-	return Scenario{Name: "shedding", Description: "a third of the servers refuse half of what they get", Policies: []Policy{Pooled, Blind}, Load: l}
+	return Scenario{Name: "shedding", Description: "a third of the servers refuse half of their requests", Policies: []Policy{Pooled, Blind}, Load: l}
 }
 
 func allShedding(name, description string, withLoad bool) Scenario {
@@ -91,7 +91,7 @@
 	l := base()
 	faultThird(l.Servers, func(s *Server) { s.Hangs = 0.5 })
 	l.Rate = Steady(120)
-	return Scenario{Name: "hanging", Description: "a third of the servers never answer half of what they get", Policies: []Policy{Pooled, Blind}, Load: l}
+	return Scenario{Name: "hanging", Description: "a third of the servers never answer half of their requests", Policies: []Policy{Pooled, Blind}, Load: l}
 }
 
 func coldStart() Scenario {
@@ -101,14 +101,14 @@
 	}
 	l.Rate = Steady(250)
 	l.Callers.Retries = 2
-	return Scenario{Name: "cold-start", Description: "nodes know nothing and servers take twice as long for 5 s", Policies: []Policy{Pooled, Blind, FirstCome, NoEviction}, Load: l}
+	return Scenario{Name: "cold-start", Description: "nodes have no measurements and servers take twice as long for 5 s", Policies: []Policy{Pooled, Blind, FirstCome, NoEviction}, Load: l}
 }
 
 func burst() Scenario {
-	return returning("burst", "one and a half times the capacity for 4 s, half of it less urgent; callers wait as told", Callers{Retries: 2})
+	return returning("burst", "one and a half times the capacity for 4 s, half of it less urgent; callers respect the retry delay", Callers{Retries: 2})
 }
 
-// returning is the burst with callers that return.
+// returning is the burst scenario with callers that retry.
 func returning(name, description string, callers Callers, changes ...func(*Load)) Scenario {
 	l := base()
 	l.Rate = Burst(250, 600, 5*time.Second, 9*time.Second)
@@ -129,15 +129,15 @@
 func busyServer(name string, nodes int) Scenario {
 	l := Load{Nodes: nodes, Rate: Steady(200), Length: length, Target: 1200 * time.Millisecond, Patient: 3 * time.Second, Only: true}
 	l.Servers = []Server{{Zone: "a", Slots: 6, Queue: 16, Work: 400 * time.Millisecond}}
-	return Scenario{Name: name, Description: "one server is wanted for 13 times what it can do", Policies: []Policy{Pooled, Blind, FirstCome, NoRefusal, NoEviction, AtLeastOne}, Load: l}
+	return Scenario{Name: name, Description: "demand for one server is 13 times its capacity", Policies: []Policy{Pooled, Blind, FirstCome, NoRefusal, NoEviction, AtLeastOne}, Load: l}
 }
 
-// busyOwner is a server whose keys are wanted for so many times what it can run, and whose
-// nodes are told a share of that. Callers come back once.
+// busyOwner has one server, whose keys have the given multiple of its capacity as demand,
+// and nodes that receive a share. Callers retry once.
 func busyOwner(name string, nodes int, times float64) Scenario {
 	l := Load{Nodes: nodes, Rate: Steady(15 * times), Length: length, Target: 1200 * time.Millisecond, Patient: 5 * time.Second, Only: true, SaidToRun: 1, Callers: Callers{Retries: 1}}
 	l.Servers = []Server{{Zone: "a", Slots: 6, Queue: 16, Work: 400 * time.Millisecond}}
-	return Scenario{Name: name, Description: fmt.Sprintf("one server is wanted for %v times what it can do, and nodes are told a share", times), Policies: []Policy{Pooled, Blind, NoShares}, Load: l}
+	return Scenario{Name: name, Description: fmt.Sprintf("demand for one server is %v times its capacity, and nodes receive a share", times), Policies: []Policy{Pooled, Blind, NoShares}, Load: l}
 }
 
 func outage() Scenario {
@@ -150,5 +150,5 @@
 	l.Length = 15 * time.Second
 	l.Callers = Callers{Retries: 3, AtOnce: 0.3}
 	l.Resends = resends()
-	return Scenario{Name: "outage", Description: "all servers are down for 2 s and callers return, three in ten at once and often", Policies: []Policy{Pooled, Blind, FirstCome, NoEviction}, Load: l}
+	return Scenario{Name: "outage", Description: "all servers are down for 2 s and callers retry, three in ten immediately and often", Policies: []Policy{Pooled, Blind, FirstCome, NoEviction}, Load: l}
 }
--- a/gateway/replay/server.go
+++ b/gateway/replay/server.go
@@ -9,28 +9,28 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// server is a simulated server at work.
+// server is the state of a simulated server.
 type server struct {
 	Server
 	running, waiting int
 	backlog          []*request
 	isDown           bool
-	crashes          int // runs that have ended
+	crashes          int // incarnations that have ended
 	inFlight         []*request
 }
 
-// coldFactor is how much longer work takes at a cold server.
+// coldFactor is how many times longer work takes at a cold server.
 const coldFactor = 2
 
-// registryDelay is how long after its start nodes see a run.
+// registryDelay is the time until nodes observe the start of an incarnation.
 const registryDelay = 300 * time.Millisecond
 
-// ServerID names the first run of a server of a load.
+// ServerID returns the ID of the first incarnation of a server of a load.
 func ServerID(i int) site.ServerID { return serverID(i) }
 
 func serverID(i int) site.ServerID { return site.ServerID(fmt.Sprintf("s%02d", i)) }
 
-// updatePools has every pool see the present runs.
+// updatePools updates every pool to the current incarnations.
 func (r *replay) updatePools() {
 	var list []site.Server
 	for i, s := range r.servers {
@@ -42,7 +42,7 @@
 	}
 }
 
-// currentID names the present run of a server.
+// currentID returns the ID of the current incarnation of a server.
 func (r *replay) currentID(i int) site.ServerID {
 	runs := r.servers[i].crashes
 	switch {
@@ -54,7 +54,7 @@
 	return site.RunID(site.ServerName(serverID(i)), r.start.Add(time.Duration(runs)*time.Second))
 }
 
-// crash ends a server with the requests that it has.
+// crash ends an incarnation and loses the requests that it has.
 func (r *replay) crash(i int) {
 	s := &r.servers[i]
 	lost := slices.Concat(s.inFlight, s.backlog)
@@ -72,7 +72,7 @@
 	}
 }
 
-// receive has a request come to its server.
+// receive handles the arrival of a request at its server.
 func (r *replay) receive(req *request) {
 	s := &r.servers[req.server]
 	req.sent = r.now
@@ -102,7 +102,7 @@
 	}
 }
 
-// shed ends a request at a server that refuses it although it has room.
+// shed refuses a request although the server has room.
 func (r *replay) shed(req *request) {
 	r.result.Shed++
 	s := &r.servers[req.server]
@@ -113,7 +113,7 @@
 	r.complete(req, outcome)
 }
 
-// overflow ends a request at a full server.
+// overflow refuses a request at a full server, or resets its connection.
 func (r *replay) overflow(req *request) {
 	r.result.Overflow++
 	if r.servers[req.server].Resets {
@@ -124,7 +124,7 @@
 	r.complete(req, pool.Outcome{NoRoom: true})
 }
 
-// run has a request take a slot of its server.
+// run starts a request in a slot of its server.
 func (r *replay) run(req *request) {
 	s := &r.servers[req.server]
 	s.running++
@@ -135,13 +135,13 @@
 		work *= coldFactor
 	}
 	r.schedule(time.Duration(work), func() {
-		if s.crashes == runs { // else it was lost
+		if s.crashes == runs { // otherwise the request was lost in a crash
 			r.finishWork(req, s)
 		}
 	})
 }
 
-// finishWork lets a request leave its slot, and the next one have it.
+// finishWork frees the slot of a request and starts the next one in the queue.
 func (r *replay) finishWork(ended *request, s *server) {
 	s.inFlight = slices.DeleteFunc(s.inFlight, func(other *request) bool { return other == ended })
 	loadNow := site.Load{Running: s.running, Waiting: s.waiting, Slots: s.Slots}
@@ -158,7 +158,7 @@
 	r.complete(ended, pool.Outcome{Took: r.now.Sub(ended.sent), Load: &loadNow})
 }
 
-// count takes the answer of a request into the result.
+// count adds the answer of a request to the result.
 func (r *replay) count(ended *request) {
 	took := r.now.Sub(ended.arrived)
 	switch {
--- a/gateway/replay/shares.go
+++ b/gateway/replay/shares.go
@@ -7,13 +7,14 @@
 )
 
 const (
-	// shareInterval is how often the lessor decides shares.
+	// shareInterval is the interval at which the lessor updates shares.
 	shareInterval = quota.Round
-	// shareDelay is how long reports and what the lessor makes of them are on their way.
+	// shareDelay is the time for reports to reach the lessor and for shares to reach the
+	// nodes.
 	shareDelay = 800 * time.Millisecond
 )
 
-// lessor is who hears of all requests for the first server's keys, and tells shares.
+// lessor receives reports of all requests for the first server's keys and sends shares.
 type lessor struct {
 	quota   *quota.Quota
 	asked   int
@@ -21,7 +22,7 @@
 	answers int
 }
 
-// updateShares has the lessor decide and tell, as long as requests come.
+// updateShares has the lessor update and send shares while requests arrive.
 func (r *replay) updateShares() {
 	if r.now.Sub(r.start) > r.Length {
 		return
--- a/gateway/replay/shares_test.go
+++ b/gateway/replay/shares_test.go
@@ -9,11 +9,11 @@
 	"github.com/burdockspindle/burdockspindle/gateway/replay"
 )
 
-// warmUpTime is the time in which nodes do not know yet that an owner's keys are busy, and what
-// came in it is worked off.
+// warmUpTime is the time until nodes know that an owner's keys are busy and the requests
+// that arrived before that are worked off.
 const warmUpTime = 5 * time.Second
 
-// resultAfterWarmUp returns what became of requests in the rest of a replay.
+// resultAfterWarmUp returns the outcomes of the requests in the rest of a replay.
 func resultAfterWarmUp(l replay.Load, seed uint64) replay.Result {
 	whole := replay.Run(l, seed)
 	l.Length = warmUpTime
@@ -26,17 +26,18 @@
 	}
 }
 
-// A busy owner is kept full by nodes that each see it once in seconds, and its queue stays
-// so short that most is answered in time. The aim is nine tenths of what it can run, and
-// eight if it is said to run a quarter more or less than it does; six of them in time.
+// Nodes that each observe a busy owner once in several seconds keep it utilized, and its
+// queue so short that most requests are answered in time. At least nine tenths of the
+// owner's capacity must be answered, eight tenths if its assumed capacity is a quarter more
+// or less than the real one, and six tenths in time.
 func TestSharesKeepABusyOwnerUtilized(t *testing.T) {
 	for _, name := range []string{"busy-owner-21", "busy-owner-64", "busy-owner-295", "overused-owner-21", "overused-owner-64", "overused-owner-295"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			l := scenario(t, name)
 			runs := 15 * (l.Length - warmUpTime).Seconds()
-			for _, said := range []float64{0.8, 1, 1.25} {
-				l.SaidToRun = said
+			for _, assumed := range []float64{0.8, 1, 1.25} {
+				l.SaidToRun = assumed
 				total, inTime := 0.0, 0.0
 				for seed := range uint64(6) {
 					result := resultAfterWarmUp(l, seed)
@@ -44,19 +45,19 @@
 					inTime += float64(result.InTime) / runs / 6
 				}
 				g := gomega.NewWithT(t)
-				t.Logf("said to run %v of what it can: %.2f answered, %.2f in time", said, total, inTime)
+				t.Logf("assumed capacity %v: %.2f answered, %.2f in time", assumed, total, inTime)
 				least := 0.8
-				if said == 1 {
+				if assumed == 1 {
 					least = 0.9
 				}
-				g.Expect(total).To(gomega.BeNumerically(">", least), "said %v", said)
-				g.Expect(inTime).To(gomega.BeNumerically(">", 0.6), "said %v", said)
+				g.Expect(total).To(gomega.BeNumerically(">", least), "assumed capacity %v", assumed)
+				g.Expect(inTime).To(gomega.BeNumerically(">", 0.6), "assumed capacity %v", assumed)
 			}
 		})
 	}
 }
 
-// The aim is that one in fifty requests arrives at a full owner.
+// At most one in fifty requests may arrive at a full owner.
 func TestOwnerWithAShareRarelyOverflows(t *testing.T) {
 	for _, name := range []string{"busy-owner-64", "busy-owner-295", "overused-owner-64", "overused-owner-295"} {
 		t.Run(name, func(t *testing.T) {
