--- a/gateway/quota/quota.go
+++ b/gateway/quota/quota.go
@@ -1,12 +1,12 @@
-// Package quota decides which share of the requests for a server's keys the nodes of a
-// site may send to it. It has no I/O and no clock.
+// Package quota decides which share of the requests for a server's keys the nodes of a site
+// may send to it. It has no I/O and no clock.
 //
-// It answers keys that are wanted for more than their owner can run, on sites of many
-// nodes: each node sees the owner once in seconds, so that what it knows of it is old, and
-// one request of each at a time is already more than the owner and its queue take. The
-// lessor observes every request and every answer within a second. It announces the same
-// share to all nodes, and each sends that share of what it is asked for and refuses the
-// rest at once.
+// Shares are for keys whose demand exceeds the capacity of their owner, on sites of many
+// nodes. Each node observes the owner only once in several seconds, so its view is
+// outdated, and a single request of each node at a time already exceeds the slots and the
+// queue of the owner. The lessor observes every request and every answer within a second.
+// It announces the same share to all nodes. Each node sends that share of its requests and
+// refuses the rest immediately.
 package quota
 
 import (
@@ -18,141 +18,143 @@
 )
 
 const (
-	// presentTarget is how many requests for each slot a server should have. Requests come
-	// at random: with fewer it idles at times, with more they wait.
-	presentTarget = 1.75
-	// mostCorrection bounds the factor by which shares differ from what the server was
-	// said to run, in either direction, and correctionStep the change of it in a round.
-	// A server of which less than idleUse of the slots have been in use for idleRounds is
-	// filled quicker, by idleStep: requests are refused for nothing. In fewer rounds the
-	// time in which a queue is worked off would count.
-	mostCorrection = 4.0
-	correctionStep = 1.04
-	idleUse        = 0.6
-	idleRounds     = 4
-	idleStep       = 1.25
+	// loadPerSlotTarget is the target number of requests at a server for each slot.
+	// Requests arrive at random: below the target slots idle at times, above it requests
+	// wait.
+	loadPerSlotTarget = 1.75
+	// maxCorrection bounds, in either direction, the factor by which shares deviate from
+	// the reported capacity of a server. maxCorrectionStep bounds the change of the factor
+	// in a round. After minIdleRounds with less than idleUtilization of the slots in use,
+	// the bound is idleCorrectionStep, because requests are refused unnecessarily. With
+	// fewer rounds, the time in which a queue is worked off would be treated as idle.
+	maxCorrection      = 4.0
+	maxCorrectionStep  = 1.04
+	idleUtilization    = 0.6
+	minIdleRounds      = 4
+	idleCorrectionStep = 1.25
 	// Round is the time between two updates.
 	Round = 500 * time.Millisecond
-	// drainTime is the time in which a queue beyond the target is to be worked off. Reports
-	// of it and the shares are on their way for more than a second: in less time the
-	// queue would swing. One that came with the surge would otherwise last as long as that.
-	drainTime = 1500 * time.Millisecond
-	// leastUse is the part of what a server can run that it gets while its queue is
+	// queueDrainTime is the time in which a queue beyond the target should be worked off.
+	// Reports of the queue and the resulting shares are in flight for more than a second,
+	// so a shorter time would make the queue oscillate. Without draining, a queue that came
+	// with a surge would last as long as the surge.
+	queueDrainTime = 1500 * time.Millisecond
+	// minDrainUtilization is the part of its capacity that a server gets while its queue is
 	// worked off.
-	leastUse = 0.2
-	// mostObserved is the number of answers a second that a node has of a server, above
-	// which the node's own limit follows the server more closely than a share.
-	mostObserved = 1.0
-	// forgetBelow is the part of what a server is said to run below which its keys are
-	// wanted as usual, and its estimate is dropped.
-	forgetBelow = 0.8
-	// leastAnswers is how many answers tell what a server has.
-	leastAnswers = 3
-	// leastChange is the relative change of a share that is announced.
-	leastChange = 0.1
+	minDrainUtilization = 0.2
+	// maxResponsesPerNode is the number of responses per second that a node gets from a
+	// server above which the node's own limit follows the server more closely than a share.
+	maxResponsesPerNode = 1.0
+	// minDemandRatio is the ratio of demand to reported capacity below which the demand is
+	// normal and the estimate is dropped.
+	minDemandRatio = 0.8
+	// minAnswers is the minimum number of answers for an update of the estimate.
+	minAnswers = 3
+	// minShareChange is the minimum relative change of a share that is announced.
+	minShareChange = 0.1
 )
 
-// Server is what is known of a server by the reports of all nodes.
+// Server describes a server by the reports of all nodes.
 type Server struct {
 	ID    site.ServerID
 	Slots int
-	Asked float64 // requests a second for its keys
-	Runs  float64 // requests a second that it can run
-	// Present is the mean number of requests that it had, running or waiting, at its
-	// latest answers, and Answers their number.
+	Asked float64 // requests per second for its keys
+	Runs  float64 // requests per second that the server can run
+	// Present is the mean number of requests, running or waiting, at the server at its
+	// latest answers. Answers is the number of these answers.
 	Present float64
 	Answers int
 }
 
-// Shares are the shares of the requests for servers' keys that may be sent, from 0 to 1.
-// Servers that are not in it get all.
+// Shares holds the share, from 0 to 1, of the requests for each server's keys that nodes
+// may send. Servers without an entry get all requests.
 type Shares map[site.ServerID]float64
 
-// Quota keeps an estimate of each server from one round to the next.
+// Quota keeps an estimate of each server between rounds.
 type Quota struct {
 	estimates map[site.ServerID]estimate
 	announced Shares
 }
 
-// estimate is what the queue of a server showed under its share.
+// estimate is derived from the queue of a server under its share.
 type estimate struct {
-	correction float64 // factor of what it was said to run
-	idle       int     // rounds in a row in which it was idle
+	correction float64 // factor applied to the reported capacity
+	idleRounds int     // consecutive rounds in which the server was idle
 }
 
-// New returns a quota that limits nothing.
+// New returns a quota without estimates and shares.
 func New() *Quota {
 	return &Quota{estimates: map[site.ServerID]estimate{}, announced: Shares{}}
 }
 
-// Update takes a round of reports on a site of so many nodes. It returns the shares that
-// hold from now on, and whether they differ from those before.
+// Update processes a round of reports on a site with the given number of nodes. It returns
+// the shares that apply from now on, and whether they differ from the previous ones.
 func (q *Quota) Update(servers []Server, nodes int) (shares Shares, changed bool) {
 	next := Shares{}
 	known := map[site.ServerID]estimate{}
 	for _, s := range servers {
-		if s.Runs > mostObserved*float64(nodes) {
+		if s.Runs > maxResponsesPerNode*float64(nodes) {
 			continue
 		}
-		estimated := q.estimate(s)
-		if s.Asked < forgetBelow*s.Runs {
+		e := q.updateEstimate(s)
+		if s.Asked < minDemandRatio*s.Runs {
 			continue
 		}
-		known[s.ID] = estimated
-		if runs := estimated.correction * s.Runs; s.Asked > runs {
-			next[s.ID] = max(runs-s.excess()/drainTime.Seconds(), leastUse*runs) / s.Asked
+		known[s.ID] = e
+		if capacity := e.correction * s.Runs; s.Asked > capacity {
+			next[s.ID] = max(capacity-s.excessLoad()/queueDrainTime.Seconds(), minDrainUtilization*capacity) / s.Asked
 		}
 	}
 	q.estimates = known
-	if !q.differs(next) {
+	if !q.hasChanged(next) {
 		return q.announced, false
 	}
 	q.announced = next
 	return maps.Clone(next), true
 }
 
-// estimate returns the estimate of a server after another round.
-func (q *Quota) estimate(s Server) estimate {
+// updateEstimate returns the estimate of a server after another round.
+func (q *Quota) updateEstimate(s Server) estimate {
 	e, known := q.estimates[s.ID]
 	if !known {
 		e.correction = 1
 	}
-	if !known || s.Answers < leastAnswers {
+	if !known || s.Answers < minAnswers {
 		return e
 	}
-	e.idle++
-	if s.Present >= idleUse*float64(s.Slots) {
-		e.idle = 0
+	e.idleRounds++
+	if s.Present >= idleUtilization*float64(s.Slots) {
+		e.idleRounds = 0
 	}
-	most := correctionStep
-	if e.idle >= idleRounds {
-		most = idleStep
+	most := maxCorrectionStep
+	if e.idleRounds >= minIdleRounds {
+		most = idleCorrectionStep
 	}
-	step := math.Sqrt(s.wanted() / max(s.Present, 1))
-	e.correction *= min(max(step, 1/correctionStep), most)
-	e.correction = min(max(e.correction, 1/mostCorrection), mostCorrection)
+	step := math.Sqrt(s.targetLoad() / max(s.Present, 1))
+	e.correction *= min(max(step, 1/maxCorrectionStep), most)
+	e.correction = min(max(e.correction, 1/maxCorrection), maxCorrection)
 	return e
 }
 
-// wanted returns how many requests a server should have.
-func (s Server) wanted() float64 { return presentTarget * float64(max(s.Slots, 1)) }
+// targetLoad returns the target number of requests at a server.
+func (s Server) targetLoad() float64 { return loadPerSlotTarget * float64(max(s.Slots, 1)) }
 
-// excess returns how many more than that it has.
-func (s Server) excess() float64 {
+// excessLoad returns the number of requests at a server beyond its target.
+func (s Server) excessLoad() float64 {
 	if s.Answers == 0 {
 		return 0
 	}
-	return max(0, s.Present-s.wanted())
+	return max(0, s.Present-s.targetLoad())
 }
 
-// differs reports whether shares differ enough to be announced.
-func (q *Quota) differs(next Shares) bool {
+// hasChanged reports whether shares differ enough to be announced.
+func (q *Quota) hasChanged(next Shares) bool {
 	if len(next) != len(q.announced) {
 		return true
 	}
 	for id, share := range next {
 		before, known := q.announced[id]
-		if !known || math.Abs(share-before) > leastChange*before {
+		if !known || math.Abs(share-before) > minShareChange*before {
 			return true
 		}
 	}
--- a/gateway/quota/quota_test.go
+++ b/gateway/quota/quota_test.go
@@ -6,44 +6,44 @@
 	"github.com/onsi/gomega"
 )
 
-// nodes is a number at which no node hears of a server often.
+// nodes is a node count at which no node observes a server often.
 const nodes = 64
 
-func TestAServerThatCanRunAllGetsAll(t *testing.T) {
+func TestServerWithEnoughCapacityHasNoShare(t *testing.T) {
 	g := gomega.NewWithT(t)
 	shares, changed := New().Update([]Server{{ID: "a", Slots: 6, Asked: 10, Runs: 15}, {ID: "b", Slots: 6, Runs: 15}}, nodes)
 	g.Expect(changed).To(gomega.BeFalse())
 	g.Expect(shares).To(gomega.BeEmpty())
 }
 
-func TestAServerIsSentWhatItCanRun(t *testing.T) {
+func TestShareMatchesTheCapacityOfTheServer(t *testing.T) {
 	g := gomega.NewWithT(t)
 	q := New()
-	wanted := Server{ID: "a", Slots: 6, Asked: 150, Runs: 15, Present: 10, Answers: 10}
-	shares, changed := q.Update([]Server{wanted}, nodes)
+	busy := Server{ID: "a", Slots: 6, Asked: 150, Runs: 15, Present: 10, Answers: 10}
+	shares, changed := q.Update([]Server{busy}, nodes)
 	g.Expect(changed).To(gomega.BeTrue())
 	g.Expect(shares["a"]).To(gomega.BeNumerically("~", 0.1, 0.001))
-	_, changed = q.Update([]Server{wanted}, nodes)
-	g.Expect(changed).To(gomega.BeFalse(), "it is told once")
-	wanted.Asked = 5
-	shares, changed = q.Update([]Server{wanted}, nodes)
+	_, changed = q.Update([]Server{busy}, nodes)
+	g.Expect(changed).To(gomega.BeFalse(), "unchanged shares are announced once")
+	busy.Asked = 5
+	shares, changed = q.Update([]Server{busy}, nodes)
 	g.Expect(changed).To(gomega.BeTrue())
 	g.Expect(shares).To(gomega.BeEmpty())
 }
 
-// What came before the share was told stands in the server's queue, and would stand
-// there as long as the keys are busy.
-func TestAQueueIsWorkedOff(t *testing.T) {
+// Requests that arrived before the share was announced wait in the server's queue, and
+// without a lower share would stay there as long as the keys are busy.
+func TestShareIsReducedUntilTheQueueIsWorkedOff(t *testing.T) {
 	g := gomega.NewWithT(t)
 	full := Server{ID: "a", Slots: 6, Asked: 150, Runs: 15, Present: 30, Answers: 10}
 	shares, _ := New().Update([]Server{full}, nodes)
 	g.Expect(shares["a"]).To(gomega.BeNumerically("<", 0.03))
-	g.Expect(shares["a"]).To(gomega.BeNumerically(">", 0.01), "it goes on working meanwhile")
+	g.Expect(shares["a"]).To(gomega.BeNumerically(">", 0.01), "the server keeps working meanwhile")
 }
 
-// The server is said to run half of what it does, or refuses requests though it has room:
-// others must not be refused for that.
-func TestAServerWithIdleSlotsSoonGetsMore(t *testing.T) {
+// The reported capacity of the server is half of the real one, or the server refuses
+// requests although it has room. Other requests must not be refused for that.
+func TestShareOfAServerWithIdleSlotsGrowsQuickly(t *testing.T) {
 	g := gomega.NewWithT(t)
 	q := New()
 	idle := Server{ID: "a", Slots: 6, Asked: 30, Runs: 15, Present: 3, Answers: 10}
@@ -51,14 +51,14 @@
 		q.Update([]Server{idle}, nodes)
 	}
 	shares, _ := q.Update([]Server{idle}, nodes)
-	g.Expect(shares).To(gomega.BeEmpty(), "after four seconds it gets all")
+	g.Expect(shares).To(gomega.BeEmpty(), "the share is dropped after four seconds")
 }
 
-func TestNodesThatHearOfAServerOftenNeedNoShare(t *testing.T) {
+func TestNoShareIfNodesObserveTheServerOften(t *testing.T) {
 	g := gomega.NewWithT(t)
-	wanted := Server{ID: "a", Slots: 6, Asked: 150, Runs: 15}
-	shares, _ := New().Update([]Server{wanted}, 8)
+	busy := Server{ID: "a", Slots: 6, Asked: 150, Runs: 15}
+	shares, _ := New().Update([]Server{busy}, 8)
 	g.Expect(shares).To(gomega.BeEmpty())
-	shares, _ = New().Update([]Server{wanted}, 17)
-	g.Expect(shares).To(gomega.HaveKey(wanted.ID))
+	shares, _ = New().Update([]Server{busy}, 17)
+	g.Expect(shares).To(gomega.HaveKey(busy.ID))
 }
