--- a/gateway/isolation/isolation.go
+++ b/gateway/isolation/isolation.go
@@ -1,36 +1,37 @@
 // Package isolation decides whether a node's zone is cut off from the others. It has no I/O
 // and no clock.
 //
-// It answers a zone that loses its links to the others for seconds, while callers still reach
-// all of them. A node there reaches the servers of its own zone only; the other zones reach
-// the rest and take over the keys. A node that stops being ready has the balancer send its
-// callers to zones that can serve them, and is ready again as soon as it reaches another zone.
+// It covers a zone that loses its links to the other zones for seconds while callers still
+// reach all zones. A node of that zone reaches only the servers of its own zone; the other
+// zones reach all other servers and take over the keys. When the node reports that it is
+// not ready, the load balancer sends its callers to zones that can serve them. The node
+// becomes ready again as soon as it reaches another zone.
 package isolation
 
 import "time"
 
 const (
-	// LookAfter is the age of a node's contact with the store, its own or by way of another
-	// node, above which it looks whether it reaches other zones.
+	// LookAfter is the age of a node's contact with the store, direct or through another
+	// node, above which the node checks whether it reaches other zones.
 	LookAfter = time.Second
-	// LookEvery is the time between two looks.
+	// LookEvery is the interval of the checks.
 	LookEvery = 250 * time.Millisecond
-	// Tries is how many nodes of other zones a node tries in a look: one may be down, and a
-	// link that loses packets loses more than one.
+	// Tries is how many nodes of other zones are probed in a check. One node may be down,
+	// and a link that loses packets may lose more than one probe.
 	Tries = 3
 )
 
-// Look is what a node has seen.
+// Look is the result of a check.
 type Look struct {
 	Contact time.Duration // age of the contact with the store
-	Known   bool          // there has been contact
-	Tried   int           // nodes of other zones
-	Reached int           // of these
+	Known   bool          // the node has had contact with the store
+	Tried   int           // number of probed nodes of other zones
+	Reached int           // number of probed nodes that responded
 }
 
-// MustTry reports whether a node has to try nodes of other zones, by its contact alone.
+// MustTry reports whether the age of the contact alone requires probes of other zones.
 func (l Look) MustTry() bool { return l.Known && l.Contact > LookAfter }
 
-// CutOff reports whether the node's zone is cut off. A node that the store alone does not
-// answer is not, nor is one that knows no other zone.
+// CutOff reports whether the node's zone is cut off. It is not if only the store does not
+// respond, or if the node knows no other zone.
 func (l Look) CutOff() bool { return l.MustTry() && l.Tried > 0 && l.Reached == 0 }
