--- a/gateway/budget/budget.go
+++ b/gateway/budget/budget.go
@@ -1,79 +1,79 @@
-// Package budget bounds the sends beyond the first of each request. All nodes
-// together may spend a share of the requests to a service and a fixed slack in
-// any window of time; a node spends its own part, by what it has seen itself,
-// so that no agreement is needed. It answers retry storms: when a service
-// fails, its load must not be multiplied.
+// Package budget bounds the sends of requests beyond the first one, to prevent retry
+// storms: when a service fails, its load must not be multiplied. In any window of time all
+// nodes together may spend a share of the requests to a service and a fixed slack. Each
+// node spends its own part, based on its own observations, so that no coordination is
+// needed.
 package budget
 
 import "time"
 
-// Terms are what all nodes together may spend.
+// Terms are the limits for all nodes together.
 type Terms struct {
-	Ratio  float64       // extra sends for each request
-	Slack  float64       // extra sends in a window beside that
-	Window time.Duration // any span of this length counts
+	Ratio  float64       // additional sends per request
+	Slack  float64       // further additional sends per window
+	Window time.Duration // the limits apply to any span of this length
 }
 
-// reserve is the part of the budget that is not spent: nodes see the ends of a
-// window, and the number of nodes, a little differently.
-const reserve = 0.2
+// reservedShare is the part of the budget that is not spent, because the boundaries of
+// windows and the known number of nodes differ slightly between nodes.
+const reservedShare = 0.2
 
-// buckets is into how many parts a window is cut.
-const buckets = 20
+// bucketCount is the number of buckets that a window is divided into.
+const bucketCount = 20
 
 // Budget is one node's budget for one service. It is not safe for concurrent use.
 type Budget struct {
-	terms Terms
-	ring  [buckets]bucket
+	terms  Terms
+	window [bucketCount]bucket
 }
 
 type bucket struct {
-	number   int64 // of the part since the zero time
+	number   int64 // of the bucket, counted from the Unix epoch
 	requests float64
-	extra    float64
-	nodes    int // most that shared the budget
+	resends  float64
+	nodes    int // maximum number of nodes that shared the budget
 }
 
 // New returns an unspent budget.
 func New(terms Terms) *Budget { return &Budget{terms: terms} }
 
-// SetTerms replaces the terms. What was counted stays if the window does.
+// SetTerms replaces the terms. Counts are kept if the window does not change.
 func (b *Budget) SetTerms(terms Terms) {
 	if terms.Window != b.terms.Window {
-		b.ring = [buckets]bucket{}
+		b.window = [bucketCount]bucket{}
 	}
 	b.terms = terms
 }
 
-// Request counts a request's first send. nodes is as for Spend.
+// Request counts the first send of a request. nodes is as for Spend.
 func (b *Budget) Request(nodes int, now time.Time) {
-	current := b.at(now)
+	current := b.bucketAt(now)
 	current.requests++
 	current.nodes = max(current.nodes, nodes)
 }
 
-// Spend takes one extra send out of the budget if it has one left. nodes is the
-// number of nodes that share it now; 0: not known.
+// Spend takes one additional send out of the budget and reports whether there was one left.
+// nodes is the number of nodes that currently share the budget; 0 if unknown.
 func (b *Budget) Spend(nodes int, now time.Time) bool {
-	current := b.at(now)
+	current := b.bucketAt(now)
 	current.nodes = max(current.nodes, nodes)
 	if b.Left(now) < 1 {
 		return false
 	}
-	current.extra++
+	current.resends++
 	return true
 }
 
-// Left returns the extra sends that are left. The slack is shared by the most
-// nodes of the window: those that are gone have spent their part of it. While
-// their number is not known there is none.
+// Left returns the number of additional sends that are left. The slack is divided by the
+// maximum number of nodes in the window, because nodes that have left have spent their part
+// of it. There is no slack while the number of nodes is unknown.
 func (b *Budget) Left(now time.Time) float64 {
-	oldest := b.number(now) - buckets + 1
-	requests, extra, nodes := 0.0, 0.0, 0
-	for _, part := range b.ring {
+	oldest := b.bucketNumber(now) - bucketCount + 1
+	requests, resends, nodes := 0.0, 0.0, 0
+	for _, part := range b.window {
 		if part.number >= oldest {
 			requests += part.requests
-			extra += part.extra
+			resends += part.resends
 			nodes = max(nodes, part.nodes)
 		}
 	}
@@ -81,18 +81,18 @@
 	if nodes > 0 {
 		allowed += b.terms.Slack / float64(nodes)
 	}
-	return allowed*(1-reserve) - extra
+	return allowed*(1-reservedShare) - resends
 }
 
-func (b *Budget) at(now time.Time) *bucket {
-	number := b.number(now)
-	part := &b.ring[number%buckets]
+func (b *Budget) bucketAt(now time.Time) *bucket {
+	number := b.bucketNumber(now)
+	part := &b.window[number%bucketCount]
 	if part.number != number {
 		*part = bucket{number: number}
 	}
 	return part
 }
 
-func (b *Budget) number(now time.Time) int64 {
-	return now.UnixNano() / int64(b.terms.Window/buckets)
+func (b *Budget) bucketNumber(now time.Time) int64 {
+	return now.UnixNano() / int64(b.terms.Window/bucketCount)
 }
--- a/gateway/budget/budget_test.go
+++ b/gateway/budget/budget_test.go
@@ -14,7 +14,7 @@
 	terms = budget.Terms{Ratio: 0.2, Slack: 56, Window: 10 * time.Second}
 )
 
-// spendAll spends until the budget refuses and returns how often it did not.
+// spendAll spends until the budget refuses and returns the number of sends.
 func spendAll(b *budget.Budget, nodes int, now time.Time) int {
 	spent := 0
 	for b.Spend(nodes, now) {
@@ -33,7 +33,7 @@
 	g.Expect(total).To(gomega.BeNumerically(">", 28))
 }
 
-func TestSlackIsKeptWhileTheNumberOfNodesIsNotKnown(t *testing.T) {
+func TestSlackIsUnavailableWhileTheNumberOfNodesIsUnknown(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := budget.New(terms)
 	g.Expect(spendAll(b, 0, start)).To(gomega.BeZero())
@@ -43,9 +43,9 @@
 	g.Expect(spendAll(b, 0, start)).To(gomega.Equal(16))
 }
 
-// A new lessor knows only itself at first: its list of one node must not give
-// every node the whole slack.
-func TestAShrunkNumberOfNodesDoesNotFreeSlackWithinTheWindow(t *testing.T) {
+// A new lessor knows only itself at first: its list of one node must not give every node
+// the whole slack.
+func TestSmallerNodeCountDoesNotReleaseSlackWithinTheWindow(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := budget.New(terms)
 	b.Request(8, start)
@@ -53,7 +53,7 @@
 	g.Expect(spendAll(b, 1, start.Add(12*time.Second))).To(gomega.BeNumerically(">", 56/8))
 }
 
-func TestAnyWindowStaysWithinTheRatio(t *testing.T) {
+func TestEveryWindowStaysWithinTheRatio(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := budget.New(budget.Terms{Ratio: 0.2, Window: 10 * time.Second})
 	spent := 0
