--- a/gateway/broadcast/broadcast.go
+++ b/gateway/broadcast/broadcast.go
@@ -1,16 +1,16 @@
-// Package broadcast wakes all goroutines that wait for something to change.
+// Package broadcast wakes all goroutines that wait for a change.
 package broadcast
 
 import "sync"
 
-// Signal wakes all that wait for it. Its zero value is ready for use.
+// Signal wakes all its waiters. Its zero value is ready for use.
 type Signal struct {
 	mu   sync.Mutex
-	next chan struct{} // closed when it is sent; nil: nobody waits
+	next chan struct{} // closed by Send; nil if there are no waiters; guarded by mu
 }
 
-// Next returns a channel that is closed when the signal is sent next. Whoever waits for a
-// change takes it before looking at what may change.
+// Next returns a channel that is closed by the next Send. A waiter must call Next before it
+// checks the condition, so that it misses no change.
 func (s *Signal) Next() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -20,7 +20,7 @@
 	return s.next
 }
 
-// Send wakes all that wait.
+// Send wakes all waiters.
 func (s *Signal) Send() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/gateway/broadcast/broadcast_test.go
+++ b/gateway/broadcast/broadcast_test.go
@@ -6,14 +6,14 @@
 	"github.com/onsi/gomega"
 )
 
-func TestASignalWakesAllThatWait(t *testing.T) {
+func TestSignalWakesAllWaiters(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var s Signal
-	s.Send() // nobody waits
+	s.Send() // without waiters
 	first, second := s.Next(), s.Next()
 	g.Expect(first).NotTo(gomega.BeClosed())
 	s.Send()
 	g.Expect(first).To(gomega.BeClosed())
 	g.Expect(second).To(gomega.BeClosed())
-	g.Expect(s.Next()).NotTo(gomega.BeClosed(), "until it is sent again")
+	g.Expect(s.Next()).NotTo(gomega.BeClosed(), "it is open until the next Send")
 }
