--- a/gateway/node/node.go
+++ b/gateway/node/node.go
@@ -1,5 +1,5 @@
-// Package node runs one gateway node: the modules of a gateway in order, from
-// start to graceful shutdown.
+// Package node runs a gateway node: it loads and starts the gateway modules in order and
+// shuts them down gracefully.
 package node
 
 import (
@@ -28,21 +28,20 @@
 
 const (
 	bootIDBytes = 8
-	// memoryShare is the part of the memory limit that the runtime keeps to; the
-	// rest is for what the kernel holds for the process.
-	memoryShare = 0.7
+	// memoryLimitShare is the part of the configured memory that the Go runtime may use.
+	// The rest is for memory that the kernel holds for the process.
+	memoryLimitShare = 0.7
 )
 
-// Run runs a node until ctx ends, then shuts it down within the grace time. The
-// settings were loaded from file, which is read again on SIGHUP and when it
-// changes.
+// Run runs a node until ctx ends, then shuts it down within the grace time. The settings
+// were loaded from file, which is read again on SIGHUP and when it changes.
 func Run(ctx context.Context, file string, s *config.Settings, logger hclog.Logger) error {
-	// From the first moment, since SIGHUP ends a process that does not take it.
+	// Registered first, because an unhandled SIGHUP terminates the process.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	defer signal.Stop(reload)
 	if s.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryMB<<20)))
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(s.MemoryMB<<20)))
 	}
 	random := make([]byte, bootIDBytes)
 	if _, err := rand.Read(random); err != nil {
