--- a/gateway/driver/driver.go
+++ b/gateway/driver/driver.go
@@ -1,4 +1,4 @@
-// Package driver is what an adapter to a platform provides to a gateway.
+// Package driver defines what a platform adapter provides to a gateway.
 package driver
 
 import (
@@ -8,11 +8,11 @@
 	"github.com/burdockspindle/burdockspindle/gateway/view"
 )
 
-// Driver is an adapter to a platform.
+// Driver is a platform adapter.
 type Driver struct {
 	Store   store.Store
 	Codec   view.Codec
 	Headers upstream.Headers
-	// Granter returns the calls to keyed servers.
+	// Granter returns the client for calls to keyed servers.
 	Granter func(*upstream.Client) ranges.Granter
 }
