--- a/gateway/store/store.go
+++ b/gateway/store/store.go
@@ -1,6 +1,6 @@
-// Package store is the interface to the platform's store: topics of keyed
-// records in one total order each, with appends on the condition of an offset.
-// What must outlast the nodes is kept there and nowhere else.
+// Package store defines the interface to the platform's store: topics of keyed records,
+// each in a total order, with appends that are conditional on an offset. State that must
+// outlast the nodes is kept only in the store.
 package store
 
 import (
@@ -9,33 +9,33 @@
 	"time"
 )
 
-// Offset numbers the records of a topic from 0, without gaps.
+// Offset is the position of a record in its topic, starting at 0 without gaps.
 type Offset int64
 
-// Topic is a topic that gateway nodes read or write.
+// Topic names a topic that gateway nodes read or write.
 type Topic string
 
 // The topics of a gateway.
 const (
-	// Configurations holds what the operator publishes.
+	// Configurations holds the configurations that the operator publishes.
 	Configurations Topic = "configurations"
-	// Servers holds what the backend servers register.
+	// Servers holds the registrations of backend servers.
 	Servers Topic = "servers"
-	// Ownership holds the lessor's lease and the table of ranges. Only gateway
-	// nodes write it, each append on the condition of the offset.
+	// Ownership holds the lessor's lease and the table of ranges. Only gateway nodes write
+	// it, and each append is conditional on the offset.
 	Ownership Topic = "ownership"
 )
 
-// Record is one keyed record. A record without a value drops its key.
+// Record is a keyed record. A record without a value deletes its key.
 type Record struct {
 	Offset Offset
 	Key    string
 	Value  []byte
 }
 
-// Batch is what a read returned: records in order, the offset to read on from,
-// and the offset after the topic's newest record. A store may return fewer
-// records than there are; then Next is below End.
+// Batch is the result of a read: records in order, the offset of the next read, and the
+// offset after the topic's newest record. If a store returns fewer records than exist, Next
+// is less than End.
 type Batch struct {
 	Records []Record
 	Next    Offset
@@ -45,18 +45,17 @@
 // Store is the platform's store. Errors are *TrimmedError, *ConflictError or
 // *UnavailableError.
 type Store interface {
-	// Newest returns the newest record of each key, by offset. It may be put together from
-	// several pages: reading on from End, then the records after it, gives the
-	// present state.
+	// Newest returns the newest record of each key, ordered by offset. The result may
+	// combine several pages; reading the records from End on then gives the current state.
 	Newest(ctx context.Context, topic Topic) (Batch, error)
-	// Read returns the records from an offset on, and waits for the first of
-	// them for at most wait.
+	// Read returns the records from an offset on. If there are none, it waits for the first
+	// one for at most wait.
 	Read(ctx context.Context, topic Topic, from Offset, wait time.Duration) (Batch, error)
-	// AppendAt appends one record if the topic ends at the offset given.
+	// AppendAt appends a record if the topic ends at the given offset.
 	AppendAt(ctx context.Context, topic Topic, at Offset, record Record) error
 }
 
-// TrimmedError reports that records from the offset asked for are gone.
+// TrimmedError reports that records from the requested offset on have been trimmed.
 type TrimmedError struct {
 	Topic Topic
 	First Offset
@@ -64,10 +63,11 @@
 
 // Error implements error.
 func (e *TrimmedError) Error() string {
-	return fmt.Sprintf("topic %s: records before offset %d are gone", e.Topic, e.First)
+	return fmt.Sprintf("topic %s: records before offset %d have been trimmed", e.Topic, e.First)
 }
 
-// ConflictError reports an append whose topic does not end where it must.
+// ConflictError reports an append that failed because the topic does not end at the given
+// offset.
 type ConflictError struct {
 	Topic Topic
 	End   Offset
@@ -75,14 +75,14 @@
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("topic %s ends at offset %d, nothing appended", e.Topic, e.End)
+	return fmt.Sprintf("topic %s ends at offset %d; record not appended", e.Topic, e.End)
 }
 
-// UnavailableError reports a call without a usable answer.
+// UnavailableError reports a call without a usable response.
 type UnavailableError struct {
 	Topic Topic
-	// NotDone tells that the store answered that it did nothing. Otherwise an
-	// append may take effect, also later while its condition holds.
+	// NotDone reports that the store rejected the request without effect. Otherwise an
+	// append may take effect, possibly later, as long as its condition holds.
 	NotDone bool
 	Cause   error
 }
