--- a/gateway/traffic/traffic.go
+++ b/gateway/traffic/traffic.go
@@ -1,6 +1,6 @@
-// Package traffic counts the bytes that a node exchanges with backend servers and
-// with other nodes, by whether they are in its own zone. Bytes between zones are
-// what a site may pay for; bytes of protocols below TCP are not counted.
+// Package traffic counts the bytes that a node exchanges with backend servers and with
+// other nodes, by whether the peer is in the node's zone. A site may pay for bytes between
+// zones. Bytes of protocols below TCP are not counted.
 package traffic
 
 import (
@@ -13,7 +13,7 @@
 
 var counters = metrics.New("gateway_bytes").Map("by_peer_zone_and_direction")
 
-// Peer is what is at the other end of a connection.
+// Peer is the kind of the remote side of a connection.
 type Peer string
 
 // The peers of a node.
@@ -22,43 +22,44 @@
 	Nodes   Peer = "nodes"
 )
 
-// Meter counts the bytes of connections to one kind of peer in one place.
+// Meter counts the bytes of connections to one kind of peer, either within the zone, across
+// zones or with an unknown zone.
 type Meter struct {
 	name           string
 	sent, received *expvar.Int
 }
 
-// Between returns the meter of connections between a node in a zone and a peer in
-// another or the same one; a zone may be empty if it is not known. It is made once
-// for a connection, so that no name is looked up for each read and write.
-func Between(peer Peer, own, other string) Meter {
+// Between returns the meter of connections between a node and a peer in the given zones; a
+// zone is empty if it is unknown. It is called once per connection, so that reads and
+// writes need no lookup by name.
+func Between(peer Peer, ownZone, peerZone string) Meter {
 	name := string(peer) + " other zones"
 	switch {
-	case own == "" || other == "":
+	case ownZone == "" || peerZone == "":
 		name = string(peer) + " zone not known"
-	case own == other:
+	case ownZone == peerZone:
 		name = string(peer) + " own zone"
 	}
 	return Meter{name: name, sent: counter(name + " sent"), received: counter(name + " received")}
 }
 
-// counter returns the counter of a name.
+// counter returns the counter with the given name.
 func counter(name string) *expvar.Int {
-	counters.Add(name, 0) // makes it, if it is the first use
+	counters.Add(name, 0) // creates the counter on first use
 	count, _ := counters.Get(name).(*expvar.Int)
 	return count
 }
 
-// Sent counts bytes that were written.
+// Sent adds n written bytes.
 func (m Meter) Sent(n int) { m.sent.Add(int64(n)) }
 
-// Received counts bytes that were read.
+// Received adds n read bytes.
 func (m Meter) Received(n int) { m.received.Add(int64(n)) }
 
-// Bytes returns what has been counted.
+// Bytes returns the counted bytes.
 func (m Meter) Bytes() (sent, received int64) { return m.sent.Value(), m.received.Value() }
 
-// Reader returns a reader that counts what it reads.
+// Reader returns a reader that counts the bytes read from r.
 func (m Meter) Reader(r io.Reader) io.Reader { return &reader{r, m} }
 
 type reader struct {
@@ -73,7 +74,7 @@
 	return n, err
 }
 
-// Conn returns a connection whose bytes are counted.
+// Conn returns a connection that counts the bytes of c.
 func (m Meter) Conn(c net.Conn) net.Conn { return &conn{Conn: c, counted: m.Reader(c), meter: m} }
 
 type conn struct {
