--- a/gateway/socket/socket.go
+++ b/gateway/socket/socket.go
@@ -1,5 +1,5 @@
-// Package socket tells what the kernel knows of a connection: what has arrived that nobody
-// has read yet, and what the other machine has not acknowledged.
+// Package socket reports what the kernel knows of a connection: received bytes that have
+// not been read, and sent bytes that the peer has not acknowledged.
 package socket
 
 import (
@@ -10,31 +10,31 @@
 	"golang.org/x/sys/unix"
 )
 
-// State is what a read of a connection would find now.
+// State is what a read of a connection would return now.
 type State uint8
 
 // States of a connection.
 const (
-	Quiet State = iota // nothing has arrived
-	Bytes              // bytes have
-	Ended              // the other side has closed or reset it, or it is closed here
+	Quiet State = iota // no bytes received
+	Bytes              // bytes received
+	Ended              // closed or reset by the peer, or closed locally
 )
 
-// Look returns the state of a connection and takes nothing from it. Another
-// goroutine may wait in a read of it meanwhile. A connection that is no socket
-// counts as quiet.
+// Look returns the state of a connection without consuming bytes. Another goroutine may be
+// blocked in a read of the connection. A connection that is not a socket is treated as
+// idle.
 func Look(conn net.Conn) State {
-	raw, ok := conn.(syscall.Conn)
+	sysConn, ok := conn.(syscall.Conn)
 	if !ok {
 		return Quiet
 	}
-	control, err := raw.SyscallConn()
+	rawConn, err := sysConn.SyscallConn()
 	if err != nil {
 		return Ended
 	}
 	state := Ended
-	// Control, not Read, which would wait for the goroutine that reads.
-	err = control.Control(func(fd uintptr) { state = peek(int(fd)) })
+	// Uses Control because Read would wait for a goroutine that is blocked in a read.
+	err = rawConn.Control(func(fd uintptr) { state = peek(int(fd)) })
 	if err != nil {
 		return Ended
 	}
@@ -53,19 +53,18 @@
 	return Ended
 }
 
-// Unacknowledged returns how many bytes that were written to a connection the other
-// machine has not acknowledged. known is false for a connection that is no socket or is
-// closed here.
+// Unacknowledged returns the number of bytes written to a connection that the peer has not
+// acknowledged. known is false if the connection is not a socket or is closed locally.
 func Unacknowledged(conn net.Conn) (bytes int, known bool) {
-	raw, ok := conn.(syscall.Conn)
+	sysConn, ok := conn.(syscall.Conn)
 	if !ok {
 		return 0, false
 	}
-	control, err := raw.SyscallConn()
+	rawConn, err := sysConn.SyscallConn()
 	if err != nil {
 		return 0, false
 	}
-	var asked error
-	err = control.Control(func(fd uintptr) { bytes, asked = unix.IoctlGetInt(int(fd), unix.TIOCOUTQ) })
-	return bytes, err == nil && asked == nil
+	var ioctlErr error
+	err = rawConn.Control(func(fd uintptr) { bytes, ioctlErr = unix.IoctlGetInt(int(fd), unix.TIOCOUTQ) })
+	return bytes, err == nil && ioctlErr == nil
 }
