--- a/gateway/logsink/logsink_test.go
+++ b/gateway/logsink/logsink_test.go
@@ -22,17 +22,17 @@
 	gomega.NewWithT(t).Expect(out.String()).To(gomega.Equal("one\ntwo\n"))
 }
 
-// stuck is an output that nobody reads until it is released.
-type stuck struct{ release chan struct{} }
+// blockedWriter is an output that blocks until it is released.
+type blockedWriter struct{ release chan struct{} }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
 
-func TestAnOutputThatIsNotReadDropsLinesAndBlocksNobody(t *testing.T) {
+func TestBlockedOutputDropsLinesWithoutBlockingWriters(t *testing.T) {
 	g := gomega.NewWithT(t)
-	out := &stuck{release: make(chan struct{})}
+	out := &blockedWriter{release: make(chan struct{})}
 	sink := logsink.New(out)
 	var reported atomic.Int64
 	sink.OnDrop(func(lines int64) { reported.Add(lines) })
