--- a/gateway/duty/duty.go
+++ b/gateway/duty/duty.go
@@ -42,7 +42,7 @@
 	suspectTimeout = 1200 * time.Millisecond
 	// claimRankDelay is the additional delay of a claim for each node with more capacity,
 	// so that usually a single node appends, and one with high capacity. The store resolves
-	// concurrent claims. On a lessor with a weak VM calls time out, and the lease changes
+	// concurrent claims. On a lessor with little capacity calls time out, and the lease changes
 	// hands again.
 	claimRankDelay = 40 * time.Millisecond
 	// claimJitter bounds the random part of the delay. maxClaimDelay bounds the whole
--- a/gateway/duty/events.go
+++ b/gateway/duty/events.go
@@ -18,7 +18,7 @@
 	eventCallFailed           = events.Define(2108, hclog.Warn, "grant or release failed")
 	eventMove                 = events.Define(2110, hclog.Info, "moving a range to a less loaded server")
 	eventRestart              = events.Define(2111, hclog.Info, "server restarted under the same name")
-	eventYielding             = events.Define(2112, hclog.Info, "giving up the lease to a node with more capacity")
+	eventYielding             = events.Define(2112, hclog.Info, "yielding the lease to a node with more capacity")
 	eventShares               = events.Define(2113, hclog.Info, "shares of the requests for busy servers' keys")
 	eventHandingOff           = events.Define(2114, hclog.Info, "another node claimed the lease; handing off")
 	eventPreviousReported     = events.Define(2115, hclog.Info, "previous lessor reported its outstanding grants")
--- a/gateway/duty/handoff_test.go
+++ b/gateway/duty/handoff_test.go
@@ -36,9 +36,9 @@
 	return &follow.HandOff{Former: ranges.Lessor{Node: node, Boot: boot}, Claim: claim, Reply: make(chan follow.FormerGrants, 1)}
 }
 
-// The store is unreachable from the lessor's node, and another node claims the lease. The
-// previous lessor is notified by that node, waits for the call in flight and reports its
-// outstanding grants.
+// The store refuses the requests of the lessor's node, and another node claims the lease.
+// The previous lessor is notified by that node, waits for the call in flight and reports
+// its outstanding grants.
 func TestLessorHandsOffAfterAnotherNodeClaims(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := clock.Now()
@@ -46,22 +46,22 @@
 	d := lessorOf(now, 0)
 	call := d.allocator.Calls(servers, d.lease(), now)[0]
 
-	asked := handOffRequest("n1", "b1", 8)
-	d.beginHandOff(asked)
+	request := handOffRequest("n1", "b1", 8)
+	d.beginHandOff(request)
 	g.Expect(d.IsLessor()).To(gomega.BeFalse())
 	d.step(t.Context(), now)
-	g.Expect(asked.Reply).To(gomega.BeEmpty(), "a call is in flight")
+	g.Expect(request.Reply).To(gomega.BeEmpty(), "a call is in flight")
 	d.allocator.Done(call, ranges.Result{}, now)
 	d.step(t.Context(), now)
-	list := (<-asked.Reply).Ranges
-	g.Expect(list).To(gomega.HaveLen(1))
-	g.Expect(list[0].Held).To(gomega.BeNumerically(">", d.Timing.Hold))
-	g.Expect(list[0].Doubt).To(gomega.BeZero())
+	remaining := (<-request.Reply).Ranges
+	g.Expect(remaining).To(gomega.HaveLen(1))
+	g.Expect(remaining[0].Held).To(gomega.BeNumerically(">", d.Timing.Hold))
+	g.Expect(remaining[0].Doubt).To(gomega.BeZero())
 	g.Expect(d.allocator).To(gomega.BeNil())
 }
 
 func TestHandOffOfAnotherLeaseIsRefused(t *testing.T) {
-	for name, asked := range map[string]*follow.HandOff{
+	for name, request := range map[string]*follow.HandOff{
 		"another node":      handOffRequest("n2", "b2", 8),
 		"an earlier claim":  handOffRequest("n1", "b1", 7),
 		"an outdated claim": handOffRequest("n1", "b1", 1),
@@ -69,8 +69,8 @@
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			d := lessorOf(clock.Now(), 0)
-			d.beginHandOff(asked)
-			_, isReported := <-asked.Reply
+			d.beginHandOff(request)
+			_, isReported := <-request.Reply
 			g.Expect(isReported).To(gomega.BeFalse())
 			g.Expect(d.IsLessor()).To(gomega.BeTrue())
 		})
@@ -84,10 +84,10 @@
 	now := clock.Now()
 	d := lessorOf(now, 0)
 	d.appending = &pendingAppend{offset: 8}
-	asked := handOffRequest("n1", "b1", 8)
-	d.beginHandOff(asked)
+	request := handOffRequest("n1", "b1", 8)
+	d.beginHandOff(request)
 	d.step(t.Context(), now)
-	g.Expect(asked.Reply).To(gomega.HaveLen(1), "outstanding grants do not depend on the append")
+	g.Expect(request.Reply).To(gomega.HaveLen(1), "outstanding grants do not depend on the append")
 	g.Expect(d.allocator).NotTo(gomega.BeNil())
 	d.handleAppend(t.Context(), appendResult{pending: d.appending, startedAt: now, err: &store.ConflictError{}})
 	g.Expect(d.allocator).To(gomega.BeNil())
@@ -96,20 +96,20 @@
 // previousNode is a previous lessor that responds.
 type previousNode struct{ grants follow.FormerGrants }
 
-// AskFormer implements Former.
+// AskFormer implements PreviousLessor.
 func (f previousNode) AskFormer(context.Context, ranges.Lessor, store.Offset) (follow.FormerGrants, error) {
 	return f.grants, nil
 }
 
 func TestNewLessorWaitsNoLongerThanThePreviousOneReports(t *testing.T) {
-	told := ranges.Remaining{Service: "s", Span: ranges.Span{To: ranges.LastKey}, Held: time.Second}
+	reported := ranges.Remaining{Service: "s", Span: ranges.Span{To: ranges.LastKey}, Held: time.Second}
 	ended := follow.FormerGrants{HasEnded: true, EndedFor: 4 * time.Second}
 	for name, row := range map[string]struct {
-		grants follow.FormerGrants
-		before time.Duration // how long grants of lessors before the previous one may be in force
-		want   time.Duration
+		grants      follow.FormerGrants
+		earlierHold time.Duration // how long grants of lessors before the previous one may be in force
+		want        time.Duration
 	}{
-		"it reports its grants":                       {follow.FormerGrants{Ranges: []ranges.Remaining{told}}, 0, time.Second},
+		"it reports its grants":                       {follow.FormerGrants{Ranges: []ranges.Remaining{reported}}, 0, time.Second},
 		"its process has ended":                       {ended, 0, ranges.DefaultTiming().EndedHold() - 4*time.Second},
 		"grants of an earlier lessor may be in force": {ended, 9 * time.Second, 9 * time.Second},
 	} {
@@ -120,7 +120,7 @@
 			d.Former = previousNode{row.grants}
 			d.queryPreviousLessor(t.Context(), &pendingAppend{offset: 7, previousLessor: ranges.Lessor{Node: "n2", Boot: "b2"}})
 			report := <-d.previousReports
-			d.earlierHoldEnd = report.receivedAt.Add(row.before)
+			d.earlierHoldEnd = report.receivedAt.Add(row.earlierHold)
 			d.handlePreviousGrants(report)
 			g.Expect(d.allocator.Held(report.receivedAt)).To(gomega.Equal(row.want))
 		})
@@ -133,11 +133,11 @@
 	g := gomega.NewWithT(t)
 	d := lessorOf(clock.Now(), 0)
 	d.StartedAt = clock.Now().Add(-time.Second)
-	asked := handOffRequest("n1", "b0", 8)
-	d.beginHandOff(asked)
-	told := <-asked.Reply
-	g.Expect(told.HasEnded).To(gomega.BeTrue())
-	g.Expect(told.EndedFor).To(gomega.BeNumerically(">=", time.Second))
+	request := handOffRequest("n1", "b0", 8)
+	d.beginHandOff(request)
+	reported := <-request.Reply
+	g.Expect(reported.HasEnded).To(gomega.BeTrue())
+	g.Expect(reported.EndedFor).To(gomega.BeNumerically(">=", time.Second))
 	g.Expect(d.IsLessor()).To(gomega.BeTrue())
 }
 
@@ -149,7 +149,7 @@
 	asked    int
 }
 
-// AskFormer implements Former.
+// AskFormer implements PreviousLessor.
 func (s *startingNode) AskFormer(context.Context, ranges.Lessor, store.Offset) (follow.FormerGrants, error) {
 	s.asked++
 	if s.asked <= s.refusals {
@@ -160,9 +160,9 @@
 
 func TestPreviousLessorIsQueriedUntilItsNodeRestarts(t *testing.T) {
 	for name, row := range map[string]struct {
-		former startingNode
-		isTold bool
-		asked  int
+		former  startingNode
+		isKnown bool
+		asked   int
 	}{
 		"it restarts":             {startingNode{refusals: 3, err: syscall.ECONNREFUSED}, true, 4},
 		"not the previous lessor": {startingNode{refusals: 3, err: &follow.NotFormerLessorError{}}, false, 1},
@@ -175,8 +175,8 @@
 				d.Logger = hclog.NewNullLogger()
 				former := row.former
 				d.Former = &former
-				_, isTold := d.awaitPreviousGrants(t.Context(), &pendingAppend{previousHold: 3*queryRetryDelay - time.Millisecond})
-				g.Expect(isTold).To(gomega.Equal(row.isTold))
+				_, isKnown := d.awaitPreviousGrants(t.Context(), &pendingAppend{previousHold: 3*queryRetryDelay - time.Millisecond})
+				g.Expect(isKnown).To(gomega.Equal(row.isKnown))
 				g.Expect(former.asked).To(gomega.Equal(row.asked))
 			})
 		})
--- a/gateway/duty/resign.go
+++ b/gateway/duty/resign.go
@@ -10,9 +10,10 @@
 // Conditions under which a lessor releases its lease, and how long it does not claim
 // afterwards.
 const (
-	// unresponsiveTimeout is how long a lessor holds the lease before it resigns because
-	// most owners are unresponsive to it, so that a node that may reach them takes over.
-	unresponsiveTimeout = 2 * time.Second
+	// minLeaseBeforeResign is how long a lessor has held the lease before it resigns
+	// because most owners are unresponsive to it, so that a node that may reach them takes
+	// over.
+	minLeaseBeforeResign = 2 * time.Second
 	// resignedClaimPause is how long a node does not claim after it resigned for
 	// unresponsive owners or yielded.
 	resignedClaimPause = 6 * time.Second
@@ -44,10 +45,10 @@
 }
 
 // mustResign reports whether most owners are unresponsive to this node and it has held the
-// lease for more than unresponsiveTimeout, so that another node should be the lessor.
+// lease for more than minLeaseBeforeResign, so that another node should be the lessor.
 func (d *Duty) mustResign(now time.Time) bool {
 	unresponsive, owners := d.allocator.Silent(d.State.Now().Servers.Servers)
-	return owners > 2 && 2*unresponsive > owners && now.Sub(d.lessorSince) > unresponsiveTimeout && len(d.State.Now().Members) > 1
+	return owners > 2 && 2*unresponsive > owners && now.Sub(d.lessorSince) > minLeaseBeforeResign && len(d.State.Now().Members) > 1
 }
 
 // considerYielding decides whether to yield the lease to a node with more capacity.
--- a/gateway/replay/caller.go
+++ b/gateway/replay/caller.go
@@ -10,7 +10,7 @@
 type caller struct {
 	arrived       time.Time
 	priority      int
-	retriesLeft   int // that are left
+	retriesLeft   int
 	retriesAtOnce bool
 }
 
@@ -58,11 +58,11 @@
 		r.retryLater(ended.caller, serverRetryAfter)
 		return
 	}
-	again := *ended
+	resent := *ended
 	w := *ended.waiter
 	w.Not = append(append(w.Not[:0:0], w.Not...), ended.id)
-	again.waiter = &w
-	r.admit(&again)
+	resent.waiter = &w
+	r.admit(&resent)
 }
 
 func (r *replay) canResend(ended *request) bool {
--- a/gateway/replay/load.go
+++ b/gateway/replay/load.go
@@ -87,7 +87,7 @@
 	Resets        bool          // resets connections when full, which loses the request
 	Cold          time.Duration // time after the start of the replay during which work takes twice as long
 	// CrashEvery is the interval of crashes, which lose the server's requests; 0: never.
-	// The server restarts after Down.
+	// The server restarts after DownTime.
 	CrashEvery, Down time.Duration
 }
 
