--- a/gateway/isolation/isolation.go
+++ b/gateway/isolation/isolation.go
@@ -30,8 +30,8 @@
 }
 
 // MustTry reports whether the age of the contact alone requires probes of other zones.
-func (l Look) MustTry() bool { return l.Known && l.Contact > LookAfter }
+func (s Look) MustTry() bool { return s.Known && s.Contact > LookAfter }
 
 // CutOff reports whether the node's zone is cut off. It is not if only the store does not
 // respond, or if the node knows no other zone.
-func (l Look) CutOff() bool { return l.MustTry() && l.Tried > 0 && l.Reached == 0 }
+func (s Look) CutOff() bool { return s.MustTry() && s.Tried > 0 && s.Reached == 0 }
