--- a/gateway/duty/calls.go
+++ b/gateway/duty/calls.go
@@ -18,9 +18,9 @@
 
 func (d *Duty) sendCalls(ctx context.Context, now time.Time) {
 	registered := d.State.Now().Servers.Servers
-	maps.Copy(d.known, registered)
+	maps.Copy(d.knownServers, registered)
 	for _, call := range d.allocator.Calls(registered, d.lease(), now) {
-		server, known := d.known[call.Server]
+		server, known := d.knownServers[call.Server]
 		if !known {
 			d.allocator.Done(call, ranges.Result{Failed: true}, now)
 			continue
@@ -29,9 +29,9 @@
 	}
 }
 
-// call makes one call to a server. What it grants is counted from SentAt, so it ends a
-// timeout after that, however long it took to begin: the machine may have been suspended
-// or short of processor time meanwhile.
+// call makes one call to a server. The hold of a grant is measured from SentAt. The timeout
+// is measured from there too, because the VM may be suspended or short of CPU time before
+// the call begins.
 func (d *Duty) call(ctx context.Context, server site.Server, call ranges.Call) {
 	timeout := d.Timing.CallTimeout
 	if call.Release {
@@ -40,9 +40,9 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout-clock.Since(call.SentAt))
 	defer cancel()
 	var result ranges.Result
-	err := d.limiter.enter(ctx, call)
+	err := d.limiter.acquire(ctx, call)
 	if err == nil {
-		defer d.limiter.leave(call)
+		defer d.limiter.release(call)
 	}
 	switch {
 	case err != nil:
@@ -57,25 +57,25 @@
 	var fenced *ranges.FencedError
 	result.Fenced = errors.As(err, &fenced)
 	result.Failed = err != nil && !result.Fenced
-	var lost *ranges.CallError
-	if errors.As(err, &lost) {
-		result.Fate, result.ArrivedBy = lost.Fate, lost.ArrivedBy
+	var callErr *ranges.CallError
+	if errors.As(err, &callErr) {
+		result.Fate, result.ArrivedBy = callErr.Fate, callErr.ArrivedBy
 	}
 	if err != nil {
 		eventCallFailed.Log(d.Logger, "server", server.ID, "release", call.Release, "from", call.Grant.From, "to", call.Grant.To, "fence", call.Grant.Fence, "hold", call.Grant.Hold, "fenced", result.Fenced, "fate", result.Fate, "arrivedAgo", arrivedAgo(result, clock.Now()), "since", clock.Since(call.SentAt), "cause", err)
 	}
 	countCall(call, result)
-	d.called <- callResult{call, result}
+	d.callResults <- callResult{call, result}
 }
 
-func (d *Duty) takeCall(r callResult) {
+func (d *Duty) completeCall(r callResult) {
 	if d.allocator != nil {
 		d.allocator.Done(r.call, r.result, clock.Now())
 	}
 }
 
-// arrivedAgo returns how long ago a call without an answer had reached the server's machine,
-// for the log; 0: not known.
+// arrivedAgo returns, for the log, the time since a call without a response is known to
+// have reached the server's VM; 0 if unknown.
 func arrivedAgo(result ranges.Result, now time.Time) time.Duration {
 	if result.ArrivedBy.IsZero() {
 		return 0
--- a/gateway/duty/handoff_test.go
+++ b/gateway/duty/handoff_test.go
@@ -18,7 +18,7 @@
 	"github.com/burdockspindle/burdockspindle/gateway/view"
 )
 
-// lessorOf returns the duty of a node that is the lessor and owns one range with server a.
+// lessorOf returns the duty of a lessor whose table assigns one range, to server a.
 func lessorOf(now time.Time, formerHold time.Duration) *Duty {
 	owned := ranges.Assignment{Span: ranges.Span{To: ranges.LastKey}, Server: "a", Fence: 1}
 	table := &ranges.Table{Services: map[site.ServiceName][]ranges.Assignment{"s": {owned}}}
@@ -27,127 +27,129 @@
 	d.Logger, d.Timing, d.Reader = hclog.NewNullLogger(), ranges.DefaultTiming(), new(follow.Reader)
 	d.State = view.NewState()
 	d.allocator = ranges.NewAllocator(table, d.Timing, formerHold, now)
-	d.end, d.confirmedAt = 8, now
+	d.topicEnd, d.confirmedAt = 8, now
 	d.setLessor(true)
 	return d
 }
 
-func ask(node, boot string, claim store.Offset) *follow.HandOff {
+func handOffRequest(node, boot string, claim store.Offset) *follow.HandOff {
 	return &follow.HandOff{Former: ranges.Lessor{Node: node, Boot: boot}, Claim: claim, Reply: make(chan follow.FormerGrants, 1)}
 }
 
-// The store turns the lessor's node away, and another node claims the lease. The former
-// lessor hears so from that node, waits for the call that is under way, and tells what it
-// granted.
-func TestALessorThatHasAClaimBeforeItHandsOff(t *testing.T) {
+// The store refuses the requests of the lessor's node, and another node claims the lease.
+// The previous lessor is notified by that node, waits for the call in flight and reports
+// its outstanding grants.
+func TestLessorHandsOffAfterAnotherNodeClaims(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := clock.Now()
 	servers := map[site.ServerID]site.Server{"a": {ID: "a", Service: "s"}}
 	d := lessorOf(now, 0)
 	call := d.allocator.Calls(servers, d.lease(), now)[0]
 
-	asked := ask("n1", "b1", 8)
-	d.handOff(asked)
+	request := handOffRequest("n1", "b1", 8)
+	d.beginHandOff(request)
 	g.Expect(d.IsLessor()).To(gomega.BeFalse())
 	d.step(t.Context(), now)
-	g.Expect(asked.Reply).To(gomega.BeEmpty(), "a call is under way")
+	g.Expect(request.Reply).To(gomega.BeEmpty(), "a call is in flight")
 	d.allocator.Done(call, ranges.Result{}, now)
 	d.step(t.Context(), now)
-	list := (<-asked.Reply).Ranges
-	g.Expect(list).To(gomega.HaveLen(1))
-	g.Expect(list[0].Held).To(gomega.BeNumerically(">", d.Timing.Hold))
-	g.Expect(list[0].Doubt).To(gomega.BeZero())
+	remaining := (<-request.Reply).Ranges
+	g.Expect(remaining).To(gomega.HaveLen(1))
+	g.Expect(remaining[0].Held).To(gomega.BeNumerically(">", d.Timing.Hold))
+	g.Expect(remaining[0].Doubt).To(gomega.BeZero())
 	g.Expect(d.allocator).To(gomega.BeNil())
 }
 
-func TestAHandOffOfAnotherLeaseIsRefused(t *testing.T) {
-	for name, asked := range map[string]*follow.HandOff{
-		"another node":          ask("n2", "b2", 8),
-		"an earlier claim":      ask("n1", "b1", 7),
-		"a claim long replaced": ask("n1", "b1", 1),
+func TestHandOffOfAnotherLeaseIsRefused(t *testing.T) {
+	for name, request := range map[string]*follow.HandOff{
+		"another node":      handOffRequest("n2", "b2", 8),
+		"an earlier claim":  handOffRequest("n1", "b1", 7),
+		"an outdated claim": handOffRequest("n1", "b1", 1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			d := lessorOf(clock.Now(), 0)
-			d.handOff(asked)
-			_, isTold := <-asked.Reply
-			g.Expect(isTold).To(gomega.BeFalse())
+			d.beginHandOff(request)
+			_, isReported := <-request.Reply
+			g.Expect(isReported).To(gomega.BeFalse())
 			g.Expect(d.IsLessor()).To(gomega.BeTrue())
 		})
 	}
 }
 
-// An append of the former lessor may still be under way: the duty ends with its answer.
-func TestAHandOffWaitsForTheFateOfAnAppend(t *testing.T) {
+// An append of the previous lessor may still be in flight: the duty ends when its outcome
+// is known.
+func TestHandOffWaitsForTheOutcomeOfAnAppend(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := clock.Now()
 	d := lessorOf(now, 0)
-	d.appending = &pendingAppend{at: 8}
-	asked := ask("n1", "b1", 8)
-	d.handOff(asked)
+	d.appending = &pendingAppend{offset: 8}
+	request := handOffRequest("n1", "b1", 8)
+	d.beginHandOff(request)
 	d.step(t.Context(), now)
-	g.Expect(asked.Reply).To(gomega.HaveLen(1), "what was granted does not depend on it")
+	g.Expect(request.Reply).To(gomega.HaveLen(1), "outstanding grants do not depend on the append")
 	g.Expect(d.allocator).NotTo(gomega.BeNil())
-	d.takeAppend(t.Context(), appendResult{pending: d.appending, startedAt: now, err: &store.ConflictError{}})
+	d.handleAppend(t.Context(), appendResult{pending: d.appending, startedAt: now, err: &store.ConflictError{}})
 	g.Expect(d.allocator).To(gomega.BeNil())
 }
 
-// formerNode is a former lessor that answers.
-type formerNode struct{ grants follow.FormerGrants }
+// previousNode is a previous lessor that responds.
+type previousNode struct{ grants follow.FormerGrants }
 
-// AskFormer implements Former.
-func (f formerNode) AskFormer(context.Context, ranges.Lessor, store.Offset) (follow.FormerGrants, error) {
+// AskFormer implements PreviousLessor.
+func (f previousNode) AskFormer(context.Context, ranges.Lessor, store.Offset) (follow.FormerGrants, error) {
 	return f.grants, nil
 }
 
-func TestANewLessorWaitsNoLongerThanTheFormerOneTells(t *testing.T) {
-	told := ranges.Remaining{Service: "s", Span: ranges.Span{To: ranges.LastKey}, Held: time.Second}
+func TestNewLessorWaitsNoLongerThanThePreviousOneReports(t *testing.T) {
+	reported := ranges.Remaining{Service: "s", Span: ranges.Span{To: ranges.LastKey}, Held: time.Second}
 	ended := follow.FormerGrants{HasEnded: true, EndedFor: 4 * time.Second}
 	for name, row := range map[string]struct {
-		grants follow.FormerGrants
-		before time.Duration // for which grants of lessors before that one may be in force
-		want   time.Duration
+		grants      follow.FormerGrants
+		earlierHold time.Duration // how long grants of lessors before the previous one may be in force
+		want        time.Duration
 	}{
-		"it tells":                        {follow.FormerGrants{Ranges: []ranges.Remaining{told}}, 0, time.Second},
-		"its process has ended":           {ended, 0, ranges.DefaultTiming().EndedHold() - 4*time.Second},
-		"another one before it may go on": {ended, 9 * time.Second, 9 * time.Second},
+		"it reports its grants":                       {follow.FormerGrants{Ranges: []ranges.Remaining{reported}}, 0, time.Second},
+		"its process has ended":                       {ended, 0, ranges.DefaultTiming().EndedHold() - 4*time.Second},
+		"grants of an earlier lessor may be in force": {ended, 9 * time.Second, 9 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			d := lessorOf(clock.Now(), ranges.DefaultTiming().FormerHold())
 			d.leaseOffset = 7
-			d.Former = formerNode{row.grants}
-			d.askFormer(t.Context(), &pendingAppend{at: 7, after: ranges.Lessor{Node: "n2", Boot: "b2"}})
-			report := <-d.reported
-			d.beforeUntil = report.at.Add(row.before)
-			d.takeFormer(report)
-			g.Expect(d.allocator.Held(report.at)).To(gomega.Equal(row.want))
+			d.Former = previousNode{row.grants}
+			d.queryPreviousLessor(t.Context(), &pendingAppend{offset: 7, previousLessor: ranges.Lessor{Node: "n2", Boot: "b2"}})
+			report := <-d.previousReports
+			d.earlierHoldEnd = report.receivedAt.Add(row.earlierHold)
+			d.handlePreviousGrants(report)
+			g.Expect(d.allocator.Held(report.receivedAt)).To(gomega.Equal(row.want))
 		})
 	}
 }
 
-// All nodes lose power and start again. The lessor's node tells the next one, or itself,
-// that nothing was granted since.
-func TestTheNextRunOfALessorTellsThatItHasEnded(t *testing.T) {
+// All nodes lose power and restart. The node of the previous lessor reports to the next
+// lessor, which may be itself, that nothing was granted since the process ended.
+func TestNextIncarnationReportsThatThePreviousOneEnded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d := lessorOf(clock.Now(), 0)
 	d.StartedAt = clock.Now().Add(-time.Second)
-	asked := ask("n1", "b0", 8)
-	d.handOff(asked)
-	told := <-asked.Reply
-	g.Expect(told.HasEnded).To(gomega.BeTrue())
-	g.Expect(told.EndedFor).To(gomega.BeNumerically(">=", time.Second))
+	request := handOffRequest("n1", "b0", 8)
+	d.beginHandOff(request)
+	reported := <-request.Reply
+	g.Expect(reported.HasEnded).To(gomega.BeTrue())
+	g.Expect(reported.EndedFor).To(gomega.BeNumerically(">=", time.Second))
 	g.Expect(d.IsLessor()).To(gomega.BeTrue())
 }
 
-// startingNode is the node of a former lessor that was killed: nobody listens at first.
+// startingNode is the node of a previous lessor that was killed. It does not listen at
+// first.
 type startingNode struct {
 	refusals int
 	err      error
 	asked    int
 }
 
-// AskFormer implements Former.
+// AskFormer implements PreviousLessor.
 func (s *startingNode) AskFormer(context.Context, ranges.Lessor, store.Offset) (follow.FormerGrants, error) {
 	s.asked++
 	if s.asked <= s.refusals {
@@ -156,15 +158,15 @@
 	return follow.FormerGrants{HasEnded: true}, nil
 }
 
-func TestAFormerLessorIsAskedUntilItsNodeHasStartedAgain(t *testing.T) {
+func TestPreviousLessorIsQueriedUntilItsNodeRestarts(t *testing.T) {
 	for name, row := range map[string]struct {
-		former startingNode
-		isTold bool
-		asked  int
+		former  startingNode
+		isKnown bool
+		asked   int
 	}{
-		"it starts":           {startingNode{refusals: 3, err: syscall.ECONNREFUSED}, true, 4},
-		"it knows nothing":    {startingNode{refusals: 3, err: &follow.NotFormerLessorError{}}, false, 1},
-		"it is gone for good": {startingNode{refusals: 100, err: syscall.ECONNREFUSED}, false, 4},
+		"it restarts":             {startingNode{refusals: 3, err: syscall.ECONNREFUSED}, true, 4},
+		"not the previous lessor": {startingNode{refusals: 3, err: &follow.NotFormerLessorError{}}, false, 1},
+		"it does not restart":     {startingNode{refusals: 100, err: syscall.ECONNREFUSED}, false, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -173,8 +175,8 @@
 				d.Logger = hclog.NewNullLogger()
 				former := row.former
 				d.Former = &former
-				_, isTold := d.awaitFormer(t.Context(), &pendingAppend{former: 3*askAgain - time.Millisecond})
-				g.Expect(isTold).To(gomega.Equal(row.isTold))
+				_, isKnown := d.awaitPreviousGrants(t.Context(), &pendingAppend{previousHold: 3*queryRetryDelay - time.Millisecond})
+				g.Expect(isKnown).To(gomega.Equal(row.isKnown))
 				g.Expect(former.asked).To(gomega.Equal(row.asked))
 			})
 		})
--- a/gateway/duty/resign.go
+++ b/gateway/duty/resign.go
@@ -7,27 +7,30 @@
 	"github.com/burdockspindle/burdockspindle/clock"
 )
 
-// When a lessor gives its lease up, and for how long it does not claim then.
+// Conditions under which a lessor releases its lease, and how long it does not claim
+// afterwards.
 const (
-	// resignAfter is for how long most owners must be silent, while the lessor
-	// has held the lease, before it gives the lease to a node that may reach them.
-	resignAfter = 2 * time.Second
-	// claimBreak is how long a node that resigned so does not claim.
-	claimBreak = 6 * time.Second
-	// yieldAfter is how long a lessor has had the lease before it gives it to a node
-	// that is yieldFactor times as strong. A weak node claims when the strong ones are
-	// not there: at the start, at which few nodes read the store, or after they were
-	// lost. On one of 0.16 cores the renewals of 308 owners come late.
-	yieldAfter  = 3 * time.Second
-	yieldFactor = 2
-	// yieldRest is how long a lessor that has claimed again keeps the lease: the
-	// stronger node cannot take it.
-	yieldRest = 30 * time.Second
+	// minLeaseBeforeResign is how long a lessor has held the lease before it resigns
+	// because most owners are unresponsive to it, so that a node that may reach them takes
+	// over.
+	minLeaseBeforeResign = 2 * time.Second
+	// resignedClaimPause is how long a node does not claim after it resigned for
+	// unresponsive owners or yielded.
+	resignedClaimPause = 6 * time.Second
+	// minLeaseBeforeYield is how long a lessor has held the lease before it yields to a
+	// node with at least yieldFactor times its capacity. A node with little capacity claims
+	// when the others are absent: at startup, when few nodes read the store, or after their
+	// loss. On a node with 0.16 cores the renewals of 308 owners are late.
+	minLeaseBeforeYield = 3 * time.Second
+	yieldFactor         = 2
+	// minYieldInterval is how long a lessor that had to claim again after yielding keeps
+	// the lease, because the node with more capacity cannot take it.
+	minYieldInterval = 30 * time.Second
 )
 
-// Resign gives the lease up, if the node has it, and ends the node's claims. It
-// returns when the store has taken that, or ctx ends. While the store does not
-// answer the duty goes on: nobody else could take it over.
+// Resign releases the lease if the node holds it, and ends the node's claims. It returns
+// when the store has accepted the record or ctx ends. While the store does not respond the
+// duty continues, because no other node could take over.
 func (d *Duty) Resign(ctx context.Context) {
 	done := make(chan struct{})
 	select {
@@ -41,36 +44,37 @@
 	}
 }
 
-// mustResign reports whether most owners have been silent to this node for so
-// long that another node had better be lessor.
+// mustResign reports whether most owners are unresponsive to this node and it has held the
+// lease for more than minLeaseBeforeResign, so that another node should be the lessor.
 func (d *Duty) mustResign(now time.Time) bool {
-	silent, owners := d.allocator.Silent(d.State.Now().Servers.Servers)
-	return owners > 2 && 2*silent > owners && now.Sub(d.lessorSince) > resignAfter && len(d.State.Now().Members) > 1
+	unresponsive, owners := d.allocator.Silent(d.State.Now().Servers.Servers)
+	return owners > 2 && 2*unresponsive > owners && now.Sub(d.lessorSince) > minLeaseBeforeResign && len(d.State.Now().Members) > 1
 }
 
-// considerYielding decides whether the lease goes to a stronger node.
+// considerYielding decides whether to yield the lease to a node with more capacity.
 func (d *Duty) considerYielding(now time.Time) {
-	if d.yielding || d.resigning != nil || now.Sub(d.lessorSince) < yieldAfter || !d.yieldedAt.IsZero() && now.Sub(d.yieldedAt) < yieldRest {
+	if d.yielding || d.resigning != nil || now.Sub(d.lessorSince) < minLeaseBeforeYield || !d.yieldedAt.IsZero() && now.Sub(d.yieldedAt) < minYieldInterval {
 		return
 	}
 	for _, m := range d.State.Now().Members {
 		if m.Strength > 0 && m.Strength >= yieldFactor*d.Member.Strength && m.Node != d.Self.Node {
 			d.yielding = true
 			d.yieldedAt = now
-			d.noClaim = now.Add(claimBreak)
+			d.noClaimBefore = now.Add(resignedClaimPause)
 			eventYielding.Log(d.Logger, "strength", d.Member.Strength, "stronger", m.Node, "itsStrength", m.Strength)
 			return
 		}
 	}
 }
 
-// giveUp appends the record that gives the lease up. Nothing is granted any more.
-func (d *Duty) giveUp(ctx context.Context) {
+// appendResignation appends the record that releases the lease. Nothing is granted after
+// that.
+func (d *Duty) appendResignation(ctx context.Context) {
 	if d.appending != nil {
 		return
 	}
-	d.givenUp = true
-	eventResigning.Log(d.Logger, "offset", d.end)
+	d.resignationSent = true
+	eventResigning.Log(d.Logger, "offset", d.topicEnd)
 	now := clock.Now()
-	d.append(ctx, &pendingAppend{resigns: true, held: d.allocator.Held(now), doubt: d.allocator.Doubt(now)})
+	d.append(ctx, &pendingAppend{resigns: true, outstandingHold: d.allocator.Held(now), uncertainHold: d.allocator.Doubt(now)})
 }
