--- a/gateway/follow/behind_test.go
+++ b/gateway/follow/behind_test.go
@@ -16,7 +16,7 @@
 	"github.com/burdockspindle/burdockspindle/gateway/view"
 )
 
-// pagedStore holds records of servers and returns one of them a read.
+// pagedStore holds records of servers and returns one of them per read.
 type pagedStore struct {
 	records int64
 	reads   atomic.Int64
@@ -45,15 +45,16 @@
 	return nil
 }
 
-// namesOnly decodes entries that hold nothing but their key.
+// namesOnly decodes entries that consist only of their key.
 type namesOnly struct{ view.Codec }
 
 func (namesOnly) Entry(key string, _ []byte) (site.Entry, error) {
 	return site.Entry{Server: site.Server{ID: site.ServerID(key), Service: "s"}}, nil
 }
 
-// A node that is behind does not tell its followers that it knows the register, and
-// goes on reading until it does: a draining server would get requests meanwhile.
+// A node that is behind must not report to its followers that it knows the registry, and
+// reads on without a pause until it does. Otherwise a draining server would receive
+// requests in the meantime.
 func TestANodeThatIsBehindReadsOnAndHasNoContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
--- a/gateway/follow/broken.go
+++ b/gateway/follow/broken.go
@@ -10,26 +10,26 @@
 	"github.com/burdockspindle/burdockspindle/gateway/store"
 )
 
-// Bounds of the lines about broken entries.
+// Limits for logging invalid entries.
 const (
-	// brokenLines bounds them in lines a second: a writer may change its entry with
-	// each heartbeat, under many keys.
+	// maxInvalidLinesPerSecond limits the log lines per second, because a writer may change
+	// its entry with each heartbeat, under many keys.
 	brokenLines = 20
-	// mostBroken bounds the entries that are remembered. Beyond it some are told
-	// again.
+	// maxInvalidEntries limits the number of remembered entries. Beyond it, some entries
+	// are logged again.
 	mostBroken = 10_000
-	// shownKey bounds the bytes of a key in a line.
+	// maxLoggedKeyBytes limits the length of a key in a log line, in bytes.
 	shownKey = 64
 )
 
-// brokenLog tells of entries that name no server to use, once for each change.
+// invalidEntryLog logs entries from which no server can be read, once for each change.
 type brokenLog struct {
-	values map[site.ServerName]uint64 // hash of the broken entry
+	values map[site.ServerName]uint64 // hash of the invalid entry
 	second int64
-	lines  int // in that second
+	lines  int // logged in that second
 }
 
-// note counts and tells a broken entry, unless it is the same as before.
+// note counts and logs an invalid entry, unless it is unchanged.
 func (b *brokenLog) note(logger hclog.Logger, record store.Record, cause error, now time.Time) {
 	name, value := site.ServerName(record.Key), xxhash.Sum64(record.Value)
 	if known, exists := b.values[name]; exists && known == value {
@@ -45,16 +45,16 @@
 	}
 	b.lines++
 	if b.lines > brokenLines {
-		return // counted all the same
+		return // the entry is counted, but not logged
 	}
 	key := record.Key[:min(len(record.Key), shownKey)]
 	eventBrokenEntry.Log(logger, "key", key, "offset", record.Offset, "bytes", len(record.Value), "cause", cause)
 }
 
-// forget takes that the entry is sound or gone.
+// remove drops the record of an entry that is valid again or deleted.
 func (b *brokenLog) forget(name site.ServerName) { delete(b.values, name) }
 
-// keepOnly takes the keys that have an entry.
+// retain drops the records of all keys that are not in names.
 func (b *brokenLog) keepOnly(names map[site.ServerName]bool) {
 	for name := range b.values {
 		if !names[name] {
--- a/gateway/follow/contact.go
+++ b/gateway/follow/contact.go
@@ -1,7 +1,6 @@
-// Package follow keeps a node's view of the site up to date: from the lessor's
-// node as long as that has fresh contact with the store, and otherwise from the
-// store itself. Few nodes reading the store keeps its calls rare; each of them
-// is paid for.
+// Package follow keeps a node's view of the site up to date. The view comes from the
+// lessor's node while that node has recent contact with the store, and otherwise from the
+// store itself. Few nodes read the store, because each call to it is billed.
 package follow
 
 import (
@@ -12,18 +11,18 @@
 	"github.com/burdockspindle/burdockspindle/gateway/store"
 )
 
-// Contact is up to when a node knows the topics that others write. One topic may
-// be read while a connection that waits for another has gone silent, so each
-// counts for itself. It is safe for concurrent use.
+// Contact records the times up to which a node knows the topics that others write. Each
+// topic has its own time, because one topic may be read while a connection that waits for
+// another topic has stalled. It is safe for concurrent use.
 type Contact struct {
 	mu             sync.Mutex
 	servers        time.Time
 	configurations time.Time
-	told           time.Time    // up to when other nodes told both
-	next           store.Offset // up to which the view holds the servers' topic
+	told           time.Time    // up to which other nodes reported both topics
+	next           store.Offset // up to which the view contains the servers' topic
 }
 
-// Note takes that a topic is known up to a time.
+// Note records that a topic is known up to a time.
 func (c *Contact) Note(topic store.Topic, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -35,8 +34,8 @@
 	}
 }
 
-// NoteTold takes that another node knew all topics up to a time, and the servers' up to
-// an offset.
+// NotePeerReport records that another node knew all topics up to a time, and the servers'
+// topic up to an offset.
 func (c *Contact) NoteTold(at time.Time, next store.Offset) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -46,22 +45,22 @@
 	c.next = max(c.next, next)
 }
 
-// NoteShown takes that the view holds the servers' topic up to an offset.
+// NoteApplied records that the view contains the servers' topic up to an offset.
 func (c *Contact) NoteShown(next store.Offset) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.next = max(c.next, next)
 }
 
-// Next returns the offset up to which the view holds the servers' topic; 0: none.
+// Next returns the offset up to which the view contains the servers' topic; 0 means none.
 func (c *Contact) Next() store.Offset {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.next
 }
 
-// Age returns the time up to which the topic is known that was read least
-// lately; known is false if one was never read.
+// Age returns the time since the less recently read topic was known to be current. known is
+// false if either topic was never read.
 func (c *Contact) Age() (age time.Duration, known bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,8 +70,8 @@
 	return max(clock.Since(c.servers), clock.Since(c.configurations)), true
 }
 
-// ToldAge returns how old the latest news of other nodes are; wasTold is false if
-// there were none.
+// PeerReportAge returns the age of the latest report from another node. hasReport is false
+// if there was none.
 func (c *Contact) ToldAge() (age time.Duration, wasTold bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/gateway/follow/contact_test.go
+++ b/gateway/follow/contact_test.go
@@ -10,8 +10,8 @@
 	"github.com/burdockspindle/burdockspindle/gateway/store"
 )
 
-// A connection that waits for configurations may go silent while reads of the
-// servers go on; followers must not take the node for up to date then.
+// A connection that waits for configurations may stall while reads of the servers succeed.
+// Followers must not treat the node as up to date then.
 func TestContactIsThatOfTheTopicReadLeastLately(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var c Contact
--- a/gateway/follow/entries.go
+++ b/gateway/follow/entries.go
@@ -8,8 +8,7 @@
 	"github.com/burdockspindle/burdockspindle/gateway/store"
 )
 
-// takeServers folds a snapshot or the records after the last read into the
-// register.
+// applyServers applies a snapshot, or the records after the last read, to the registry.
 func (r *Reader) takeServers(batch store.Batch, isSnapshot bool) {
 	now := clock.Now()
 	if isSnapshot {
@@ -27,7 +26,7 @@
 	r.showServers(now)
 }
 
-// takeKeys takes which servers have an entry at all.
+// applyKeys removes servers that have no entry in a snapshot.
 func (r *Reader) takeKeys(batch store.Batch, now time.Time) {
 	names := make(map[site.ServerName]bool, len(batch.Records))
 	for _, record := range batch.Records {
@@ -37,7 +36,7 @@
 	r.broken.keepOnly(names)
 }
 
-// takeServer takes one record of the register before the offset end.
+// applyServer applies one record of the registry before the offset end.
 func (r *Reader) takeServer(record store.Record, end store.Offset, now time.Time) {
 	name := site.ServerName(record.Key)
 	if len(record.Value) == 0 {
@@ -63,8 +62,9 @@
 	r.broken.forget(name)
 }
 
-// showServers puts the register into the view. It is called also while the node
-// does not read, since servers keep their place after an outage only for a while.
+// publishServers copies the registry into the view. It is also called while the node does
+// not read, because servers without an entry are kept only for a limited time after an
+// outage.
 func (r *Reader) showServers(now time.Time) {
 	before := r.State.Now().Servers
 	after := r.register.Servers(before.Servers, now)
@@ -74,12 +74,12 @@
 	}
 }
 
-// mostNamed bounds the servers that are named one by one in the log when a node adopts its
-// first register: each of hundreds of nodes would start with a line for each server.
+// maxServerLines limits the servers that are logged one by one when a node adopts its first
+// registry. Otherwise each of hundreds of nodes would start with a line for each server.
 const mostNamed = 50
 
-// logServers tells how the servers of the view differ from those before. Most changes
-// concern a few of hundreds, which are not looked at.
+// logServerChanges logs how the servers of the view differ from those before. Most changes
+// affect a few of hundreds of servers, so unchanged ones are skipped.
 func (r *Reader) logServers(before map[site.ServerID]site.Server) {
 	after := r.State.Now().Servers
 	if len(before) == 0 && len(after.Servers) > mostNamed {
@@ -110,7 +110,7 @@
 	}
 }
 
-// without returns the servers that are not among others.
+// without returns the servers that are not in others.
 func without(servers, others map[site.ServerID]site.Server) map[site.ServerID]site.Server {
 	left := map[site.ServerID]site.Server{}
 	for id, server := range servers {
@@ -121,7 +121,7 @@
 	return left
 }
 
-// byName returns the one run of each server.
+// byName maps the name of each server to its only incarnation.
 func byName(servers map[site.ServerID]site.Server) map[site.ServerName]site.Server {
 	named := make(map[site.ServerName]site.Server, len(servers))
 	for id, server := range servers {
--- a/gateway/follow/events.go
+++ b/gateway/follow/events.go
@@ -27,8 +27,8 @@
 	eventPeerFailed    = events.Define(2017, hclog.Debug, "call to another node failed")
 )
 
-// logConfig tells which configuration the node applies from now on, and which
-// limits of callers' connections it sets.
+// logConfig logs the configuration that the node applies from now on, and its limits for
+// callers' connections.
 func logConfig(logger hclog.Logger, config *site.Config, from string, more ...any) {
 	fields := []any{
 		"version", config.Version, "routes", len(config.Routes), "from", from,
--- a/gateway/follow/feed.go
+++ b/gateway/follow/feed.go
@@ -18,26 +18,26 @@
 	"github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1/bspbconnect"
 )
 
-// Timing of following another node.
+// Timing of calls that follow another node.
 const (
-	// followWait is how long the other node waits for a change before it answers.
-	// Reports of load go along, so it is also their interval.
+	// followWait is how long the other node waits for a change before it responds. Load
+	// reports are sent with the request, so it is also their interval.
 	followWait = 500 * time.Millisecond
-	// coalesce is how long a changed view is held back, so that several changes
-	// become one answer.
+	// coalesceDelay is how long a changed view is held back, so that several changes share
+	// one response.
 	coalesce = 40 * time.Millisecond
-	// followTimeout ends a call whose answer does not come.
+	// followTimeout is the timeout of a call.
 	followTimeout = followWait + 400*time.Millisecond
-	// staleContact is the age of the lessor's contact with the store beyond which
-	// others do not rely on it: one read of each topic may fail.
+	// maxLessorContactAge is the age of the lessor's contact with the store beyond which
+	// other nodes do not rely on it. It allows one failed read of each topic.
 	staleContact = 950 * time.Millisecond
-	// staleRelay is the same for what a relay tells. A relay hears from the lessor
-	// every followWait, so what it tells is that much older.
+	// maxRelayContactAge is the corresponding limit for a relay. A relay receives data from
+	// the lessor every followWait, so its data is older by that time.
 	staleRelay = 1500 * time.Millisecond
-	// MemberTimeout is how long a node counts after its latest call. A lessor knows
-	// all nodes after it.
+	// MemberTimeout is how long a node remains a member after its latest call. A new lessor
+	// knows all nodes after this time.
 	MemberTimeout = 2 * time.Second
-	// peerRetry is the pause after a call to another node failed.
+	// peerRetry is the pause after a failed call to another node.
 	peerRetry = 250 * time.Millisecond
 )
 
@@ -47,32 +47,33 @@
 	State    *view.State
 	Contact  *Contact
 	IsLessor func() bool
-	// Reports receives the reports of followers; a full channel drops them.
+	// Reports receives the reports of followers. Reports are dropped while the channel is
+	// full.
 	Reports chan Report
-	// HandOffs receives the requests of new lessors to this node; a full channel refuses
-	// them.
+	// HandOffs receives the requests of new lessors to this node. Requests are refused
+	// while the channel is full.
 	HandOffs chan *HandOff
 
 	configText encoded
 	servers    serversTeller
 	routes     routesTeller
 
-	follows  atomic.Bool // the node follows the lessor, directly or by way of another
-	resigned atomic.Bool // the node was the lessor and has given the lease up
+	follows  atomic.Bool // the node follows the lessor, directly or through another node
+	resigned atomic.Bool // the node was the lessor and has resigned
 
 	mu      sync.Mutex
-	members map[string]seenMember // by node
+	members map[string]seenMember // keyed by node
 }
 
-// encoded keeps the JSON of the newest version of a part of the view: every
-// follower gets the same.
+// encodedPart caches the JSON of the newest version of a part of the view, because every
+// follower receives the same JSON.
 type encoded struct {
 	mu      sync.Mutex
 	version int64
 	text    []byte
 }
 
-// of returns the JSON of a part in a version.
+// encode returns the JSON of a version of a part.
 func (e *encoded) of(version int64, part any) ([]byte, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -87,11 +88,11 @@
 	return text, nil
 }
 
-// seenMember is a node that follows this one.
+// followerState describes a node that follows this one.
 type seenMember struct {
 	view.Member
 	at            time.Time
-	followers     []view.Member // that follow it, in turn
+	followers     []view.Member // nodes that follow this follower
 	followersHash uint64
 }
 
@@ -111,7 +112,7 @@
 	if len(asked.KeyCounts)+len(asked.Paces) > 0 {
 		select {
 		case f.Reports <- Report{KeyCounts: asked.KeyCounts, Paces: asked.Paces}:
-		default: // the next report tells nearly the same
+		default: // the next report contains nearly the same data
 		}
 	}
 	f.await(ctx, asked)
@@ -124,7 +125,7 @@
 	return connect.NewResponse(reply), nil
 }
 
-// await waits until the view differs from what the request names, or until the
+// awaitChange waits until the view is newer than the versions in the request, or until the
 // node's contact with the store becomes too old for its followers.
 func (f *Feed) await(ctx context.Context, asked *bspb.FollowRequest) {
 	wait := time.Duration(asked.WaitMs) * time.Millisecond
@@ -148,8 +149,8 @@
 	}
 }
 
-// awaitContact waits until a node that starts knows the store, since those that ask it
-// could not rely on its answer before.
+// awaitContact waits until a starting node has read the store, because callers cannot rely
+// on its response before then.
 func (f *Feed) awaitContact(ctx context.Context) {
 	for {
 		if _, known := f.Contact.Age(); known || !clock.Wait(ctx, leastPause) {
@@ -158,7 +159,7 @@
 	}
 }
 
-// staleAfter returns the age of a node's contact with the store beyond which its
+// contactLimit returns the age of a node's contact with the store beyond which its
 // followers do not rely on it.
 func staleAfter(isLessor bool) time.Duration {
 	if isLessor {
@@ -167,10 +168,10 @@
 	return staleRelay
 }
 
-// SetFollows tells whether the node follows the lessor.
+// SetFollows sets whether the node follows the lessor.
 func (f *Feed) SetFollows(follows bool) { f.follows.Store(follows) }
 
-// SetResigned tells whether the node was the lessor last and has given the lease up.
+// SetResigned sets whether the node was the latest lessor and has resigned.
 func (f *Feed) SetResigned(resigned bool) { f.resigned.Store(resigned) }
 
 func (f *Feed) differs(asked *bspb.FollowRequest) bool {
@@ -193,7 +194,7 @@
 	if age, known := f.Contact.Age(); known {
 		reply.ContactAgeMs = age.Milliseconds()
 	}
-	reply.ServersNext = int64(f.Contact.Next()) // before the view, which holds at least that
+	reply.ServersNext = int64(f.Contact.Next()) // read before the view, which contains at least these records
 	v := f.State.Now()
 	reply.Resigned = f.resigned.Load() && v.Routes.Lessor.Boot == f.Self.Boot
 	var err error
@@ -215,8 +216,8 @@
 	return reply, err
 }
 
-// see takes who asks, and returns the hash of the followers that it is known to
-// have.
+// noteFollower records the calling node, and returns the hash of the followers that it is
+// known to have.
 func (f *Feed) see(asked *bspb.FollowRequest) uint64 {
 	if asked.Member == nil {
 		return 0
@@ -236,8 +237,8 @@
 	return seen.followersHash
 }
 
-// Members returns the nodes that follow this one, directly or by way of another,
-// itself included.
+// Members returns the nodes that follow this one, directly or through another node, and
+// this node itself.
 func (f *Feed) Members() []view.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -254,7 +255,7 @@
 		}
 	}
 	for node, seen := range f.members {
-		members[node] = seen.Member // newer than what another one tells
+		members[node] = seen.Member // newer than what another node reports
 	}
 	members[f.Self.Node] = f.Self
 	list := slices.Collect(maps.Values(members))
@@ -262,7 +263,7 @@
 	return list
 }
 
-// Followers returns the nodes that follow this one, without itself.
+// Followers returns the nodes that follow this one, without this node itself.
 func (f *Feed) Followers() []view.Member {
 	return slices.DeleteFunc(f.Members(), func(m view.Member) bool { return m.Node == f.Self.Node })
 }
--- a/gateway/follow/feed_test.go
+++ b/gateway/follow/feed_test.go
@@ -31,8 +31,8 @@
 	return NewFeed(member(name), view.NewState(), new(Contact), func() bool { return isLessor })
 }
 
-// The lessor shares servers' limits and the retry budget among all nodes, so it
-// must know those that follow a relay.
+// The lessor divides the servers' limits and the retry budget among all nodes, so it must
+// also know the nodes that follow a relay.
 func TestTheLessorKnowsNodesThatFollowARelay(t *testing.T) {
 	g := gomega.NewWithT(t)
 	feed := newFeedOf("lessor", true)
@@ -51,8 +51,8 @@
 	g.Expect(namesOf(feed.Members())).To(gomega.Equal([]string{"lessor", "relay"}))
 }
 
-// Followers of a relay must notice in time that what it tells has become old:
-// they hear so at once, and not at the end of their wait.
+// Followers of a relay must notice in time that its data has become old: the relay responds
+// at once, and not at the end of their wait.
 func TestFollowersHearAtOnceThatContactIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -92,8 +92,8 @@
 	g.Expect(report.Paces[0].Present).To(gomega.Equal(uint32(10)))
 }
 
-// A reply that was held up on its way tells about an earlier time than the one at
-// which it arrives.
+// The data of a delayed reply is older than its arrival: the time in flight is part of its
+// age.
 func TestContactIsNotYoungerThanTheReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
--- a/gateway/follow/follower.go
+++ b/gateway/follow/follower.go
@@ -24,7 +24,7 @@
 // Follower follows other nodes' feeds.
 type Follower struct {
 	Self    view.Member
-	Feed    *Feed // the node's own
+	Feed    *Feed // of this node
 	State   *view.State
 	Reader  *Reader
 	Reports *Reports
@@ -33,40 +33,40 @@
 	seeds   atomic.Pointer[[]string]
 	client  *http.Client
 	clients map[string]bspbconnect.GatewayClient
-	behind  bool                 // no node is followed
-	relied  string               // address of the node that had fresh news last; empty: none
-	avoid   map[string]time.Time // until when relays are not followed, by address
-	// toldFollowers is the hash of the followers that each source knows of this
-	// node, by address.
+	behind  bool                 // whether no node with recent data is followed
+	relied  string               // address of the last source that had recent data; empty if there is none
+	avoid   map[string]time.Time // time until which a source is not followed, by address
+	// knownFollowers is the hash of this node's followers that each source knows, by
+	// address.
 	toldFollowers map[string]uint64
 }
 
-// SetSeeds sets the addresses of nodes that may know the site at start. It is
-// called before Run and before the reader begins, and whenever they change.
+// SetSeeds sets the addresses of nodes that may know the site at start. It is called before
+// Run, before the reader starts, and whenever the seeds change.
 func (f *Follower) SetSeeds(seeds []string) {
 	f.seeds.Store(&seeds)
 	f.takeStanding()
 }
 
-// takeStanding tells the reader the node's place among those that may read.
+// updatePriority sets the node's priority among those that may read the store.
 func (f *Follower) takeStanding() {
 	f.Reader.SetStanding(standingOf(f.Self, f.State.Now(), *f.seeds.Load()))
 }
 
-// connectTimeout ends an attempt to connect to another node.
+// connectTimeout is the timeout of a connection attempt to another node.
 const connectTimeout = 400 * time.Millisecond
 
 const (
-	// avoidRelay is for how long a relay that failed is not followed: about as long
-	// as the lessor needs to tell that it is gone.
+	// avoidRelay is how long a failed relay is not followed: about the time that the lessor
+	// needs to report that the relay is gone.
 	avoidRelay = 3 * time.Second
-	// avoidLessor is the same for the lessor, which is replaced within two seconds if
-	// it is gone; otherwise its relays should not be without it for long.
+	// avoidLessor is the corresponding time for the lessor. A lessor that is gone is
+	// replaced within two seconds; otherwise its relays should not be without it for long.
 	avoidLessor = time.Second
 )
 
-// Run follows the lessor, by way of a relay if there is one, until ctx ends. While
-// nobody has fresh news the node reads the store itself as its turn comes.
+// Run follows the lessor, through a relay if there is one, until ctx ends. While no node
+// has recent data, this node reads the store itself according to its read priority.
 func (f *Follower) Run(ctx context.Context) {
 	transport := &http.Transport{DialContext: f.dial, DisableCompression: true}
 	f.client = &http.Client{Transport: transport}
@@ -95,7 +95,7 @@
 	return traffic.Between(traffic.Nodes, f.Self.Zone, f.zoneOf(address)).Conn(conn), nil
 }
 
-// zoneOf returns the zone of the node at an address; empty if it is not known.
+// zoneOf returns the zone of the node at an address, or an empty string if it is unknown.
 func (f *Follower) zoneOf(address string) string {
 	for _, member := range f.State.Now().Members {
 		if member.Address == address {
@@ -105,9 +105,8 @@
 	return ""
 }
 
-// followSource makes one call to the node that this one follows and reports whether
-// there is one. If it does not answer, or has no fresh news, another node is followed
-// next.
+// pollSource makes one call to the followed node and reports whether there is one. If the
+// call fails, or the response has no recent data, another node is followed next.
 func (f *Follower) followSource(ctx context.Context) bool {
 	if f.Reader.lessor.Load() {
 		return false
@@ -118,7 +117,7 @@
 	}
 	wait := followWait
 	if from.address != f.relied && len(f.State.Now().Members) > 0 {
-		wait = 0 // first it must show that it has fresh news
+		wait = 0 // respond at once, to show whether its data is recent
 	}
 	f.relied = ""
 	reply, err := f.follow(ctx, from.address, wait)
@@ -139,8 +138,8 @@
 	return true
 }
 
-// source returns the best source that has not failed lately; if all have, the best
-// one.
+// source returns the best source that has not failed recently. If all have failed, it
+// returns the best source.
 func (f *Follower) source(now time.Time) (best source, found bool) {
 	list := sources(f.Self, f.State.Now(), *f.seeds.Load())
 	for _, s := range list {
@@ -154,7 +153,7 @@
 	return list[0], true
 }
 
-// hasOther reports whether there is another source that has not failed lately.
+// hasAlternative reports whether there is another source that has not failed recently.
 func (f *Follower) hasOther(than source) bool {
 	other, found := f.source(time.Now())
 	return found && other != than && time.Now().After(f.avoid[other.address])
@@ -180,7 +179,7 @@
 	}
 }
 
-// askOther asks one of the nodes known, or a seed, for its view.
+// queryAnyNode requests the view of one of the known nodes or seeds.
 func (f *Follower) askOther(ctx context.Context, turn int) {
 	seeds := *f.seeds.Load()
 	addresses := make([]string, 0, len(seeds))
@@ -237,8 +236,8 @@
 	return response.Msg, nil
 }
 
-// tellFollowers adds the nodes that follow this one, if the other node does not
-// know them.
+// addFollowers adds this node's followers to a request, if the other node does not know
+// them.
 func (f *Follower) tellFollowers(request *bspb.FollowRequest, address string) {
 	followers := f.Feed.Followers()
 	if len(followers) == 0 {
@@ -250,15 +249,16 @@
 	}
 }
 
-// knownAt returns up to when the other node knew the store. The reply may have been
-// on its way for what the other node did not hold the request.
+// contactTime returns the time up to which the other node knew the store. The part of the
+// call's duration in which the other node did not hold the request may be the response's
+// time in flight.
 func knownAt(reply *bspb.FollowReply, startedAt time.Time) time.Time {
 	onItsWay := max(clock.Since(startedAt)-time.Duration(reply.HeldMs)*time.Millisecond, 0)
 	age := time.Duration(reply.ContactAgeMs)*time.Millisecond + onItsWay
 	return clock.Now().Add(-age)
 }
 
-// describe names the parts of a view that the node has.
+// setKnownVersions sets the versions of the parts of the view that this node has.
 func describe(request *bspb.FollowRequest, v *view.View) {
 	if v.Config != nil {
 		request.ConfigVersion = uint64(v.Config.Version)
@@ -274,8 +274,8 @@
 	request.MembersHash = v.MembersSum()
 }
 
-// merge takes what another node knows better. isWhole is false if it told a change of a
-// register or of routes that this node does not have any more.
+// merge applies the parts of a response that are newer than the view. isWhole is false if
+// the response contains a change to a registry or to routes that this node no longer has.
 func (f *Follower) merge(reply *bspb.FollowReply, from string) (isWhole bool, err error) {
 	if len(reply.Config) > 0 {
 		var config site.Config
@@ -307,8 +307,8 @@
 	return hasRoutes && (isTold || reply.ServersChange == nil), nil
 }
 
-// mergeRoutes takes the routes that another node tells, if it does. isWhole is false if it
-// told a change of routes that this node does not have any more.
+// mergeRoutes applies the routes of a response, if there are any. isWhole is false if they
+// are a change to routes that this node no longer has.
 func (f *Follower) mergeRoutes(message *bspb.GatewayRoutes, from string) (isWhole bool, err error) {
 	if message == nil {
 		return true, nil
@@ -320,7 +320,7 @@
 	return found, err
 }
 
-// MalformedError reports an answer of another node that cannot be understood.
+// MalformedError reports a malformed response of another node.
 type MalformedError struct{ From string }
 
 // Error implements error.
--- a/gateway/follow/former_test.go
+++ b/gateway/follow/former_test.go
@@ -11,7 +11,7 @@
 	"github.com/burdockspindle/burdockspindle/gateway/store"
 )
 
-// A snapshot of the topic has the newest record of each key, in any order.
+// A snapshot of the topic contains the newest record of each key, in any order.
 func TestTheNewestRecordTellsOfLessorsBefore(t *testing.T) {
 	record := func(key string, at store.Offset, value any) store.Record {
 		text, err := json.Marshal(value)
--- a/gateway/follow/handoff.go
+++ b/gateway/follow/handoff.go
@@ -14,29 +14,30 @@
 	"github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1/bspbconnect"
 )
 
-// handOffTimeout ends a hand-off whose reply does not come. The former lessor waits for the
-// calls that it has under way.
+// handOffTimeout is the timeout of a hand-off. The previous lessor waits for its calls in
+// flight.
 const handOffTimeout = time.Second
 
-// HandOff is a new lessor's request to the one before it.
+// HandOff is a new lessor's request to the previous lessor.
 type HandOff struct {
-	Former ranges.Lessor // its node and boot
+	Former ranges.Lessor // node and boot of the previous lessor
 	Claim  store.Offset
-	// Reply receives what is known of the former lessor's grants, once it grants nothing any
-	// more; it is closed without that if the node cannot tell. It has room for one.
+	// Reply receives what is known of the previous lessor's outstanding grants, after it
+	// has stopped granting. It is closed without a value if the node does not know them. It
+	// has a buffer of one.
 	Reply chan FormerGrants
 }
 
-// FormerGrants tells what a former lessor granted that may be in force.
+// PreviousGrants describes the grants of a previous lessor that may be outstanding.
 type FormerGrants struct {
 	Ranges []ranges.Remaining
-	// HasEnded tells that its process had ended EndedFor before the reply, at least. Then
-	// nobody knows the ranges.
+	// HasEnded reports that the previous lessor's process ended at least EndedFor before
+	// the reply. In this case no node knows the ranges.
 	HasEnded bool
 	EndedFor time.Duration
 }
 
-// NotFormerLessorError reports that a node cannot tell what a lessor granted.
+// UnknownLessorError reports that a node does not know the grants of a lessor.
 type NotFormerLessorError struct{ Boot string }
 
 // Error implements error.
@@ -63,8 +64,8 @@
 	}
 }
 
-// AskFormer has the lessor before a claim grant nothing any more and tell what it granted.
-// Times count from the return of this function at the latest.
+// RequestGrants makes the lessor before a claim stop granting, and returns its outstanding
+// grants. Their durations are measured from the return of this function at the latest.
 func (f *Follower) AskFormer(ctx context.Context, former ranges.Lessor, claim store.Offset) (FormerGrants, error) {
 	ctx, cancel := context.WithTimeout(ctx, handOffTimeout)
 	defer cancel()
@@ -81,7 +82,8 @@
 }
 
 func grantsMessage(grants FormerGrants) *bspb.HandOffReply {
-	// Rounded down: what ended lately must not seem to have ended before.
+	// Rounded down, so that a process that ended recently does not seem to have ended
+	// earlier.
 	reply := &bspb.HandOffReply{HasEnded: grants.HasEnded, EndedMs: uint32(grants.EndedFor.Milliseconds())}
 	for _, r := range grants.Ranges {
 		reply.Ranges = append(reply.Ranges, &bspb.HeldRange{
@@ -95,8 +97,8 @@
 	return reply
 }
 
-// RoundUp returns a time for which grants may be in force, in milliseconds. It rounds up: what
-// may be in force must not seem to end sooner.
+// RoundUp returns the duration of outstanding grants in milliseconds. It rounds up, so that
+// no grant seems to expire early.
 func RoundUp(d time.Duration) int64 {
 	return (d + time.Millisecond - 1).Milliseconds()
 }
--- a/gateway/follow/message.go
+++ b/gateway/follow/message.go
@@ -39,7 +39,7 @@
 	slices.SortFunc(list, func(a, b view.Member) int { return strings.Compare(a.Node, b.Node) })
 }
 
-// shareUnit is the unit of a told share.
+// shareUnit is the value of a full share in a message, which has shares in thousandths.
 const shareUnit = 1000
 
 func sharesMessage(shares view.Shares) *bspb.ServerShares {
--- a/gateway/follow/metrics.go
+++ b/gateway/follow/metrics.go
@@ -11,7 +11,7 @@
 
 var storeCalls = metrics.New("gateway_store").Map("calls")
 
-// Counted is a store whose calls are counted by kind and result.
+// Counted is a store that counts its calls by kind and result.
 type Counted struct{ Store store.Store }
 
 // Newest implements store.Store.
@@ -50,13 +50,13 @@
 	storeCalls.Add(kind+" "+string(topic)+" "+result, 1)
 }
 
-// Counts of what was seen in the register.
+// Counters of registry entries.
 var (
 	registerCounts = metrics.New("gateway_register")
-	// brokenEntries counts the changes of entries that name no server to use.
+	// invalidEntries counts the changes of entries from which no server can be read.
 	brokenEntries = registerCounts.Counter("broken_entries")
-	// passedOver counts entries of runs that were before the known one.
+	// skippedEntries counts entries of incarnations before the known one.
 	passedOver = registerCounts.Counter("entries_of_earlier_runs")
-	// runsReplaced counts servers that started again.
+	// serversRestarted counts the restarts of servers.
 	runsReplaced = registerCounts.Counter("runs_replaced")
 )
--- a/gateway/follow/ownership.go
+++ b/gateway/follow/ownership.go
@@ -15,44 +15,45 @@
 	HeartbeatKey = "heartbeat"
 )
 
-// Heartbeat is the lessor's record that its lease goes on.
+// Heartbeat is the record by which the lessor renews its lease.
 type Heartbeat struct {
 	Boot     string `json:"boot"`
 	Serial   uint64 `json:"serial"`
-	Resigned bool   `json:"resigned,omitempty"` // it grants nothing any more
-	// HeldMs is, with Resigned, for how long what it granted may be in force.
+	Resigned bool   `json:"resigned,omitempty"` // the lessor has stopped granting
+	// HeldMs is how long outstanding grants may be in force after a resignation, in
+	// milliseconds.
 	HeldMs int64 `json:"heldMs,omitempty"`
-	// DoubtMs is the same of those grants that had no answer; nil: not told.
+	// UncertainMs is the same for grants without a response; nil if not reported.
 	DoubtMs *int64 `json:"doubtMs,omitempty"`
-	// FormerMs is for how long grants of lessors before this one may be in force; nil: not
-	// told.
+	// PreviousMs is how long grants of previous lessors may be in force, in milliseconds;
+	// nil if not reported.
 	FormerMs *int64 `json:"formerMs,omitempty"`
 }
 
-// Ownership is the state of the ownership topic as of an offset. Its parts belong
-// together: a claim at End that rests on an older table would give ranges to
-// owners that they were taken from.
+// Ownership is the state of the ownership topic as of an offset. Its fields are consistent
+// with each other: a claim at End that is based on an older table would assign ranges to
+// owners that have lost them.
 type Ownership struct {
-	Known    bool         // every record before End is in it
-	End      store.Offset // of the topic
-	Table    view.Table   // the newest; without a table before the first
-	Resigned bool         // the lessor gave its lease up
-	// Held is, with Resigned, for how long what the lessor granted may be in force
-	// after that record.
+	Known    bool         // every record before End is included
+	End      store.Offset // end of the topic
+	Table    view.Table   // the newest; Table.Table is nil before the first
+	Resigned bool         // the lessor has resigned
+	// Held is how long the lessor's outstanding grants may be in force after the record of
+	// its resignation.
 	Held  time.Duration
-	Doubt time.Duration // the same of grants without an answer
-	// FormerHeld is for how long after the newest record grants of lessors before the
-	// present one may be in force; KnowsFormer: the record tells it.
+	Doubt time.Duration // the same for grants without a response
+	// PreviousHeld is how long after the newest record the grants of previous lessors may
+	// be in force. KnowsPrevious reports whether that record contains it.
 	FormerHeld  time.Duration
 	KnowsFormer bool
-	formerAt    store.Offset // of that record
-	ReadAt      time.Time    // when the topic was read last
-	MovedAt     time.Time    // when End was first seen
+	formerAt    store.Offset // offset of that record
+	ReadAt      time.Time    // time of the latest read of the topic
+	MovedAt     time.Time    // when End was first observed
 
-	unreadable bool // the newest table cannot be understood
+	unreadable bool // the newest table is invalid
 }
 
-// RecordError reports a record that cannot be understood.
+// RecordError reports an invalid record.
 type RecordError struct {
 	Key    string
 	Offset store.Offset
@@ -65,8 +66,8 @@
 // Unwrap returns the cause.
 func (e *RecordError) Unwrap() error { return e.Cause }
 
-// fold takes a batch of records, which follows what was read before or is a
-// snapshot, and returns those that cannot be understood.
+// fold applies a batch of records, which is a snapshot or continues the previous read, and
+// returns an error for each invalid record.
 func (o *Ownership) fold(batch store.Batch, now time.Time) []*RecordError {
 	var problems []*RecordError
 	for _, record := range batch.Records {
@@ -114,8 +115,8 @@
 	return nil
 }
 
-// takeFormer takes what a record tells of the lessors before the one that wrote it. Of a
-// snapshot's records the newest counts.
+// applyPrevious applies what a record reports about the lessors before its writer. In a
+// snapshot, the record with the highest offset takes precedence.
 func (o *Ownership) takeFormer(at store.Offset, told *int64) {
 	if at < o.formerAt {
 		return
--- a/gateway/follow/ownership_test.go
+++ b/gateway/follow/ownership_test.go
@@ -25,8 +25,8 @@
 	return store.Record{Offset: offset, Key: HeartbeatKey, Value: text}
 }
 
-// A store returns a part of the records when they are long. A claim at the end of
-// the topic that rests on the part would undo what the rest says.
+// A store returns only some of the records when they are long. A claim at the end of the
+// topic that is based on these records would undo what the remaining ones contain.
 func TestOwnershipIsUnknownUntilEveryRecordIsRead(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var o Ownership
@@ -58,8 +58,8 @@
 	g.Expect(o.Known).To(gomega.BeTrue())
 }
 
-// A record of an earlier release does not tell of grants without an answer: all
-// that was granted counts as such.
+// A record of an earlier release does not contain the duration of grants without a
+// response, so that all grants are treated as uncertain.
 func TestAResignationThatDoesNotTellOfUnansweredGrants(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var o Ownership
--- a/gateway/follow/reader.go
+++ b/gateway/follow/reader.go
@@ -15,27 +15,29 @@
 	"github.com/burdockspindle/burdockspindle/gateway/view"
 )
 
-// Intervals of reading the store, beside those that depend on who reads.
+// Intervals of reading the store that do not depend on the read priority.
 const (
-	// configWait is how long a read of the configurations waits: they are rare,
-	// but a connection that goes silent meanwhile shows only after it.
+	// configWait is how long a read of the configurations waits for a record.
+	// Configurations are rare, but a connection that stalls during the wait is detected
+	// only after it.
 	configWait = 600 * time.Millisecond
-	// answerTime is what the way of an answer may take.
+	// responseTime is the allowance for the transfer of a response.
 	answerTime = 50 * time.Millisecond
-	// leastPause is the least time between two reads of a topic.
+	// minReadPause is the minimum time between two reads of a topic.
 	leastPause = 50 * time.Millisecond
-	// shortWait and longWait bound the time until a reader that need not read looks
-	// again whether it must. Hundreds of nodes that look twenty times a second take more
-	// of their processors than the requests of a calm site.
+	// minTurnWait and maxTurnWait limit the time until a reader that need not read checks
+	// again whether it must. With twenty checks per second, hundreds of nodes spend more
+	// processor time on them than on the requests of a site with little traffic.
 	shortWait = 10 * time.Millisecond
 	longWait  = time.Second
-	// outageLook is how often one loop looks whether the other has found the store back.
+	// outageCheckInterval is how often one loop checks whether the other has reached the
+	// store again.
 	outageLook = 250 * time.Millisecond
-	// lookTime is how long a node that starts, and has found a lessor in the store,
-	// waits for news from it before it reads the rest.
+	// startReportWait is how long a starting node that has found a lessor in the store
+	// waits for a report from the lessor before it reads the other topics.
 	lookTime = 500 * time.Millisecond
-	// lessorLook is for how long nodes look for a new lessor after one has resigned:
-	// a claim follows within half a second.
+	// lessorWatchTime is how long nodes watch for a new lessor after a resignation. A claim
+	// follows within half a second.
 	lessorLook = time.Second
 )
 
@@ -46,29 +48,29 @@
 	State     *view.State
 	Contact   *Contact
 	Logger    hclog.Logger
-	StartedAt time.Time // of the node
+	StartedAt time.Time // start time of the node
 
 	standing    atomic.Pointer[Standing]
-	lessor      atomic.Bool      // the node holds the lessor's lease and needs no read of it
+	lessor      atomic.Bool      // the node is the lessor and need not read its own lease
 	lost        atomic.Bool      // the latest call failed
 	serversLost atomic.Bool      // the latest read of the servers failed
-	lookUntil   atomic.Int64     // until when the node looks for a new lessor, by the clock, in nanoseconds
-	woken       broadcast.Signal // sent when it may be the node's turn to read sooner than expected
-	looked      broadcast.Signal // sent when the ownership topic has been read
+	lookUntil   atomic.Int64     // wall clock time in nanoseconds until which the node watches for a new lessor
+	woken       broadcast.Signal // sent when the node may have to read earlier than expected
+	looked      broadcast.Signal // sent after each read of the ownership topic
 	register    *Register
 	broken      brokenLog
 	mu          sync.Mutex
 	ownership   Ownership
 }
 
-// SetStanding tells the node's place among those that may read the store.
+// SetReadPriority sets the node's priority among those that may read the store.
 func (r *Reader) SetStanding(s Standing) {
 	if before := r.standing.Swap(&s); before == nil || *before != s {
 		r.woken.Send()
 	}
 }
 
-// Standing returns the node's place among those that may read the store.
+// ReadPriority returns the node's priority among those that may read the store.
 func (r *Reader) Standing() Standing {
 	s := Standing{Rank: -1}
 	if known := r.standing.Load(); known != nil {
@@ -78,24 +80,24 @@
 	return s
 }
 
-// SetLessor tells whether the node is the lessor.
+// SetLessor sets whether the node is the lessor.
 func (r *Reader) SetLessor(isLessor bool) {
 	r.lessor.Store(isLessor)
 	r.woken.Send()
 }
 
-// Ownership returns what is known of the lessor's lease.
+// Ownership returns the known state of the lessor's lease.
 func (r *Reader) Ownership() Ownership {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ownership
 }
 
-// OwnershipRead returns a channel that is closed when the ownership topic is read next.
+// OwnershipRead returns a channel that is closed at the next read of the ownership topic.
 func (r *Reader) OwnershipRead() <-chan struct{} { return r.looked.Next() }
 
-// LookForLessor takes that the lessor has given its lease up: those whose turn to read
-// comes first look at once who takes it.
+// WatchForLessor records that the lessor has resigned. Nodes with the highest read priority
+// then read the store at once to find the new lessor.
 func (r *Reader) LookForLessor() {
 	r.lookUntil.Store(clock.Now().Add(lessorLook).UnixNano())
 	r.woken.Send()
@@ -109,8 +111,8 @@
 	return looks || standing.mayRead(age, wasTold)
 }
 
-// toldAge returns how old the news of other nodes are; if there were none, for how long
-// the node has been running.
+// reportAge returns the age of the latest report from another node. If there was none, it
+// returns the time since the node's start.
 func (r *Reader) toldAge() (age time.Duration, wasTold bool) {
 	if age, wasTold = r.Contact.ToldAge(); wasTold {
 		return age, true
@@ -118,8 +120,8 @@
 	return clock.Since(r.StartedAt), false
 }
 
-// awaitTurn waits until it may be the node's turn to read. woken was taken before the
-// node looked whether it is.
+// awaitTurn waits until the node may have to read. The caller obtains woken before it calls
+// mustRead.
 func (r *Reader) awaitTurn(ctx context.Context, woken <-chan struct{}, longest time.Duration) {
 	age, wasTold := r.toldAge()
 	left := r.Standing().patience(wasTold) - age
@@ -132,7 +134,7 @@
 	}
 }
 
-// RunConfigurations follows the operator's configurations until ctx ends.
+// RunConfigurations reads the operator's configurations until ctx ends.
 func (r *Reader) RunConfigurations(ctx context.Context) {
 	next := store.Offset(-1)
 	failures := 0
@@ -143,7 +145,7 @@
 			continue
 		}
 		if r.serversLost.Load() {
-			clock.Wait(ctx, outageLook) // the other loop finds out when the store answers
+			clock.Wait(ctx, outageLook) // the other loop detects when the store responds again
 			continue
 		}
 		batch, _, err := r.readFrom(ctx, store.Configurations, next, configWait)
@@ -158,14 +160,14 @@
 			r.takeConfig(record)
 		}
 		if isWhole(batch) {
-			// A read that waited in vain tells that there was nothing up to its end.
+			// A read that returned nothing shows that there was no record until its end.
 			r.Contact.Note(store.Configurations, clock.Now().Add(-answerTime))
 		}
 	}
 }
 
-// readFrom reads the records from an offset on. If the offset is negative or
-// gone it reads a snapshot, the newest record of each key.
+// readFrom reads the records from an offset. If the offset is negative or trimmed, it reads
+// a snapshot, which contains the newest record of each key.
 func (r *Reader) readFrom(ctx context.Context, topic store.Topic, from store.Offset, wait time.Duration) (batch store.Batch, isSnapshot bool, err error) {
 	startedAt := clock.Now()
 	err = &store.TrimmedError{Topic: topic}
@@ -184,11 +186,11 @@
 	return batch, isSnapshot, err
 }
 
-// isWhole reports whether a batch reaches the end of its topic. A node that is
-// behind must not tell others that it knows a topic: they would rely on it.
+// isComplete reports whether a batch reaches the end of its topic. A node that is behind
+// must not report a topic as known, because other nodes would rely on it.
 func isWhole(batch store.Batch) bool { return batch.Next >= batch.End }
 
-// note logs when the store is lost and regained.
+// noteResult logs when the store becomes unavailable and available.
 func (r *Reader) note(ctx context.Context, topic store.Topic, err error) {
 	if err == nil {
 		if r.lost.Swap(false) {
@@ -203,7 +205,7 @@
 
 func (r *Reader) takeConfig(record store.Record) {
 	if len(record.Value) == 0 {
-		return // the newest configuration stays in force
+		return // the newest configuration remains in force
 	}
 	config, found, err := r.Codec.Config(record.Key, record.Value)
 	if err == nil && found {
@@ -218,8 +220,7 @@
 	}
 }
 
-// RunServers follows the register of servers and the ownership topic until ctx
-// ends.
+// RunServers reads the servers' topic and the ownership topic until ctx ends.
 func (r *Reader) RunServers(ctx context.Context) {
 	r.register = NewRegister()
 	turn := readTurn{servers: -1, ownership: -1}
@@ -249,15 +250,15 @@
 	}
 }
 
-// readTurn is a time in which a node reads servers and ownership.
+// readTurn is the state of a period in which a node reads servers and ownership.
 type readTurn struct {
 	reads              bool
-	servers, ownership store.Offset // to read on from; negative: a snapshot
-	failures           int          // calls in a row that failed
+	servers, ownership store.Offset // offsets of the next reads; negative for a snapshot
+	failures           int          // consecutive failed calls
 }
 
-// beginTurn begins to read the store. What others told is not read again. A node that
-// starts looks first whether there is a lessor that can tell it the rest.
+// beginTurn starts reading the store. Records that other nodes have reported are not read
+// again. A starting node first checks whether there is a lessor that can report the rest.
 func (r *Reader) beginTurn(ctx context.Context, t *readTurn) {
 	t.reads = true
 	t.failures = 0
@@ -278,9 +279,9 @@
 	}
 }
 
-// endTurn takes that the node need not read the store. The ownership topic's records
-// of the time until its next turn are not read page by page then: the newest say it
-// all. A node 23 pages behind knew only after 9 s that the lease was given up.
+// endTurn stops reading the store. The next turn starts with a snapshot of the ownership
+// topic instead of the pages since this one, because the newest records are sufficient: a
+// node that was 23 pages behind noticed a resignation only after 9 s.
 func (r *Reader) endTurn(t *readTurn) {
 	if !t.reads {
 		return
@@ -292,8 +293,8 @@
 	eventReadingEnds.Log(r.Logger)
 }
 
-// readBoth reads the servers' topic, and the ownership topic unless the node is the
-// lessor, and reports whether more of the servers' is to be read at once.
+// readBoth reads the servers' topic, and the ownership topic unless the node is the lessor.
+// It reports whether more records of the servers' topic must be read at once.
 func (r *Reader) readBoth(ctx context.Context, t *readTurn) (isBehind bool, err error) {
 	batch, isSnapshot, err := r.readFrom(ctx, store.Servers, t.servers, 0)
 	r.serversLost.Store(err != nil)
@@ -313,8 +314,8 @@
 	return !isWhole(batch), err
 }
 
-// readOwnership reads the ownership topic from an offset and returns where the
-// next read starts.
+// readOwnership reads the ownership topic from an offset and returns the offset of the next
+// read.
 func (r *Reader) readOwnership(ctx context.Context, from store.Offset) (store.Offset, error) {
 	batch, _, err := r.readFrom(ctx, store.Ownership, from, 0)
 	if err != nil {
--- a/gateway/follow/reader_test.go
+++ b/gateway/follow/reader_test.go
@@ -17,15 +17,15 @@
 	"github.com/burdockspindle/burdockspindle/gateway/view"
 )
 
-// growingStore holds an ownership topic of tables and returns few of them a
-// read, as a store does that bounds the bytes of an answer.
+// growingStore holds an ownership topic of tables and returns a few of them per read, like
+// a store that limits the size of a response.
 type growingStore struct {
 	tables atomic.Int64
 	page   int
 }
 
 func serialRecord(at int64) store.Record {
-	text, _ := json.Marshal(&ranges.Table{Serial: uint64(at)}) // has no field that fails
+	text, _ := json.Marshal(&ranges.Table{Serial: uint64(at)}) // no field can fail
 	return store.Record{Offset: store.Offset(at), Key: TableKey, Value: text}
 }
 
@@ -58,10 +58,9 @@
 	return nil
 }
 
-// TestANodeFarBehindKnowsTheLeaseWithinASecond covers a node that followed
-// another one for so long that the ownership topic has grown by many pages. One
-// page in each readEvery took 9.1 s for 23 pages, in which no node of a site
-// could claim a lease that had been given up, and all keys lost their owners.
+// A node that followed another one for a long time is many pages behind in the ownership
+// topic. Reading one page in each readEvery took 9.1 s for 23 pages, in which no node of a
+// site could claim a lease after a resignation, and all keys lost their owners.
 func TestANodeFarBehindKnowsTheLeaseWithinASecond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -99,7 +98,7 @@
 	}
 }
 
-// The duty of a node that is not the lessor sleeps until the ownership topic is read.
+// The duty of a node that is not the lessor waits for a read of the ownership topic.
 func TestAReadOfTheOwnershipTopicIsTold(t *testing.T) {
 	g := gomega.NewWithT(t)
 	growing := &growingStore{page: 20}
--- a/gateway/follow/recent.go
+++ b/gateway/follow/recent.go
@@ -5,29 +5,30 @@
 	"sync"
 )
 
-// mostRecent bounds the states from which a change can be told. A node asks again as soon
-// as it has an answer, and its next answer comes after eight changes at the most.
+// maxRecent limits the states from which a change can be sent. A node calls again as soon
+// as it has a response, and receives the next one after at most eight changes.
 const mostRecent = 8
 
-// recent keeps the latest states that were told to other nodes, and what was made to lead
-// from one of them to the newest. Everything is made once for all nodes that get the same.
-// Its zero value is ready for use.
+// recentVersions keeps the latest states that were sent to other nodes, and the messages
+// that lead from each of them to the newest. Each message is built once for all nodes that
+// receive it. The zero value is ready for use.
 type recent[V comparable, S, M any] struct {
 	mu     sync.Mutex
-	latest []versioned[V, S] // the newest last
-	made   map[V]M           // by the version from which it leads
-	whole  *M                // what leads from nothing; nil: not made yet
+	latest []versioned[V, S] // the newest is last
+	made   map[V]M           // by the version that the message starts from
+	whole  *M                // the complete newest state; nil if not built yet
 }
 
-// versioned is a state that was told, under its version.
+// versioned is a state that was sent, and its version.
 type versioned[V comparable, S any] struct {
 	version V
 	state   S
 }
 
-// tell returns what leads to the newest state from the one that a node has, or from
-// nothing if that is none of the latest. build makes it; base is nil for the whole, and
-// mayKeep is false if it holds only now.
+// message returns the message that leads from the state that a node has to the newest
+// state, or the complete newest state if the node has none of the latest. build creates the
+// message: base is nil for the complete state, and isReusable is false if the message is
+// valid only now.
 func (r *recent[V, S, M]) tell(newest versioned[V, S], isKnown func(V) bool, build func(base *S) (message M, mayKeep bool, err error)) (M, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,7 +55,7 @@
 	return message, err
 }
 
-// note takes the state that is told from now on. The lock is held.
+// add appends the state that is sent from now on. The caller holds the lock.
 func (r *recent[V, S, M]) note(newest versioned[V, S]) {
 	last := len(r.latest) - 1
 	if last >= 0 && r.latest[last].version == newest.version {
@@ -62,7 +63,7 @@
 	}
 	r.latest = append(r.latest, newest)
 	if len(r.latest) > mostRecent {
-		r.latest = slices.Clone(r.latest[1:]) // the first is not held any more
+		r.latest = slices.Clone(r.latest[1:]) // releases the first state
 	}
 	r.made = map[V]M{}
 	r.whole = nil
--- a/gateway/follow/register.go
+++ b/gateway/follow/register.go
@@ -8,36 +8,36 @@
 	"github.com/burdockspindle/burdockspindle/gateway/view"
 )
 
-// Timing of the register after an outage of the store.
+// Timing of the registry after an outage of the store.
 const (
-	// outageAfter is for how long reads must have failed to count as an outage in
-	// which entries may have lapsed: about one heartbeat of a server.
+	// minOutage is how long reads must fail before entries may have expired: about one
+	// heartbeat of a server.
 	outageAfter = time.Second
-	// returnTime is how long servers that live may take to register again after
-	// an outage, by the platform's promise.
+	// reregistrationTime is how long running servers may take to register again after an
+	// outage, as the platform guarantees.
 	returnTime = 2 * time.Second
-	// writtenMeanwhile is how many records for each server, read after reads had
-	// failed, tell that servers could write all the while: only this node was cut
-	// off, and what left the register has left.
+	// minWritesPerServer is the number of records per server, read after failed reads, that
+	// shows that servers could write throughout. In this case only this node was cut off,
+	// and servers without an entry have left.
 	writtenMeanwhile = 1.5
 )
 
-// Register folds the records of the servers' topic. It holds at most one run of
-// each server. Servers whose entry is missing after an outage of the store keep
-// their place for returnTime.
+// Registry applies the records of the servers' topic. It contains at most one incarnation
+// of each server. Servers whose entry is missing after an outage of the store are kept for
+// reregistrationTime.
 type Register struct {
 	byName   map[site.ServerName]*runs
 	next     store.Offset
-	change   store.Offset // after the last record that changed anything
-	failing  time.Time    // of the first failed read in a row; zero: the latest succeeded
-	returned time.Time    // end of the time after an outage
+	change   store.Offset // after the last record that changed the registry
+	failing  time.Time    // time of the first consecutive failed read; zero if the latest read succeeded
+	returned time.Time    // end of the grace period after an outage
 }
 
-// NewRegister returns a register that has read nothing.
+// NewRegistry returns an empty registry.
 func NewRegister() *Register { return &Register{byName: map[site.ServerName]*runs{}} }
 
-// KeepOnly takes the keys of a snapshot: servers under others have left. Put and
-// Break take the records themselves.
+// Retain applies the keys of a snapshot: servers under other keys have left. Put and
+// Invalidate apply the records.
 func (r *Register) KeepOnly(names map[site.ServerName]bool, end store.Offset, now time.Time) {
 	r.noteRead(now)
 	for name := range r.byName {
@@ -49,7 +49,7 @@
 	r.change = max(r.change, 1)
 }
 
-// Read notes that a number of records was read, up to an offset.
+// NoteRead records that a number of records was read, up to an offset.
 func (r *Register) Read(records int, end store.Offset, now time.Time) {
 	if float64(records) >= writtenMeanwhile*float64(r.present()) {
 		r.failing = time.Time{}
@@ -58,7 +58,7 @@
 	r.next = end
 }
 
-// present returns the number of servers that have a place.
+// present returns the number of servers in the registry.
 func (r *Register) present() int {
 	count := 0
 	for _, known := range r.byName {
@@ -69,7 +69,7 @@
 	return count
 }
 
-// Adopt replaces what was read by what other nodes told, up to an offset.
+// Adopt replaces the registry by the one that other nodes reported, up to an offset.
 func (r *Register) Adopt(told view.Servers, next store.Offset, now time.Time) {
 	names := make(map[site.ServerName]bool, len(told.Servers))
 	for id, server := range told.Servers {
@@ -91,11 +91,11 @@
 	r.change = max(r.change, told.Offset)
 }
 
-// Forget takes that the node does not read any more. That reads had failed tells
-// nothing of the store by the time of the next one.
+// ClearFailures discards earlier read failures when the node stops reading, because they
+// say nothing about the store at the time of the next read.
 func (r *Register) Forget() { r.failing = time.Time{} }
 
-// Failed notes that a read failed.
+// NoteReadFailed records a failed read.
 func (r *Register) Failed(now time.Time) {
 	if r.failing.IsZero() {
 		r.failing = now
@@ -109,8 +109,8 @@
 	r.failing = time.Time{}
 }
 
-// Put takes a server's record before the offset end. An entry without a start
-// under a name with one is broken; the error is a *StartMissingError.
+// Put applies a server's record before the offset end. An entry without a start time is
+// invalid if an earlier entry of the name has one; the error is then a *StartMissingError.
 func (r *Register) Put(entry site.Entry, end store.Offset, now time.Time) (taken bool, err error) {
 	name := entry.ID.Name()
 	known := r.byName[name]
@@ -131,8 +131,8 @@
 	return true, nil
 }
 
-// Drop takes the removal of a server's record before the offset end. It concerns
-// the present run, whichever wrote the record.
+// Remove applies the deletion of a server's record before the offset end. It affects the
+// current incarnation, whichever incarnation wrote the record.
 func (r *Register) Drop(name site.ServerName, end store.Offset, now time.Time) {
 	known := r.byName[name]
 	if known == nil {
@@ -145,8 +145,8 @@
 	r.leave(known, end, now)
 }
 
-// Break takes a record that names no server to use. The server under the name
-// leaves at once: the entry in its place says that somebody else writes there.
+// Invalidate applies an invalid record. The server of that name is removed at once, because
+// the record shows that another writer uses its key.
 func (r *Register) Break(name site.ServerName, end store.Offset, now time.Time) {
 	if known := r.byName[name]; known != nil {
 		r.leave(known, end, now)
@@ -159,8 +159,8 @@
 	}
 }
 
-// nextLapse returns when servers that keep their place after an outage lose it, or
-// otherwise a time.
+// nextExpiry returns the time until servers that are kept after an outage expire, at most
+// limit.
 func (r *Register) nextLapse(now time.Time, otherwise time.Duration) time.Duration {
 	if left := r.returned.Sub(now); left > 0 {
 		return min(left, otherwise)
@@ -168,9 +168,9 @@
 	return otherwise
 }
 
-// Servers returns the register as of now. Of the servers that keep their place
-// after an outage only those in shown are in it: another node may have told
-// already that the others have left.
+// Servers returns the registry as of now. Of the servers that are kept after an outage, it
+// contains only those in current, because another node may already have reported that the
+// rest have left.
 func (r *Register) Servers(shown map[site.ServerID]site.Server, now time.Time) view.Servers {
 	servers := make(map[site.ServerID]site.Server, len(r.byName))
 	for name, known := range r.byName {
--- a/gateway/follow/register_test.go
+++ b/gateway/follow/register_test.go
@@ -16,14 +16,14 @@
 
 func after(d time.Duration) time.Time { return start.Add(d) }
 
-// both are the servers that the view shows.
+// both contains the servers in the view.
 var both = map[site.ServerID]site.Server{"a": {ID: "a"}, "b": {ID: "b"}}
 
 func put(r *Register, server site.Server, end store.Offset, now time.Time) {
-	_, _ = r.Put(site.Entry{Server: server}, end, now) // only entries with a start are ever refused
+	_, _ = r.Put(site.Entry{Server: server}, end, now) // only entries with a start time can be refused
 }
 
-// filled returns a register that has read servers a and b before offset 10.
+// filled returns a registry that has read servers a and b before offset 10.
 func filled() *Register {
 	r := NewRegister()
 	r.KeepOnly(map[site.ServerName]bool{"a": true, "b": true}, 10, start)
@@ -35,7 +35,7 @@
 func TestServerThatLeavesIsDroppedAtOnceAfterAPauseInReading(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := filled()
-	// The node followed another one meanwhile and read nothing.
+	// In the meantime the node followed another one and did not read.
 	r.Read(2, 12, after(9*time.Second))
 	r.Drop("a", 11, after(9*time.Second))
 	g.Expect(r.Servers(both, after(9*time.Second)).Servers).NotTo(gomega.HaveKey(site.ServerID("a")))
@@ -60,7 +60,7 @@
 	g := gomega.NewWithT(t)
 	r := filled()
 	r.Failed(after(time.Second))
-	r.Read(6, 16, after(5*time.Second)) // the servers wrote three times each meanwhile
+	r.Read(6, 16, after(5*time.Second)) // each server wrote three times in the meantime
 	r.Drop("a", 11, after(5*time.Second))
 	g.Expect(r.Servers(both, after(5*time.Second)).Servers).NotTo(gomega.HaveKey(site.ServerID("a")))
 }
@@ -84,8 +84,8 @@
 	g.Expect(before).To(gomega.Equal(store.Offset(11)))
 }
 
-// Another node may have told of a server's leaving before this one reads again
-// after an outage: the server must not come back.
+// Another node may have reported that a server left before this one reads again after an
+// outage. The server must not return.
 func TestAServerKnownToHaveLeftDoesNotComeBackAfterAnOutage(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := filled()
@@ -97,8 +97,8 @@
 	g.Expect(servers).To(gomega.HaveKey(site.ServerID("b")))
 }
 
-// A node that follows another one again reads nothing; the time for which entries
-// keep their place ends all the same.
+// A node that follows another one again does not read, but the grace period of its entries
+// must end nevertheless.
 func TestKeptEntriesEndAlsoWhileTheNodeDoesNotRead(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := &Reader{State: view.NewState(), Logger: hclog.NewNullLogger(), register: filled()}
--- a/gateway/follow/reports.go
+++ b/gateway/follow/reports.go
@@ -9,8 +9,7 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// Reports collects what the node observed for the lessor. It is safe for
-// concurrent use.
+// Reports collects this node's observations for the lessor. It is safe for concurrent use.
 type Reports struct {
 	mu    sync.Mutex
 	keys  map[keyOf]uint32
@@ -25,34 +24,34 @@
 type pace struct {
 	count   uint64
 	total   time.Duration
-	answers uint32 // that told the server's load
-	present uint32 // requests that the server had, added up over these
+	answers uint32 // responses that contained the server's load
+	present uint32 // sum of the server's requests over these responses
 }
 
-// maxKeyReports bounds the keys of one report.
+// maxKeyReports limits the number of keys in a report.
 const maxKeyReports = 1000
 
-// NewReports returns empty reports.
+// NewReports returns an empty collection.
 func NewReports() *Reports {
 	return &Reports{keys: map[keyOf]uint32{}, paces: map[site.ServerID]pace{}}
 }
 
-// Key counts a request for a key, whether it can be served or not.
+// Key counts a request for a key, whether or not it can be served.
 func (r *Reports) Key(service site.ServiceName, key ranges.Key) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.count(keyOf{service, key}, 1)
 }
 
-// count adds requests for a key. The lock is held.
+// count adds requests for a key. The caller holds the lock.
 func (r *Reports) count(k keyOf, requests uint32) {
 	if _, exists := r.keys[k]; exists || len(r.keys) < maxKeyReports {
 		r.keys[k] += requests
 	}
 }
 
-// Answer notes how long a server of a keyed service worked on a request, and the load
-// that it told with its answer; nil if it told none.
+// Answer records how long a server of a keyed service worked on a request, and the load in
+// its response; nil if there was none.
 func (r *Reports) Answer(server site.ServerID, took time.Duration, load *site.Load) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -63,7 +62,7 @@
 	r.add(server, p)
 }
 
-// add adds to a server's pace. The lock is held.
+// add adds to a server's statistics. The caller holds the lock.
 func (r *Reports) add(server site.ServerID, p pace) {
 	sum := r.paces[server]
 	sum.count += p.count
@@ -73,7 +72,7 @@
 	r.paces[server] = sum
 }
 
-// Merge adds what another node reported, for a relay to pass on.
+// Merge adds a report of another node, which a relay forwards.
 func (r *Reports) Merge(report Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,13 +89,13 @@
 	}
 }
 
-// Report is what one node observed.
+// Report contains the observations of one node.
 type Report struct {
 	KeyCounts []*bspb.KeyCounts
 	Paces     []*bspb.ServerPace
 }
 
-// Drain returns what was observed since the last call.
+// Drain returns the observations since the last call.
 func (r *Reports) Drain() Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/gateway/follow/routes.go
+++ b/gateway/follow/routes.go
@@ -12,33 +12,33 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// routesTeller tells other nodes where requests go. It answers busy keys and releases on
-// large sites: the lessor changes some of hundreds of ranges up to ten times a second, and
-// with all ranges in each answer the news took a node as much of its processor as the
-// requests. Nodes that have one of the latest routes are told what has changed since; the
-// others get all.
+// routesEncoder encodes routes for other nodes. On large sites, busy keys and releases make
+// the lessor change some of hundreds of ranges up to ten times per second, and responses
+// with all ranges cost a node as much processor time as its requests. Nodes that have one
+// of the latest versions therefore receive only the changes since then; other nodes receive
+// all routes.
 type routesTeller struct {
 	recent recent[view.Version, view.Routes, *bspb.GatewayRoutes]
 }
 
-// tell returns what leads from the routes that a node has to the newest.
+// encode returns the message that leads from the routes that a node has to the newest.
 func (t *routesTeller) tell(asked *bspb.FollowRequest, newest view.Routes) *bspb.GatewayRoutes {
 	known := routesVersion(asked)
 	isKnown := func(version view.Version) bool { return version == known }
 	message, _ := t.recent.tell(versioned[view.Version, view.Routes]{newest.Version(), newest}, isKnown, func(base *view.Routes) (*bspb.GatewayRoutes, bool, error) {
 		message := routesMessage(newest, base)
-		return message, !hasSilent(message), nil // those tell a time that is left
-	}) // has no error that it could return
+		return message, !hasSilent(message), nil // such messages contain a remaining time
+	}) // build returns no error
 	return message
 }
 
-// versionOf returns a version as messages name it.
+// versionOf returns the version that the fields of a message describe.
 func versionOf(offset int64, serial uint64) view.Version {
 	return view.Version{Offset: store.Offset(offset), Serial: serial}
 }
 
-// routesVersion returns the version of the routes that the asking node has; one older than
-// all others if it has none.
+// routesVersion returns the version of the routes that the calling node has. If it has
+// none, the version is older than all others.
 func routesVersion(asked *bspb.FollowRequest) view.Version {
 	return versionOf(asked.TableOffset, asked.RoutesSerial)
 }
@@ -47,8 +47,8 @@
 	return slices.ContainsFunc(message.Services, func(s *bspb.ServiceRoutes) bool { return len(s.SilentMs) > 0 })
 }
 
-// routesMessage writes routes in a few bytes for each range, since every change
-// goes to every node; with a base only what differs from it.
+// routesMessage encodes routes in a few bytes per range, because every change is sent to
+// every node. With a base, it encodes only the differences from it.
 func routesMessage(routes view.Routes, base *view.Routes) *bspb.GatewayRoutes {
 	lessor := &bspb.GatewayMember{Node: routes.Lessor.Node, Boot: routes.Lessor.Boot, Address: routes.Lessor.Address}
 	message := &bspb.GatewayRoutes{Lessor: lessor, TableOffset: int64(routes.Offset), Serial: routes.Serial}
@@ -68,13 +68,13 @@
 const (
 	// stateFactor separates owner and state in a number.
 	stateFactor = 4
-	// asBefore stands for an owner and a state where ranges are as in the base. No
+	// sameAsBase replaces owner and state for ranges that are unchanged from the base. No
 	// state has this number.
 	asBefore = stateFactor - 1
 )
 
-// serviceMessage writes the routes of a service, those that were the same before as one
-// range.
+// serviceMessage encodes the routes of a service. Adjacent routes that are unchanged are
+// joined into one range.
 func serviceMessage(service site.ServiceName, list, before []ranges.Route) *bspb.ServiceRoutes {
 	message := &bspb.ServiceRoutes{Service: string(service)}
 	places := map[site.ServerID]uint32{"": 0}
@@ -91,7 +91,8 @@
 	return message
 }
 
-// addRoute adds one route; places are those of the servers that are named already.
+// addRoute adds one route; indexes are those of the servers that the message already
+// contains.
 func addRoute(message *bspb.ServiceRoutes, places map[site.ServerID]uint32, route ranges.Route) {
 	place, exists := places[route.Server]
 	if !exists {
@@ -117,9 +118,9 @@
 	message.Owners = append(message.Owners, asBefore)
 }
 
-// toldRoutes returns the routes that a message tells to a node that has others; found is
-// false if it tells a change of routes that the node does not have any more. The error
-// tells that the message is not well formed.
+// decodeRoutes returns the routes of a message for a node that has known. found is false if
+// the message is a change to routes that the node no longer has. The error reports a
+// malformed message.
 func toldRoutes(message *bspb.GatewayRoutes, known view.Routes, from string) (routes view.Routes, found bool, err error) {
 	if base := message.Base; base != nil && (known.Lessor.Boot == "" || known.Version() != versionOf(base.TableOffset, base.Serial)) {
 		return view.Routes{}, false, nil
@@ -145,7 +146,7 @@
 	return routes, true, nil
 }
 
-// serviceRoutes reads the routes of a service that had others before.
+// decodeService decodes the routes of a service, which had the routes before until now.
 func serviceRoutes(message *bspb.ServiceRoutes, before []ranges.Route) (list []ranges.Route, ok bool) {
 	if len(message.Keys) != len(message.Owners) {
 		return nil, false
@@ -176,10 +177,10 @@
 	return list, from == ranges.LastKey+1
 }
 
-// routeReader reads the routes of one message in their order.
+// routeReader decodes the routes of one message in order.
 type routeReader struct {
 	servers []string
-	silent  []uint32 // times that have not been read yet, in milliseconds
+	silent  []uint32 // remaining times that have not been read yet, in milliseconds
 }
 
 func (r *routeReader) read(span ranges.Span, owner uint32) (route ranges.Route, ok bool) {
@@ -202,8 +203,8 @@
 	return route, true
 }
 
-// routesIn returns the routes of exactly these keys; ok is false if they do not begin and
-// end with routes.
+// routesIn returns the routes of exactly the keys in span. ok is false if span does not
+// start and end at boundaries of routes.
 func routesIn(list []ranges.Route, span ranges.Span) (in []ranges.Route, ok bool) {
 	first, found := slices.BinarySearchFunc(list, span.From, func(r ranges.Route, key ranges.Key) int { return r.Compare(key) })
 	if !found || list[first].From != span.From {
--- a/gateway/follow/routes_test.go
+++ b/gateway/follow/routes_test.go
@@ -17,8 +17,8 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// routesOfMany returns the routes of a service whose keys have many owners in turn; some
-// ranges have another state.
+// routesOfMany returns the routes of a service with many ranges of different owners; states
+// sets the states of some ranges.
 func routesOfMany(offset store.Offset, serial uint64, many int, states map[int]ranges.RouteState) view.Routes {
 	routes := view.Routes{Lessor: ranges.Lessor{Node: "n", Boot: "b", Address: "n:1"}, Offset: offset, Serial: serial, Services: map[site.ServiceName][]ranges.Route{}}
 	var list []ranges.Route
@@ -35,7 +35,8 @@
 	return routes
 }
 
-// tellRoutes has a node take what another one tells it, and returns the bytes of that.
+// sendRoutes sends the newest routes to a node, and returns the size of the message in
+// bytes.
 func tellRoutes(t *testing.T, teller *routesTeller, newest view.Routes, to *view.State) int {
 	t.Helper()
 	g := gomega.NewWithT(t)
@@ -53,8 +54,8 @@
 	return len(text)
 }
 
-// The load: busy keys move ten times a second on a site of 308 owners, and every change
-// goes to 295 nodes. A node must be told what changed and not the whole table.
+// Load: busy keys move ten times per second on a site of 308 owners, and every change is
+// sent to 295 nodes. A node must receive the change and not the whole table.
 func TestAChangeOfRoutesIsToldInFewBytes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var teller routesTeller
@@ -67,8 +68,8 @@
 	}
 }
 
-// A table with other ranges has few routes in common with the one before, and none at
-// the same place.
+// A table with other ranges has few routes in common with the previous one, and none at the
+// same index.
 func TestAnotherTableIsToldAsAChangeToo(t *testing.T) {
 	var teller routesTeller
 	node := view.NewState()
@@ -88,9 +89,9 @@
 	tellRoutes(t, &teller, routesOfMany(7, 100, 10, nil), node)
 }
 
-// At the start of a site some nodes have the routes of the first table, which stands at
-// offset 0 and was not told by a lessor, and others have none. What is made for the first
-// says nothing to the others.
+// At the start of a site, some nodes have the routes of the first table, which is at offset
+// 0 and was not sent by a lessor, and others have none. A change from the first routes must
+// not be applied by nodes without routes.
 func TestANodeWithoutRoutesIsToldAllBesideOnesWithTheFirst(t *testing.T) {
 	var teller routesTeller
 	first, another, none := view.NewState(), view.NewState(), view.NewState()
@@ -110,7 +111,7 @@
 	g.Expect(found).To(gomega.BeFalse(), "a node without routes has not the first ones")
 }
 
-// While a call is under way a node may hear the same from another node.
+// While a call is in flight, a node may receive newer routes from another node.
 func TestAChangeOfOtherRoutesIsNotTaken(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var teller routesTeller
@@ -125,8 +126,8 @@
 	g.Expect(found).To(gomega.BeFalse())
 }
 
-// The time until a silent range gets another owner is counted from the answer, so an
-// answer that was made earlier must not be told.
+// The remaining time of a silent range is measured from the response, so an earlier message
+// must not be reused.
 func TestTheTimeLeftOfASilentRangeIsNotToldTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
--- a/gateway/follow/runs.go
+++ b/gateway/follow/runs.go
@@ -6,44 +6,45 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// A run whose start lies before that of the known one is an earlier run whose
-// write took effect late, or a new one on a VM whose clock was set. A late write
-// comes once; a server that lives writes about every 0.87 s.
+// An incarnation whose start time is before that of the known one is either an earlier
+// incarnation whose write took effect late, or a new one on a VM whose clock was set back.
+// A late write occurs once, while a running server writes about every 0.87 s.
 const (
-	// earlierWrites is how many writes in a row, of growing sequence, tell of a run
-	// that lives.
+	// minCandidateWrites is the number of consecutive writes with growing sequence numbers
+	// that show that an incarnation is running.
 	earlierWrites = 3
-	// earlierTime is the least time from the first to the last of them, in which a
-	// server that lives writes more than twice. Several late writes of an ended run
-	// take effect together.
+	// minCandidateTime is the minimum time from the first to the last of these writes, in
+	// which a running server writes more than twice. Several late writes of an ended
+	// incarnation take effect together.
 	earlierTime = 2 * time.Second
-	// rememberRuns is for how long the start of a run is remembered after it has
-	// left: far above the seconds that a write may be delayed.
+	// retainIncarnations is how long the start time of an incarnation is kept after it has
+	// left: far longer than the seconds by which a write may be delayed.
 	rememberRuns = time.Minute
 )
 
-// runs is what the register knows of the runs of one server. At most one is
-// present.
+// incarnations is the state of the incarnations of one server in the registry. At most one
+// is present.
 type runs struct {
-	server  site.Server // of the present run
+	server  site.Server // the current incarnation
 	present bool
-	missing bool      // removed, but present until returned
-	leftAt  time.Time // when the last one left
-	start   time.Time // of the latest run; zero: it did not tell
-	// undone is the start of a run that was replaced by one with an earlier start.
+	missing bool      // deleted, but present during the grace period after an outage
+	leftAt  time.Time // when the last incarnation left
+	start   time.Time // of the latest incarnation; zero if its entry has none
+	// replacedStart is the start time of an incarnation that was replaced by one with an
+	// earlier start time.
 	undone  time.Time
 	earlier earlierRun
 }
 
-// earlierRun is a run with an earlier start that may live.
+// candidate is an incarnation with an earlier start time that may be running.
 type earlierRun struct {
 	id       site.ServerID
 	sequence int64 // of its latest write
-	writes   int   // in a row
+	writes   int   // consecutive
 	since    time.Time
 }
 
-// lives takes a write and reports whether the run must be alive.
+// confirm records a write and reports whether the incarnation must be running.
 func (e *earlierRun) lives(entry site.Entry, now time.Time) bool {
 	switch {
 	case e.id != entry.ID:
@@ -55,25 +56,26 @@
 	return e.writes >= earlierWrites && now.Sub(e.since) >= earlierTime
 }
 
-// isEarlier reports whether a start belongs to a run that was before the known
-// one, as far as starts tell.
+// isEarlier reports whether a start time belongs to an incarnation before the known one, as
+// far as start times show.
 func (r *runs) isEarlier(start time.Time) bool {
 	return start.Before(r.start) || !r.undone.IsZero() && start.Equal(r.undone)
 }
 
-// standing is what an entry is next to those before it.
+// entryOrder describes an entry relative to the previous entries.
 type standing int
 
 const (
-	// newest entries are of the present run or a later one.
+	// currentOrLater entries are of the current incarnation or a later one.
 	newest standing = iota
-	// ofEarlierRun is an entry that may be a late write.
+	// fromEarlier entries may be late writes of an earlier incarnation.
 	ofEarlierRun
-	// withoutStart is an entry of another writer: the server's own tell its start.
+	// missingStart entries come from another writer, because the server's own entries
+	// contain its start time.
 	withoutStart
 )
 
-// judge takes a write and tells where its run stands.
+// classify records a write and returns the order of its incarnation.
 func (r *runs) judge(entry site.Entry, now time.Time) standing {
 	start := entry.ID.Start()
 	switch {
@@ -90,8 +92,8 @@
 	return newest
 }
 
-// show makes a server the present run. It reports whether that changes more than
-// the warm-up, which counts down with every write.
+// setCurrent makes a server the current incarnation. It reports whether that changes more
+// than the warm-up, which decreases with every write.
 func (r *runs) show(server site.Server) bool {
 	server.ClockSetBack = r.start.Before(r.undone)
 	same := server
@@ -106,11 +108,11 @@
 	return true
 }
 
-// adopt makes a server the present run, as another node told.
+// adopt makes a server that another node reported the current incarnation.
 func (r *runs) adopt(server site.Server) {
 	start := server.ID.Start()
 	if server.ClockSetBack && r.start != start {
-		r.undone = start.Add(time.Millisecond) // at least: the later start is not told
+		r.undone = start.Add(time.Millisecond) // a lower bound: the later start time is not reported
 	}
 	r.server = server
 	r.start = start
@@ -119,7 +121,7 @@
 	r.earlier = earlierRun{}
 }
 
-// leave makes no run present, and reports whether one was.
+// markLeft removes the current incarnation, and reports whether there was one.
 func (r *runs) leave(now time.Time) bool {
 	wasPresent := r.present
 	r.present = false
@@ -131,8 +133,8 @@
 	return wasPresent
 }
 
-// StartMissingError reports an entry without a start under a name whose servers
-// told theirs.
+// StartMissingError reports an entry without a start time under a name whose earlier
+// entries have one.
 type StartMissingError struct{ Known time.Time }
 
 // Error implements error.
--- a/gateway/follow/runs_test.go
+++ b/gateway/follow/runs_test.go
@@ -34,7 +34,7 @@
 	return entry, nil
 }
 
-// registered is a node's view of the register, fed with records.
+// registered is a node's reader and view, to which the tests feed records.
 type registered struct {
 	t      *testing.T
 	reader *Reader
@@ -51,8 +51,8 @@
 	return r
 }
 
-// run returns the ID of the run of server s that started so many seconds after
-// others; 0: it does not tell.
+// run returns the ID of the incarnation of server s that started at this number of seconds;
+// 0 means that the ID has no start time.
 func run(started int) site.ServerID {
 	if started == 0 {
 		return site.RunID("s", time.Time{})
@@ -72,7 +72,7 @@
 	r.reader.takeServers(store.Batch{Records: []store.Record{{Offset: r.end - 1, Key: "s", Value: value}}, Next: r.end, End: r.end}, false)
 }
 
-// writes has a run write once.
+// writes applies one write of an incarnation.
 func (r *registered) writes(started int, sequence int64) { r.take(r.text(started, sequence)) }
 
 func (r *registered) snapshot(value []byte) {
@@ -84,7 +84,7 @@
 	r.reader.takeServers(batch, true)
 }
 
-// shows expects that the view holds just one run; none if started is -1.
+// shows expects that the view contains exactly one incarnation, or none if started is -1.
 func (r *registered) shows(started int) {
 	r.t.Helper()
 	servers := r.reader.State.Now().Servers.Servers
@@ -95,7 +95,7 @@
 	gomega.NewWithT(r.t).Expect(servers).To(gomega.And(gomega.HaveLen(1), gomega.HaveKey(run(started))))
 }
 
-// lines counts the lines of an event.
+// lines returns the number of log lines of an event.
 func (r *registered) lines(event string) int { return strings.Count(r.log.String(), `"event":`+event) }
 
 func TestALaterStartReplacesTheEarlierRun(t *testing.T) {
@@ -114,7 +114,7 @@
 	r.shows(2)
 }
 
-// The later run may have ended before a write of the earlier one takes effect.
+// The later incarnation may have ended before a write of the earlier one takes effect.
 func TestAnEarlierRunDoesNotComeBackAfterTheLaterOneHasLeft(t *testing.T) {
 	r := newRegistered(t)
 	r.writes(1, 7)
@@ -137,8 +137,8 @@
 	r.shows(1)
 }
 
-// The clock of the VM was set back, or was ahead before: a living server goes on
-// writing.
+// The clock of the VM was set back, or was ahead before. A running server continues to
+// write.
 func TestAnEarlierStartIsBelievedAfterSeveralWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRegistered(t)
@@ -151,9 +151,9 @@
 		r.writes(1, 3)
 		r.shows(1)
 		r.writes(1000, 6)
-		r.shows(1) // a late write of the run that was replaced
+		r.shows(1) // a late write of the replaced incarnation
 		r.writes(2, 0)
-		r.shows(2) // a later start than the present one
+		r.shows(2) // a later start than the current one
 	})
 }
 
@@ -187,8 +187,8 @@
 	}
 }
 
-// A server that starts again while the entry of its earlier run is kept after an
-// outage counts as new, and what becomes of the earlier entry says nothing of it.
+// A server that restarts while the entry of its earlier incarnation is kept after an outage
+// is treated as new, and is not affected when the earlier entry expires.
 func TestANewRunAfterAnOutageIsNew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRegistered(t)
@@ -196,7 +196,7 @@
 		r.reader.register.Failed(time.Now())
 		time.Sleep(3 * time.Second)
 		r.snapshot(nil)
-		r.shows(1) // kept
+		r.shows(1) // kept after the outage
 		r.writes(2, 0)
 		r.shows(2)
 		time.Sleep(2 * returnTime)
@@ -205,8 +205,8 @@
 	})
 }
 
-// Another node began with a snapshot in which a late write of an earlier run was
-// the newest record, so that its register is newer and wrong.
+// Another node started with a snapshot in which a late write of an earlier incarnation was
+// the newest record, so that its registry is newer and wrong.
 func TestAnEarlierRunToldByAnotherNodeDoesNotComeBack(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := newRegistered(t)
@@ -223,14 +223,14 @@
 	r.shows(-1)
 	other.end = 40
 	other.writes(1, 9)
-	other.take([]byte("{")) // so that the register changes again
+	other.take([]byte("{")) // so that the registry changes again
 	other.writes(1, 10)
 	r.reader.State.MergeServers(other.reader.State.Now().Servers)
 	r.shows(-1)
 }
 
-// A node that follows another one sees a run with an earlier start too, once that
-// has been found to live.
+// A node that follows another one also accepts an incarnation with an earlier start time,
+// once the other node has confirmed that it is running.
 func TestARunBelievedElsewhereIsTakenFromAnotherNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, other := newRegistered(t), newRegistered(t)
@@ -246,8 +246,8 @@
 	})
 }
 
-// An entry that cannot be used takes the place of a sound one: no new request goes
-// to a server on the strength of the old entry.
+// An invalid entry replaces a valid one: no new request may be sent to the server because
+// of the old entry.
 func TestABrokenEntryNamesNoServer(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := newRegistered(t)
@@ -292,8 +292,8 @@
 	})
 }
 
-// Each run tells its start or none of a server's does; an entry without one came
-// from another writer.
+// Either all entries of a server have a start time or none has. An entry without one after
+// one with it comes from another writer.
 func TestAnEntryWithoutAStartAfterOneWithIsBroken(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := newRegistered(t)
@@ -307,7 +307,7 @@
 	r.shows(-1)
 }
 
-// A flood of broken entries does not flood the log.
+// Many invalid entries must not flood the log.
 func TestLinesOfBrokenEntriesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -319,7 +319,7 @@
 	})
 }
 
-// The newest sound configuration stays in force.
+// The newest valid configuration remains in force.
 func TestAConfigurationThatCannotBeUsedIsPassedOver(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := newRegistered(t)
@@ -335,8 +335,8 @@
 	g.Expect(r.reader.State.Now().Config.Version).To(gomega.Equal(site.Version(7)))
 }
 
-// The nodes that saw the clock of a VM set back may have restarted since: those
-// that tell the run now do not know that it once needed proof.
+// The nodes that observed that the clock of a VM was set back may have restarted since.
+// Nodes that report the incarnation now do not know that it once needed confirmation.
 func TestAnEarlierRunToldForLongIsTaken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, other := newRegistered(t), newRegistered(t)
--- a/gateway/follow/source.go
+++ b/gateway/follow/source.go
@@ -9,27 +9,26 @@
 	"github.com/burdockspindle/burdockspindle/gateway/view"
 )
 
-// Relays carry what the lessor tells to the nodes of their zone. They answer
-// sites of many nodes: a lessor that told each of 87 nodes itself filled a link
-// of 10 Mbit/s with every change, three times over between zones, and its calls to
-// servers timed out behind that.
+// Relays forward the lessor's data to the nodes of their zone, because a lessor that served
+// each of 87 nodes itself filled a link of 10 Mbit/s with every change, three times over
+// between zones, and its calls to servers timed out behind this traffic.
 const (
-	// membersPerRelay bounds the nodes that follow one relay.
+	// membersPerRelay limits the number of nodes that follow one relay.
 	membersPerRelay = 16
-	// smallZone is the number of nodes in the lessor's zone up to which they all
-	// follow the lessor itself: a relay would only cost time.
+	// smallZone is the number of nodes in the lessor's zone up to which all of them follow
+	// the lessor directly, because a relay would only add delay.
 	smallZone = 8
 )
 
-// source is a node that another one follows.
+// source is a node that another node can follow.
 type source struct {
 	address string
 	lessor  bool
 }
 
-// sources returns the nodes that a node may follow, the one it should follow
-// first. They depend only on the list of nodes, which all have from the lessor, and
-// on the seeds of its settings while it has none.
+// sources returns the nodes that a node may follow, in order of preference. They depend
+// only on the list of nodes, which all nodes have from the lessor, and on the configured
+// seeds while there is no list.
 func sources(self view.Member, v *view.View, seeds []string) []source {
 	lessor := v.Routes.Lessor
 	switch {
@@ -47,7 +46,7 @@
 		list = append(list, source{address: lessor.Address, lessor: true})
 	}
 	if place >= 0 {
-		relays = relays[:place] // the others have their news from this one if the lessor is lost
+		relays = relays[:place] // the remaining relays follow this one if the lessor is lost
 	}
 	for i := range relays {
 		list = append(list, source{address: relays[(turnOf(self)+i)%len(relays)].Address})
@@ -58,8 +57,8 @@
 	return append(list, firstOfOtherZones(self, v)...)
 }
 
-// sourcesAtStart returns whom a node asks that does not know the others yet. Seeds
-// tell the lessor of those that ask them, as relays do.
+// sourcesAtStart returns the sources of a node that does not know the other nodes yet.
+// Seeds report the lessor to the nodes that call them, as relays do.
 func sourcesAtStart(self view.Member, v *view.View, seeds []string) []source {
 	var list []source
 	if lessor := v.Routes.Lessor; lessor.Boot != "" {
@@ -76,8 +75,8 @@
 	return append(asked, list...)
 }
 
-// firstOfOtherZones returns the strongest node of each other zone, the last resort of
-// a node whose own zone knows nothing.
+// firstOfOtherZones returns the node with the highest capacity of each other zone. They are
+// the last resort of a node whose own zone has no data.
 func firstOfOtherZones(self view.Member, v *view.View) []source {
 	strongest := map[string]view.Member{}
 	for _, m := range v.Members {
@@ -96,7 +95,7 @@
 	return list
 }
 
-// turnOf spreads the nodes of a zone over its relays.
+// relayOffset distributes the nodes of a zone over its relays.
 func turnOf(self view.Member) int { return int(hashOf(self) & 0xffff) }
 
 func hashOf(self view.Member) uint32 {
@@ -105,7 +104,8 @@
 	return hash.Sum32()
 }
 
-// relaysOf returns the relays of a zone: its strongest nodes but the lessor.
+// relaysOf returns the relays of a zone: its nodes with the highest capacity, except the
+// lessor.
 func relaysOf(zone string, v *view.View) []view.Member {
 	nodes, hasLessor := nodesOf(zone, v)
 	if hasLessor && len(nodes) <= smallZone {
@@ -114,7 +114,7 @@
 	return nodes[:(len(nodes)+membersPerRelay-1)/membersPerRelay]
 }
 
-// nodesOf returns the nodes of a zone but the lessor, the strongest first.
+// nodesOf returns the nodes of a zone except the lessor, highest capacity first.
 func nodesOf(zone string, v *view.View) (nodes []view.Member, hasLessor bool) {
 	for _, m := range v.Members {
 		switch {
@@ -129,15 +129,15 @@
 	return nodes, hasLessor
 }
 
-// sortByStrength puts the strongest nodes first; equal ones go by name.
+// sortByCapacity sorts by descending capacity; equal nodes are sorted by name.
 func sortByStrength(list []view.Member) { slices.SortFunc(list, byStrength) }
 
 func byStrength(a, b view.Member) int {
 	return cmp.Or(cmp.Compare(b.Strength, a.Strength), strings.Compare(a.Node, b.Node))
 }
 
-// Rank returns how many nodes but the lessor are stronger than a node; known is
-// false if the list of nodes does not hold it.
+// Rank returns how many nodes, not counting the lessor, have a higher capacity than a node.
+// known is false if the list of nodes does not contain it.
 func Rank(self view.Member, v *view.View) (rank int, known bool) {
 	nodes := slices.DeleteFunc(slices.Clone(v.Members), func(m view.Member) bool { return m.Boot == v.Routes.Lessor.Boot })
 	sortByStrength(nodes)
@@ -145,7 +145,7 @@
 	return max(rank, 0), rank >= 0
 }
 
-// standingOf returns a node's place among those that may read the store.
+// readPriorityOf returns a node's priority among those that may read the store.
 func standingOf(self view.Member, v *view.View, seeds []string) Standing {
 	nodes, _ := nodesOf(self.Zone, v)
 	lessor := v.Routes.Lessor
@@ -157,7 +157,7 @@
 		Spread:   float64(hashOf(self)>>16) / (1 << 16),
 	}
 	if lessor.Node == self.Node && lessor.Boot != self.Boot {
-		s.Rank = 0 // its own earlier run was the lessor: nobody else knows that it has ended
+		s.Rank = 0 // its previous incarnation was the lessor, and no other node knows that it has ended
 	}
 	return s
 }
--- a/gateway/follow/source_test.go
+++ b/gateway/follow/source_test.go
@@ -10,8 +10,8 @@
 	"github.com/burdockspindle/burdockspindle/gateway/view"
 )
 
-// siteOf returns a view with nodes a-0, a-1, ... in each zone, of which the first
-// two are strong, and the lessor.
+// siteOf returns a view with nodes a-0, a-1, ... in each zone, of which the first two have
+// a high capacity, and the lessor.
 func siteOf(lessor string, nodes map[string]int) *view.View {
 	v := &view.View{}
 	for zone, count := range nodes {
@@ -39,8 +39,8 @@
 	return view.Member{Node: name, Boot: "boot-" + name, Zone: name[:1], Address: name + ":1"}
 }
 
-// The load: every change of 165 servers' ranges goes to 87 nodes. Each node must
-// be told by few, few of them by the lessor, and weak ones must tell nobody.
+// Load: every change of 165 servers' ranges is sent to 87 nodes. Few nodes send to each
+// node, the lessor sends to few of them, and nodes of low capacity send to none.
 func TestALargeSiteIsToldByStrongRelays(t *testing.T) {
 	g := gomega.NewWithT(t)
 	v := siteOf("a-0", map[string]int{"a": 26, "b": 29, "c": 32})
@@ -79,15 +79,15 @@
 		{"b-0", []source{lessor, relayOf("a-0:1"), relayOf("c-0:1")}}, // the relay
 		{"b-3", []source{relayOf("b-0:1"), lessor, relayOf("a-0:1"), relayOf("c-0:1")}},
 		{"c-0", []source{lessor, relayOf("a-0:1"), relayOf("b-0:1")}},
-		{"d-0", []source{lessor, relayOf("a-0:1"), relayOf("b-0:1"), relayOf("c-0:1")}}, // of a zone that nobody knows yet
+		{"d-0", []source{lessor, relayOf("a-0:1"), relayOf("b-0:1"), relayOf("c-0:1")}}, // in a zone that is not listed yet
 		{"b-9", []source{relayOf("b-0:1"), lessor, relayOf("a-0:1"), relayOf("c-0:1")}}, // not listed yet
 	} {
 		g.Expect(sources(memberNamed(v, c.node), v, nil)).To(gomega.Equal(c.want), c.node)
 	}
 }
 
-// Nodes that start know nobody but the seeds of their settings, some of which may be
-// gone. The seeds ask the lessor once they know it.
+// Starting nodes know only the configured seeds, some of which may be gone. The seeds call
+// the lessor once they know it.
 func TestNodesThatStartAskSeeds(t *testing.T) {
 	g := gomega.NewWithT(t)
 	seeds := []string{"a-0:1", "b-0:1", "c-0:1"}
--- a/gateway/follow/telling.go
+++ b/gateway/follow/telling.go
@@ -11,28 +11,28 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// serversTeller tells other nodes the register of servers. It answers releases on
-// large sites: with 20 of 720 servers replaced each second, a relay that told its 16
-// followers the whole register at each change would fill a link of 20 Mbit/s. Nodes
-// that have one of the latest registers are told what has changed since; the others
-// get it whole and compressed.
+// serversEncoder encodes the registry of servers for other nodes. During releases on large
+// sites, with 20 of 720 servers replaced each second, a relay that sent the whole registry
+// to its 16 followers at each change would fill a link of 20 Mbit/s. Nodes that have one of
+// the latest versions therefore receive only the changes since then; other nodes receive
+// the whole registry, compressed.
 type serversTeller struct {
 	recent recent[serversVersion, view.Servers, *serversNews]
 }
 
-// serversVersion names a register. Nodes that ask name it by its sum.
+// serversVersion identifies a registry. Calling nodes identify it by its sum.
 type serversVersion struct {
 	offset store.Offset
 	sum    uint64
 }
 
-// serversNews is a register as it is told: what has changed, or the whole.
+// serversUpdate is an encoded registry: either a change or the whole.
 type serversNews struct {
 	change *bspb.ServersChange
 	whole  []byte
 }
 
-// tell adds the register to a reply, for a node that asks with another one.
+// encode adds the registry to a reply for a node that has another version.
 func (t *serversTeller) tell(reply *bspb.FollowReply, asked *bspb.FollowRequest, v *view.View) error {
 	newest := versioned[serversVersion, view.Servers]{
 		version: serversVersion{offset: v.Servers.Offset, sum: v.ServersSum()},
@@ -50,7 +50,8 @@
 	return nil
 }
 
-// newsOf makes what leads from a register to that of a view; from nothing if it is nil.
+// newUpdate encodes the change from base to the registry of a view, or the whole registry
+// if base is nil.
 func newsOf(v *view.View, base *view.Servers) (*serversNews, error) {
 	if base == nil {
 		whole, err := packServers(v.Servers)
@@ -71,7 +72,7 @@
 	return &serversNews{change: message}, nil
 }
 
-// packServers encodes a whole register.
+// compressServers encodes and compresses a whole registry.
 func packServers(servers view.Servers) ([]byte, error) {
 	text, err := json.Marshal(servers)
 	if err != nil {
@@ -88,7 +89,7 @@
 	return packed.Bytes(), nil
 }
 
-// unpackServers decodes a whole register.
+// decompressServers decompresses and decodes a whole registry.
 func unpackServers(packed []byte) (view.Servers, error) {
 	var servers view.Servers
 	reader, err := gzip.NewReader(bytes.NewReader(packed))
@@ -99,9 +100,9 @@
 	return servers, err
 }
 
-// toldRegister returns the register that a reply tells to a node that has another
-// one; found is false if it tells none, or a change of a register that the node does
-// not have any more.
+// decodeRegistry returns the registry of a reply for a node that has the one in known.
+// found is false if the reply contains none, or a change to a registry that the node no
+// longer has.
 func toldRegister(reply *bspb.FollowReply, known *view.View) (servers view.Servers, found bool, err error) {
 	if len(reply.Servers) > 0 {
 		servers, err = unpackServers(reply.Servers)
--- a/gateway/follow/telling_test.go
+++ b/gateway/follow/telling_test.go
@@ -12,7 +12,7 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// registerOf returns a register of servers with these numbers.
+// registryOf returns a registry of the servers with numbers in [from, to).
 func registerOf(offset store.Offset, from, to int) view.Servers {
 	servers := view.Servers{Offset: offset, Servers: map[site.ServerID]site.Server{}}
 	for i := from; i < to; i++ {
@@ -22,7 +22,8 @@
 	return servers
 }
 
-// told has a node take what another one tells it, and returns the bytes of that.
+// send sends the registry of one node to another, and returns the size of the message in
+// bytes.
 func told(t *testing.T, teller *serversTeller, from, to *view.State) int {
 	t.Helper()
 	g := gomega.NewWithT(t)
@@ -37,8 +38,8 @@
 	return len(reply.Servers) + len(reply.ServersChange.GetPut())
 }
 
-// The load: a release replaces 20 of 720 servers a second, and each change goes to
-// 295 nodes, 16 of them behind one link of 20 Mbit/s.
+// Load: a release replaces 20 of 720 servers per second, and each change is sent to 295
+// nodes, 16 of them behind one link of 20 Mbit/s.
 func TestAChangeOfTheRegisterIsToldInFewBytes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	lessor, node := view.NewState(), view.NewState()
@@ -68,8 +69,9 @@
 	g.Expect(node.Now().Servers.Servers).To(gomega.HaveLen(720 + 2*mostRecent))
 }
 
-// A node's register may have changed between its call and the answer, since it reads
-// the store too. What the answer tells then is not taken, and asked for again.
+// A node's registry may have changed between its call and the response, because it also
+// reads the store. It does not apply the change in the response then, and requests it
+// again.
 func TestAChangeOfAnotherRegisterIsNotTaken(t *testing.T) {
 	g := gomega.NewWithT(t)
 	lessor, node := view.NewState(), view.NewState()
--- a/gateway/follow/turn.go
+++ b/gateway/follow/turn.go
@@ -2,55 +2,58 @@
 
 import "time"
 
-// Who reads the store. Each call to it is paid for and its calls a second are
-// bounded, so few nodes read it and notify the others. If each node read every topic, a
-// start and an outage would take as many calls as there are nodes, again and again.
+// Read priority decides which nodes read the store. Each call to the store is billed and
+// its calls per second are limited, so few nodes read it and notify the others. If each
+// node read every topic, each start and each outage would cost as many calls as there are
+// nodes, repeatedly.
 //
-// A node reads while what it was told is older than its turn allows. The first turn is
-// the strongest node's of each zone; by the time of the next ones it has news again,
-// and tells them. So calls do not grow with the number of nodes, unless nobody can
-// tell a node anything.
+// A node reads while the latest report that it received is older than its priority allows.
+// The node with the highest capacity of each zone reads first; it has recent data before
+// the next nodes would read, and sends it to them. The number of calls therefore does not
+// grow with the number of nodes, unless no node can send reports.
 const (
-	// firstTurn is the age of what the strongest node of a zone was told beyond which
-	// it reads the store. News are up to 0.65 s old at the lessor, and half a second
-	// more at a node that waits for the next.
+	// firstReadAge is the age of the latest report beyond which the node with the highest
+	// capacity of a zone reads the store. Data is up to 0.65 s old at the lessor, and half
+	// a second older at a node that waits for the next report.
 	firstTurn = 1200 * time.Millisecond
-	// turnStep is how much later the turn of each next node of a zone comes, and
-	// mostTurns bounds that: a node that nobody tells anything notices a server that
-	// drains within two seconds all the same.
+	// readDelayStep is the additional delay of each next node of a zone, and maxReadDelay
+	// limits their sum, so that a node that receives no reports still notices a draining
+	// server within two seconds.
 	turnStep  = 15 * time.Millisecond
 	mostTurns = 500 * time.Millisecond
-	// startPatience is how long a node that starts waits for those that its settings
-	// name, which read the store at once, and startSpread is the time over which the
-	// others read it if none of those answers.
+	// seedTimeout is how long a starting node waits for the configured seeds, which read
+	// the store at once. startSpread is the time over which the other nodes read it if no
+	// seed responds.
 	startPatience = 800 * time.Millisecond
 	startSpread   = 2 * time.Second
-	// readEvery is the interval of reading servers and ownership: each heartbeat
-	// of a server is a record, so waiting for the next one would be a call for
-	// every record.
+	// readEvery is the interval of reading servers and ownership. Each heartbeat of a
+	// server is a record, so a read that waits for the next record would cost a call per
+	// record.
 	readEvery = 400 * time.Millisecond
-	// readAloneEvery is the same for a node that nobody relies on.
+	// soloReadEvery is the same interval for a node that no other node relies on.
 	readAloneEvery = 800 * time.Millisecond
-	// retryFirst is the pause of those whose turn is first after a call that failed,
-	// and retryOthers that of the others, whom they tell that the store is back. The
-	// pause doubles with each further failure up to the most.
+	// retryFirst is the pause after a failed call of a node that reads first, and
+	// retryOthers that of the other nodes, which are notified by the first ones when the
+	// store responds again. The pause doubles with each further failure up to maxRetryFirst
+	// or maxRetryOthers.
 	retryFirst      = 500 * time.Millisecond
 	mostRetryFirst  = time.Second
 	retryOthers     = time.Second
 	mostRetryOthers = 4 * time.Second
 )
 
-// Standing is a node's place among those that may read the store.
+// ReadPriority is a node's priority among those that may read the store.
 type Standing struct {
 	IsLessor bool
-	// IsSeed tells that nodes that start ask this one.
+	// IsSeed reports whether starting nodes call this node.
 	IsSeed bool
-	// HasSeeds tells that there are nodes to ask at the start.
+	// HasSeeds reports whether there are nodes to call at the start.
 	HasSeeds bool
-	// Rank is how many nodes of the zone are stronger, the lessor aside; negative if
-	// the list of nodes does not tell.
+	// Rank is how many nodes of the zone, not counting the lessor, have a higher capacity;
+	// negative if the list of nodes does not contain this one.
 	Rank int
-	// Spread sets nodes of equal standing apart: from 0 up to 1, the node's own.
+	// Spread distributes nodes of equal priority over time. It is in [0, 1) and derived
+	// from the node's name.
 	Spread float64
 }
 
@@ -59,14 +62,14 @@
 	return s.IsLessor || s.Rank == 0 || s.Rank < 0 && (s.IsSeed || !s.HasSeeds)
 }
 
-// mayRead reports whether it is the node's turn to read the store. told is the age
-// of what it was told by others; if it was told nothing, the time since its start.
+// mayRead reports whether the node may read the store now. age is the age of the latest
+// report from another node, or the time since the node's start if there was none.
 func (s Standing) mayRead(told time.Duration, wasTold bool) bool {
 	return told > s.patience(wasTold)
 }
 
-// patience returns the age of what a node was told beyond which it reads the store; if it
-// was told nothing, the time since its start.
+// maxReportAge returns the age of the latest report beyond which a node reads the store. If
+// there was no report, it is the time since the node's start.
 func (s Standing) patience(wasTold bool) time.Duration {
 	switch {
 	case s.IsLessor || s.isFirst() && !wasTold:
@@ -79,7 +82,7 @@
 	return staleRelay + s.turn()
 }
 
-// turn returns how much later than others a node's turn comes.
+// readDelay returns the additional delay of this node.
 func (s Standing) turn() time.Duration {
 	if s.Rank < 0 {
 		return time.Duration(s.Spread * float64(mostTurns))
@@ -95,7 +98,7 @@
 	return readAloneEvery
 }
 
-// retryPause returns the pause after so many calls in a row that failed.
+// retryPause returns the pause after a number of consecutive failed calls.
 func (s Standing) retryPause(failures int) time.Duration {
 	pause, most := retryOthers, mostRetryOthers
 	if s.isFirst() {
@@ -106,7 +109,7 @@
 	return time.Duration((0.75 + 0.5*s.Spread) * float64(pause))
 }
 
-// reason says why a node reads the store, for its log.
+// reason returns why a node reads the store, for the log.
 func (s Standing) reason(wasTold bool) string {
 	switch {
 	case s.IsLessor:
--- a/gateway/follow/turn_test.go
+++ b/gateway/follow/turn_test.go
@@ -10,10 +10,10 @@
 	"github.com/burdockspindle/burdockspindle/gateway/view"
 )
 
-// newsAge is how old news are, at the most, that a node has which follows the lessor.
+// newsAge is the maximum age of the data of a node that follows the lessor.
 const newsAge = configWait + answerTime + followWait
 
-// Nobody but the lessor reads while it tells the others.
+// Only the lessor reads while it sends reports to the other nodes.
 func TestNobodyReadsWhileNewsAreFresh(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for rank := -1; rank < 60; rank++ {
@@ -22,8 +22,8 @@
 	g.Expect(Standing{IsLessor: true}.mayRead(0, true)).To(gomega.BeTrue())
 }
 
-// Every node notices a server that drains within two seconds, whoever is lost: it
-// reads before, and a read takes little of that.
+// Every node notices a draining server within two seconds, whichever nodes are lost. It
+// starts to read before that, and a read takes a small part of that time.
 func TestEveryNodeReadsInTimeIfNobodyTellsItAnything(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for rank := -1; rank < 1000; rank++ {
@@ -35,7 +35,8 @@
 	g.Expect(staleRelay + mostTurns).To(gomega.BeNumerically("<=", 2*time.Second))
 }
 
-// The strongest node of a zone has read, and told the others, before their turn comes.
+// The node with the highest capacity of a zone has read, and notified the others, before
+// they would read.
 func TestTheFirstNodeOfAZoneReadsBeforeTheOthers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	first := Standing{Rank: 0}
@@ -43,9 +44,9 @@
 	g.Expect(Standing{Rank: 1}.mayRead(firstTurn+200*time.Millisecond, true)).To(gomega.BeFalse())
 }
 
-// The calls of a site while the store does not answer, each of them paid for. The
-// load: 295 nodes in five zones, eight seconds. Each node trying twice a second would
-// make 4,700; the aim is one call for each node in two seconds.
+// The calls of a site, each of them billed, while the store does not respond. Load: 295
+// nodes in five zones, eight seconds. With two attempts per second, the nodes would make
+// 4,700 calls; the goal is one call per node in two seconds.
 func TestCallsAreBoundedWhileTheStoreDoesNotAnswer(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const outage = 8 * time.Second
@@ -61,7 +62,7 @@
 	t.Logf("%d calls", calls)
 }
 
-// callsIn returns how often a node calls a store that does not answer.
+// callsIn returns the number of a node's calls to a store that does not respond.
 func callsIn(s Standing, outage time.Duration) int {
 	at := time.Duration(0)
 	for !s.mayRead(at, true) {
@@ -74,8 +75,8 @@
 	return calls
 }
 
-// The start of a site. Only its seeds read at once; the others do if no seed tells
-// them, and not all at the same time.
+// The start of a site. Only its seeds read at once. The other nodes read if no seed sends
+// them a report, and not all at the same time.
 func TestOnlySeedsReadAtOnceAtTheStart(t *testing.T) {
 	g := gomega.NewWithT(t)
 	seeds := []string{"a-0:1", "b-0:1", "c-0:1"}
