--- a/gateway/follow/behind_test.go
+++ b/gateway/follow/behind_test.go
@@ -55,7 +55,7 @@
 // A node that is behind must not report to its followers that it knows the registry, and
 // reads on without a pause until it does. Otherwise a draining server would receive
 // requests in the meantime.
-func TestANodeThatIsBehindReadsOnAndHasNoContact(t *testing.T) {
+func TestNodeBehindReadsOnAndReportsNoContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		paged := &pagedStore{records: 12}
@@ -65,7 +65,7 @@
 		done := make(chan struct{})
 		go func() { defer close(done); r.RunServers(ctx) }()
 		t.Cleanup(func() { cancel(); <-done })
-		time.Sleep(readEvery - leastPause)
+		time.Sleep(readEvery - minReadPause)
 		synctest.Wait()
 		_, known := r.Contact.Age()
 		g.Expect(known).To(gomega.Equal(paged.reads.Load() == 12), "%d of 12 pages are read", paged.reads.Load())
--- a/gateway/follow/contact.go
+++ b/gateway/follow/contact.go
@@ -18,7 +18,7 @@
 	mu             sync.Mutex
 	servers        time.Time
 	configurations time.Time
-	told           time.Time    // up to which other nodes reported both topics
+	reported       time.Time    // up to which other nodes reported both topics
 	next           store.Offset // up to which the view contains the servers' topic
 }
 
@@ -41,12 +41,12 @@
 	defer c.mu.Unlock()
 	c.servers = clock.Later(c.servers, at)
 	c.configurations = clock.Later(c.configurations, at)
-	c.told = clock.Later(c.told, at)
+	c.reported = clock.Later(c.reported, at)
 	c.next = max(c.next, next)
 }
 
 // NoteApplied records that the view contains the servers' topic up to an offset.
-func (c *Contact) NoteShown(next store.Offset) {
+func (c *Contact) NoteApplied(next store.Offset) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.next = max(c.next, next)
@@ -72,11 +72,11 @@
 
 // PeerReportAge returns the age of the latest report from another node. hasReport is false
 // if there was none.
-func (c *Contact) ToldAge() (age time.Duration, wasTold bool) {
+func (c *Contact) PeerReportAge() (age time.Duration, hasReport bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.told.IsZero() {
+	if c.reported.IsZero() {
 		return 0, false
 	}
-	return clock.Since(c.told), true
+	return clock.Since(c.reported), true
 }
--- a/gateway/follow/contact_test.go
+++ b/gateway/follow/contact_test.go
@@ -12,7 +12,7 @@
 
 // A connection that waits for configurations may stall while reads of the servers succeed.
 // Followers must not treat the node as up to date then.
-func TestContactIsThatOfTheTopicReadLeastLately(t *testing.T) {
+func TestContactAgeIsThatOfTheLessRecentTopic(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var c Contact
 	now := clock.Now()
@@ -28,15 +28,15 @@
 	g.Expect(age).To(gomega.BeNumerically("<", time.Hour), "an older note changes nothing")
 }
 
-func TestAPartOfTheViewIsEncodedOnceForEachVersion(t *testing.T) {
+func TestPartOfViewIsEncodedOncePerVersion(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var e encoded
-	first, err := e.of(1, "one")
+	var e encodedPart
+	first, err := e.encode(1, "one")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	again, err := e.of(1, "not looked at")
+	again, err := e.encode(1, "not looked at")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(again).To(gomega.Equal(first))
-	next, err := e.of(2, "two")
+	next, err := e.encode(2, "two")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(string(next)).To(gomega.Equal(`"two"`))
 }
--- a/gateway/follow/feed.go
+++ b/gateway/follow/feed.go
@@ -25,15 +25,15 @@
 	followWait = 500 * time.Millisecond
 	// coalesceDelay is how long a changed view is held back, so that several changes share
 	// one response.
-	coalesce = 40 * time.Millisecond
+	coalesceDelay = 40 * time.Millisecond
 	// followTimeout is the timeout of a call.
 	followTimeout = followWait + 400*time.Millisecond
 	// maxLessorContactAge is the age of the lessor's contact with the store beyond which
 	// other nodes do not rely on it. It allows one failed read of each topic.
-	staleContact = 950 * time.Millisecond
+	maxLessorContactAge = 950 * time.Millisecond
 	// maxRelayContactAge is the corresponding limit for a relay. A relay receives data from
 	// the lessor every followWait, so its data is older by that time.
-	staleRelay = 1500 * time.Millisecond
+	maxRelayContactAge = 1500 * time.Millisecond
 	// MemberTimeout is how long a node remains a member after its latest call. A new lessor
 	// knows all nodes after this time.
 	MemberTimeout = 2 * time.Second
@@ -54,27 +54,27 @@
 	// while the channel is full.
 	HandOffs chan *HandOff
 
-	configText encoded
-	servers    serversTeller
-	routes     routesTeller
+	configText encodedPart
+	servers    serversEncoder
+	routes     routesEncoder
 
 	follows  atomic.Bool // the node follows the lessor, directly or through another node
 	resigned atomic.Bool // the node was the lessor and has resigned
 
 	mu      sync.Mutex
-	members map[string]seenMember // keyed by node
+	members map[string]followerState // keyed by node
 }
 
 // encodedPart caches the JSON of the newest version of a part of the view, because every
 // follower receives the same JSON.
-type encoded struct {
+type encodedPart struct {
 	mu      sync.Mutex
 	version int64
 	text    []byte
 }
 
 // encode returns the JSON of a version of a part.
-func (e *encoded) of(version int64, part any) ([]byte, error) {
+func (e *encodedPart) encode(version int64, part any) ([]byte, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.text != nil && e.version == version {
@@ -89,16 +89,16 @@
 }
 
 // followerState describes a node that follows this one.
-type seenMember struct {
+type followerState struct {
 	view.Member
-	at            time.Time
+	lastCallAt    time.Time
 	followers     []view.Member // nodes that follow this follower
 	followersHash uint64
 }
 
 // NewFeed returns a feed without followers.
 func NewFeed(self view.Member, state *view.State, contact *Contact, isLessor func() bool) *Feed {
-	return &Feed{Self: self, State: state, Contact: contact, IsLessor: isLessor, Reports: make(chan Report, 64), HandOffs: make(chan *HandOff, 1), members: map[string]seenMember{}}
+	return &Feed{Self: self, State: state, Contact: contact, IsLessor: isLessor, Reports: make(chan Report, 64), HandOffs: make(chan *HandOff, 1), members: map[string]followerState{}}
 }
 
 // Handler returns the path and handler of the feed's calls.
@@ -106,17 +106,17 @@
 
 // Follow implements bspbconnect.GatewayHandler.
 func (f *Feed) Follow(ctx context.Context, request *connect.Request[bspb.FollowRequest]) (*connect.Response[bspb.FollowReply], error) {
-	asked := request.Msg
+	msg := request.Msg
 	startedAt := clock.Now()
-	followersHash := f.see(asked)
-	if len(asked.KeyCounts)+len(asked.Paces) > 0 {
+	followersHash := f.noteFollower(msg)
+	if len(msg.KeyCounts)+len(msg.Paces) > 0 {
 		select {
-		case f.Reports <- Report{KeyCounts: asked.KeyCounts, Paces: asked.Paces}:
+		case f.Reports <- Report{KeyCounts: msg.KeyCounts, Paces: msg.Paces}:
 		default: // the next report contains nearly the same data
 		}
 	}
-	f.await(ctx, asked)
-	reply, err := f.reply(asked)
+	f.awaitChange(ctx, msg)
+	reply, err := f.reply(msg)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeInternal, err)
 	}
@@ -127,18 +127,18 @@
 
 // awaitChange waits until the view is newer than the versions in the request, or until the
 // node's contact with the store becomes too old for its followers.
-func (f *Feed) await(ctx context.Context, asked *bspb.FollowRequest) {
-	wait := time.Duration(asked.WaitMs) * time.Millisecond
-	if age, known := f.Contact.Age(); known && age < staleAfter(f.IsLessor()) {
-		wait = min(wait, staleAfter(f.IsLessor())-age)
+func (f *Feed) awaitChange(ctx context.Context, msg *bspb.FollowRequest) {
+	wait := time.Duration(msg.WaitMs) * time.Millisecond
+	if age, known := f.Contact.Age(); known && age < contactLimit(f.IsLessor()) {
+		wait = min(wait, contactLimit(f.IsLessor())-age)
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	f.awaitContact(ctx)
 	for {
 		changed := f.State.Changed()
-		if f.differs(asked) {
-			clock.Wait(ctx, coalesce)
+		if f.hasNewer(msg) {
+			clock.Wait(ctx, coalesceDelay)
 			return
 		}
 		select {
@@ -153,7 +153,7 @@
 // on its response before then.
 func (f *Feed) awaitContact(ctx context.Context) {
 	for {
-		if _, known := f.Contact.Age(); known || !clock.Wait(ctx, leastPause) {
+		if _, known := f.Contact.Age(); known || !clock.Wait(ctx, minReadPause) {
 			return
 		}
 	}
@@ -161,11 +161,11 @@
 
 // contactLimit returns the age of a node's contact with the store beyond which its
 // followers do not rely on it.
-func staleAfter(isLessor bool) time.Duration {
+func contactLimit(isLessor bool) time.Duration {
 	if isLessor {
-		return staleContact
+		return maxLessorContactAge
 	}
-	return staleRelay
+	return maxRelayContactAge
 }
 
 // SetFollows sets whether the node follows the lessor.
@@ -174,22 +174,22 @@
 // SetResigned sets whether the node was the latest lessor and has resigned.
 func (f *Feed) SetResigned(resigned bool) { f.resigned.Store(resigned) }
 
-func (f *Feed) differs(asked *bspb.FollowRequest) bool {
+func (f *Feed) hasNewer(msg *bspb.FollowRequest) bool {
 	v := f.State.Now()
-	return v.Config != nil && uint64(v.Config.Version) > asked.ConfigVersion ||
-		int64(v.Servers.Offset) > asked.ServersOffset ||
-		routesDiffer(v, asked) || sharesDiffer(v, asked)
+	return v.Config != nil && uint64(v.Config.Version) > msg.ConfigVersion ||
+		int64(v.Servers.Offset) > msg.ServersOffset ||
+		newerRoutes(v, msg) || newerShares(v, msg)
 }
 
-func sharesDiffer(v *view.View, asked *bspb.FollowRequest) bool {
-	return v.Shares.Version().IsAfter(versionOf(asked.SharesOffset, asked.SharesSerial))
+func newerShares(v *view.View, msg *bspb.FollowRequest) bool {
+	return v.Shares.Version().IsAfter(versionOf(msg.SharesOffset, msg.SharesSerial))
 }
 
-func routesDiffer(v *view.View, asked *bspb.FollowRequest) bool {
-	return v.Routes.Lessor.Boot != "" && v.Routes.Version().IsAfter(routesVersion(asked))
+func newerRoutes(v *view.View, msg *bspb.FollowRequest) bool {
+	return v.Routes.Lessor.Boot != "" && v.Routes.Version().IsAfter(routesVersion(msg))
 }
 
-func (f *Feed) reply(asked *bspb.FollowRequest) (*bspb.FollowReply, error) {
+func (f *Feed) reply(msg *bspb.FollowRequest) (*bspb.FollowReply, error) {
 	reply := &bspb.FollowReply{ContactAgeMs: -1, IsLessor: f.IsLessor(), FollowsLessor: f.follows.Load()}
 	if age, known := f.Contact.Age(); known {
 		reply.ContactAgeMs = age.Milliseconds()
@@ -198,19 +198,19 @@
 	v := f.State.Now()
 	reply.Resigned = f.resigned.Load() && v.Routes.Lessor.Boot == f.Self.Boot
 	var err error
-	if v.Config != nil && uint64(v.Config.Version) > asked.ConfigVersion {
-		reply.Config, err = f.configText.of(int64(v.Config.Version), v.Config)
+	if v.Config != nil && uint64(v.Config.Version) > msg.ConfigVersion {
+		reply.Config, err = f.configText.encode(int64(v.Config.Version), v.Config)
 	}
-	if err == nil && int64(v.Servers.Offset) > asked.ServersOffset {
-		err = f.servers.tell(reply, asked, v)
+	if err == nil && int64(v.Servers.Offset) > msg.ServersOffset {
+		err = f.servers.encode(reply, msg, v)
 	}
-	if routesDiffer(v, asked) {
-		reply.Routes = f.routes.tell(asked, v.Routes)
+	if newerRoutes(v, msg) {
+		reply.Routes = f.routes.encode(msg, v.Routes)
 	}
-	if sharesDiffer(v, asked) {
+	if newerShares(v, msg) {
 		reply.Shares = sharesMessage(v.Shares)
 	}
-	if v.MembersSum() != asked.MembersHash {
+	if v.MembersSum() != msg.MembersHash {
 		reply.Members = memberMessages(v.Members)
 	}
 	return reply, err
@@ -218,21 +218,21 @@
 
 // noteFollower records the calling node, and returns the hash of the followers that it is
 // known to have.
-func (f *Feed) see(asked *bspb.FollowRequest) uint64 {
-	if asked.Member == nil {
+func (f *Feed) noteFollower(msg *bspb.FollowRequest) uint64 {
+	if msg.Member == nil {
 		return 0
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	seen := f.members[asked.Member.Node]
-	if seen.Boot != asked.Member.Boot || asked.FollowersHash == 0 {
+	seen := f.members[msg.Member.Node]
+	if seen.Boot != msg.Member.Boot || msg.FollowersHash == 0 {
 		seen.followers, seen.followersHash = nil, 0
 	}
-	if len(asked.Followers) > 0 {
-		seen.followers, seen.followersHash = membersOf(asked.Followers), asked.FollowersHash
+	if len(msg.Followers) > 0 {
+		seen.followers, seen.followersHash = membersOf(msg.Followers), msg.FollowersHash
 	}
-	seen.Member = memberOf(asked.Member)
-	seen.at = time.Now()
+	seen.Member = memberOf(msg.Member)
+	seen.lastCallAt = time.Now()
 	f.members[seen.Node] = seen
 	return seen.followersHash
 }
@@ -244,7 +244,7 @@
 	defer f.mu.Unlock()
 	members := map[string]view.Member{}
 	for node, seen := range f.members {
-		if time.Since(seen.at) > MemberTimeout {
+		if time.Since(seen.lastCallAt) > MemberTimeout {
 			delete(f.members, node)
 			continue
 		}
--- a/gateway/follow/feed_test.go
+++ b/gateway/follow/feed_test.go
@@ -33,31 +33,31 @@
 
 // The lessor divides the servers' limits and the retry budget among all nodes, so it must
 // also know the nodes that follow a relay.
-func TestTheLessorKnowsNodesThatFollowARelay(t *testing.T) {
+func TestLessorKnowsNodesThatFollowRelay(t *testing.T) {
 	g := gomega.NewWithT(t)
 	feed := newFeedOf("lessor", true)
 	followers := []view.Member{member("x"), member("y")}
 	asked := &bspb.FollowRequest{Member: memberMessage(member("relay")), FollowersHash: view.SumMembers(followers)}
-	g.Expect(feed.see(asked)).NotTo(gomega.Equal(asked.FollowersHash), "the relay must tell them")
+	g.Expect(feed.noteFollower(asked)).NotTo(gomega.Equal(asked.FollowersHash), "the relay must tell them")
 	asked.Followers = memberMessages(followers)
-	g.Expect(feed.see(asked)).To(gomega.Equal(asked.FollowersHash))
+	g.Expect(feed.noteFollower(asked)).To(gomega.Equal(asked.FollowersHash))
 	asked.Followers = nil
-	g.Expect(feed.see(asked)).To(gomega.Equal(asked.FollowersHash), "and not again")
+	g.Expect(feed.noteFollower(asked)).To(gomega.Equal(asked.FollowersHash), "and not again")
 	g.Expect(namesOf(feed.Members())).To(gomega.Equal([]string{"lessor", "relay", "x", "y"}))
 	g.Expect(namesOf(feed.Followers())).To(gomega.Equal([]string{"relay", "x", "y"}))
 
 	asked.Member.Boot = "started again"
-	g.Expect(feed.see(asked)).To(gomega.BeZero(), "a new run of the relay has other followers")
+	g.Expect(feed.noteFollower(asked)).To(gomega.BeZero(), "a new run of the relay has other followers")
 	g.Expect(namesOf(feed.Members())).To(gomega.Equal([]string{"lessor", "relay"}))
 }
 
 // Followers of a relay must notice in time that its data has become old: the relay responds
 // at once, and not at the end of their wait.
-func TestFollowersHearAtOnceThatContactIsLost(t *testing.T) {
+func TestFollowersAreNotifiedAtOnceOfLostContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		feed := newFeedOf("relay", false)
-		feed.Contact.NoteTold(clock.Now().Add(-staleRelay+100*time.Millisecond), 0)
+		feed.Contact.NoteTold(clock.Now().Add(-maxRelayContactAge+100*time.Millisecond), 0)
 		startedAt := time.Now()
 		ask := func() *bspb.FollowReply {
 			reply, err := feed.Follow(context.Background(), connect.NewRequest(&bspb.FollowRequest{WaitMs: 500}))
@@ -72,7 +72,7 @@
 	})
 }
 
-func TestARelayPassesReportsOn(t *testing.T) {
+func TestRelayForwardsReports(t *testing.T) {
 	g := gomega.NewWithT(t)
 	reports := NewReports()
 	reports.Key("s", 7)
@@ -94,12 +94,12 @@
 
 // The data of a delayed reply is older than its arrival: the time in flight is part of its
 // age.
-func TestContactIsNotYoungerThanTheReply(t *testing.T) {
+func TestContactAgeIncludesTimeInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		startedAt := clock.Now()
 		time.Sleep(700 * time.Millisecond)
-		at := knownAt(&bspb.FollowReply{ContactAgeMs: 200, HeldMs: 400}, startedAt)
+		at := contactTime(&bspb.FollowReply{ContactAgeMs: 200, HeldMs: 400}, startedAt)
 		g.Expect(clock.Since(at)).To(gomega.BeNumerically("~", 500*time.Millisecond, 5*time.Millisecond))
 	})
 }
--- a/gateway/follow/follower.go
+++ b/gateway/follow/follower.go
@@ -30,27 +30,27 @@
 	Reports *Reports
 	Logger  hclog.Logger
 
-	seeds   atomic.Pointer[[]string]
-	client  *http.Client
-	clients map[string]bspbconnect.GatewayClient
-	behind  bool                 // whether no node with recent data is followed
-	relied  string               // address of the last source that had recent data; empty if there is none
-	avoid   map[string]time.Time // time until which a source is not followed, by address
+	seeds       atomic.Pointer[[]string]
+	client      *http.Client
+	clients     map[string]bspbconnect.GatewayClient
+	hasNoSource bool                 // whether no node with recent data is followed
+	current     string               // address of the last source that had recent data; empty if there is none
+	avoidUntil  map[string]time.Time // time until which a source is not followed, by address
 	// knownFollowers is the hash of this node's followers that each source knows, by
 	// address.
-	toldFollowers map[string]uint64
+	knownFollowers map[string]uint64
 }
 
 // SetSeeds sets the addresses of nodes that may know the site at start. It is called before
 // Run, before the reader starts, and whenever the seeds change.
 func (f *Follower) SetSeeds(seeds []string) {
 	f.seeds.Store(&seeds)
-	f.takeStanding()
+	f.updatePriority()
 }
 
 // updatePriority sets the node's priority among those that may read the store.
-func (f *Follower) takeStanding() {
-	f.Reader.SetStanding(standingOf(f.Self, f.State.Now(), *f.seeds.Load()))
+func (f *Follower) updatePriority() {
+	f.Reader.SetReadPriority(readPriorityOf(f.Self, f.State.Now(), *f.seeds.Load()))
 }
 
 // connectTimeout is the timeout of a connection attempt to another node.
@@ -71,16 +71,16 @@
 	transport := &http.Transport{DialContext: f.dial, DisableCompression: true}
 	f.client = &http.Client{Transport: transport}
 	f.clients = map[string]bspbconnect.GatewayClient{}
-	f.avoid = map[string]time.Time{}
-	f.toldFollowers = map[string]uint64{}
+	f.avoidUntil = map[string]time.Time{}
+	f.knownFollowers = map[string]uint64{}
 	for turn := 0; ctx.Err() == nil; turn++ {
-		f.takeStanding()
-		if f.followSource(ctx) {
+		f.updatePriority()
+		if f.pollSource(ctx) {
 			continue
 		}
 		f.Feed.SetFollows(false)
-		if age, known := f.Reader.Contact.Age(); !known || age > staleContact {
-			f.askOther(ctx, turn)
+		if age, known := f.Reader.Contact.Age(); !known || age > maxLessorContactAge {
+			f.queryAnyNode(ctx, turn)
 		}
 		clock.Wait(ctx, peerRetry)
 	}
@@ -107,7 +107,7 @@
 
 // pollSource makes one call to the followed node and reports whether there is one. If the
 // call fails, or the response has no recent data, another node is followed next.
-func (f *Follower) followSource(ctx context.Context) bool {
+func (f *Follower) pollSource(ctx context.Context) bool {
 	if f.Reader.lessor.Load() {
 		return false
 	}
@@ -116,25 +116,25 @@
 		return false
 	}
 	wait := followWait
-	if from.address != f.relied && len(f.State.Now().Members) > 0 {
+	if from.address != f.current && len(f.State.Now().Members) > 0 {
 		wait = 0 // respond at once, to show whether its data is recent
 	}
-	f.relied = ""
+	f.current = ""
 	reply, err := f.follow(ctx, from.address, wait)
 	if err != nil || from.lessor && !reply.IsLessor {
-		f.noteSource(true, from, err)
+		f.logSource(true, from, err)
 		f.avoidFor(from)
-		return f.hasOther(from)
+		return f.hasAlternative(from)
 	}
 	age := time.Duration(reply.ContactAgeMs) * time.Millisecond
-	isFresh := reply.ContactAgeMs >= 0 && age < staleAfter(from.lessor)
+	isFresh := reply.ContactAgeMs >= 0 && age < contactLimit(from.lessor)
 	f.Feed.SetFollows(reply.IsLessor || reply.FollowsLessor)
 	if !isFresh {
 		f.avoidFor(from)
-		return f.hasOther(from)
+		return f.hasAlternative(from)
 	}
-	f.relied = from.address
-	f.noteSource(false, from, nil)
+	f.current = from.address
+	f.logSource(false, from, nil)
 	return true
 }
 
@@ -143,7 +143,7 @@
 func (f *Follower) source(now time.Time) (best source, found bool) {
 	list := sources(f.Self, f.State.Now(), *f.seeds.Load())
 	for _, s := range list {
-		if now.After(f.avoid[s.address]) {
+		if now.After(f.avoidUntil[s.address]) {
 			return s, true
 		}
 	}
@@ -154,9 +154,9 @@
 }
 
 // hasAlternative reports whether there is another source that has not failed recently.
-func (f *Follower) hasOther(than source) bool {
+func (f *Follower) hasAlternative(to source) bool {
 	other, found := f.source(time.Now())
-	return found && other != than && time.Now().After(f.avoid[other.address])
+	return found && other != to && time.Now().After(f.avoidUntil[other.address])
 }
 
 func (f *Follower) avoidFor(s source) {
@@ -164,15 +164,15 @@
 	if s.lessor {
 		pause = avoidLessor
 	}
-	f.avoid[s.address] = time.Now().Add(pause)
+	f.avoidUntil[s.address] = time.Now().Add(pause)
 }
 
-func (f *Follower) noteSource(behind bool, from source, err error) {
-	if behind == f.behind {
+func (f *Follower) logSource(hasNoSource bool, from source, err error) {
+	if hasNoSource == f.hasNoSource {
 		return
 	}
-	f.behind = behind
-	if behind {
+	f.hasNoSource = hasNoSource
+	if hasNoSource {
 		eventSourceLost.Log(f.Logger, "address", from.address, "isLessor", from.lessor, "cause", err)
 	} else {
 		eventSourceBack.Log(f.Logger, "address", from.address, "isLessor", from.lessor)
@@ -180,7 +180,7 @@
 }
 
 // queryAnyNode requests the view of one of the known nodes or seeds.
-func (f *Follower) askOther(ctx context.Context, turn int) {
+func (f *Follower) queryAnyNode(ctx context.Context, turn int) {
 	seeds := *f.seeds.Load()
 	addresses := make([]string, 0, len(seeds))
 	for _, member := range f.State.Now().Members {
@@ -214,15 +214,15 @@
 		Paces:     report.Paces,
 		WaitMs:    uint32(wait.Milliseconds()),
 	}
-	describe(request, f.State.Now())
-	f.tellFollowers(request, address)
+	setKnownVersions(request, f.State.Now())
+	f.addFollowers(request, address)
 	startedAt := clock.Now()
 	response, err := client.Follow(ctx, connect.NewRequest(request))
 	if err != nil {
 		return nil, err
 	}
-	f.toldFollowers[address] = response.Msg.FollowersHash
-	at := knownAt(response.Msg, startedAt)
+	f.knownFollowers[address] = response.Msg.FollowersHash
+	at := contactTime(response.Msg, startedAt)
 	isWhole, err := f.merge(response.Msg, address)
 	if err != nil {
 		return nil, err
@@ -231,20 +231,20 @@
 		f.Reader.Contact.NoteTold(at, store.Offset(response.Msg.ServersNext))
 	}
 	if response.Msg.Resigned {
-		f.Reader.LookForLessor()
+		f.Reader.WatchForLessor()
 	}
 	return response.Msg, nil
 }
 
 // addFollowers adds this node's followers to a request, if the other node does not know
 // them.
-func (f *Follower) tellFollowers(request *bspb.FollowRequest, address string) {
+func (f *Follower) addFollowers(request *bspb.FollowRequest, address string) {
 	followers := f.Feed.Followers()
 	if len(followers) == 0 {
 		return
 	}
 	request.FollowersHash = view.SumMembers(followers)
-	if f.toldFollowers[address] != request.FollowersHash {
+	if f.knownFollowers[address] != request.FollowersHash {
 		request.Followers = memberMessages(followers)
 	}
 }
@@ -252,14 +252,14 @@
 // contactTime returns the time up to which the other node knew the store. The part of the
 // call's duration in which the other node did not hold the request may be the response's
 // time in flight.
-func knownAt(reply *bspb.FollowReply, startedAt time.Time) time.Time {
-	onItsWay := max(clock.Since(startedAt)-time.Duration(reply.HeldMs)*time.Millisecond, 0)
-	age := time.Duration(reply.ContactAgeMs)*time.Millisecond + onItsWay
+func contactTime(reply *bspb.FollowReply, startedAt time.Time) time.Time {
+	inFlight := max(clock.Since(startedAt)-time.Duration(reply.HeldMs)*time.Millisecond, 0)
+	age := time.Duration(reply.ContactAgeMs)*time.Millisecond + inFlight
 	return clock.Now().Add(-age)
 }
 
 // setKnownVersions sets the versions of the parts of the view that this node has.
-func describe(request *bspb.FollowRequest, v *view.View) {
+func setKnownVersions(request *bspb.FollowRequest, v *view.View) {
 	if v.Config != nil {
 		request.ConfigVersion = uint64(v.Config.Version)
 	}
@@ -287,12 +287,12 @@
 		}
 	}
 	before := f.State.Now()
-	servers, isTold, err := toldRegister(reply, before)
+	servers, hasServers, err := decodeRegistry(reply, before)
 	if err != nil {
 		return false, err
 	}
-	if isTold && f.State.MergeServers(servers) {
-		f.Reader.logServers(before.Servers.Servers)
+	if hasServers && f.State.MergeServers(servers) {
+		f.Reader.logServerChanges(before.Servers.Servers)
 	}
 	hasRoutes, err := f.mergeRoutes(reply.Routes, from)
 	if err != nil {
@@ -304,7 +304,7 @@
 	if (reply.IsLessor || reply.FollowsLessor) && len(reply.Members) > 0 {
 		f.State.SetMembers(membersOf(reply.Members))
 	}
-	return hasRoutes && (isTold || reply.ServersChange == nil), nil
+	return hasRoutes && (hasServers || reply.ServersChange == nil), nil
 }
 
 // mergeRoutes applies the routes of a response, if there are any. isWhole is false if they
@@ -313,7 +313,7 @@
 	if message == nil {
 		return true, nil
 	}
-	routes, found, err := toldRoutes(message, f.State.Now().Routes, from)
+	routes, found, err := decodeRoutes(message, f.State.Now().Routes, from)
 	if err == nil && found {
 		f.State.MergeRoutes(routes)
 	}
--- a/gateway/follow/former_test.go
+++ b/gateway/follow/former_test.go
@@ -12,7 +12,7 @@
 )
 
 // A snapshot of the topic contains the newest record of each key, in any order.
-func TestTheNewestRecordTellsOfLessorsBefore(t *testing.T) {
+func TestNewestRecordDescribesPreviousLessors(t *testing.T) {
 	record := func(key string, at store.Offset, value any) store.Record {
 		text, err := json.Marshal(value)
 		if err != nil {
@@ -36,7 +36,7 @@
 			g := gomega.NewWithT(t)
 			var o Ownership
 			for _, r := range row.records {
-				g.Expect(o.take(r)).To(gomega.Succeed())
+				g.Expect(o.apply(r)).To(gomega.Succeed())
 			}
 			g.Expect(o.KnowsFormer).To(gomega.Equal(row.known))
 			g.Expect(o.FormerHeld).To(gomega.Equal(row.want))
--- a/gateway/follow/handoff.go
+++ b/gateway/follow/handoff.go
@@ -46,15 +46,15 @@
 // HandOff implements bspbconnect.GatewayHandler.
 func (f *Feed) HandOff(ctx context.Context, request *connect.Request[bspb.HandOffRequest]) (*connect.Response[bspb.HandOffReply], error) {
 	former := ranges.Lessor{Node: request.Msg.Node, Boot: request.Msg.Boot}
-	asked := &HandOff{Former: former, Claim: store.Offset(request.Msg.ClaimOffset), Reply: make(chan FormerGrants, 1)}
+	handOff := &HandOff{Former: former, Claim: store.Offset(request.Msg.ClaimOffset), Reply: make(chan FormerGrants, 1)}
 	unknown := &NotFormerLessorError{Boot: former.Boot}
 	select {
-	case f.HandOffs <- asked:
+	case f.HandOffs <- handOff:
 	default:
 		return nil, connect.NewError(connect.CodeResourceExhausted, unknown)
 	}
 	select {
-	case grants, isKnown := <-asked.Reply:
+	case grants, isKnown := <-handOff.Reply:
 		if !isKnown {
 			return nil, connect.NewError(connect.CodeFailedPrecondition, unknown)
 		}
--- a/gateway/follow/metrics.go
+++ b/gateway/follow/metrics.go
@@ -54,9 +54,9 @@
 var (
 	registerCounts = metrics.New("gateway_register")
 	// invalidEntries counts the changes of entries from which no server can be read.
-	brokenEntries = registerCounts.Counter("broken_entries")
+	invalidEntries = registerCounts.Counter("broken_entries")
 	// skippedEntries counts entries of incarnations before the known one.
-	passedOver = registerCounts.Counter("entries_of_earlier_runs")
+	skippedEntries = registerCounts.Counter("entries_of_earlier_runs")
 	// serversRestarted counts the restarts of servers.
-	runsReplaced = registerCounts.Counter("runs_replaced")
+	serversRestarted = registerCounts.Counter("runs_replaced")
 )
--- a/gateway/follow/ownership.go
+++ b/gateway/follow/ownership.go
@@ -46,7 +46,7 @@
 	// be in force. KnowsPrevious reports whether that record contains it.
 	FormerHeld  time.Duration
 	KnowsFormer bool
-	formerAt    store.Offset // offset of that record
+	previousAt  store.Offset // offset of that record
 	ReadAt      time.Time    // time of the latest read of the topic
 	MovedAt     time.Time    // when End was first observed
 
@@ -71,7 +71,7 @@
 func (o *Ownership) fold(batch store.Batch, now time.Time) []*RecordError {
 	var problems []*RecordError
 	for _, record := range batch.Records {
-		if err := o.take(record); err != nil {
+		if err := o.apply(record); err != nil {
 			problems = append(problems, &RecordError{Key: record.Key, Offset: record.Offset, Cause: err})
 		}
 	}
@@ -84,7 +84,7 @@
 	return problems
 }
 
-func (o *Ownership) take(record store.Record) error {
+func (o *Ownership) apply(record store.Record) error {
 	switch record.Key {
 	case TableKey:
 		if record.Offset < o.Table.Offset {
@@ -98,18 +98,18 @@
 		}
 		o.Table = view.Table{Offset: record.Offset, Table: &table}
 		o.Resigned = false
-		o.takeFormer(record.Offset, table.FormerMs)
+		o.applyPrevious(record.Offset, table.FormerMs)
 	case HeartbeatKey:
-		var beat Heartbeat
-		if err := json.Unmarshal(record.Value, &beat); err != nil {
+		var heartbeat Heartbeat
+		if err := json.Unmarshal(record.Value, &heartbeat); err != nil {
 			return err
 		}
-		o.Resigned = beat.Resigned
-		o.Held = time.Duration(beat.HeldMs) * time.Millisecond
+		o.Resigned = heartbeat.Resigned
+		o.Held = time.Duration(heartbeat.HeldMs) * time.Millisecond
 		o.Doubt = o.Held
-		o.takeFormer(record.Offset, beat.FormerMs)
-		if beat.DoubtMs != nil {
-			o.Doubt = time.Duration(*beat.DoubtMs) * time.Millisecond
+		o.applyPrevious(record.Offset, heartbeat.FormerMs)
+		if heartbeat.DoubtMs != nil {
+			o.Doubt = time.Duration(*heartbeat.DoubtMs) * time.Millisecond
 		}
 	}
 	return nil
@@ -117,13 +117,13 @@
 
 // applyPrevious applies what a record reports about the lessors before its writer. In a
 // snapshot, the record with the highest offset takes precedence.
-func (o *Ownership) takeFormer(at store.Offset, told *int64) {
-	if at < o.formerAt {
+func (o *Ownership) applyPrevious(at store.Offset, previousMs *int64) {
+	if at < o.previousAt {
 		return
 	}
-	o.formerAt = at
-	o.KnowsFormer = told != nil
-	if told != nil {
-		o.FormerHeld = time.Duration(*told) * time.Millisecond
+	o.previousAt = at
+	o.KnowsFormer = previousMs != nil
+	if previousMs != nil {
+		o.FormerHeld = time.Duration(*previousMs) * time.Millisecond
 	}
 }
--- a/gateway/follow/ownership_test.go
+++ b/gateway/follow/ownership_test.go
@@ -18,7 +18,7 @@
 	return store.Record{Offset: offset, Key: TableKey, Value: text}
 }
 
-func beatRecord(t *testing.T, offset store.Offset, resigned bool) store.Record {
+func heartbeatRecord(t *testing.T, offset store.Offset, resigned bool) store.Record {
 	t.Helper()
 	text, err := json.Marshal(Heartbeat{Boot: "b", Resigned: resigned})
 	gomega.NewWithT(t).Expect(err).NotTo(gomega.HaveOccurred())
@@ -27,28 +27,28 @@
 
 // A store returns only some of the records when they are long. A claim at the end of the
 // topic that is based on these records would undo what the remaining ones contain.
-func TestOwnershipIsUnknownUntilEveryRecordIsRead(t *testing.T) {
+func TestOwnershipIsUnknownUntilAllRecordsAreRead(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var o Ownership
 	o.fold(store.Batch{Records: []store.Record{tableRecord(t, 0, "one")}, Next: 1, End: 3}, after(0))
 	g.Expect(o.Known).To(gomega.BeFalse())
-	o.fold(store.Batch{Records: []store.Record{tableRecord(t, 1, "two"), beatRecord(t, 2, false)}, Next: 3, End: 3}, after(time.Second))
+	o.fold(store.Batch{Records: []store.Record{tableRecord(t, 1, "two"), heartbeatRecord(t, 2, false)}, Next: 3, End: 3}, after(time.Second))
 	g.Expect(o.Known).To(gomega.BeTrue())
 	g.Expect(o.Table.Table.Lessor.Boot).To(gomega.Equal("two"))
 	g.Expect(o.Table.Offset).To(gomega.Equal(store.Offset(1)))
 	g.Expect(o.MovedAt).To(gomega.Equal(after(0)), "the end was seen then")
 }
 
-func TestAClaimEndsAResignation(t *testing.T) {
+func TestClaimEndsResignation(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var o Ownership
-	o.fold(store.Batch{Records: []store.Record{tableRecord(t, 0, "one"), beatRecord(t, 1, true)}, Next: 2, End: 2}, after(0))
+	o.fold(store.Batch{Records: []store.Record{tableRecord(t, 0, "one"), heartbeatRecord(t, 1, true)}, Next: 2, End: 2}, after(0))
 	g.Expect(o.Resigned).To(gomega.BeTrue())
 	o.fold(store.Batch{Records: []store.Record{tableRecord(t, 2, "two")}, Next: 3, End: 3}, after(0))
 	g.Expect(o.Resigned).To(gomega.BeFalse())
 }
 
-func TestATableThatCannotBeReadAllowsNoClaim(t *testing.T) {
+func TestInvalidTablePreventsClaim(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var o Ownership
 	problems := o.fold(store.Batch{Records: []store.Record{tableRecord(t, 0, "one"), {Offset: 1, Key: TableKey, Value: []byte("{")}}, Next: 2, End: 2}, after(0))
@@ -60,11 +60,11 @@
 
 // A record of an earlier release does not contain the duration of grants without a
 // response, so that all grants are treated as uncertain.
-func TestAResignationThatDoesNotTellOfUnansweredGrants(t *testing.T) {
+func TestResignationWithoutUncertainGrantsTreatsAllAsUncertain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var o Ownership
-	g.Expect(o.take(store.Record{Key: HeartbeatKey, Value: []byte(`{"resigned":true,"heldMs":3000}`)})).To(gomega.Succeed())
+	g.Expect(o.apply(store.Record{Key: HeartbeatKey, Value: []byte(`{"resigned":true,"heldMs":3000}`)})).To(gomega.Succeed())
 	g.Expect(o.Doubt).To(gomega.Equal(3 * time.Second))
-	g.Expect(o.take(store.Record{Key: HeartbeatKey, Value: []byte(`{"resigned":true,"heldMs":3000,"doubtMs":0}`)})).To(gomega.Succeed())
+	g.Expect(o.apply(store.Record{Key: HeartbeatKey, Value: []byte(`{"resigned":true,"heldMs":3000,"doubtMs":0}`)})).To(gomega.Succeed())
 	g.Expect(o.Doubt).To(gomega.BeZero())
 }
--- a/gateway/follow/reader.go
+++ b/gateway/follow/reader.go
@@ -22,23 +22,23 @@
 	// only after it.
 	configWait = 600 * time.Millisecond
 	// responseTime is the allowance for the transfer of a response.
-	answerTime = 50 * time.Millisecond
+	responseTime = 50 * time.Millisecond
 	// minReadPause is the minimum time between two reads of a topic.
-	leastPause = 50 * time.Millisecond
+	minReadPause = 50 * time.Millisecond
 	// minTurnWait and maxTurnWait limit the time until a reader that need not read checks
 	// again whether it must. With twenty checks per second, hundreds of nodes spend more
 	// processor time on them than on the requests of a site with little traffic.
-	shortWait = 10 * time.Millisecond
-	longWait  = time.Second
+	minTurnWait = 10 * time.Millisecond
+	maxTurnWait = time.Second
 	// outageCheckInterval is how often one loop checks whether the other has reached the
 	// store again.
-	outageLook = 250 * time.Millisecond
+	outageCheckInterval = 250 * time.Millisecond
 	// startReportWait is how long a starting node that has found a lessor in the store
 	// waits for a report from the lessor before it reads the other topics.
-	lookTime = 500 * time.Millisecond
+	startReportWait = 500 * time.Millisecond
 	// lessorWatchTime is how long nodes watch for a new lessor after a resignation. A claim
 	// follows within half a second.
-	lessorLook = time.Second
+	lessorWatchTime = time.Second
 )
 
 // Reader reads the store.
@@ -50,34 +50,34 @@
 	Logger    hclog.Logger
 	StartedAt time.Time // start time of the node
 
-	standing    atomic.Pointer[Standing]
-	lessor      atomic.Bool      // the node is the lessor and need not read its own lease
-	lost        atomic.Bool      // the latest call failed
-	serversLost atomic.Bool      // the latest read of the servers failed
-	lookUntil   atomic.Int64     // wall clock time in nanoseconds until which the node watches for a new lessor
-	woken       broadcast.Signal // sent when the node may have to read earlier than expected
-	looked      broadcast.Signal // sent after each read of the ownership topic
-	register    *Register
-	broken      brokenLog
-	mu          sync.Mutex
-	ownership   Ownership
+	priority       atomic.Pointer[ReadPriority]
+	lessor         atomic.Bool      // the node is the lessor and need not read its own lease
+	lost           atomic.Bool      // the latest call failed
+	serversLost    atomic.Bool      // the latest read of the servers failed
+	watchUntil     atomic.Int64     // wall clock time in nanoseconds until which the node watches for a new lessor
+	woken          broadcast.Signal // sent when the node may have to read earlier than expected
+	ownershipReads broadcast.Signal // sent after each read of the ownership topic
+	registry       *Registry
+	invalid        invalidEntryLog
+	mu             sync.Mutex
+	ownership      Ownership
 }
 
 // SetReadPriority sets the node's priority among those that may read the store.
-func (r *Reader) SetStanding(s Standing) {
-	if before := r.standing.Swap(&s); before == nil || *before != s {
+func (r *Reader) SetReadPriority(p ReadPriority) {
+	if before := r.priority.Swap(&p); before == nil || *before != p {
 		r.woken.Send()
 	}
 }
 
 // ReadPriority returns the node's priority among those that may read the store.
-func (r *Reader) Standing() Standing {
-	s := Standing{Rank: -1}
-	if known := r.standing.Load(); known != nil {
-		s = *known
+func (r *Reader) ReadPriority() ReadPriority {
+	p := ReadPriority{Rank: -1}
+	if known := r.priority.Load(); known != nil {
+		p = *known
 	}
-	s.IsLessor = r.lessor.Load()
-	return s
+	p.IsLessor = r.lessor.Load()
+	return p
 }
 
 // SetLessor sets whether the node is the lessor.
@@ -94,27 +94,27 @@
 }
 
 // OwnershipRead returns a channel that is closed at the next read of the ownership topic.
-func (r *Reader) OwnershipRead() <-chan struct{} { return r.looked.Next() }
+func (r *Reader) OwnershipRead() <-chan struct{} { return r.ownershipReads.Next() }
 
 // WatchForLessor records that the lessor has resigned. Nodes with the highest read priority
 // then read the store at once to find the new lessor.
-func (r *Reader) LookForLessor() {
-	r.lookUntil.Store(clock.Now().Add(lessorLook).UnixNano())
+func (r *Reader) WatchForLessor() {
+	r.watchUntil.Store(clock.Now().Add(lessorWatchTime).UnixNano())
 	r.woken.Send()
 }
 
 // mustRead reports whether the node must read the store itself now.
 func (r *Reader) mustRead() bool {
-	age, wasTold := r.toldAge()
-	standing := r.Standing()
-	looks := standing.isFirst() && clock.Now().UnixNano() < r.lookUntil.Load()
-	return looks || standing.mayRead(age, wasTold)
+	age, hasReport := r.reportAge()
+	priority := r.ReadPriority()
+	watches := priority.isFirst() && clock.Now().UnixNano() < r.watchUntil.Load()
+	return watches || priority.mayRead(age, hasReport)
 }
 
 // reportAge returns the age of the latest report from another node. If there was none, it
 // returns the time since the node's start.
-func (r *Reader) toldAge() (age time.Duration, wasTold bool) {
-	if age, wasTold = r.Contact.ToldAge(); wasTold {
+func (r *Reader) reportAge() (age time.Duration, hasReport bool) {
+	if age, hasReport = r.Contact.PeerReportAge(); hasReport {
 		return age, true
 	}
 	return clock.Since(r.StartedAt), false
@@ -123,9 +123,9 @@
 // awaitTurn waits until the node may have to read. The caller obtains woken before it calls
 // mustRead.
 func (r *Reader) awaitTurn(ctx context.Context, woken <-chan struct{}, longest time.Duration) {
-	age, wasTold := r.toldAge()
-	left := r.Standing().patience(wasTold) - age
-	timer := time.NewTimer(max(min(left+time.Millisecond, longest), shortWait))
+	age, hasReport := r.reportAge()
+	left := r.ReadPriority().maxReportAge(hasReport) - age
+	timer := time.NewTimer(max(min(left+time.Millisecond, longest), minTurnWait))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -141,27 +141,27 @@
 	for ctx.Err() == nil {
 		woken := r.woken.Next()
 		if !r.mustRead() {
-			r.awaitTurn(ctx, woken, longWait)
+			r.awaitTurn(ctx, woken, maxTurnWait)
 			continue
 		}
 		if r.serversLost.Load() {
-			clock.Wait(ctx, outageLook) // the other loop detects when the store responds again
+			clock.Wait(ctx, outageCheckInterval) // the other loop detects when the store responds again
 			continue
 		}
 		batch, _, err := r.readFrom(ctx, store.Configurations, next, configWait)
 		if err != nil {
 			failures++
-			clock.Wait(ctx, r.Standing().retryPause(failures))
+			clock.Wait(ctx, r.ReadPriority().retryPause(failures))
 			continue
 		}
 		failures = 0
 		next = batch.Next
 		for _, record := range batch.Records {
-			r.takeConfig(record)
+			r.applyConfig(record)
 		}
-		if isWhole(batch) {
+		if isComplete(batch) {
 			// A read that returned nothing shows that there was no record until its end.
-			r.Contact.Note(store.Configurations, clock.Now().Add(-answerTime))
+			r.Contact.Note(store.Configurations, clock.Now().Add(-responseTime))
 		}
 	}
 }
@@ -179,19 +179,19 @@
 		isSnapshot = true
 		batch, err = r.Store.Newest(ctx, topic)
 	}
-	if err == nil && isWhole(batch) {
+	if err == nil && isComplete(batch) {
 		r.Contact.Note(topic, startedAt)
 	}
-	r.note(ctx, topic, err)
+	r.noteResult(ctx, topic, err)
 	return batch, isSnapshot, err
 }
 
 // isComplete reports whether a batch reaches the end of its topic. A node that is behind
 // must not report a topic as known, because other nodes would rely on it.
-func isWhole(batch store.Batch) bool { return batch.Next >= batch.End }
+func isComplete(batch store.Batch) bool { return batch.Next >= batch.End }
 
 // noteResult logs when the store becomes unavailable and available.
-func (r *Reader) note(ctx context.Context, topic store.Topic, err error) {
+func (r *Reader) noteResult(ctx context.Context, topic store.Topic, err error) {
 	if err == nil {
 		if r.lost.Swap(false) {
 			eventStoreBack.Log(r.Logger, "topic", topic)
@@ -203,7 +203,7 @@
 	}
 }
 
-func (r *Reader) takeConfig(record store.Record) {
+func (r *Reader) applyConfig(record store.Record) {
 	if len(record.Value) == 0 {
 		return // the newest configuration remains in force
 	}
@@ -212,7 +212,7 @@
 		err = config.Check()
 	}
 	if err != nil {
-		eventBadRecord.Log(r.Logger, "topic", store.Configurations, "key", record.Key, "offset", record.Offset, "cause", err)
+		eventInvalidRecord.Log(r.Logger, "topic", store.Configurations, "key", record.Key, "offset", record.Offset, "cause", err)
 		return
 	}
 	if found && r.State.MergeConfig(config) {
@@ -222,37 +222,37 @@
 
 // RunServers reads the servers' topic and the ownership topic until ctx ends.
 func (r *Reader) RunServers(ctx context.Context) {
-	r.register = NewRegister()
+	r.registry = NewRegistry()
 	turn := readTurn{servers: -1, ownership: -1}
 	for ctx.Err() == nil {
 		woken := r.woken.Next()
 		if !r.mustRead() {
 			r.endTurn(&turn)
-			r.showServers(clock.Now())
-			r.awaitTurn(ctx, woken, r.register.nextLapse(clock.Now(), longWait))
+			r.publishServers(clock.Now())
+			r.awaitTurn(ctx, woken, r.registry.nextExpiry(clock.Now(), maxTurnWait))
 			continue
 		}
-		if !turn.reads {
+		if !turn.isReading {
 			r.beginTurn(ctx, &turn)
 			continue
 		}
 		startedAt := time.Now()
 		isBehind, err := r.readBoth(ctx, &turn)
-		pause := r.Standing().interval() - time.Since(startedAt)
+		pause := r.ReadPriority().interval() - time.Since(startedAt)
 		switch {
 		case err != nil:
 			turn.failures++
-			pause = r.Standing().retryPause(turn.failures)
+			pause = r.ReadPriority().retryPause(turn.failures)
 		case isBehind:
 			pause = 0
 		}
-		clock.Wait(ctx, max(pause, leastPause))
+		clock.Wait(ctx, max(pause, minReadPause))
 	}
 }
 
 // readTurn is the state of a period in which a node reads servers and ownership.
 type readTurn struct {
-	reads              bool
+	isReading          bool
 	servers, ownership store.Offset // offsets of the next reads; negative for a snapshot
 	failures           int          // consecutive failed calls
 }
@@ -260,22 +260,22 @@
 // beginTurn starts reading the store. Records that other nodes have reported are not read
 // again. A starting node first checks whether there is a lessor that can report the rest.
 func (r *Reader) beginTurn(ctx context.Context, t *readTurn) {
-	t.reads = true
+	t.isReading = true
 	t.failures = 0
-	standing := r.Standing()
-	age, wasTold := r.Contact.ToldAge()
-	eventReading.Log(r.Logger, "reason", standing.reason(wasTold), "rank", standing.Rank, "toldAge", age)
-	if told := r.Contact.Next(); told > t.servers && r.State.Now().Servers.Offset > 0 {
-		r.register.Adopt(r.State.Now().Servers, told, clock.Now())
-		t.servers = told
+	priority := r.ReadPriority()
+	age, hasReport := r.Contact.PeerReportAge()
+	eventReadingStarted.Log(r.Logger, "reason", priority.reason(hasReport), "rank", priority.Rank, "toldAge", age)
+	if reported := r.Contact.Next(); reported > t.servers && r.State.Now().Servers.Offset > 0 {
+		r.registry.Adopt(r.State.Now().Servers, reported, clock.Now())
+		t.servers = reported
 	}
-	if wasTold || standing.isFirst() {
+	if hasReport || priority.isFirst() {
 		return
 	}
 	from, err := r.readOwnership(ctx, t.ownership)
 	if err == nil && r.State.Now().Routes.Lessor.Boot != "" {
 		t.ownership = from
-		clock.Wait(ctx, lookTime)
+		clock.Wait(ctx, startReportWait)
 	}
 }
 
@@ -283,14 +283,14 @@
 // topic instead of the pages since this one, because the newest records are sufficient: a
 // node that was 23 pages behind noticed a resignation only after 9 s.
 func (r *Reader) endTurn(t *readTurn) {
-	if !t.reads {
+	if !t.isReading {
 		return
 	}
-	t.reads = false
+	t.isReading = false
 	t.ownership = -1
 	r.serversLost.Store(false)
-	r.register.Forget()
-	eventReadingEnds.Log(r.Logger)
+	r.registry.ClearFailures()
+	eventReadingStopped.Log(r.Logger)
 }
 
 // readBoth reads the servers' topic, and the ownership topic unless the node is the lessor.
@@ -299,19 +299,19 @@
 	batch, isSnapshot, err := r.readFrom(ctx, store.Servers, t.servers, 0)
 	r.serversLost.Store(err != nil)
 	if err != nil {
-		r.register.Failed(clock.Now())
+		r.registry.NoteReadFailed(clock.Now())
 		return false, err
 	}
 	t.failures = 0
-	r.takeServers(batch, isSnapshot)
+	r.applyServers(batch, isSnapshot)
 	t.servers = batch.Next
-	r.Contact.NoteShown(batch.Next)
+	r.Contact.NoteApplied(batch.Next)
 	if r.lessor.Load() {
 		t.ownership = -1
 	} else {
 		t.ownership, err = r.readOwnership(ctx, t.ownership)
 	}
-	return !isWhole(batch), err
+	return !isComplete(batch), err
 }
 
 // readOwnership reads the ownership topic from an offset and returns the offset of the next
@@ -326,9 +326,9 @@
 	problems := next.fold(batch, clock.Now())
 	r.ownership = next
 	r.mu.Unlock()
-	r.looked.Send()
+	r.ownershipReads.Send()
 	for _, problem := range problems {
-		eventBadRecord.Log(r.Logger, "topic", store.Ownership, "key", problem.Key, "offset", problem.Offset, "cause", problem.Cause)
+		eventInvalidRecord.Log(r.Logger, "topic", store.Ownership, "key", problem.Key, "offset", problem.Offset, "cause", problem.Cause)
 	}
 	if next.Table.Table != nil && r.State.MergeTable(next.Table) {
 		lessor := next.Table.Table.Lessor
--- a/gateway/follow/reader_test.go
+++ b/gateway/follow/reader_test.go
@@ -20,8 +20,8 @@
 // growingStore holds an ownership topic of tables and returns a few of them per read, like
 // a store that limits the size of a response.
 type growingStore struct {
-	tables atomic.Int64
-	page   int
+	tables   atomic.Int64
+	pageSize int
 }
 
 func serialRecord(at int64) store.Record {
@@ -46,7 +46,7 @@
 	end := s.tables.Load()
 	batch := store.Batch{End: store.Offset(end)}
 	next := int64(from)
-	for ; next < end && len(batch.Records) < s.page; next++ {
+	for ; next < end && len(batch.Records) < s.pageSize; next++ {
 		batch.Records = append(batch.Records, serialRecord(next))
 	}
 	batch.Next = store.Offset(next)
@@ -61,10 +61,10 @@
 // A node that followed another one for a long time is many pages behind in the ownership
 // topic. Reading one page in each readEvery took 9.1 s for 23 pages, in which no node of a
 // site could claim a lease after a resignation, and all keys lost their owners.
-func TestANodeFarBehindKnowsTheLeaseWithinASecond(t *testing.T) {
+func TestNodeFarBehindKnowsLeaseWithinOneSecond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		growing := &growingStore{page: 20}
+		growing := &growingStore{pageSize: 20}
 		growing.tables.Store(1)
 		reader := &Reader{Store: growing, State: view.NewState(), Contact: &Contact{}, Logger: hclog.NewNullLogger()}
 		done := make(chan struct{})
@@ -75,9 +75,9 @@
 		t.Cleanup(func() { cancel(); <-done })
 		await(t, reader, 1, time.Second)
 		reader.Contact.NoteTold(clock.Now(), 0)
-		time.Sleep(readEvery + leastPause)
+		time.Sleep(readEvery + minReadPause)
 		growing.tables.Store(460)
-		time.Sleep(firstTurn - readEvery - leastPause)
+		time.Sleep(firstReadAge - readEvery - minReadPause)
 		await(t, reader, 460, time.Second)
 	})
 }
@@ -99,9 +99,9 @@
 }
 
 // The duty of a node that is not the lessor waits for a read of the ownership topic.
-func TestAReadOfTheOwnershipTopicIsTold(t *testing.T) {
+func TestReadOfOwnershipTopicIsSignaled(t *testing.T) {
 	g := gomega.NewWithT(t)
-	growing := &growingStore{page: 20}
+	growing := &growingStore{pageSize: 20}
 	growing.tables.Store(1)
 	reader := &Reader{Store: growing, State: view.NewState(), Contact: &Contact{}, Logger: hclog.NewNullLogger()}
 	read := reader.OwnershipRead()
--- a/gateway/follow/register.go
+++ b/gateway/follow/register.go
@@ -12,54 +12,54 @@
 const (
 	// minOutage is how long reads must fail before entries may have expired: about one
 	// heartbeat of a server.
-	outageAfter = time.Second
+	minOutage = time.Second
 	// reregistrationTime is how long running servers may take to register again after an
 	// outage, as the platform guarantees.
-	returnTime = 2 * time.Second
+	reregistrationTime = 2 * time.Second
 	// minWritesPerServer is the number of records per server, read after failed reads, that
 	// shows that servers could write throughout. In this case only this node was cut off,
 	// and servers without an entry have left.
-	writtenMeanwhile = 1.5
+	minWritesPerServer = 1.5
 )
 
 // Registry applies the records of the servers' topic. It contains at most one incarnation
 // of each server. Servers whose entry is missing after an outage of the store are kept for
 // reregistrationTime.
-type Register struct {
-	byName   map[site.ServerName]*runs
-	next     store.Offset
-	change   store.Offset // after the last record that changed the registry
-	failing  time.Time    // time of the first consecutive failed read; zero if the latest read succeeded
-	returned time.Time    // end of the grace period after an outage
+type Registry struct {
+	byName       map[site.ServerName]*incarnations
+	next         store.Offset
+	changeOffset store.Offset // after the last record that changed the registry
+	failingSince time.Time    // time of the first consecutive failed read; zero if the latest read succeeded
+	graceEnd     time.Time    // end of the grace period after an outage
 }
 
 // NewRegistry returns an empty registry.
-func NewRegister() *Register { return &Register{byName: map[site.ServerName]*runs{}} }
+func NewRegistry() *Registry { return &Registry{byName: map[site.ServerName]*incarnations{}} }
 
 // Retain applies the keys of a snapshot: servers under other keys have left. Put and
 // Invalidate apply the records.
-func (r *Register) KeepOnly(names map[site.ServerName]bool, end store.Offset, now time.Time) {
-	r.noteRead(now)
+func (r *Registry) Retain(names map[site.ServerName]bool, end store.Offset, now time.Time) {
+	r.endFailures(now)
 	for name := range r.byName {
 		if !names[name] {
-			r.Drop(name, end, now)
+			r.Remove(name, end, now)
 		}
 	}
 	r.next = max(r.next, end)
-	r.change = max(r.change, 1)
+	r.changeOffset = max(r.changeOffset, 1)
 }
 
 // NoteRead records that a number of records was read, up to an offset.
-func (r *Register) Read(records int, end store.Offset, now time.Time) {
-	if float64(records) >= writtenMeanwhile*float64(r.present()) {
-		r.failing = time.Time{}
+func (r *Registry) NoteRead(records int, end store.Offset, now time.Time) {
+	if float64(records) >= minWritesPerServer*float64(r.present()) {
+		r.failingSince = time.Time{}
 	}
-	r.noteRead(now)
+	r.endFailures(now)
 	r.next = end
 }
 
 // present returns the number of servers in the registry.
-func (r *Register) present() int {
+func (r *Registry) present() int {
 	count := 0
 	for _, known := range r.byName {
 		if known.present {
@@ -70,122 +70,122 @@
 }
 
 // Adopt replaces the registry by the one that other nodes reported, up to an offset.
-func (r *Register) Adopt(told view.Servers, next store.Offset, now time.Time) {
-	names := make(map[site.ServerName]bool, len(told.Servers))
-	for id, server := range told.Servers {
+func (r *Registry) Adopt(reported view.Servers, next store.Offset, now time.Time) {
+	names := make(map[site.ServerName]bool, len(reported.Servers))
+	for id, server := range reported.Servers {
 		name := id.Name()
 		names[name] = true
 		known := r.byName[name]
 		if known == nil {
-			known = &runs{}
+			known = &incarnations{}
 			r.byName[name] = known
 		}
 		known.adopt(server)
 	}
 	for name, known := range r.byName {
 		if !names[name] {
-			known.leave(now)
+			known.markLeft(now)
 		}
 	}
 	r.next = next
-	r.change = max(r.change, told.Offset)
+	r.changeOffset = max(r.changeOffset, reported.Offset)
 }
 
 // ClearFailures discards earlier read failures when the node stops reading, because they
 // say nothing about the store at the time of the next read.
-func (r *Register) Forget() { r.failing = time.Time{} }
+func (r *Registry) ClearFailures() { r.failingSince = time.Time{} }
 
 // NoteReadFailed records a failed read.
-func (r *Register) Failed(now time.Time) {
-	if r.failing.IsZero() {
-		r.failing = now
+func (r *Registry) NoteReadFailed(now time.Time) {
+	if r.failingSince.IsZero() {
+		r.failingSince = now
 	}
 }
 
-func (r *Register) noteRead(now time.Time) {
-	if !r.failing.IsZero() && now.Sub(r.failing) > outageAfter {
-		r.returned = now.Add(returnTime)
+func (r *Registry) endFailures(now time.Time) {
+	if !r.failingSince.IsZero() && now.Sub(r.failingSince) > minOutage {
+		r.graceEnd = now.Add(reregistrationTime)
 	}
-	r.failing = time.Time{}
+	r.failingSince = time.Time{}
 }
 
 // Put applies a server's record before the offset end. An entry without a start time is
 // invalid if an earlier entry of the name has one; the error is then a *StartMissingError.
-func (r *Register) Put(entry site.Entry, end store.Offset, now time.Time) (taken bool, err error) {
+func (r *Registry) Put(entry site.Entry, end store.Offset, now time.Time) (applied bool, err error) {
 	name := entry.ID.Name()
 	known := r.byName[name]
 	if known == nil {
-		known = &runs{}
+		known = &incarnations{}
 		r.byName[name] = known
 	}
-	switch known.judge(entry, now) {
-	case ofEarlierRun:
+	switch known.classify(entry, now) {
+	case fromEarlier:
 		return false, nil
-	case withoutStart:
-		r.Break(name, end, now)
+	case missingStart:
+		r.Invalidate(name, end, now)
 		return false, &StartMissingError{Known: known.start}
 	}
-	if known.show(entry.Server) {
-		r.change = max(r.change, end)
+	if known.setCurrent(entry.Server) {
+		r.changeOffset = max(r.changeOffset, end)
 	}
 	return true, nil
 }
 
 // Remove applies the deletion of a server's record before the offset end. It affects the
 // current incarnation, whichever incarnation wrote the record.
-func (r *Register) Drop(name site.ServerName, end store.Offset, now time.Time) {
+func (r *Registry) Remove(name site.ServerName, end store.Offset, now time.Time) {
 	known := r.byName[name]
 	if known == nil {
 		return
 	}
-	if known.present && now.Before(r.returned) {
+	if known.present && now.Before(r.graceEnd) {
 		known.missing = true
 		return
 	}
-	r.leave(known, end, now)
+	r.markLeft(known, end, now)
 }
 
 // Invalidate applies an invalid record. The server of that name is removed at once, because
 // the record shows that another writer uses its key.
-func (r *Register) Break(name site.ServerName, end store.Offset, now time.Time) {
+func (r *Registry) Invalidate(name site.ServerName, end store.Offset, now time.Time) {
 	if known := r.byName[name]; known != nil {
-		r.leave(known, end, now)
+		r.markLeft(known, end, now)
 	}
 }
 
-func (r *Register) leave(known *runs, end store.Offset, now time.Time) {
-	if known.leave(now) {
-		r.change = max(r.change, end)
+func (r *Registry) markLeft(known *incarnations, end store.Offset, now time.Time) {
+	if known.markLeft(now) {
+		r.changeOffset = max(r.changeOffset, end)
 	}
 }
 
 // nextExpiry returns the time until servers that are kept after an outage expire, at most
 // limit.
-func (r *Register) nextLapse(now time.Time, otherwise time.Duration) time.Duration {
-	if left := r.returned.Sub(now); left > 0 {
-		return min(left, otherwise)
+func (r *Registry) nextExpiry(now time.Time, limit time.Duration) time.Duration {
+	if left := r.graceEnd.Sub(now); left > 0 {
+		return min(left, limit)
 	}
-	return otherwise
+	return limit
 }
 
 // Servers returns the registry as of now. Of the servers that are kept after an outage, it
 // contains only those in current, because another node may already have reported that the
 // rest have left.
-func (r *Register) Servers(shown map[site.ServerID]site.Server, now time.Time) view.Servers {
+func (r *Registry) Servers(current map[site.ServerID]site.Server, now time.Time) view.Servers {
 	servers := make(map[site.ServerID]site.Server, len(r.byName))
 	for name, known := range r.byName {
-		if known.missing && !now.Before(r.returned) {
-			r.leave(known, r.next, now)
+		if known.missing && !now.Before(r.graceEnd) {
+			r.markLeft(known, r.next, now)
 		}
 		if !known.present {
-			if now.Sub(known.leftAt) > rememberRuns {
+			if now.Sub(known.leftAt) > retainIncarnations {
 				delete(r.byName, name)
 			}
 			continue
 		}
-		if _, isShown := shown[known.server.ID]; isShown || !known.missing {
-			servers[known.server.ID] = known.server
+		if _, isCurrent := current[known.current.ID]; isCurrent || !known.missing {
+			servers[known.current.ID] = known.current
 		}
 	}
-	return view.Servers{Offset: r.change, Servers: servers}
+	return view.Servers{Offset: r.changeOffset, Servers: servers}
 }
--- a/gateway/follow/register_test.go
+++ b/gateway/follow/register_test.go
@@ -19,62 +19,62 @@
 // both contains the servers in the view.
 var both = map[site.ServerID]site.Server{"a": {ID: "a"}, "b": {ID: "b"}}
 
-func put(r *Register, server site.Server, end store.Offset, now time.Time) {
+func put(r *Registry, server site.Server, end store.Offset, now time.Time) {
 	_, _ = r.Put(site.Entry{Server: server}, end, now) // only entries with a start time can be refused
 }
 
 // filled returns a registry that has read servers a and b before offset 10.
-func filled() *Register {
-	r := NewRegister()
-	r.KeepOnly(map[site.ServerName]bool{"a": true, "b": true}, 10, start)
+func filled() *Registry {
+	r := NewRegistry()
+	r.Retain(map[site.ServerName]bool{"a": true, "b": true}, 10, start)
 	put(r, site.Server{ID: "a"}, 10, start)
 	put(r, site.Server{ID: "b"}, 10, start)
 	return r
 }
 
-func TestServerThatLeavesIsDroppedAtOnceAfterAPauseInReading(t *testing.T) {
+func TestServerThatLeavesIsRemovedAtOnceAfterPauseInReading(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := filled()
 	// In the meantime the node followed another one and did not read.
-	r.Read(2, 12, after(9*time.Second))
-	r.Drop("a", 11, after(9*time.Second))
+	r.NoteRead(2, 12, after(9*time.Second))
+	r.Remove("a", 11, after(9*time.Second))
 	g.Expect(r.Servers(both, after(9*time.Second)).Servers).NotTo(gomega.HaveKey(site.ServerID("a")))
 }
 
-func TestEntryThatLapsedInAnOutageKeepsItsPlaceForAWhile(t *testing.T) {
+func TestEntryExpiredInOutageIsKeptForGracePeriod(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := filled()
-	r.Failed(after(time.Second))
-	r.Failed(after(3 * time.Second))
-	r.Read(2, 12, after(5*time.Second))
-	r.Drop("a", 11, after(5*time.Second))
-	r.Drop("b", 12, after(5*time.Second))
+	r.NoteReadFailed(after(time.Second))
+	r.NoteReadFailed(after(3 * time.Second))
+	r.NoteRead(2, 12, after(5*time.Second))
+	r.Remove("a", 11, after(5*time.Second))
+	r.Remove("b", 12, after(5*time.Second))
 	g.Expect(r.Servers(both, after(6*time.Second)).Servers).To(gomega.HaveLen(2))
 
 	put(r, site.Server{ID: "a"}, 13, after(6*time.Second))
-	g.Expect(r.Servers(both, after(5*time.Second+returnTime)).Servers).To(gomega.And(
+	g.Expect(r.Servers(both, after(5*time.Second+reregistrationTime)).Servers).To(gomega.And(
 		gomega.HaveKey(site.ServerID("a")), gomega.Not(gomega.HaveKey(site.ServerID("b")))))
 }
 
-func TestAnOutageOfThisNodeAloneKeepsNoPlace(t *testing.T) {
+func TestOutageOfThisNodeAloneKeepsNoEntry(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := filled()
-	r.Failed(after(time.Second))
-	r.Read(6, 16, after(5*time.Second)) // each server wrote three times in the meantime
-	r.Drop("a", 11, after(5*time.Second))
+	r.NoteReadFailed(after(time.Second))
+	r.NoteRead(6, 16, after(5*time.Second)) // each server wrote three times in the meantime
+	r.Remove("a", 11, after(5*time.Second))
 	g.Expect(r.Servers(both, after(5*time.Second)).Servers).NotTo(gomega.HaveKey(site.ServerID("a")))
 }
 
-func TestDrainingIsTakenAlsoAfterAnOutage(t *testing.T) {
+func TestDrainingIsAppliedAfterOutage(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := filled()
-	r.Failed(after(time.Second))
-	r.Read(2, 12, after(5*time.Second))
+	r.NoteReadFailed(after(time.Second))
+	r.NoteRead(2, 12, after(5*time.Second))
 	put(r, site.Server{ID: "a", Draining: true}, 12, after(5*time.Second))
 	g.Expect(r.Servers(both, after(5*time.Second)).Servers["a"].Draining).To(gomega.BeTrue())
 }
 
-func TestCountdownOfTheWarmUpIsNoChange(t *testing.T) {
+func TestWarmUpCountdownIsNoChange(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := filled()
 	put(r, site.Server{ID: "c", WarmUp: 3 * time.Second}, 11, start)
@@ -86,11 +86,11 @@
 
 // Another node may have reported that a server left before this one reads again after an
 // outage. The server must not return.
-func TestAServerKnownToHaveLeftDoesNotComeBackAfterAnOutage(t *testing.T) {
+func TestServerKnownToHaveLeftDoesNotReturnAfterOutage(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := filled()
-	r.Failed(after(time.Second))
-	r.KeepOnly(nil, 20, after(5*time.Second))
+	r.NoteReadFailed(after(time.Second))
+	r.Retain(nil, 20, after(5*time.Second))
 	shown := map[site.ServerID]site.Server{"b": {ID: "b"}}
 	servers := r.Servers(shown, after(5*time.Second)).Servers
 	g.Expect(servers).NotTo(gomega.HaveKey(site.ServerID("a")))
@@ -99,14 +99,14 @@
 
 // A node that follows another one again does not read, but the grace period of its entries
 // must end nevertheless.
-func TestKeptEntriesEndAlsoWhileTheNodeDoesNotRead(t *testing.T) {
+func TestKeptEntriesExpireWhileNodeDoesNotRead(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := &Reader{State: view.NewState(), Logger: hclog.NewNullLogger(), register: filled()}
-	r.showServers(start)
-	r.register.Failed(after(time.Second))
-	r.register.KeepOnly(nil, 20, after(5*time.Second))
-	r.showServers(after(6 * time.Second))
+	r := &Reader{State: view.NewState(), Logger: hclog.NewNullLogger(), registry: filled()}
+	r.publishServers(start)
+	r.registry.NoteReadFailed(after(time.Second))
+	r.registry.Retain(nil, 20, after(5*time.Second))
+	r.publishServers(after(6 * time.Second))
 	g.Expect(r.State.Now().Servers.Servers).To(gomega.HaveLen(2))
-	r.showServers(after(5*time.Second + returnTime))
+	r.publishServers(after(5*time.Second + reregistrationTime))
 	g.Expect(r.State.Now().Servers.Servers).To(gomega.BeEmpty())
 }
--- a/gateway/follow/reports.go
+++ b/gateway/follow/reports.go
@@ -12,16 +12,16 @@
 // Reports collects this node's observations for the lessor. It is safe for concurrent use.
 type Reports struct {
 	mu    sync.Mutex
-	keys  map[keyOf]uint32
-	paces map[site.ServerID]pace
+	keys  map[serviceKey]uint32
+	stats map[site.ServerID]serverStats
 }
 
-type keyOf struct {
+type serviceKey struct {
 	service site.ServiceName
 	key     ranges.Key
 }
 
-type pace struct {
+type serverStats struct {
 	count   uint64
 	total   time.Duration
 	answers uint32 // responses that contained the server's load
@@ -33,18 +33,18 @@
 
 // NewReports returns an empty collection.
 func NewReports() *Reports {
-	return &Reports{keys: map[keyOf]uint32{}, paces: map[site.ServerID]pace{}}
+	return &Reports{keys: map[serviceKey]uint32{}, stats: map[site.ServerID]serverStats{}}
 }
 
 // Key counts a request for a key, whether or not it can be served.
 func (r *Reports) Key(service site.ServiceName, key ranges.Key) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.count(keyOf{service, key}, 1)
+	r.count(serviceKey{service, key}, 1)
 }
 
 // count adds requests for a key. The caller holds the lock.
-func (r *Reports) count(k keyOf, requests uint32) {
+func (r *Reports) count(k serviceKey, requests uint32) {
 	if _, exists := r.keys[k]; exists || len(r.keys) < maxKeyReports {
 		r.keys[k] += requests
 	}
@@ -55,7 +55,7 @@
 func (r *Reports) Answer(server site.ServerID, took time.Duration, load *site.Load) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	p := pace{count: 1, total: took}
+	p := serverStats{count: 1, total: took}
 	if load != nil {
 		p.answers, p.present = 1, uint32(load.Total())
 	}
@@ -63,13 +63,13 @@
 }
 
 // add adds to a server's statistics. The caller holds the lock.
-func (r *Reports) add(server site.ServerID, p pace) {
-	sum := r.paces[server]
+func (r *Reports) add(server site.ServerID, p serverStats) {
+	sum := r.stats[server]
 	sum.count += p.count
 	sum.total += p.total
 	sum.answers += p.answers
 	sum.present += p.present
-	r.paces[server] = sum
+	r.stats[server] = sum
 }
 
 // Merge adds a report of another node, which a relay forwards.
@@ -79,13 +79,13 @@
 	for _, counts := range report.KeyCounts {
 		for i, key := range counts.Keys {
 			if i < len(counts.Requests) {
-				r.count(keyOf{site.ServiceName(counts.Service), ranges.Key(key)}, counts.Requests[i])
+				r.count(serviceKey{site.ServiceName(counts.Service), ranges.Key(key)}, counts.Requests[i])
 			}
 		}
 	}
-	for _, told := range report.Paces {
-		mean := time.Duration(told.MeanUs) * time.Microsecond
-		r.add(site.ServerID(told.Server), pace{count: 1, total: mean, answers: told.Answers, present: told.Present})
+	for _, reported := range report.Paces {
+		mean := time.Duration(reported.MeanUs) * time.Microsecond
+		r.add(site.ServerID(reported.Server), serverStats{count: 1, total: mean, answers: reported.Answers, present: reported.Present})
 	}
 }
 
@@ -111,11 +111,11 @@
 		counts.Keys = append(counts.Keys, uint32(k.key))
 		counts.Requests = append(counts.Requests, n)
 	}
-	for id, p := range r.paces {
+	for id, p := range r.stats {
 		mean := p.total / time.Duration(p.count)
 		report.Paces = append(report.Paces, &bspb.ServerPace{Server: string(id), MeanUs: uint64(mean.Microseconds()), Answers: p.answers, Present: p.present})
 	}
 	clear(r.keys)
-	clear(r.paces)
+	clear(r.stats)
 	return report
 }
--- a/gateway/follow/routes.go
+++ b/gateway/follow/routes.go
@@ -17,17 +17,17 @@
 // with all ranges cost a node as much processor time as its requests. Nodes that have one
 // of the latest versions therefore receive only the changes since then; other nodes receive
 // all routes.
-type routesTeller struct {
-	recent recent[view.Version, view.Routes, *bspb.GatewayRoutes]
+type routesEncoder struct {
+	recent recentVersions[view.Version, view.Routes, *bspb.GatewayRoutes]
 }
 
 // encode returns the message that leads from the routes that a node has to the newest.
-func (t *routesTeller) tell(asked *bspb.FollowRequest, newest view.Routes) *bspb.GatewayRoutes {
-	known := routesVersion(asked)
+func (e *routesEncoder) encode(msg *bspb.FollowRequest, newest view.Routes) *bspb.GatewayRoutes {
+	known := routesVersion(msg)
 	isKnown := func(version view.Version) bool { return version == known }
-	message, _ := t.recent.tell(versioned[view.Version, view.Routes]{newest.Version(), newest}, isKnown, func(base *view.Routes) (*bspb.GatewayRoutes, bool, error) {
+	message, _ := e.recent.message(versioned[view.Version, view.Routes]{newest.Version(), newest}, isKnown, func(base *view.Routes) (*bspb.GatewayRoutes, bool, error) {
 		message := routesMessage(newest, base)
-		return message, !hasSilent(message), nil // such messages contain a remaining time
+		return message, !hasSilentRange(message), nil // such messages contain a remaining time
 	}) // build returns no error
 	return message
 }
@@ -39,11 +39,11 @@
 
 // routesVersion returns the version of the routes that the calling node has. If it has
 // none, the version is older than all others.
-func routesVersion(asked *bspb.FollowRequest) view.Version {
-	return versionOf(asked.TableOffset, asked.RoutesSerial)
+func routesVersion(msg *bspb.FollowRequest) view.Version {
+	return versionOf(msg.TableOffset, msg.RoutesSerial)
 }
 
-func hasSilent(message *bspb.GatewayRoutes) bool {
+func hasSilentRange(message *bspb.GatewayRoutes) bool {
 	return slices.ContainsFunc(message.Services, func(s *bspb.ServiceRoutes) bool { return len(s.SilentMs) > 0 })
 }
 
@@ -70,14 +70,14 @@
 	stateFactor = 4
 	// sameAsBase replaces owner and state for ranges that are unchanged from the base. No
 	// state has this number.
-	asBefore = stateFactor - 1
+	sameAsBase = stateFactor - 1
 )
 
 // serviceMessage encodes the routes of a service. Adjacent routes that are unchanged are
 // joined into one range.
 func serviceMessage(service site.ServiceName, list, before []ranges.Route) *bspb.ServiceRoutes {
 	message := &bspb.ServiceRoutes{Service: string(service)}
-	places := map[site.ServerID]uint32{"": 0}
+	indexes := map[site.ServerID]uint32{"": 0}
 	for _, route := range list {
 		for len(before) > 0 && before[0].From < route.From {
 			before = before[1:]
@@ -86,22 +86,22 @@
 			addUnchanged(message, uint32(route.Keys()))
 			continue
 		}
-		addRoute(message, places, route)
+		addRoute(message, indexes, route)
 	}
 	return message
 }
 
 // addRoute adds one route; indexes are those of the servers that the message already
 // contains.
-func addRoute(message *bspb.ServiceRoutes, places map[site.ServerID]uint32, route ranges.Route) {
-	place, exists := places[route.Server]
+func addRoute(message *bspb.ServiceRoutes, indexes map[site.ServerID]uint32, route ranges.Route) {
+	index, exists := indexes[route.Server]
 	if !exists {
 		message.Servers = append(message.Servers, string(route.Server))
-		place = uint32(len(message.Servers))
-		places[route.Server] = place
+		index = uint32(len(message.Servers))
+		indexes[route.Server] = index
 	}
 	message.Keys = append(message.Keys, uint32(route.Keys()))
-	message.Owners = append(message.Owners, stateFactor*place+uint32(route.State))
+	message.Owners = append(message.Owners, stateFactor*index+uint32(route.State))
 	if route.State == ranges.Silent {
 		left := max(route.Until.Sub(clock.Now()), 0)
 		message.SilentMs = append(message.SilentMs, uint32(left.Milliseconds()))
@@ -110,18 +110,18 @@
 
 func addUnchanged(message *bspb.ServiceRoutes, keys uint32) {
 	last := len(message.Owners) - 1
-	if last >= 0 && message.Owners[last] == asBefore {
+	if last >= 0 && message.Owners[last] == sameAsBase {
 		message.Keys[last] += keys
 		return
 	}
 	message.Keys = append(message.Keys, keys)
-	message.Owners = append(message.Owners, asBefore)
+	message.Owners = append(message.Owners, sameAsBase)
 }
 
 // decodeRoutes returns the routes of a message for a node that has known. found is false if
 // the message is a change to routes that the node no longer has. The error reports a
 // malformed message.
-func toldRoutes(message *bspb.GatewayRoutes, known view.Routes, from string) (routes view.Routes, found bool, err error) {
+func decodeRoutes(message *bspb.GatewayRoutes, known view.Routes, from string) (routes view.Routes, found bool, err error) {
 	if base := message.Base; base != nil && (known.Lessor.Boot == "" || known.Version() != versionOf(base.TableOffset, base.Serial)) {
 		return view.Routes{}, false, nil
 	}
@@ -137,7 +137,7 @@
 		if message.Base != nil {
 			before = known.Services[site.ServiceName(service.Service)]
 		}
-		list, ok := serviceRoutes(service, before)
+		list, ok := decodeService(service, before)
 		if !ok {
 			return view.Routes{}, false, &MalformedError{From: from}
 		}
@@ -147,7 +147,7 @@
 }
 
 // decodeService decodes the routes of a service, which had the routes before until now.
-func serviceRoutes(message *bspb.ServiceRoutes, before []ranges.Route) (list []ranges.Route, ok bool) {
+func decodeService(message *bspb.ServiceRoutes, before []ranges.Route) (list []ranges.Route, ok bool) {
 	if len(message.Keys) != len(message.Owners) {
 		return nil, false
 	}
@@ -160,7 +160,7 @@
 		}
 		span := ranges.Span{From: from, To: from + ranges.Key(keys) - 1}
 		from = span.To + 1
-		if message.Owners[i] == asBefore {
+		if message.Owners[i] == sameAsBase {
 			kept, ok := routesIn(before, span)
 			if !ok {
 				return nil, false
@@ -184,13 +184,13 @@
 }
 
 func (r *routeReader) read(span ranges.Span, owner uint32) (route ranges.Route, ok bool) {
-	place, state := int(owner/stateFactor), ranges.RouteState(owner%stateFactor)
-	if place > len(r.servers) || state > ranges.Silent {
+	index, state := int(owner/stateFactor), ranges.RouteState(owner%stateFactor)
+	if index > len(r.servers) || state > ranges.Silent {
 		return ranges.Route{}, false
 	}
 	route = ranges.Route{Span: span, State: state}
-	if place > 0 {
-		route.Server = site.ServerID(r.servers[place-1])
+	if index > 0 {
+		route.Server = site.ServerID(r.servers[index-1])
 	}
 	if state != ranges.Silent {
 		return route, true
--- a/gateway/follow/routes_test.go
+++ b/gateway/follow/routes_test.go
@@ -37,16 +37,16 @@
 
 // sendRoutes sends the newest routes to a node, and returns the size of the message in
 // bytes.
-func tellRoutes(t *testing.T, teller *routesTeller, newest view.Routes, to *view.State) int {
+func sendRoutes(t *testing.T, teller *routesEncoder, newest view.Routes, to *view.State) int {
 	t.Helper()
 	g := gomega.NewWithT(t)
 	asked := &bspb.FollowRequest{}
-	describe(asked, to.Now())
-	text, err := proto.Marshal(teller.tell(asked, newest))
+	setKnownVersions(asked, to.Now())
+	text, err := proto.Marshal(teller.encode(asked, newest))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	var message bspb.GatewayRoutes
 	g.Expect(proto.Unmarshal(text, &message)).To(gomega.Succeed())
-	routes, found, err := toldRoutes(&message, to.Now().Routes, "other")
+	routes, found, err := decodeRoutes(&message, to.Now().Routes, "other")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(found).To(gomega.BeTrue())
 	to.MergeRoutes(routes)
@@ -56,92 +56,92 @@
 
 // Load: busy keys move ten times per second on a site of 308 owners, and every change is
 // sent to 295 nodes. A node must receive the change and not the whole table.
-func TestAChangeOfRoutesIsToldInFewBytes(t *testing.T) {
+func TestChangeOfRoutesIsSmall(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var teller routesTeller
+	var teller routesEncoder
 	node := view.NewState()
-	whole := tellRoutes(t, &teller, routesOfMany(7, 1, 600, nil), node)
+	whole := sendRoutes(t, &teller, routesOfMany(7, 1, 600, nil), node)
 	for serial := uint64(2); serial < 8; serial++ {
 		states := map[int]ranges.RouteState{int(serial) * 11: ranges.Moving, int(serial)*11 + 1: ranges.Moving}
-		change := tellRoutes(t, &teller, routesOfMany(7, serial, 600, states), node)
+		change := sendRoutes(t, &teller, routesOfMany(7, serial, 600, states), node)
 		g.Expect(change).To(gomega.BeNumerically("<", whole/20))
 	}
 }
 
 // A table with other ranges has few routes in common with the previous one, and none at the
 // same index.
-func TestAnotherTableIsToldAsAChangeToo(t *testing.T) {
-	var teller routesTeller
+func TestNewTableIsEncodedAsChange(t *testing.T) {
+	var teller routesEncoder
 	node := view.NewState()
-	tellRoutes(t, &teller, routesOfMany(7, 1, 600, nil), node)
-	tellRoutes(t, &teller, routesOfMany(8, 2, 601, nil), node)
-	tellRoutes(t, &teller, routesOfMany(9, 3, 300, nil), node)
-	tellRoutes(t, &teller, routesOfMany(9, 4, 1, nil), node)
+	sendRoutes(t, &teller, routesOfMany(7, 1, 600, nil), node)
+	sendRoutes(t, &teller, routesOfMany(8, 2, 601, nil), node)
+	sendRoutes(t, &teller, routesOfMany(9, 3, 300, nil), node)
+	sendRoutes(t, &teller, routesOfMany(9, 4, 1, nil), node)
 }
 
-func TestANodeFarBehindIsToldAllRoutes(t *testing.T) {
-	var teller routesTeller
+func TestNodeFarBehindReceivesAllRoutes(t *testing.T) {
+	var teller routesEncoder
 	node, other := view.NewState(), view.NewState()
-	tellRoutes(t, &teller, routesOfMany(7, 1, 10, nil), node)
-	for serial := uint64(2); serial < 2+2*mostRecent; serial++ {
-		tellRoutes(t, &teller, routesOfMany(7, serial, 10, map[int]ranges.RouteState{int(serial) % 10: ranges.Moving}), other)
+	sendRoutes(t, &teller, routesOfMany(7, 1, 10, nil), node)
+	for serial := uint64(2); serial < 2+2*maxRecent; serial++ {
+		sendRoutes(t, &teller, routesOfMany(7, serial, 10, map[int]ranges.RouteState{int(serial) % 10: ranges.Moving}), other)
 	}
-	tellRoutes(t, &teller, routesOfMany(7, 100, 10, nil), node)
+	sendRoutes(t, &teller, routesOfMany(7, 100, 10, nil), node)
 }
 
 // At the start of a site, some nodes have the routes of the first table, which is at offset
 // 0 and was not sent by a lessor, and others have none. A change from the first routes must
 // not be applied by nodes without routes.
-func TestANodeWithoutRoutesIsToldAllBesideOnesWithTheFirst(t *testing.T) {
-	var teller routesTeller
+func TestNodeWithoutRoutesReceivesAllBesideNodesWithFirstRoutes(t *testing.T) {
+	var teller routesEncoder
 	first, another, none := view.NewState(), view.NewState(), view.NewState()
-	tellRoutes(t, &teller, routesOfMany(0, 0, 10, nil), first)
-	tellRoutes(t, &teller, routesOfMany(0, 0, 10, nil), another)
+	sendRoutes(t, &teller, routesOfMany(0, 0, 10, nil), first)
+	sendRoutes(t, &teller, routesOfMany(0, 0, 10, nil), another)
 	moving := routesOfMany(0, 1, 10, map[int]ranges.RouteState{3: ranges.Moving})
-	tellRoutes(t, &teller, moving, first)
-	tellRoutes(t, &teller, moving, none)
-	tellRoutes(t, &teller, moving, another)
+	sendRoutes(t, &teller, moving, first)
+	sendRoutes(t, &teller, moving, none)
+	sendRoutes(t, &teller, moving, another)
 
 	g := gomega.NewWithT(t)
 	asked := &bspb.FollowRequest{}
-	change := teller.tell(asked, moving)
+	change := teller.encode(asked, moving)
 	g.Expect(change.Base).NotTo(gomega.BeNil())
-	_, found, err := toldRoutes(change, view.NewState().Now().Routes, "other")
+	_, found, err := decodeRoutes(change, view.NewState().Now().Routes, "other")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(found).To(gomega.BeFalse(), "a node without routes has not the first ones")
 }
 
 // While a call is in flight, a node may receive newer routes from another node.
-func TestAChangeOfOtherRoutesIsNotTaken(t *testing.T) {
+func TestChangeOfOtherRoutesIsNotApplied(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var teller routesTeller
+	var teller routesEncoder
 	node := view.NewState()
-	tellRoutes(t, &teller, routesOfMany(7, 1, 10, nil), node)
+	sendRoutes(t, &teller, routesOfMany(7, 1, 10, nil), node)
 	asked := &bspb.FollowRequest{}
-	describe(asked, node.Now())
-	change := teller.tell(asked, routesOfMany(7, 2, 10, map[int]ranges.RouteState{3: ranges.Moving}))
+	setKnownVersions(asked, node.Now())
+	change := teller.encode(asked, routesOfMany(7, 2, 10, map[int]ranges.RouteState{3: ranges.Moving}))
 	node.MergeRoutes(routesOfMany(7, 3, 10, nil))
-	_, found, err := toldRoutes(change, node.Now().Routes, "other")
+	_, found, err := decodeRoutes(change, node.Now().Routes, "other")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(found).To(gomega.BeFalse())
 }
 
 // The remaining time of a silent range is measured from the response, so an earlier message
 // must not be reused.
-func TestTheTimeLeftOfASilentRangeIsNotToldTwice(t *testing.T) {
+func TestRemainingTimeOfSilentRangeIsNotReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		var teller routesTeller
+		var teller routesEncoder
 		routes := routesOfMany(7, 1, 4, map[int]ranges.RouteState{2: ranges.Silent})
 		routes.Services["archive"][2].Until = clock.Now().Add(3 * time.Second)
 		asked := &bspb.FollowRequest{TableOffset: -1}
-		g.Expect(teller.tell(asked, routes).Services[0].SilentMs).To(gomega.Equal([]uint32{3000}))
+		g.Expect(teller.encode(asked, routes).Services[0].SilentMs).To(gomega.Equal([]uint32{3000}))
 		time.Sleep(time.Second)
-		g.Expect(teller.tell(asked, routes).Services[0].SilentMs).To(gomega.Equal([]uint32{2000}))
+		g.Expect(teller.encode(asked, routes).Services[0].SilentMs).To(gomega.Equal([]uint32{2000}))
 	})
 }
 
-func TestRoutesThatAreNotWellFormedAreRefused(t *testing.T) {
+func TestMalformedRoutesAreRefused(t *testing.T) {
 	g := gomega.NewWithT(t)
 	known := routesOfMany(7, 1, 4, nil)
 	base := &bspb.RoutesBase{TableOffset: 7, Serial: 1}
@@ -151,11 +151,11 @@
 		"empty range":          {Service: "archive", Keys: []uint32{0, 65536}, Owners: []uint32{1, 1}},
 		"unknown server":       {Service: "archive", Keys: []uint32{65536}, Owners: []uint32{stateFactor}},
 		"time left missing":    {Service: "archive", Keys: []uint32{65536}, Owners: []uint32{uint32(ranges.Silent)}},
-		"no such range before": {Service: "archive", Keys: []uint32{100, 65436}, Owners: []uint32{asBefore, 0}},
-		"no such service":      {Service: "other", Keys: []uint32{65536}, Owners: []uint32{asBefore}},
+		"no such range before": {Service: "archive", Keys: []uint32{100, 65436}, Owners: []uint32{sameAsBase, 0}},
+		"no such service":      {Service: "other", Keys: []uint32{65536}, Owners: []uint32{sameAsBase}},
 	} {
 		message := &bspb.GatewayRoutes{TableOffset: 7, Serial: 2, Base: base, Services: []*bspb.ServiceRoutes{service}}
-		_, _, err := toldRoutes(message, known, "other")
+		_, _, err := decodeRoutes(message, known, "other")
 		g.Expect(err).To(gomega.HaveOccurred(), name)
 	}
 }
--- a/gateway/follow/runs.go
+++ b/gateway/follow/runs.go
@@ -12,123 +12,123 @@
 const (
 	// minCandidateWrites is the number of consecutive writes with growing sequence numbers
 	// that show that an incarnation is running.
-	earlierWrites = 3
+	minCandidateWrites = 3
 	// minCandidateTime is the minimum time from the first to the last of these writes, in
 	// which a running server writes more than twice. Several late writes of an ended
 	// incarnation take effect together.
-	earlierTime = 2 * time.Second
+	minCandidateTime = 2 * time.Second
 	// retainIncarnations is how long the start time of an incarnation is kept after it has
 	// left: far longer than the seconds by which a write may be delayed.
-	rememberRuns = time.Minute
+	retainIncarnations = time.Minute
 )
 
 // incarnations is the state of the incarnations of one server in the registry. At most one
 // is present.
-type runs struct {
-	server  site.Server // the current incarnation
+type incarnations struct {
+	current site.Server // the current incarnation
 	present bool
 	missing bool      // deleted, but present during the grace period after an outage
 	leftAt  time.Time // when the last incarnation left
 	start   time.Time // of the latest incarnation; zero if its entry has none
 	// replacedStart is the start time of an incarnation that was replaced by one with an
 	// earlier start time.
-	undone  time.Time
-	earlier earlierRun
+	replacedStart time.Time
+	candidate     candidate
 }
 
 // candidate is an incarnation with an earlier start time that may be running.
-type earlierRun struct {
+type candidate struct {
 	id       site.ServerID
 	sequence int64 // of its latest write
 	writes   int   // consecutive
-	since    time.Time
+	firstAt  time.Time
 }
 
 // confirm records a write and reports whether the incarnation must be running.
-func (e *earlierRun) lives(entry site.Entry, now time.Time) bool {
+func (c *candidate) confirm(entry site.Entry, now time.Time) bool {
 	switch {
-	case e.id != entry.ID:
-		*e = earlierRun{id: entry.ID, sequence: entry.Sequence, writes: 1, since: now}
-	case entry.Sequence > e.sequence:
-		e.sequence = entry.Sequence
-		e.writes++
+	case c.id != entry.ID:
+		*c = candidate{id: entry.ID, sequence: entry.Sequence, writes: 1, firstAt: now}
+	case entry.Sequence > c.sequence:
+		c.sequence = entry.Sequence
+		c.writes++
 	}
-	return e.writes >= earlierWrites && now.Sub(e.since) >= earlierTime
+	return c.writes >= minCandidateWrites && now.Sub(c.firstAt) >= minCandidateTime
 }
 
 // isEarlier reports whether a start time belongs to an incarnation before the known one, as
 // far as start times show.
-func (r *runs) isEarlier(start time.Time) bool {
-	return start.Before(r.start) || !r.undone.IsZero() && start.Equal(r.undone)
+func (i *incarnations) isEarlier(start time.Time) bool {
+	return start.Before(i.start) || !i.replacedStart.IsZero() && start.Equal(i.replacedStart)
 }
 
 // entryOrder describes an entry relative to the previous entries.
-type standing int
+type entryOrder int
 
 const (
 	// currentOrLater entries are of the current incarnation or a later one.
-	newest standing = iota
+	currentOrLater entryOrder = iota
 	// fromEarlier entries may be late writes of an earlier incarnation.
-	ofEarlierRun
+	fromEarlier
 	// missingStart entries come from another writer, because the server's own entries
 	// contain its start time.
-	withoutStart
+	missingStart
 )
 
 // classify records a write and returns the order of its incarnation.
-func (r *runs) judge(entry site.Entry, now time.Time) standing {
+func (i *incarnations) classify(entry site.Entry, now time.Time) entryOrder {
 	start := entry.ID.Start()
 	switch {
-	case start.IsZero() && !r.start.IsZero():
-		return withoutStart
-	case !r.isEarlier(start):
-	case r.earlier.lives(entry, now):
-		r.undone = r.start
+	case start.IsZero() && !i.start.IsZero():
+		return missingStart
+	case !i.isEarlier(start):
+	case i.candidate.confirm(entry, now):
+		i.replacedStart = i.start
 	default:
-		return ofEarlierRun
+		return fromEarlier
 	}
-	r.start = start
-	r.earlier = earlierRun{}
-	return newest
+	i.start = start
+	i.candidate = candidate{}
+	return currentOrLater
 }
 
 // setCurrent makes a server the current incarnation. It reports whether that changes more
 // than the warm-up, which decreases with every write.
-func (r *runs) show(server site.Server) bool {
-	server.ClockSetBack = r.start.Before(r.undone)
+func (i *incarnations) setCurrent(server site.Server) bool {
+	server.ClockSetBack = i.start.Before(i.replacedStart)
 	same := server
-	same.WarmUp = r.server.WarmUp
-	if r.present && same == r.server {
-		r.missing = false
+	same.WarmUp = i.current.WarmUp
+	if i.present && same == i.current {
+		i.missing = false
 		return false
 	}
-	r.server = server
-	r.present = true
-	r.missing = false
+	i.current = server
+	i.present = true
+	i.missing = false
 	return true
 }
 
 // adopt makes a server that another node reported the current incarnation.
-func (r *runs) adopt(server site.Server) {
+func (i *incarnations) adopt(server site.Server) {
 	start := server.ID.Start()
-	if server.ClockSetBack && r.start != start {
-		r.undone = start.Add(time.Millisecond) // a lower bound: the later start time is not reported
+	if server.ClockSetBack && i.start != start {
+		i.replacedStart = start.Add(time.Millisecond) // a lower bound: the later start time is not reported
 	}
-	r.server = server
-	r.start = start
-	r.present = true
-	r.missing = false
-	r.earlier = earlierRun{}
+	i.current = server
+	i.start = start
+	i.present = true
+	i.missing = false
+	i.candidate = candidate{}
 }
 
 // markLeft removes the current incarnation, and reports whether there was one.
-func (r *runs) leave(now time.Time) bool {
-	wasPresent := r.present
-	r.present = false
-	r.missing = false
-	r.earlier = earlierRun{}
+func (i *incarnations) markLeft(now time.Time) bool {
+	wasPresent := i.present
+	i.present = false
+	i.missing = false
+	i.candidate = candidate{}
 	if wasPresent {
-		r.leftAt = now
+		i.leftAt = now
 	}
 	return wasPresent
 }
--- a/gateway/follow/runs_test.go
+++ b/gateway/follow/runs_test.go
@@ -46,8 +46,8 @@
 	t.Helper()
 	r := &registered{t: t, end: 10}
 	logger := hclog.New(&hclog.LoggerOptions{Level: hclog.Debug, Output: &r.log, JSONFormat: true})
-	r.reader = &Reader{Codec: jsonCodec{}, State: view.NewState(), Logger: logger, register: NewRegister()}
-	r.reader.takeServers(store.Batch{Next: r.end, End: r.end}, true)
+	r.reader = &Reader{Codec: jsonCodec{}, State: view.NewState(), Logger: logger, registry: NewRegistry()}
+	r.reader.applyServers(store.Batch{Next: r.end, End: r.end}, true)
 	return r
 }
 
@@ -69,7 +69,7 @@
 
 func (r *registered) take(value []byte) {
 	r.end++
-	r.reader.takeServers(store.Batch{Records: []store.Record{{Offset: r.end - 1, Key: "s", Value: value}}, Next: r.end, End: r.end}, false)
+	r.reader.applyServers(store.Batch{Records: []store.Record{{Offset: r.end - 1, Key: "s", Value: value}}, Next: r.end, End: r.end}, false)
 }
 
 // writes applies one write of an incarnation.
@@ -81,7 +81,7 @@
 	if value != nil {
 		batch.Records = []store.Record{{Offset: r.end - 1, Key: "s", Value: value}}
 	}
-	r.reader.takeServers(batch, true)
+	r.reader.applyServers(batch, true)
 }
 
 // shows expects that the view contains exactly one incarnation, or none if started is -1.
@@ -98,7 +98,7 @@
 // lines returns the number of log lines of an event.
 func (r *registered) lines(event string) int { return strings.Count(r.log.String(), `"event":`+event) }
 
-func TestALaterStartReplacesTheEarlierRun(t *testing.T) {
+func TestLaterStartReplacesEarlierIncarnation(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := newRegistered(t)
 	r.writes(1, 7)
@@ -115,7 +115,7 @@
 }
 
 // The later incarnation may have ended before a write of the earlier one takes effect.
-func TestAnEarlierRunDoesNotComeBackAfterTheLaterOneHasLeft(t *testing.T) {
+func TestEarlierIncarnationDoesNotReturnAfterLaterOneLeft(t *testing.T) {
 	r := newRegistered(t)
 	r.writes(1, 7)
 	r.writes(2, 0)
@@ -129,7 +129,7 @@
 	r.shows(2)
 }
 
-func TestARunWithAStartFollowsOneWithout(t *testing.T) {
+func TestIncarnationWithStartReplacesOneWithout(t *testing.T) {
 	r := newRegistered(t)
 	r.writes(0, 7)
 	r.shows(0)
@@ -139,7 +139,7 @@
 
 // The clock of the VM was set back, or was ahead before. A running server continues to
 // write.
-func TestAnEarlierStartIsBelievedAfterSeveralWrites(t *testing.T) {
+func TestEarlierStartIsAcceptedAfterSeveralWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRegistered(t)
 		r.writes(1000, 5)
@@ -157,7 +157,7 @@
 	})
 }
 
-func TestWritesThatDoNotTellOfALivingRunAreNotBelieved(t *testing.T) {
+func TestWritesThatDoNotConfirmIncarnationAreNotAccepted(t *testing.T) {
 	for name, write := range map[string]func(r *registered, i int){
 		"sequence stands still": func(r *registered, _ int) { r.writes(1, 5) },
 		"the later run writes too": func(r *registered, i int) {
@@ -189,25 +189,25 @@
 
 // A server that restarts while the entry of its earlier incarnation is kept after an outage
 // is treated as new, and is not affected when the earlier entry expires.
-func TestANewRunAfterAnOutageIsNew(t *testing.T) {
+func TestNewIncarnationAfterOutageIsNew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRegistered(t)
 		r.writes(1, 7)
-		r.reader.register.Failed(time.Now())
+		r.reader.registry.NoteReadFailed(time.Now())
 		time.Sleep(3 * time.Second)
 		r.snapshot(nil)
 		r.shows(1) // kept after the outage
 		r.writes(2, 0)
 		r.shows(2)
-		time.Sleep(2 * returnTime)
-		r.reader.showServers(time.Now())
+		time.Sleep(2 * reregistrationTime)
+		r.reader.publishServers(time.Now())
 		r.shows(2)
 	})
 }
 
 // Another node started with a snapshot in which a late write of an earlier incarnation was
 // the newest record, so that its registry is newer and wrong.
-func TestAnEarlierRunToldByAnotherNodeDoesNotComeBack(t *testing.T) {
+func TestEarlierIncarnationReportedByAnotherNodeDoesNotReturn(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := newRegistered(t)
 	r.writes(1, 7)
@@ -231,7 +231,7 @@
 
 // A node that follows another one also accepts an incarnation with an earlier start time,
 // once the other node has confirmed that it is running.
-func TestARunBelievedElsewhereIsTakenFromAnotherNode(t *testing.T) {
+func TestIncarnationConfirmedByAnotherNodeIsAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, other := newRegistered(t), newRegistered(t)
 		r.writes(1000, 5)
@@ -248,10 +248,10 @@
 
 // An invalid entry replaces a valid one: no new request may be sent to the server because
 // of the old entry.
-func TestABrokenEntryNamesNoServer(t *testing.T) {
+func TestInvalidEntryRemovesServer(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := newRegistered(t)
-	before := brokenEntries.Value()
+	before := invalidEntries.Value()
 	r.writes(1, 7)
 	r.take([]byte("{"))
 	r.shows(-1)
@@ -268,24 +268,24 @@
 	r.snapshot([]byte("["))
 	r.shows(-1)
 	g.Expect(r.lines("2019")).To(gomega.Equal(3), "it was sound meanwhile")
-	g.Expect(brokenEntries.Value() - before).To(gomega.Equal(int64(3)))
+	g.Expect(invalidEntries.Value() - before).To(gomega.Equal(int64(3)))
 }
 
-func TestOtherEntriesHoldBesideABrokenOne(t *testing.T) {
+func TestInvalidEntryDoesNotAffectOtherEntries(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := newRegistered(t)
 	sound, err := json.Marshal(site.Entry{Server: site.Server{ID: "other"}})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	batch := store.Batch{Records: []store.Record{{Offset: 11, Key: "s", Value: []byte("x")}, {Offset: 12, Key: "other", Value: sound}}, Next: 13, End: 13}
-	r.reader.takeServers(batch, true)
+	r.reader.applyServers(batch, true)
 	g.Expect(r.reader.State.Now().Servers.Servers).To(gomega.And(gomega.HaveLen(1), gomega.HaveKey(site.ServerID("other"))))
 }
 
-func TestABrokenEntryKeepsNoPlaceAfterAnOutage(t *testing.T) {
+func TestInvalidEntryIsNotKeptAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRegistered(t)
 		r.writes(1, 7)
-		r.reader.register.Failed(time.Now())
+		r.reader.registry.NoteReadFailed(time.Now())
 		time.Sleep(3 * time.Second)
 		r.take([]byte("{"))
 		r.shows(-1)
@@ -294,7 +294,7 @@
 
 // Either all entries of a server have a start time or none has. An entry without one after
 // one with it comes from another writer.
-func TestAnEntryWithoutAStartAfterOneWithIsBroken(t *testing.T) {
+func TestEntryWithoutStartAfterOneWithStartIsInvalid(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := newRegistered(t)
 	r.writes(1, 7)
@@ -308,7 +308,7 @@
 }
 
 // Many invalid entries must not flood the log.
-func TestLinesOfBrokenEntriesAreBounded(t *testing.T) {
+func TestLogLinesOfInvalidEntriesAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		r := newRegistered(t)
@@ -320,10 +320,10 @@
 }
 
 // The newest valid configuration remains in force.
-func TestAConfigurationThatCannotBeUsedIsPassedOver(t *testing.T) {
+func TestInvalidConfigurationIsSkipped(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := newRegistered(t)
-	take := func(text string) { r.reader.takeConfig(store.Record{Key: "c", Value: []byte(text)}) }
+	take := func(text string) { r.reader.applyConfig(store.Record{Key: "c", Value: []byte(text)}) }
 	take(`{"version":3}`)
 	take(`{"version":4`)
 	take(`{"version":"5"}`)
@@ -337,7 +337,7 @@
 
 // The nodes that observed that the clock of a VM was set back may have restarted since.
 // Nodes that report the incarnation now do not know that it once needed confirmation.
-func TestAnEarlierRunToldForLongIsTaken(t *testing.T) {
+func TestEarlierIncarnationReportedForLongIsAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, other := newRegistered(t), newRegistered(t)
 		r.writes(1000, 5)
@@ -347,11 +347,11 @@
 		r.shows(1000)
 		for range 4 {
 			time.Sleep(time.Second)
-			r.reader.showServers(time.Now())
+			r.reader.publishServers(time.Now())
 			r.shows(1000)
 		}
 		time.Sleep(2 * time.Second)
-		r.reader.showServers(time.Now())
+		r.reader.publishServers(time.Now())
 		r.shows(1)
 	})
 }
--- a/gateway/follow/source.go
+++ b/gateway/follow/source.go
@@ -39,17 +39,17 @@
 	}
 	list := make([]source, 0, 2*len(seeds)+1)
 	relays := relaysOf(self.Zone, v)
-	place := slices.IndexFunc(relays, func(m view.Member) bool { return m.Boot == self.Boot })
+	rank := slices.IndexFunc(relays, func(m view.Member) bool { return m.Boot == self.Boot })
 	switch {
 	case lessor.Boot == "":
-	case place >= 0 || len(relays) == 0:
+	case rank >= 0 || len(relays) == 0:
 		list = append(list, source{address: lessor.Address, lessor: true})
 	}
-	if place >= 0 {
-		relays = relays[:place] // the remaining relays follow this one if the lessor is lost
+	if rank >= 0 {
+		relays = relays[:rank] // the remaining relays follow this one if the lessor is lost
 	}
 	for i := range relays {
-		list = append(list, source{address: relays[(turnOf(self)+i)%len(relays)].Address})
+		list = append(list, source{address: relays[(relayOffset(self)+i)%len(relays)].Address})
 	}
 	if len(list) > 0 && !list[0].lessor && lessor.Boot != "" {
 		list = append(list, source{address: lessor.Address, lessor: true})
@@ -67,7 +67,7 @@
 	others := slices.DeleteFunc(slices.Clone(seeds), func(address string) bool { return address == self.Address })
 	asked := make([]source, 0, len(others)+1)
 	for i := range others {
-		asked = append(asked, source{address: others[(turnOf(self)+i)%len(others)]})
+		asked = append(asked, source{address: others[(relayOffset(self)+i)%len(others)]})
 	}
 	if slices.Contains(seeds, self.Address) {
 		return append(list, asked...)
@@ -83,7 +83,7 @@
 		if m.Zone == self.Zone || m.Boot == v.Routes.Lessor.Boot {
 			continue
 		}
-		if best, exists := strongest[m.Zone]; !exists || byStrength(m, best) < 0 {
+		if best, exists := strongest[m.Zone]; !exists || compareCapacity(m, best) < 0 {
 			strongest[m.Zone] = m
 		}
 	}
@@ -96,7 +96,7 @@
 }
 
 // relayOffset distributes the nodes of a zone over its relays.
-func turnOf(self view.Member) int { return int(hashOf(self) & 0xffff) }
+func relayOffset(self view.Member) int { return int(hashOf(self) & 0xffff) }
 
 func hashOf(self view.Member) uint32 {
 	hash := fnv.New32a()
@@ -107,15 +107,15 @@
 // relaysOf returns the relays of a zone: its nodes with the highest capacity, except the
 // lessor.
 func relaysOf(zone string, v *view.View) []view.Member {
-	nodes, hasLessor := nodesOf(zone, v)
+	nodes, hasLessor := nodesOfZone(zone, v)
 	if hasLessor && len(nodes) <= smallZone {
 		return nil
 	}
 	return nodes[:(len(nodes)+membersPerRelay-1)/membersPerRelay]
 }
 
-// nodesOf returns the nodes of a zone except the lessor, highest capacity first.
-func nodesOf(zone string, v *view.View) (nodes []view.Member, hasLessor bool) {
+// nodesOfZone returns the nodes of a zone except the lessor, highest capacity first.
+func nodesOfZone(zone string, v *view.View) (nodes []view.Member, hasLessor bool) {
 	for _, m := range v.Members {
 		switch {
 		case m.Zone != zone:
@@ -125,14 +125,14 @@
 			nodes = append(nodes, m)
 		}
 	}
-	sortByStrength(nodes)
+	sortByCapacity(nodes)
 	return nodes, hasLessor
 }
 
 // sortByCapacity sorts by descending capacity; equal nodes are sorted by name.
-func sortByStrength(list []view.Member) { slices.SortFunc(list, byStrength) }
+func sortByCapacity(list []view.Member) { slices.SortFunc(list, compareCapacity) }
 
-func byStrength(a, b view.Member) int {
+func compareCapacity(a, b view.Member) int {
 	return cmp.Or(cmp.Compare(b.Strength, a.Strength), strings.Compare(a.Node, b.Node))
 }
 
@@ -140,16 +140,16 @@
 // known is false if the list of nodes does not contain it.
 func Rank(self view.Member, v *view.View) (rank int, known bool) {
 	nodes := slices.DeleteFunc(slices.Clone(v.Members), func(m view.Member) bool { return m.Boot == v.Routes.Lessor.Boot })
-	sortByStrength(nodes)
+	sortByCapacity(nodes)
 	rank = slices.IndexFunc(nodes, func(m view.Member) bool { return m.Boot == self.Boot })
 	return max(rank, 0), rank >= 0
 }
 
 // readPriorityOf returns a node's priority among those that may read the store.
-func standingOf(self view.Member, v *view.View, seeds []string) Standing {
-	nodes, _ := nodesOf(self.Zone, v)
+func readPriorityOf(self view.Member, v *view.View, seeds []string) ReadPriority {
+	nodes, _ := nodesOfZone(self.Zone, v)
 	lessor := v.Routes.Lessor
-	s := Standing{
+	p := ReadPriority{
 		IsLessor: lessor.Boot != "" && lessor.Boot == self.Boot,
 		IsSeed:   slices.Contains(seeds, self.Address),
 		HasSeeds: slices.ContainsFunc(seeds, func(address string) bool { return address != self.Address }),
@@ -157,7 +157,7 @@
 		Spread:   float64(hashOf(self)>>16) / (1 << 16),
 	}
 	if lessor.Node == self.Node && lessor.Boot != self.Boot {
-		s.Rank = 0 // its previous incarnation was the lessor, and no other node knows that it has ended
+		p.Rank = 0 // its previous incarnation was the lessor, and no other node knows that it has ended
 	}
-	return s
+	return p
 }
--- a/gateway/follow/source_test.go
+++ b/gateway/follow/source_test.go
@@ -41,7 +41,7 @@
 
 // Load: every change of 165 servers' ranges is sent to 87 nodes. Few nodes send to each
 // node, the lessor sends to few of them, and nodes of low capacity send to none.
-func TestALargeSiteIsToldByStrongRelays(t *testing.T) {
+func TestLargeSiteIsServedByRelaysOfHighCapacity(t *testing.T) {
 	g := gomega.NewWithT(t)
 	v := siteOf("a-0", map[string]int{"a": 26, "b": 29, "c": 32})
 	toldBy := map[string]int{}
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestASmallSiteHasOneRelayInEachOtherZone(t *testing.T) {
+func TestSmallSiteHasOneRelayInEachOtherZone(t *testing.T) {
 	g := gomega.NewWithT(t)
 	v := siteOf("a-1", map[string]int{"a": 4, "b": 4, "c": 1})
 	lessor := source{address: "a-1:1", lessor: true}
@@ -88,7 +88,7 @@
 
 // Starting nodes know only the configured seeds, some of which may be gone. The seeds call
 // the lessor once they know it.
-func TestNodesThatStartAskSeeds(t *testing.T) {
+func TestStartingNodesCallSeeds(t *testing.T) {
 	g := gomega.NewWithT(t)
 	seeds := []string{"a-0:1", "b-0:1", "c-0:1"}
 	v := &view.View{}
@@ -109,7 +109,7 @@
 	g.Expect(sources(other, v, seeds)[3]).To(gomega.Equal(source{address: "d-1:1", lessor: true}))
 }
 
-func TestStrongNodesClaimFirst(t *testing.T) {
+func TestNodesOfHighCapacityClaimFirst(t *testing.T) {
 	g := gomega.NewWithT(t)
 	v := siteOf("a-0", map[string]int{"a": 3, "b": 3})
 	rank, known := Rank(memberNamed(v, "a-1"), v)
--- a/gateway/follow/telling.go
+++ b/gateway/follow/telling.go
@@ -16,8 +16,8 @@
 // to its 16 followers at each change would fill a link of 20 Mbit/s. Nodes that have one of
 // the latest versions therefore receive only the changes since then; other nodes receive
 // the whole registry, compressed.
-type serversTeller struct {
-	recent recent[serversVersion, view.Servers, *serversNews]
+type serversEncoder struct {
+	recent recentVersions[serversVersion, view.Servers, *serversUpdate]
 }
 
 // serversVersion identifies a registry. Calling nodes identify it by its sum.
@@ -27,35 +27,35 @@
 }
 
 // serversUpdate is an encoded registry: either a change or the whole.
-type serversNews struct {
+type serversUpdate struct {
 	change *bspb.ServersChange
 	whole  []byte
 }
 
 // encode adds the registry to a reply for a node that has another version.
-func (t *serversTeller) tell(reply *bspb.FollowReply, asked *bspb.FollowRequest, v *view.View) error {
+func (e *serversEncoder) encode(reply *bspb.FollowReply, msg *bspb.FollowRequest, v *view.View) error {
 	newest := versioned[serversVersion, view.Servers]{
 		version: serversVersion{offset: v.Servers.Offset, sum: v.ServersSum()},
 		state:   v.Servers,
 	}
-	isKnown := func(version serversVersion) bool { return version.sum == asked.ServersSum }
-	news, err := t.recent.tell(newest, isKnown, func(base *view.Servers) (*serversNews, bool, error) {
-		news, err := newsOf(v, base)
-		return news, true, err
+	isKnown := func(version serversVersion) bool { return version.sum == msg.ServersSum }
+	update, err := e.recent.message(newest, isKnown, func(base *view.Servers) (*serversUpdate, bool, error) {
+		update, err := newUpdate(v, base)
+		return update, true, err
 	})
 	if err != nil {
 		return err
 	}
-	reply.ServersChange, reply.Servers = news.change, news.whole
+	reply.ServersChange, reply.Servers = update.change, update.whole
 	return nil
 }
 
 // newUpdate encodes the change from base to the registry of a view, or the whole registry
 // if base is nil.
-func newsOf(v *view.View, base *view.Servers) (*serversNews, error) {
+func newUpdate(v *view.View, base *view.Servers) (*serversUpdate, error) {
 	if base == nil {
-		whole, err := packServers(v.Servers)
-		return &serversNews{whole: whole}, err
+		whole, err := compressServers(v.Servers)
+		return &serversUpdate{whole: whole}, err
 	}
 	change := base.ChangeTo(v.Servers)
 	message := &bspb.ServersChange{Offset: int64(v.Servers.Offset), Sum: v.ServersSum()}
@@ -69,11 +69,11 @@
 	for _, id := range change.Drop {
 		message.Drop = append(message.Drop, string(id))
 	}
-	return &serversNews{change: message}, nil
+	return &serversUpdate{change: message}, nil
 }
 
 // compressServers encodes and compresses a whole registry.
-func packServers(servers view.Servers) ([]byte, error) {
+func compressServers(servers view.Servers) ([]byte, error) {
 	text, err := json.Marshal(servers)
 	if err != nil {
 		return nil, err
@@ -90,7 +90,7 @@
 }
 
 // decompressServers decompresses and decodes a whole registry.
-func unpackServers(packed []byte) (view.Servers, error) {
+func decompressServers(packed []byte) (view.Servers, error) {
 	var servers view.Servers
 	reader, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
@@ -103,9 +103,9 @@
 // decodeRegistry returns the registry of a reply for a node that has the one in known.
 // found is false if the reply contains none, or a change to a registry that the node no
 // longer has.
-func toldRegister(reply *bspb.FollowReply, known *view.View) (servers view.Servers, found bool, err error) {
+func decodeRegistry(reply *bspb.FollowReply, known *view.View) (servers view.Servers, found bool, err error) {
 	if len(reply.Servers) > 0 {
-		servers, err = unpackServers(reply.Servers)
+		servers, err = decompressServers(reply.Servers)
 		return servers, err == nil, err
 	}
 	message := reply.ServersChange
--- a/gateway/follow/telling_test.go
+++ b/gateway/follow/telling_test.go
@@ -13,7 +13,7 @@
 )
 
 // registryOf returns a registry of the servers with numbers in [from, to).
-func registerOf(offset store.Offset, from, to int) view.Servers {
+func registryOf(offset store.Offset, from, to int) view.Servers {
 	servers := view.Servers{Offset: offset, Servers: map[site.ServerID]site.Server{}}
 	for i := from; i < to; i++ {
 		id := site.ServerID(fmt.Sprintf("i-%08x", i*7919))
@@ -24,13 +24,13 @@
 
 // send sends the registry of one node to another, and returns the size of the message in
 // bytes.
-func told(t *testing.T, teller *serversTeller, from, to *view.State) int {
+func send(t *testing.T, teller *serversEncoder, from, to *view.State) int {
 	t.Helper()
 	g := gomega.NewWithT(t)
 	asked := &bspb.FollowRequest{ServersSum: to.Now().ServersSum()}
 	reply := &bspb.FollowReply{}
-	g.Expect(teller.tell(reply, asked, from.Now())).To(gomega.Succeed())
-	servers, found, err := toldRegister(reply, to.Now())
+	g.Expect(teller.encode(reply, asked, from.Now())).To(gomega.Succeed())
+	servers, found, err := decodeRegistry(reply, to.Now())
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(found).To(gomega.BeTrue())
 	to.MergeServers(servers)
@@ -40,51 +40,51 @@
 
 // Load: a release replaces 20 of 720 servers per second, and each change is sent to 295
 // nodes, 16 of them behind one link of 20 Mbit/s.
-func TestAChangeOfTheRegisterIsToldInFewBytes(t *testing.T) {
+func TestChangeOfRegistryIsSmall(t *testing.T) {
 	g := gomega.NewWithT(t)
 	lessor, node := view.NewState(), view.NewState()
-	var teller serversTeller
-	lessor.MergeServers(registerOf(100, 0, 720))
-	whole := told(t, &teller, lessor, node)
+	var teller serversEncoder
+	lessor.MergeServers(registryOf(100, 0, 720))
+	whole := send(t, &teller, lessor, node)
 	g.Expect(whole).To(gomega.BeNumerically("<", 40_000), "bytes of the whole register")
 	for i := 1; i <= 5; i++ {
-		lessor.MergeServers(registerOf(store.Offset(100+100*i), 8*i, 720+8*i))
-		changed := told(t, &teller, lessor, node)
+		lessor.MergeServers(registryOf(store.Offset(100+100*i), 8*i, 720+8*i))
+		changed := send(t, &teller, lessor, node)
 		g.Expect(changed).To(gomega.BeNumerically("<", 20_000_000/8/16/5), "bytes of a change: five a second to 16 nodes fit the link")
 	}
 }
 
-func TestANodeThatIsFarBehindIsToldTheWholeRegister(t *testing.T) {
+func TestNodeFarBehindReceivesWholeRegistry(t *testing.T) {
 	g := gomega.NewWithT(t)
 	lessor, node := view.NewState(), view.NewState()
-	var teller serversTeller
-	lessor.MergeServers(registerOf(100, 0, 720))
-	told(t, &teller, lessor, node)
+	var teller serversEncoder
+	lessor.MergeServers(registryOf(100, 0, 720))
+	send(t, &teller, lessor, node)
 	other := view.NewState()
-	for i := 1; i <= 2*mostRecent; i++ {
-		lessor.MergeServers(registerOf(store.Offset(100+100*i), 0, 720+i))
-		told(t, &teller, lessor, other)
+	for i := 1; i <= 2*maxRecent; i++ {
+		lessor.MergeServers(registryOf(store.Offset(100+100*i), 0, 720+i))
+		send(t, &teller, lessor, other)
 	}
-	g.Expect(told(t, &teller, lessor, node)).To(gomega.BeNumerically(">", 5000))
-	g.Expect(node.Now().Servers.Servers).To(gomega.HaveLen(720 + 2*mostRecent))
+	g.Expect(send(t, &teller, lessor, node)).To(gomega.BeNumerically(">", 5000))
+	g.Expect(node.Now().Servers.Servers).To(gomega.HaveLen(720 + 2*maxRecent))
 }
 
 // A node's registry may have changed between its call and the response, because it also
 // reads the store. It does not apply the change in the response then, and requests it
 // again.
-func TestAChangeOfAnotherRegisterIsNotTaken(t *testing.T) {
+func TestChangeOfAnotherRegistryIsNotApplied(t *testing.T) {
 	g := gomega.NewWithT(t)
 	lessor, node := view.NewState(), view.NewState()
-	var teller serversTeller
-	lessor.MergeServers(registerOf(100, 0, 10))
-	told(t, &teller, lessor, node)
+	var teller serversEncoder
+	lessor.MergeServers(registryOf(100, 0, 10))
+	send(t, &teller, lessor, node)
 	asked := &bspb.FollowRequest{ServersSum: node.Now().ServersSum()}
-	lessor.MergeServers(registerOf(200, 0, 12))
+	lessor.MergeServers(registryOf(200, 0, 12))
 	reply := &bspb.FollowReply{}
-	g.Expect(teller.tell(reply, asked, lessor.Now())).To(gomega.Succeed())
-	node.MergeServers(registerOf(150, 5, 10))
-	_, found, err := toldRegister(reply, node.Now())
+	g.Expect(teller.encode(reply, asked, lessor.Now())).To(gomega.Succeed())
+	node.MergeServers(registryOf(150, 5, 10))
+	_, found, err := decodeRegistry(reply, node.Now())
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(found).To(gomega.BeFalse())
-	told(t, &teller, lessor, node)
+	send(t, &teller, lessor, node)
 }
--- a/gateway/follow/turn.go
+++ b/gateway/follow/turn.go
@@ -15,35 +15,35 @@
 	// firstReadAge is the age of the latest report beyond which the node with the highest
 	// capacity of a zone reads the store. Data is up to 0.65 s old at the lessor, and half
 	// a second older at a node that waits for the next report.
-	firstTurn = 1200 * time.Millisecond
+	firstReadAge = 1200 * time.Millisecond
 	// readDelayStep is the additional delay of each next node of a zone, and maxReadDelay
 	// limits their sum, so that a node that receives no reports still notices a draining
 	// server within two seconds.
-	turnStep  = 15 * time.Millisecond
-	mostTurns = 500 * time.Millisecond
+	readDelayStep = 15 * time.Millisecond
+	maxReadDelay  = 500 * time.Millisecond
 	// seedTimeout is how long a starting node waits for the configured seeds, which read
 	// the store at once. startSpread is the time over which the other nodes read it if no
 	// seed responds.
-	startPatience = 800 * time.Millisecond
-	startSpread   = 2 * time.Second
+	seedTimeout = 800 * time.Millisecond
+	startSpread = 2 * time.Second
 	// readEvery is the interval of reading servers and ownership. Each heartbeat of a
 	// server is a record, so a read that waits for the next record would cost a call per
 	// record.
 	readEvery = 400 * time.Millisecond
 	// soloReadEvery is the same interval for a node that no other node relies on.
-	readAloneEvery = 800 * time.Millisecond
+	soloReadEvery = 800 * time.Millisecond
 	// retryFirst is the pause after a failed call of a node that reads first, and
 	// retryOthers that of the other nodes, which are notified by the first ones when the
 	// store responds again. The pause doubles with each further failure up to maxRetryFirst
 	// or maxRetryOthers.
-	retryFirst      = 500 * time.Millisecond
-	mostRetryFirst  = time.Second
-	retryOthers     = time.Second
-	mostRetryOthers = 4 * time.Second
+	retryFirst     = 500 * time.Millisecond
+	maxRetryFirst  = time.Second
+	retryOthers    = time.Second
+	maxRetryOthers = 4 * time.Second
 )
 
 // ReadPriority is a node's priority among those that may read the store.
-type Standing struct {
+type ReadPriority struct {
 	IsLessor bool
 	// IsSeed reports whether starting nodes call this node.
 	IsSeed bool
@@ -58,65 +58,65 @@
 }
 
 // isFirst reports whether others rely on the node to read the store.
-func (s Standing) isFirst() bool {
-	return s.IsLessor || s.Rank == 0 || s.Rank < 0 && (s.IsSeed || !s.HasSeeds)
+func (p ReadPriority) isFirst() bool {
+	return p.IsLessor || p.Rank == 0 || p.Rank < 0 && (p.IsSeed || !p.HasSeeds)
 }
 
 // mayRead reports whether the node may read the store now. age is the age of the latest
 // report from another node, or the time since the node's start if there was none.
-func (s Standing) mayRead(told time.Duration, wasTold bool) bool {
-	return told > s.patience(wasTold)
+func (p ReadPriority) mayRead(age time.Duration, hasReport bool) bool {
+	return age > p.maxReportAge(hasReport)
 }
 
 // maxReportAge returns the age of the latest report beyond which a node reads the store. If
 // there was no report, it is the time since the node's start.
-func (s Standing) patience(wasTold bool) time.Duration {
+func (p ReadPriority) maxReportAge(hasReport bool) time.Duration {
 	switch {
-	case s.IsLessor || s.isFirst() && !wasTold:
+	case p.IsLessor || p.isFirst() && !hasReport:
 		return -1
-	case s.isFirst():
-		return firstTurn
-	case !wasTold:
-		return startPatience + time.Duration(s.Spread*float64(startSpread))
+	case p.isFirst():
+		return firstReadAge
+	case !hasReport:
+		return seedTimeout + time.Duration(p.Spread*float64(startSpread))
 	}
-	return staleRelay + s.turn()
+	return maxRelayContactAge + p.readDelay()
 }
 
 // readDelay returns the additional delay of this node.
-func (s Standing) turn() time.Duration {
-	if s.Rank < 0 {
-		return time.Duration(s.Spread * float64(mostTurns))
+func (p ReadPriority) readDelay() time.Duration {
+	if p.Rank < 0 {
+		return time.Duration(p.Spread * float64(maxReadDelay))
 	}
-	return min(time.Duration(s.Rank)*turnStep, mostTurns)
+	return min(time.Duration(p.Rank)*readDelayStep, maxReadDelay)
 }
 
 // interval returns the time between two reads of a topic.
-func (s Standing) interval() time.Duration {
-	if s.isFirst() {
+func (p ReadPriority) interval() time.Duration {
+	if p.isFirst() {
 		return readEvery
 	}
-	return readAloneEvery
+	return soloReadEvery
 }
 
 // retryPause returns the pause after a number of consecutive failed calls.
-func (s Standing) retryPause(failures int) time.Duration {
-	pause, most := retryOthers, mostRetryOthers
-	if s.isFirst() {
-		pause, most = retryFirst, mostRetryFirst
+func (p ReadPriority) retryPause(failures int) time.Duration {
+	pause, most := retryOthers, maxRetryOthers
+	if p.isFirst() {
+		pause, most = retryFirst, maxRetryFirst
 	}
 	doublings := min(max(failures-1, 0), 10)
 	pause = min(pause<<doublings, most)
-	return time.Duration((0.75 + 0.5*s.Spread) * float64(pause))
+	return time.Duration((0.75 + 0.5*p.Spread) * float64(pause))
 }
 
 // reason returns why a node reads the store, for the log.
-func (s Standing) reason(wasTold bool) string {
+func (p ReadPriority) reason(hasReport bool) string {
 	switch {
-	case s.IsLessor:
+	case p.IsLessor:
 		return "lessor"
-	case !wasTold:
+	case !hasReport:
 		return "start"
-	case s.isFirst():
+	case p.isFirst():
 		return "first of its zone, no news from the lessor"
 	}
 	return "no news from any node"
