--- a/gateway/follow/contact_test.go
+++ b/gateway/follow/contact_test.go
@@ -25,7 +25,7 @@
 	g.Expect(age).To(gomega.BeNumerically(">=", time.Minute))
 	c.Note(store.Configurations, now.Add(-time.Hour))
 	age, _ = c.Age()
-	g.Expect(age).To(gomega.BeNumerically("<", time.Hour), "an older note changes nothing")
+	g.Expect(age).To(gomega.BeNumerically("<", time.Hour), "an older time has no effect")
 }
 
 func TestPartOfViewIsEncodedOncePerVersion(t *testing.T) {
@@ -33,7 +33,7 @@
 	var e encodedPart
 	first, err := e.encode(1, "one")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	again, err := e.encode(1, "not looked at")
+	again, err := e.encode(1, "not encoded")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(again).To(gomega.Equal(first))
 	next, err := e.encode(2, "two")
--- a/gateway/follow/feed_test.go
+++ b/gateway/follow/feed_test.go
@@ -37,17 +37,17 @@
 	g := gomega.NewWithT(t)
 	feed := newFeedOf("lessor", true)
 	followers := []view.Member{member("x"), member("y")}
-	asked := &bspb.FollowRequest{Member: memberMessage(member("relay")), FollowersHash: view.SumMembers(followers)}
-	g.Expect(feed.noteFollower(asked)).NotTo(gomega.Equal(asked.FollowersHash), "the relay must tell them")
-	asked.Followers = memberMessages(followers)
-	g.Expect(feed.noteFollower(asked)).To(gomega.Equal(asked.FollowersHash))
-	asked.Followers = nil
-	g.Expect(feed.noteFollower(asked)).To(gomega.Equal(asked.FollowersHash), "and not again")
+	msg := &bspb.FollowRequest{Member: memberMessage(member("relay")), FollowersHash: view.SumMembers(followers)}
+	g.Expect(feed.noteFollower(msg)).NotTo(gomega.Equal(msg.FollowersHash), "the relay must send its followers")
+	msg.Followers = memberMessages(followers)
+	g.Expect(feed.noteFollower(msg)).To(gomega.Equal(msg.FollowersHash))
+	msg.Followers = nil
+	g.Expect(feed.noteFollower(msg)).To(gomega.Equal(msg.FollowersHash), "but not repeatedly")
 	g.Expect(namesOf(feed.Members())).To(gomega.Equal([]string{"lessor", "relay", "x", "y"}))
 	g.Expect(namesOf(feed.Followers())).To(gomega.Equal([]string{"relay", "x", "y"}))
 
-	asked.Member.Boot = "started again"
-	g.Expect(feed.noteFollower(asked)).To(gomega.BeZero(), "a new run of the relay has other followers")
+	msg.Member.Boot = "started again"
+	g.Expect(feed.noteFollower(msg)).To(gomega.BeZero(), "a new incarnation of the relay has other followers")
 	g.Expect(namesOf(feed.Members())).To(gomega.Equal([]string{"lessor", "relay"}))
 }
 
@@ -68,7 +68,7 @@
 		g.Expect(time.Since(startedAt)).To(gomega.BeNumerically("~", 100*time.Millisecond, 5*time.Millisecond))
 		g.Expect(reply.HeldMs).To(gomega.BeNumerically("~", 100, 5))
 		ask()
-		g.Expect(time.Since(startedAt)).To(gomega.BeNumerically(">=", 500*time.Millisecond), "once: an old contact is no reason to ask without a pause")
+		g.Expect(time.Since(startedAt)).To(gomega.BeNumerically(">=", 500*time.Millisecond), "early only once: old contact must not cause calls without a pause")
 	})
 }
 
--- a/gateway/follow/follower.go
+++ b/gateway/follow/follower.go
@@ -73,14 +73,14 @@
 	f.clients = map[string]bspbconnect.GatewayClient{}
 	f.avoidUntil = map[string]time.Time{}
 	f.knownFollowers = map[string]uint64{}
-	for turn := 0; ctx.Err() == nil; turn++ {
+	for attempt := 0; ctx.Err() == nil; attempt++ {
 		f.updatePriority()
 		if f.pollSource(ctx) {
 			continue
 		}
 		f.Feed.SetFollows(false)
 		if age, known := f.Reader.Contact.Age(); !known || age > maxLessorContactAge {
-			f.queryAnyNode(ctx, turn)
+			f.queryAnyNode(ctx, attempt)
 		}
 		clock.Wait(ctx, peerRetry)
 	}
@@ -180,7 +180,7 @@
 }
 
 // queryAnyNode requests the view of one of the known nodes or seeds.
-func (f *Follower) queryAnyNode(ctx context.Context, turn int) {
+func (f *Follower) queryAnyNode(ctx context.Context, attempt int) {
 	seeds := *f.seeds.Load()
 	addresses := make([]string, 0, len(seeds))
 	for _, member := range f.State.Now().Members {
@@ -190,7 +190,7 @@
 	if len(addresses) == 0 {
 		return
 	}
-	address := addresses[turn%len(addresses)]
+	address := addresses[attempt%len(addresses)]
 	if address == f.Self.Address {
 		return
 	}
@@ -324,4 +324,4 @@
 type MalformedError struct{ From string }
 
 // Error implements error.
-func (e *MalformedError) Error() string { return "malformed answer of the node at " + e.From }
+func (e *MalformedError) Error() string { return "malformed response from the node at " + e.From }
--- a/gateway/follow/handoff.go
+++ b/gateway/follow/handoff.go
@@ -41,7 +41,7 @@
 type NotFormerLessorError struct{ Boot string }
 
 // Error implements error.
-func (e *NotFormerLessorError) Error() string { return "nothing is known of the lessor " + e.Boot }
+func (e *NotFormerLessorError) Error() string { return "unknown lessor " + e.Boot }
 
 // HandOff implements bspbconnect.GatewayHandler.
 func (f *Feed) HandOff(ctx context.Context, request *connect.Request[bspb.HandOffRequest]) (*connect.Response[bspb.HandOffReply], error) {
--- a/gateway/follow/runs.go
+++ b/gateway/follow/incarnations.go
@@ -139,5 +139,5 @@
 
 // Error implements error.
 func (e *StartMissingError) Error() string {
-	return "the entry does not tell the start of the run, one before it did: " + e.Known.UTC().Format(time.RFC3339Nano)
+	return "entry has no start time, but an earlier entry of the server has: " + e.Known.UTC().Format(time.RFC3339Nano)
 }
--- a/gateway/follow/runs_test.go
+++ b/gateway/follow/incarnations_test.go
@@ -34,48 +34,48 @@
 	return entry, nil
 }
 
-// registered is a node's reader and view, to which the tests feed records.
-type registered struct {
+// registryFixture is a node's reader and view, to which the tests feed records.
+type registryFixture struct {
 	t      *testing.T
 	reader *Reader
 	end    store.Offset
 	log    bytes.Buffer
 }
 
-func newRegistered(t *testing.T) *registered {
+func newRegistryFixture(t *testing.T) *registryFixture {
 	t.Helper()
-	r := &registered{t: t, end: 10}
+	r := &registryFixture{t: t, end: 10}
 	logger := hclog.New(&hclog.LoggerOptions{Level: hclog.Debug, Output: &r.log, JSONFormat: true})
 	r.reader = &Reader{Codec: jsonCodec{}, State: view.NewState(), Logger: logger, registry: NewRegistry()}
 	r.reader.applyServers(store.Batch{Next: r.end, End: r.end}, true)
 	return r
 }
 
-// run returns the ID of the incarnation of server s that started at this number of seconds;
+// incarnationID returns the ID of the incarnation of server s that started at this number of seconds;
 // 0 means that the ID has no start time.
-func run(started int) site.ServerID {
+func incarnationID(started int) site.ServerID {
 	if started == 0 {
 		return site.RunID("s", time.Time{})
 	}
 	return site.RunID("s", start.Add(time.Duration(started)*time.Second))
 }
 
-func (r *registered) text(started int, sequence int64) []byte {
+func (r *registryFixture) text(started int, sequence int64) []byte {
 	r.t.Helper()
-	text, err := json.Marshal(site.Entry{Server: site.Server{ID: run(started), Address: "10.0.0.1:1", Service: "x"}, Sequence: sequence})
+	text, err := json.Marshal(site.Entry{Server: site.Server{ID: incarnationID(started), Address: "10.0.0.1:1", Service: "x"}, Sequence: sequence})
 	gomega.NewWithT(r.t).Expect(err).NotTo(gomega.HaveOccurred())
 	return text
 }
 
-func (r *registered) take(value []byte) {
+func (r *registryFixture) apply(value []byte) {
 	r.end++
 	r.reader.applyServers(store.Batch{Records: []store.Record{{Offset: r.end - 1, Key: "s", Value: value}}, Next: r.end, End: r.end}, false)
 }
 
 // writes applies one write of an incarnation.
-func (r *registered) writes(started int, sequence int64) { r.take(r.text(started, sequence)) }
+func (r *registryFixture) writes(started int, sequence int64) { r.apply(r.text(started, sequence)) }
 
-func (r *registered) snapshot(value []byte) {
+func (r *registryFixture) snapshot(value []byte) {
 	r.end++
 	batch := store.Batch{Next: r.end, End: r.end}
 	if value != nil {
@@ -85,29 +85,31 @@
 }
 
 // shows expects that the view contains exactly one incarnation, or none if started is -1.
-func (r *registered) shows(started int) {
+func (r *registryFixture) shows(started int) {
 	r.t.Helper()
 	servers := r.reader.State.Now().Servers.Servers
 	if started < 0 {
 		gomega.NewWithT(r.t).Expect(servers).To(gomega.BeEmpty())
 		return
 	}
-	gomega.NewWithT(r.t).Expect(servers).To(gomega.And(gomega.HaveLen(1), gomega.HaveKey(run(started))))
+	gomega.NewWithT(r.t).Expect(servers).To(gomega.And(gomega.HaveLen(1), gomega.HaveKey(incarnationID(started))))
 }
 
 // lines returns the number of log lines of an event.
-func (r *registered) lines(event string) int { return strings.Count(r.log.String(), `"event":`+event) }
+func (r *registryFixture) lines(event string) int {
+	return strings.Count(r.log.String(), `"event":`+event)
+}
 
 func TestLaterStartReplacesEarlierIncarnation(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := newRegistered(t)
+	r := newRegistryFixture(t)
 	r.writes(1, 7)
 	r.shows(1)
 	r.writes(2, 0)
 	r.shows(2)
 	g.Expect(r.lines("2018")).To(gomega.Equal(1))
 	g.Expect(r.log.String()).To(gomega.ContainSubstring(`"offset":12`))
-	g.Expect(r.lines("2013")).To(gomega.BeZero(), "the name has not left")
+	g.Expect(r.lines("2013")).To(gomega.BeZero(), "the server has not left the registry")
 	r.writes(1, 8)
 	r.shows(2)
 	r.snapshot(r.text(1, 9))
@@ -116,10 +118,10 @@
 
 // The later incarnation may have ended before a write of the earlier one takes effect.
 func TestEarlierIncarnationDoesNotReturnAfterLaterOneLeft(t *testing.T) {
-	r := newRegistered(t)
+	r := newRegistryFixture(t)
 	r.writes(1, 7)
 	r.writes(2, 0)
-	r.take(nil)
+	r.apply(nil)
 	r.shows(-1)
 	r.writes(1, 8)
 	r.shows(-1)
@@ -130,7 +132,7 @@
 }
 
 func TestIncarnationWithStartReplacesOneWithout(t *testing.T) {
-	r := newRegistered(t)
+	r := newRegistryFixture(t)
 	r.writes(0, 7)
 	r.shows(0)
 	r.writes(1, 0)
@@ -141,7 +143,7 @@
 // write.
 func TestEarlierStartIsAcceptedAfterSeveralWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRegistered(t)
+		r := newRegistryFixture(t)
 		r.writes(1000, 5)
 		for i := range 3 {
 			r.writes(1, int64(i))
@@ -158,14 +160,14 @@
 }
 
 func TestWritesThatDoNotConfirmIncarnationAreNotAccepted(t *testing.T) {
-	for name, write := range map[string]func(r *registered, i int){
-		"sequence stands still": func(r *registered, _ int) { r.writes(1, 5) },
-		"the later run writes too": func(r *registered, i int) {
+	for name, write := range map[string]func(r *registryFixture, i int){
+		"sequence does not grow": func(r *registryFixture, _ int) { r.writes(1, 5) },
+		"the later incarnation also writes": func(r *registryFixture, i int) {
 			r.writes(1, int64(i))
 			r.writes(2, int64(i))
 		},
-		"each of another run": func(r *registered, i int) { r.writes(-1-i, int64(i)) },
-		"all at once": func(r *registered, i int) {
+		"each write from another incarnation": func(r *registryFixture, i int) { r.writes(-1-i, int64(i)) },
+		"all at once": func(r *registryFixture, i int) {
 			if i == 0 {
 				for n := range 10 {
 					r.writes(1, int64(n))
@@ -175,7 +177,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newRegistered(t)
+				r := newRegistryFixture(t)
 				r.writes(2, 5)
 				for i := range 8 {
 					write(r, i)
@@ -191,7 +193,7 @@
 // is treated as new, and is not affected when the earlier entry expires.
 func TestNewIncarnationAfterOutageIsNew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRegistered(t)
+		r := newRegistryFixture(t)
 		r.writes(1, 7)
 		r.reader.registry.NoteReadFailed(time.Now())
 		time.Sleep(3 * time.Second)
@@ -209,21 +211,21 @@
 // the newest record, so that its registry is newer and wrong.
 func TestEarlierIncarnationReportedByAnotherNodeDoesNotReturn(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := newRegistered(t)
+	r := newRegistryFixture(t)
 	r.writes(1, 7)
 	r.writes(2, 0)
-	other := newRegistered(t)
+	other := newRegistryFixture(t)
 	other.end = 20
 	other.snapshot(other.text(1, 8))
 	other.shows(1)
 	g.Expect(r.reader.State.MergeServers(other.reader.State.Now().Servers)).To(gomega.BeTrue())
 	r.shows(2)
 	r.end = 30
-	r.take(nil)
+	r.apply(nil)
 	r.shows(-1)
 	other.end = 40
 	other.writes(1, 9)
-	other.take([]byte("{")) // so that the registry changes again
+	other.apply([]byte("{")) // so that the registry changes again
 	other.writes(1, 10)
 	r.reader.State.MergeServers(other.reader.State.Now().Servers)
 	r.shows(-1)
@@ -233,7 +235,7 @@
 // once the other node has confirmed that it is running.
 func TestIncarnationConfirmedByAnotherNodeIsAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, other := newRegistered(t), newRegistered(t)
+		r, other := newRegistryFixture(t), newRegistryFixture(t)
 		r.writes(1000, 5)
 		other.writes(1000, 5)
 		for i := range 4 {
@@ -250,44 +252,44 @@
 // of the old entry.
 func TestInvalidEntryRemovesServer(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := newRegistered(t)
+	r := newRegistryFixture(t)
 	before := invalidEntries.Value()
 	r.writes(1, 7)
-	r.take([]byte("{"))
+	r.apply([]byte("{"))
 	r.shows(-1)
 	g.Expect(r.lines("2019")).To(gomega.Equal(1))
 	g.Expect(r.log.String()).To(gomega.ContainSubstring(`"key":"s"`))
 	g.Expect(r.log.String()).To(gomega.ContainSubstring(`"offset":11`))
-	r.take([]byte("{"))
+	r.apply([]byte("{"))
 	r.snapshot([]byte("{"))
-	g.Expect(r.lines("2019")).To(gomega.Equal(1), "the same again")
-	r.take([]byte("["))
+	g.Expect(r.lines("2019")).To(gomega.Equal(1), "unchanged entry")
+	r.apply([]byte("["))
 	g.Expect(r.lines("2019")).To(gomega.Equal(2))
 	r.writes(1, 8)
 	r.shows(1)
 	r.snapshot([]byte("["))
 	r.shows(-1)
-	g.Expect(r.lines("2019")).To(gomega.Equal(3), "it was sound meanwhile")
+	g.Expect(r.lines("2019")).To(gomega.Equal(3), "it was valid in the meantime")
 	g.Expect(invalidEntries.Value() - before).To(gomega.Equal(int64(3)))
 }
 
 func TestInvalidEntryDoesNotAffectOtherEntries(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := newRegistered(t)
-	sound, err := json.Marshal(site.Entry{Server: site.Server{ID: "other"}})
+	r := newRegistryFixture(t)
+	valid, err := json.Marshal(site.Entry{Server: site.Server{ID: "other"}})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	batch := store.Batch{Records: []store.Record{{Offset: 11, Key: "s", Value: []byte("x")}, {Offset: 12, Key: "other", Value: sound}}, Next: 13, End: 13}
+	batch := store.Batch{Records: []store.Record{{Offset: 11, Key: "s", Value: []byte("x")}, {Offset: 12, Key: "other", Value: valid}}, Next: 13, End: 13}
 	r.reader.applyServers(batch, true)
 	g.Expect(r.reader.State.Now().Servers.Servers).To(gomega.And(gomega.HaveLen(1), gomega.HaveKey(site.ServerID("other"))))
 }
 
 func TestInvalidEntryIsNotKeptAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRegistered(t)
+		r := newRegistryFixture(t)
 		r.writes(1, 7)
 		r.reader.registry.NoteReadFailed(time.Now())
 		time.Sleep(3 * time.Second)
-		r.take([]byte("{"))
+		r.apply([]byte("{"))
 		r.shows(-1)
 	})
 }
@@ -296,7 +298,7 @@
 // one with it comes from another writer.
 func TestEntryWithoutStartAfterOneWithStartIsInvalid(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := newRegistered(t)
+	r := newRegistryFixture(t)
 	r.writes(1, 7)
 	r.writes(0, 8)
 	r.shows(-1)
@@ -311,9 +313,9 @@
 func TestLogLinesOfInvalidEntriesAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		r := newRegistered(t)
+		r := newRegistryFixture(t)
 		for i := range 500 {
-			r.take([]byte(strings.Repeat("{", i+1)))
+			r.apply([]byte(strings.Repeat("{", i+1)))
 		}
 		g.Expect(r.lines("2019")).To(gomega.BeNumerically("<=", 20))
 	})
@@ -322,7 +324,7 @@
 // The newest valid configuration remains in force.
 func TestInvalidConfigurationIsSkipped(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := newRegistered(t)
+	r := newRegistryFixture(t)
 	take := func(text string) { r.reader.applyConfig(store.Record{Key: "c", Value: []byte(text)}) }
 	take(`{"version":3}`)
 	take(`{"version":4`)
@@ -339,7 +341,7 @@
 // Nodes that report the incarnation now do not know that it once needed confirmation.
 func TestEarlierIncarnationReportedForLongIsAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, other := newRegistered(t), newRegistered(t)
+		r, other := newRegistryFixture(t), newRegistryFixture(t)
 		r.writes(1000, 5)
 		other.end = 20
 		other.snapshot(other.text(1, 8))
--- a/gateway/follow/metrics.go
+++ b/gateway/follow/metrics.go
@@ -52,11 +52,11 @@
 
 // Counters of registry entries.
 var (
-	registerCounts = metrics.New("gateway_register")
+	registryCounts = metrics.New("gateway_register")
 	// invalidEntries counts the changes of entries from which no server can be read.
-	invalidEntries = registerCounts.Counter("broken_entries")
+	invalidEntries = registryCounts.Counter("broken_entries")
 	// skippedEntries counts entries of incarnations before the known one.
-	skippedEntries = registerCounts.Counter("entries_of_earlier_runs")
+	skippedEntries = registryCounts.Counter("entries_of_earlier_runs")
 	// serversRestarted counts the restarts of servers.
-	serversRestarted = registerCounts.Counter("runs_replaced")
+	serversRestarted = registryCounts.Counter("runs_replaced")
 )
--- a/gateway/follow/ownership.go
+++ b/gateway/follow/ownership.go
@@ -61,7 +61,9 @@
 }
 
 // Error implements error.
-func (e *RecordError) Error() string { return "record of key " + e.Key + ": " + e.Cause.Error() }
+func (e *RecordError) Error() string {
+	return "invalid record of key " + e.Key + ": " + e.Cause.Error()
+}
 
 // Unwrap returns the cause.
 func (e *RecordError) Unwrap() error { return e.Cause }
--- a/gateway/follow/ownership_test.go
+++ b/gateway/follow/ownership_test.go
@@ -36,7 +36,7 @@
 	g.Expect(o.Known).To(gomega.BeTrue())
 	g.Expect(o.Table.Table.Lessor.Boot).To(gomega.Equal("two"))
 	g.Expect(o.Table.Offset).To(gomega.Equal(store.Offset(1)))
-	g.Expect(o.MovedAt).To(gomega.Equal(after(0)), "the end was seen then")
+	g.Expect(o.MovedAt).To(gomega.Equal(after(0)), "the end was first observed then")
 }
 
 func TestClaimEndsResignation(t *testing.T) {
--- a/gateway/follow/former_test.go
+++ b/gateway/follow/previous_lessor_test.go
@@ -21,16 +21,16 @@
 		return store.Record{Key: key, Offset: at, Value: text}
 	}
 	long, short := int64(8000), int64(500)
-	beat := record(HeartbeatKey, 7, Heartbeat{FormerMs: &short})
+	heartbeat := record(HeartbeatKey, 7, Heartbeat{FormerMs: &short})
 	table := record(TableKey, 5, ranges.Table{FormerMs: &long})
 	for name, row := range map[string]struct {
 		records []store.Record
 		want    time.Duration
 		known   bool
 	}{
-		"in order":                      {[]store.Record{table, beat}, 500 * time.Millisecond, true},
-		"by key":                        {[]store.Record{beat, table}, 500 * time.Millisecond, true},
-		"an earlier release wrote last": {[]store.Record{beat, record(TableKey, 9, ranges.Table{})}, 500 * time.Millisecond, false},
+		"in order":                      {[]store.Record{table, heartbeat}, 500 * time.Millisecond, true},
+		"by key":                        {[]store.Record{heartbeat, table}, 500 * time.Millisecond, true},
+		"an earlier release wrote last": {[]store.Record{heartbeat, record(TableKey, 9, ranges.Table{})}, 500 * time.Millisecond, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
--- a/gateway/follow/turn.go
+++ b/gateway/follow/read_priority.go
@@ -117,7 +117,7 @@
 	case !hasReport:
 		return "start"
 	case p.isFirst():
-		return "first of its zone, no news from the lessor"
+		return "first of its zone, no recent report from the lessor"
 	}
-	return "no news from any node"
+	return "no recent report from any node"
 }
--- a/gateway/follow/turn_test.go
+++ b/gateway/follow/read_priority_test.go
@@ -10,14 +10,14 @@
 	"github.com/burdockspindle/burdockspindle/gateway/view"
 )
 
-// newsAge is the maximum age of the data of a node that follows the lessor.
-const newsAge = configWait + responseTime + followWait
+// maxDataAge is the maximum age of the data of a node that follows the lessor.
+const maxDataAge = configWait + responseTime + followWait
 
 // Only the lessor reads while it sends reports to the other nodes.
 func TestOnlyLessorReadsWhileDataIsRecent(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for rank := -1; rank < 60; rank++ {
-		g.Expect(ReadPriority{Rank: rank, HasSeeds: true, IsSeed: true}.mayRead(newsAge, true)).To(gomega.BeFalse(), "rank %d", rank)
+		g.Expect(ReadPriority{Rank: rank, HasSeeds: true, IsSeed: true}.mayRead(maxDataAge, true)).To(gomega.BeFalse(), "rank %d", rank)
 	}
 	g.Expect(ReadPriority{IsLessor: true}.mayRead(0, true)).To(gomega.BeTrue())
 }
@@ -28,8 +28,8 @@
 	g := gomega.NewWithT(t)
 	for rank := -1; rank < 1000; rank++ {
 		for _, spread := range []float64{0, 0.5, 0.99} {
-			s := ReadPriority{Rank: rank, HasSeeds: true, Spread: spread}
-			g.Expect(s.mayRead(maxRelayContactAge+maxReadDelay+time.Millisecond, true)).To(gomega.BeTrue(), "rank %d", rank)
+			p := ReadPriority{Rank: rank, HasSeeds: true, Spread: spread}
+			g.Expect(p.mayRead(maxRelayContactAge+maxReadDelay+time.Millisecond, true)).To(gomega.BeTrue(), "rank %d", rank)
 		}
 	}
 	g.Expect(maxRelayContactAge + maxReadDelay).To(gomega.BeNumerically("<=", 2*time.Second))
@@ -54,8 +54,8 @@
 	for zone := range 5 {
 		for rank := range 59 {
 			self := view.Member{Node: fmt.Sprintf("z%d-n%d", zone, rank)}
-			s := ReadPriority{Rank: rank, HasSeeds: true, Spread: readPriorityOf(self, &view.View{}, nil).Spread}
-			calls += callsIn(s, outage)
+			p := ReadPriority{Rank: rank, HasSeeds: true, Spread: readPriorityOf(self, &view.View{}, nil).Spread}
+			calls += callsIn(p, outage)
 		}
 	}
 	g.Expect(calls).To(gomega.BeNumerically("<", 295*int(outage/(2*time.Second))))
@@ -63,13 +63,13 @@
 }
 
 // callsIn returns the number of a node's calls to a store that does not respond.
-func callsIn(s ReadPriority, outage time.Duration) int {
+func callsIn(p ReadPriority, outage time.Duration) int {
 	at := time.Duration(0)
-	for !s.mayRead(at, true) {
+	for !p.mayRead(at, true) {
 		at += minReadPause
 	}
 	calls := 0
-	for ; at < outage; at += s.retryPause(calls) {
+	for ; at < outage; at += p.retryPause(calls) {
 		calls++
 	}
 	return calls
@@ -86,17 +86,17 @@
 		if i < len(seeds) {
 			self.Address = seeds[i]
 		}
-		s := readPriorityOf(self, &view.View{}, seeds)
-		if s.mayRead(seedTimeout, false) {
+		p := readPriorityOf(self, &view.View{}, seeds)
+		if p.mayRead(seedTimeout, false) {
 			atOnce++
 		}
-		if s.mayRead(seedTimeout+startSpread/2, false) {
+		if p.mayRead(seedTimeout+startSpread/2, false) {
 			byLater++
 		}
-		g.Expect(s.mayRead(seedTimeout+startSpread, false)).To(gomega.BeTrue())
+		g.Expect(p.mayRead(seedTimeout+startSpread, false)).To(gomega.BeTrue())
 	}
 	g.Expect(atOnce).To(gomega.Equal(3))
-	g.Expect(byLater).To(gomega.BeNumerically("~", 149, 40), "half of those that nobody tells anything")
+	g.Expect(byLater).To(gomega.BeNumerically("~", 149, 40), "half of the nodes that receive no report")
 	alone := readPriorityOf(view.Member{Node: "n"}, &view.View{}, nil)
-	g.Expect(alone.mayRead(0, false)).To(gomega.BeTrue(), "there is nobody to ask")
+	g.Expect(alone.mayRead(0, false)).To(gomega.BeTrue(), "there is no node to call")
 }
--- a/gateway/follow/register.go
+++ b/gateway/follow/registry.go
@@ -61,8 +61,8 @@
 // present returns the number of servers in the registry.
 func (r *Registry) present() int {
 	count := 0
-	for _, known := range r.byName {
-		if known.present {
+	for _, state := range r.byName {
+		if state.present {
 			count++
 		}
 	}
@@ -75,16 +75,16 @@
 	for id, server := range reported.Servers {
 		name := id.Name()
 		names[name] = true
-		known := r.byName[name]
-		if known == nil {
-			known = &incarnations{}
-			r.byName[name] = known
+		state := r.byName[name]
+		if state == nil {
+			state = &incarnations{}
+			r.byName[name] = state
 		}
-		known.adopt(server)
+		state.adopt(server)
 	}
-	for name, known := range r.byName {
+	for name, state := range r.byName {
 		if !names[name] {
-			known.markLeft(now)
+			state.markLeft(now)
 		}
 	}
 	r.next = next
@@ -113,19 +113,19 @@
 // invalid if an earlier entry of the name has one; the error is then a *StartMissingError.
 func (r *Registry) Put(entry site.Entry, end store.Offset, now time.Time) (applied bool, err error) {
 	name := entry.ID.Name()
-	known := r.byName[name]
-	if known == nil {
-		known = &incarnations{}
-		r.byName[name] = known
+	state := r.byName[name]
+	if state == nil {
+		state = &incarnations{}
+		r.byName[name] = state
 	}
-	switch known.classify(entry, now) {
+	switch state.classify(entry, now) {
 	case fromEarlier:
 		return false, nil
 	case missingStart:
 		r.Invalidate(name, end, now)
-		return false, &StartMissingError{Known: known.start}
+		return false, &StartMissingError{Known: state.start}
 	}
-	if known.setCurrent(entry.Server) {
+	if state.setCurrent(entry.Server) {
 		r.changeOffset = max(r.changeOffset, end)
 	}
 	return true, nil
@@ -134,27 +134,27 @@
 // Remove applies the deletion of a server's record before the offset end. It affects the
 // current incarnation, whichever incarnation wrote the record.
 func (r *Registry) Remove(name site.ServerName, end store.Offset, now time.Time) {
-	known := r.byName[name]
-	if known == nil {
+	state := r.byName[name]
+	if state == nil {
 		return
 	}
-	if known.present && now.Before(r.graceEnd) {
-		known.missing = true
+	if state.present && now.Before(r.graceEnd) {
+		state.missing = true
 		return
 	}
-	r.markLeft(known, end, now)
+	r.markLeft(state, end, now)
 }
 
 // Invalidate applies an invalid record. The server of that name is removed at once, because
 // the record shows that another writer uses its key.
 func (r *Registry) Invalidate(name site.ServerName, end store.Offset, now time.Time) {
-	if known := r.byName[name]; known != nil {
-		r.markLeft(known, end, now)
+	if state := r.byName[name]; state != nil {
+		r.markLeft(state, end, now)
 	}
 }
 
-func (r *Registry) markLeft(known *incarnations, end store.Offset, now time.Time) {
-	if known.markLeft(now) {
+func (r *Registry) markLeft(state *incarnations, end store.Offset, now time.Time) {
+	if state.markLeft(now) {
 		r.changeOffset = max(r.changeOffset, end)
 	}
 }
@@ -173,18 +173,18 @@
 // rest have left.
 func (r *Registry) Servers(current map[site.ServerID]site.Server, now time.Time) view.Servers {
 	servers := make(map[site.ServerID]site.Server, len(r.byName))
-	for name, known := range r.byName {
-		if known.missing && !now.Before(r.graceEnd) {
-			r.markLeft(known, r.next, now)
+	for name, state := range r.byName {
+		if state.missing && !now.Before(r.graceEnd) {
+			r.markLeft(state, r.next, now)
 		}
-		if !known.present {
-			if now.Sub(known.leftAt) > retainIncarnations {
+		if !state.present {
+			if now.Sub(state.leftAt) > retainIncarnations {
 				delete(r.byName, name)
 			}
 			continue
 		}
-		if _, isCurrent := current[known.current.ID]; isCurrent || !known.missing {
-			servers[known.current.ID] = known.current
+		if _, isCurrent := current[state.current.ID]; isCurrent || !state.missing {
+			servers[state.current.ID] = state.current
 		}
 	}
 	return view.Servers{Offset: r.changeOffset, Servers: servers}
--- a/gateway/follow/register_test.go
+++ b/gateway/follow/registry_test.go
@@ -91,8 +91,8 @@
 	r := filled()
 	r.NoteReadFailed(after(time.Second))
 	r.Retain(nil, 20, after(5*time.Second))
-	shown := map[site.ServerID]site.Server{"b": {ID: "b"}}
-	servers := r.Servers(shown, after(5*time.Second)).Servers
+	current := map[site.ServerID]site.Server{"b": {ID: "b"}}
+	servers := r.Servers(current, after(5*time.Second)).Servers
 	g.Expect(servers).NotTo(gomega.HaveKey(site.ServerID("a")))
 	g.Expect(servers).To(gomega.HaveKey(site.ServerID("b")))
 }
--- a/gateway/follow/routes.go
+++ b/gateway/follow/routes.go
@@ -151,7 +151,7 @@
 	if len(message.Keys) != len(message.Owners) {
 		return nil, false
 	}
-	reader := routeReader{servers: message.Servers, silent: message.SilentMs}
+	reader := routeReader{servers: message.Servers, remaining: message.SilentMs}
 	list = make([]ranges.Route, 0, len(message.Keys)+len(before))
 	from := ranges.Key(0)
 	for i, keys := range message.Keys {
@@ -179,8 +179,8 @@
 
 // routeReader decodes the routes of one message in order.
 type routeReader struct {
-	servers []string
-	silent  []uint32 // remaining times that have not been read yet, in milliseconds
+	servers   []string
+	remaining []uint32 // remaining times that have not been read yet, in milliseconds
 }
 
 func (r *routeReader) read(span ranges.Span, owner uint32) (route ranges.Route, ok bool) {
@@ -195,11 +195,11 @@
 	if state != ranges.Silent {
 		return route, true
 	}
-	if len(r.silent) == 0 {
+	if len(r.remaining) == 0 {
 		return ranges.Route{}, false
 	}
-	route.Until = clock.Now().Add(time.Duration(r.silent[0]) * time.Millisecond)
-	r.silent = r.silent[1:]
+	route.Until = clock.Now().Add(time.Duration(r.remaining[0]) * time.Millisecond)
+	r.remaining = r.remaining[1:]
 	return route, true
 }
 
--- a/gateway/follow/telling_test.go
+++ b/gateway/follow/servers_message_test.go
@@ -24,12 +24,12 @@
 
 // send sends the registry of one node to another, and returns the size of the message in
 // bytes.
-func send(t *testing.T, teller *serversEncoder, from, to *view.State) int {
+func send(t *testing.T, encoder *serversEncoder, from, to *view.State) int {
 	t.Helper()
 	g := gomega.NewWithT(t)
-	asked := &bspb.FollowRequest{ServersSum: to.Now().ServersSum()}
+	msg := &bspb.FollowRequest{ServersSum: to.Now().ServersSum()}
 	reply := &bspb.FollowReply{}
-	g.Expect(teller.encode(reply, asked, from.Now())).To(gomega.Succeed())
+	g.Expect(encoder.encode(reply, msg, from.Now())).To(gomega.Succeed())
 	servers, found, err := decodeRegistry(reply, to.Now())
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(found).To(gomega.BeTrue())
@@ -43,29 +43,29 @@
 func TestChangeOfRegistryIsSmall(t *testing.T) {
 	g := gomega.NewWithT(t)
 	lessor, node := view.NewState(), view.NewState()
-	var teller serversEncoder
+	var encoder serversEncoder
 	lessor.MergeServers(registryOf(100, 0, 720))
-	whole := send(t, &teller, lessor, node)
-	g.Expect(whole).To(gomega.BeNumerically("<", 40_000), "bytes of the whole register")
+	whole := send(t, &encoder, lessor, node)
+	g.Expect(whole).To(gomega.BeNumerically("<", 40_000), "bytes of the whole registry")
 	for i := 1; i <= 5; i++ {
 		lessor.MergeServers(registryOf(store.Offset(100+100*i), 8*i, 720+8*i))
-		changed := send(t, &teller, lessor, node)
-		g.Expect(changed).To(gomega.BeNumerically("<", 20_000_000/8/16/5), "bytes of a change: five a second to 16 nodes fit the link")
+		changed := send(t, &encoder, lessor, node)
+		g.Expect(changed).To(gomega.BeNumerically("<", 20_000_000/8/16/5), "bytes of a change: five per second to 16 nodes must fit the link")
 	}
 }
 
 func TestNodeFarBehindReceivesWholeRegistry(t *testing.T) {
 	g := gomega.NewWithT(t)
 	lessor, node := view.NewState(), view.NewState()
-	var teller serversEncoder
+	var encoder serversEncoder
 	lessor.MergeServers(registryOf(100, 0, 720))
-	send(t, &teller, lessor, node)
+	send(t, &encoder, lessor, node)
 	other := view.NewState()
 	for i := 1; i <= 2*maxRecent; i++ {
 		lessor.MergeServers(registryOf(store.Offset(100+100*i), 0, 720+i))
-		send(t, &teller, lessor, other)
+		send(t, &encoder, lessor, other)
 	}
-	g.Expect(send(t, &teller, lessor, node)).To(gomega.BeNumerically(">", 5000))
+	g.Expect(send(t, &encoder, lessor, node)).To(gomega.BeNumerically(">", 5000))
 	g.Expect(node.Now().Servers.Servers).To(gomega.HaveLen(720 + 2*maxRecent))
 }
 
@@ -75,16 +75,16 @@
 func TestChangeOfAnotherRegistryIsNotApplied(t *testing.T) {
 	g := gomega.NewWithT(t)
 	lessor, node := view.NewState(), view.NewState()
-	var teller serversEncoder
+	var encoder serversEncoder
 	lessor.MergeServers(registryOf(100, 0, 10))
-	send(t, &teller, lessor, node)
-	asked := &bspb.FollowRequest{ServersSum: node.Now().ServersSum()}
+	send(t, &encoder, lessor, node)
+	msg := &bspb.FollowRequest{ServersSum: node.Now().ServersSum()}
 	lessor.MergeServers(registryOf(200, 0, 12))
 	reply := &bspb.FollowReply{}
-	g.Expect(teller.encode(reply, asked, lessor.Now())).To(gomega.Succeed())
+	g.Expect(encoder.encode(reply, msg, lessor.Now())).To(gomega.Succeed())
 	node.MergeServers(registryOf(150, 5, 10))
 	_, found, err := decodeRegistry(reply, node.Now())
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(found).To(gomega.BeFalse())
-	send(t, &teller, lessor, node)
+	send(t, &encoder, lessor, node)
 }
--- a/gateway/follow/source.go
+++ b/gateway/follow/source.go
@@ -65,30 +65,30 @@
 		list = append(list, source{address: lessor.Address, lessor: true})
 	}
 	others := slices.DeleteFunc(slices.Clone(seeds), func(address string) bool { return address == self.Address })
-	asked := make([]source, 0, len(others)+1)
+	fromSeeds := make([]source, 0, len(others)+1)
 	for i := range others {
-		asked = append(asked, source{address: others[(relayOffset(self)+i)%len(others)]})
+		fromSeeds = append(fromSeeds, source{address: others[(relayOffset(self)+i)%len(others)]})
 	}
 	if slices.Contains(seeds, self.Address) {
-		return append(list, asked...)
+		return append(list, fromSeeds...)
 	}
-	return append(asked, list...)
+	return append(fromSeeds, list...)
 }
 
 // firstOfOtherZones returns the node with the highest capacity of each other zone. They are
 // the last resort of a node whose own zone has no data.
 func firstOfOtherZones(self view.Member, v *view.View) []source {
-	strongest := map[string]view.Member{}
+	byZone := map[string]view.Member{}
 	for _, m := range v.Members {
 		if m.Zone == self.Zone || m.Boot == v.Routes.Lessor.Boot {
 			continue
 		}
-		if best, exists := strongest[m.Zone]; !exists || compareCapacity(m, best) < 0 {
-			strongest[m.Zone] = m
+		if best, exists := byZone[m.Zone]; !exists || compareCapacity(m, best) < 0 {
+			byZone[m.Zone] = m
 		}
 	}
-	list := make([]source, 0, len(strongest))
-	for _, m := range strongest {
+	list := make([]source, 0, len(byZone))
+	for _, m := range byZone {
 		list = append(list, source{address: m.Address})
 	}
 	slices.SortFunc(list, func(a, b source) int { return strings.Compare(a.address, b.address) })
--- a/gateway/follow/source_test.go
+++ b/gateway/follow/source_test.go
@@ -44,7 +44,7 @@
 func TestLargeSiteIsServedByRelaysOfHighCapacity(t *testing.T) {
 	g := gomega.NewWithT(t)
 	v := siteOf("a-0", map[string]int{"a": 26, "b": 29, "c": 32})
-	toldBy := map[string]int{}
+	followers := map[string]int{}
 	for _, m := range v.Members {
 		list := sources(m, v, nil)
 		if m.Node == "a-0" {
@@ -53,15 +53,15 @@
 		}
 		g.Expect(list).To(gomega.ContainElement(source{address: "a-0:1", lessor: true}))
 		for _, s := range list[len(list)-2:] {
-			g.Expect(s.address).NotTo(gomega.HavePrefix(m.Zone), "the last resort are the first nodes of other zones")
+			g.Expect(s.address).NotTo(gomega.HavePrefix(m.Zone), "the last resort is the first nodes of other zones")
 		}
-		toldBy[list[0].address]++
+		followers[list[0].address]++
 	}
-	g.Expect(toldBy["a-0:1"]).To(gomega.Equal(6), "the relays: two of each zone")
-	delete(toldBy, "a-0:1")
-	g.Expect(toldBy).To(gomega.HaveLen(6))
-	for address, count := range toldBy {
-		g.Expect(address).To(gomega.MatchRegexp("-(0|1|10):1$"), "a strong node, or the next of the lessor's zone")
+	g.Expect(followers["a-0:1"]).To(gomega.Equal(6), "the relays: two of each zone")
+	delete(followers, "a-0:1")
+	g.Expect(followers).To(gomega.HaveLen(6))
+	for address, count := range followers {
+		g.Expect(address).To(gomega.MatchRegexp("-(0|1|10):1$"), "a node of high capacity, or the next of the lessor's zone")
 		g.Expect(count).To(gomega.BeNumerically("<=", 2*membersPerRelay))
 	}
 }
@@ -99,7 +99,7 @@
 		asked[list[0].address]++
 	}
 	for _, seed := range seeds {
-		g.Expect(asked[seed]).To(gomega.BeNumerically("~", 20, 12), "each seed is asked by about a third")
+		g.Expect(asked[seed]).To(gomega.BeNumerically("~", 20, 12), "each seed is called by about a third")
 	}
 	seed := view.Member{Node: "a-0", Boot: "x", Address: "a-0:1"}
 	g.Expect(sources(seed, v, seeds)).To(gomega.HaveLen(2), "not itself")
@@ -114,7 +114,7 @@
 	v := siteOf("a-0", map[string]int{"a": 3, "b": 3})
 	rank, known := Rank(memberNamed(v, "a-1"), v)
 	g.Expect(known).To(gomega.BeTrue())
-	g.Expect(rank).To(gomega.Equal(0), "the lessor that is replaced does not count")
+	g.Expect(rank).To(gomega.Equal(0), "the replaced lessor is not counted")
 	rank, _ = Rank(memberNamed(v, "b-2"), v)
 	g.Expect(rank).To(gomega.Equal(4))
 	_, known = Rank(memberNamed(v, "c-0"), v)
