--- a/gateway/view/servers.go
+++ b/gateway/view/servers.go
@@ -10,14 +10,14 @@
 	"github.com/burdockspindle/burdockspindle/gateway/store"
 )
 
-// Servers is the register of servers as of an offset.
+// Servers is the registry of servers as of an offset.
 type Servers struct {
-	Offset  store.Offset                  `json:"offset"` // after the last record that it holds
+	Offset  store.Offset                  `json:"offset"` // after the last record that is included
 	Servers map[site.ServerID]site.Server `json:"servers"`
 }
 
-// sum returns a number that differs for registers that differ. The warm-up is left
-// out: it counts down with every write of a server, which is no change.
+// sum returns a number that differs for different registries. It ignores the warm-up, which
+// decreases with every write of a server and is not treated as a change.
 func (s Servers) sum() uint64 {
 	var sum serversSum
 	for _, server := range s.Servers {
@@ -26,8 +26,8 @@
 	return sum.total
 }
 
-// serversSum adds up what servers are; their order does not matter, so that a server can
-// be put or dropped without a look at the others.
+// serversSum adds up hashes of servers. The sum does not depend on their order, so that a
+// server can be added or removed without reading the others.
 type serversSum struct {
 	total uint64
 	text  []byte
@@ -46,13 +46,13 @@
 	return xxhash.Sum64(s.text)
 }
 
-// ServersChange leads from one register to a later one.
+// ServersChange is the difference between a registry and a later one.
 type ServersChange struct {
 	Put  []site.Server
 	Drop []site.ServerID
 }
 
-// ChangeTo returns what leads to a later register.
+// ChangeTo returns the change to a later registry.
 func (s Servers) ChangeTo(later Servers) ServersChange {
 	var change ServersChange
 	for id, server := range later.Servers {
@@ -70,8 +70,9 @@
 	return change
 }
 
-// ServersWith returns the register of a view after a change, as of an offset, if its sum
-// is the one given; ok is false if the change began with another register.
+// ServersWith applies a change to the registry of a view and returns the result as of an
+// offset. ok is false if its sum is not the given one, because the change starts from
+// another registry.
 func (v *View) ServersWith(change ServersChange, offset store.Offset, sum uint64) (changed Servers, ok bool) {
 	servers := maps.Clone(v.Servers.Servers)
 	if servers == nil {
--- a/gateway/view/servers_test.go
+++ b/gateway/view/servers_test.go
@@ -10,8 +10,8 @@
 	"github.com/burdockspindle/burdockspindle/gateway/store"
 )
 
-// registerAt returns a register of servers of three services, without those in gone and
-// with later runs of those in again.
+// registryAt returns a registry of servers of three services, without the servers in gone
+// and with later incarnations of those in again.
 func registerAt(offset store.Offset, size int, gone, again map[int]bool) Servers {
 	servers := Servers{Offset: offset, Servers: map[site.ServerID]site.Server{}}
 	for i := range size {
@@ -28,9 +28,9 @@
 	return servers
 }
 
-// The load: 295 nodes take every change of a register of 720 servers, and on release days
-// there are some in a second. What a change costs must not grow with the services that it
-// does not touch: their pools are left alone.
+// Load: 295 nodes apply every change of a registry of 720 servers, with several changes per
+// second on release days. The cost of a change must not grow with the services that it does
+// not affect: their pools remain unchanged.
 func TestAServiceKeepsItsListWhileItsServersStay(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := NewState()
@@ -48,8 +48,8 @@
 	g.Expect(s.Now().ServersOf("service-1")).To(gomega.BeEmpty())
 }
 
-// Nodes ask for what differs from the register with their sum: it must be that of the
-// whole register, by whatever changes they came to it.
+// Nodes request the difference from the registry with their sum, so the sum must be that of
+// the whole registry, independent of the sequence of changes.
 func TestTheSumOfARegisterIsTheSameByEveryWay(t *testing.T) {
 	g := gomega.NewWithT(t)
 	atOnce, bySteps := NewState(), NewState()
@@ -73,8 +73,8 @@
 	g.Expect(ok).To(gomega.BeFalse(), "it began with another register")
 }
 
-// Warm-up counts down with every write of a server. The lists show it; the sum does not
-// tell it, so that it is no news.
+// The warm-up decreases with every write of a server. The lists contain it, but the sum
+// does not, so that it is not sent as a change.
 func TestAWarmUpIsShownAndIsNoNews(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := NewState()
@@ -89,7 +89,7 @@
 	g.Expect(s.Now().ServersOf("service-1")).To(gomega.ConsistOf(warming))
 }
 
-// MembersSum is asked for twice in every call between nodes.
+// MembersHash is called twice in every call between nodes, so the view stores it.
 func TestTheSumOfTheMembersFollowsTheList(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := NewState()
--- a/gateway/view/starts.go
+++ b/gateway/view/starts.go
@@ -8,24 +8,25 @@
 )
 
 const (
-	// mostStarts is how many starts of servers that have left are remembered. Names
-	// are rarely reused after that many others.
+	// maxStarts is the number of servers that have left whose start times are kept. Names
+	// are rarely reused after that many other servers.
 	mostStarts = 1000
-	// toldFor is for how long an earlier run must be told without a break to be
-	// taken. A wrong register is put right by the next write of the later run, after
-	// 0.87 s, or when the entry of an ended one lapses, after three heartbeats.
+	// acceptAfter is how long an earlier incarnation must be reported without interruption
+	// to be accepted. An incorrect registry is corrected by the next write of the later
+	// incarnation, after 0.87 s, or when the entry of an ended one expires, after three
+	// heartbeats.
 	toldFor = 5 * time.Second
 )
 
-// starts holds the start of the latest known run of each server, also after it has
-// left. A node whose register began with a snapshot may know a late write of an
-// earlier run as the newest record, and tell it with a newer offset.
+// latestStarts holds the start time of the latest known incarnation of each server, also
+// after it has left. A node whose registry started with a snapshot may have a late write of
+// an earlier incarnation as the newest record, and report it with a newer offset.
 type starts struct {
 	known map[site.ServerName]time.Time
 	held  map[site.ServerName]heldRun
 }
 
-// heldRun is an earlier run that is told and not taken.
+// deferredServer is an earlier incarnation that is reported and not accepted yet.
 type heldRun struct {
 	server site.Server
 	since  time.Time
@@ -35,14 +36,14 @@
 	return starts{known: map[site.ServerName]time.Time{}, held: map[site.ServerName]heldRun{}}
 }
 
-// latest returns the runs of a newer register, with the shown run in place of an
-// earlier one.
+// merge returns the servers of a newer registry, with the current incarnation in place of a
+// reported earlier one.
 func (s *starts) latest(told, shown map[site.ServerID]site.Server, now time.Time) map[site.ServerID]site.Server {
 	heldBefore := s.held
 	s.held = map[site.ServerName]heldRun{}
 	for id, server := range told {
 		if _, isShown := shown[id]; isShown {
-			continue // it has been taken
+			continue // accepted before
 		}
 		if id.Start().Before(s.known[id.Name()]) && !server.ClockSetBack {
 			s.hold(server, heldBefore[id.Name()], now)
@@ -58,8 +59,8 @@
 	return latest
 }
 
-// inPlaceOfHeld returns the runs that are told, with the shown ones in place of those
-// that are not taken.
+// replaceDeferred returns the reported servers, with the current incarnations in place of
+// the deferred ones.
 func (s *starts) inPlaceOfHeld(told, shown map[site.ServerID]site.Server) map[site.ServerID]site.Server {
 	latest := maps.Clone(told)
 	for _, held := range s.held {
@@ -73,7 +74,8 @@
 	return latest
 }
 
-// hold keeps an earlier run that is told, since when it is.
+// deferServer defers a reported earlier incarnation, and keeps the time of its first
+// report.
 func (s *starts) hold(server site.Server, before heldRun, now time.Time) {
 	if before.server.ID == server.ID {
 		now = before.since
@@ -87,8 +89,8 @@
 	}
 }
 
-// settle puts the runs that have been told for long into a register that is shown.
-// It returns nil if there are none.
+// accept adds the incarnations that have been reported for acceptAfter to the current
+// registry. It returns nil if there are none.
 func (s *starts) settle(shown map[site.ServerID]site.Server, now time.Time) map[site.ServerID]site.Server {
 	due := map[site.ServerName]site.Server{}
 	for name, held := range s.held {
@@ -114,7 +116,7 @@
 	return settled
 }
 
-// forget drops the starts of servers that have left, once they are many.
+// prune removes the start times of servers that have left if there are too many.
 func (s *starts) forget(present map[site.ServerID]site.Server) {
 	if len(s.known) <= mostStarts+len(present) {
 		return
--- a/gateway/view/view.go
+++ b/gateway/view/view.go
@@ -1,7 +1,7 @@
-// Package view holds what a node believes of the site: the configuration, the
-// registered servers, and who owns which keys. Each part carries the position
-// in the store that it stems from, so that parts from the store and from other
-// nodes are merged in any order and none ever goes back.
+// Package view holds what a node knows of the site: the configuration, the registered
+// servers and the owners of keys. Each part has the position in the store that it comes
+// from, so that parts from the store and from other nodes can be merged in any order and no
+// part is replaced by an older one.
 package view
 
 import (
@@ -27,10 +27,10 @@
 	Table  *ranges.Table
 }
 
-// Version orders what the lessors of a site tell.
+// Version orders the data that the lessors of a site send.
 type Version struct {
-	Offset store.Offset // of the table with which it belongs
-	Serial uint64       // grows with each change under it
+	Offset store.Offset // of the table that the data belongs to
+	Serial uint64       // grows with each change under the table
 }
 
 // IsAfter reports whether a version is newer than another one.
@@ -38,20 +38,20 @@
 	return v.Offset > other.Offset || v.Offset == other.Offset && v.Serial > other.Serial
 }
 
-// Routes tells where the requests of keyed services go, as the lessor of the
-// table at an offset knows it.
+// Routes contains the owners of the ranges of keyed services, as known to the lessor of the
+// table at an offset.
 type Routes struct {
 	Lessor   ranges.Lessor
 	Offset   store.Offset // of the table
-	Serial   uint64       // grows with each change; 0: made from the table alone
+	Serial   uint64       // grows with each change; 0 means that the routes come from the table alone
 	Services map[site.ServiceName][]ranges.Route
 }
 
 // Version returns the version of the routes.
 func (r Routes) Version() Version { return Version{Offset: r.Offset, Serial: r.Serial} }
 
-// Shares tells which part of the requests for servers' keys may be sent, as the lessor
-// of the table at an offset decided.
+// Shares contains the share of the requests for each server's keys that may be sent, as set
+// by the lessor of the table at an offset.
 type Shares struct {
 	Offset store.Offset
 	Serial uint64 // grows with each change and repetition
@@ -62,15 +62,15 @@
 // Version returns the version of the shares.
 func (s Shares) Version() Version { return Version{Offset: s.Offset, Serial: s.Serial} }
 
-// View is one state of what a node believes. It is never changed.
+// View is a snapshot of what a node knows. It is immutable.
 type View struct {
-	Config  *site.Config // nil: none seen yet
+	Config  *site.Config // nil before the first
 	Servers Servers
-	Table   Table  // the newest that this node itself has read or written
+	Table   Table  // the newest that this node has read or written
 	Routes  Routes // may belong to a newer table
 	Shares  Shares
-	// Members are the nodes that share the servers with this one, itself included;
-	// empty: not known.
+	// Members are the nodes that share the servers with this one, including itself; empty
+	// if they are not known.
 	Members []Member
 
 	byService  map[site.ServiceName][]site.Server
@@ -78,17 +78,18 @@
 	membersSum uint64
 }
 
-// Member is one run of a node.
+// Member is one incarnation of a node.
 type Member struct {
 	Node    string `json:"node"`
 	Boot    string `json:"boot"`
 	Zone    string `json:"zone"`
-	Address string `json:"address"` // of its peer listener
-	// Strength is what the node can do for others, in processor cores.
+	Address string `json:"address"` // of its listener for other nodes
+	// Capacity is the capacity of the node for work on behalf of other nodes, in processor
+	// cores.
 	Strength float64 `json:"strength,omitempty"`
 }
 
-// SumMembers tells two lists of members apart.
+// HashMembers returns a hash that distinguishes lists of members.
 func SumMembers(list []Member) uint64 {
 	hash := xxhash.New()
 	for _, m := range list {
@@ -100,20 +101,21 @@
 	return hash.Sum64()
 }
 
-// Complete reports whether requests can be served.
+// IsComplete reports whether requests can be served.
 func (v *View) Complete() bool { return v.Config != nil && v.Servers.Offset > 0 }
 
-// ServersSum tells two registers apart, whatever their offsets.
+// ServersSum returns a sum that distinguishes registries, independent of their offsets.
 func (v *View) ServersSum() uint64 { return v.serversSum }
 
-// MembersSum tells two lists of members apart.
+// MembersHash returns a hash that distinguishes lists of members.
 func (v *View) MembersSum() uint64 { return v.membersSum }
 
 // ServersOf returns the registered servers of a service.
 func (v *View) ServersOf(service site.ServiceName) []site.Server { return v.byService[service] }
 
-// StartedAgain reports whether the register shows another run of a server under its
-// name. What the earlier run owned is not owned by that one until it is granted anew.
+// Restarted reports whether the registry has another incarnation of a server under its
+// name. The ranges of the previous incarnation are not owned by the new one until they are
+// granted again.
 func (v *View) StartedAgain(id site.ServerID) bool {
 	_, exists := ranges.LaterRun(v.Servers.Servers, id)
 	return exists
@@ -129,7 +131,7 @@
 	return routes[i], true
 }
 
-// State keeps the present view.
+// State holds the current view.
 type State struct {
 	mu      sync.Mutex
 	current atomic.Pointer[View]
@@ -137,21 +139,21 @@
 	starts  starts // guarded by mu
 }
 
-// NewState returns the state of a node that knows nothing yet.
+// NewState returns the state of a node without any data.
 func NewState() *State {
 	s := &State{starts: newStarts()}
 	s.current.Store(new(View))
 	return s
 }
 
-// Now returns the present view.
+// Now returns the current view.
 func (s *State) Now() *View { return s.current.Load() }
 
-// Changed returns a channel that is closed when the view changes. It must be
-// taken before Now.
+// Changed returns a channel that is closed when the view changes. It must be called before
+// Now.
 func (s *State) Changed() <-chan struct{} { return s.changed.Next() }
 
-// update replaces the view by a changed copy, if change reports one.
+// update replaces the view by a changed copy, if change reports that there is a change.
 func (s *State) update(change func(next *View) bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,7 +166,7 @@
 	return true
 }
 
-// MergeConfig takes a configuration if it is newer, and reports whether it was.
+// MergeConfig applies a configuration if it is newer, and reports whether it was.
 func (s *State) MergeConfig(config *site.Config) bool {
 	return s.update(func(next *View) bool {
 		if config == nil || next.Config != nil && config.Version <= next.Config.Version {
@@ -175,8 +177,8 @@
 	})
 }
 
-// MergeServers takes a register if it is newer. Of each server it takes the run
-// that is the latest by all registers taken so far.
+// MergeServers applies a registry if it is newer. Of each server it uses the latest
+// incarnation in all registries applied so far.
 func (s *State) MergeServers(servers Servers) bool {
 	return s.update(func(next *View) bool {
 		if servers.Offset <= next.Servers.Offset {
@@ -188,7 +190,8 @@
 	})
 }
 
-// SettleServers takes earlier runs that other nodes have told for long.
+// AcceptDeferred accepts earlier incarnations that other nodes have reported for long
+// enough.
 func (s *State) SettleServers() bool {
 	return s.update(func(next *View) bool {
 		settled := s.starts.settle(next.Servers.Servers, clock.Now())
@@ -200,8 +203,8 @@
 	})
 }
 
-// setServers replaces the register. The lists of services whose servers stay the same are
-// kept, so that those who hold one see that they need not look.
+// setServers replaces the registry. The lists of services whose servers are unchanged are
+// kept, so that holders of a list can detect that nothing changed.
 func (v *View) setServers(servers Servers) {
 	sum := serversSum{total: v.serversSum}
 	touched := map[site.ServiceName]bool{}
@@ -228,7 +231,7 @@
 	v.listServices(touched)
 }
 
-// listServices makes the lists of services anew whose servers have changed.
+// listServices rebuilds the lists of services whose servers have changed.
 func (v *View) listServices(touched map[site.ServiceName]bool) {
 	if len(touched) == 0 {
 		return
@@ -248,8 +251,8 @@
 	v.byService = lists
 }
 
-// MergeTable takes a table if it is newer. If nothing newer is known of its
-// ranges it replaces the routes: the owners are taken to serve their ranges.
+// MergeTable applies a table if it is newer. If there are no newer routes, it also replaces
+// the routes: the owners are assumed to serve their ranges.
 func (s *State) MergeTable(table Table) bool {
 	return s.update(func(next *View) bool {
 		if next.Table.Table != nil && table.Offset <= next.Table.Offset {
@@ -263,7 +266,7 @@
 	})
 }
 
-// routesOf returns the routes of a table whose lessor has not been heard yet.
+// routesOf returns the routes of a table whose lessor has not sent any yet.
 func routesOf(table Table) Routes {
 	routes := Routes{Lessor: table.Table.Lessor, Offset: table.Offset, Services: map[site.ServiceName][]ranges.Route{}}
 	for service, assignments := range table.Table.Services {
@@ -278,7 +281,7 @@
 	return routes
 }
 
-// MergeRoutes takes the routes of a lessor unless newer ones are known.
+// MergeRoutes applies the routes of a lessor unless newer ones are known.
 func (s *State) MergeRoutes(routes Routes) bool {
 	return s.update(func(next *View) bool {
 		if next.Routes.Lessor.Boot != "" && !routes.Version().IsAfter(next.Routes.Version()) {
@@ -289,7 +292,7 @@
 	})
 }
 
-// MergeShares takes the shares of a lessor unless newer ones are known.
+// MergeShares applies the shares of a lessor unless newer ones are known.
 func (s *State) MergeShares(shares Shares) bool {
 	return s.update(func(next *View) bool {
 		if !shares.Version().IsAfter(next.Shares.Version()) {
@@ -317,10 +320,10 @@
 
 // Codec decodes the records of the store that others write.
 type Codec interface {
-	// Config decodes a record of the configurations' topic; found is false for
-	// records that are none.
+	// Config decodes a record of the configurations' topic. found is false if the record is
+	// not a configuration.
 	Config(key string, value []byte) (config *site.Config, found bool, err error)
-	// Entry decodes a server's record. It is whole, or an error tells what is wrong
-	// with it.
+	// Entry decodes a server's record. It returns a complete entry, or an error that
+	// describes the fault.
 	Entry(key string, value []byte) (site.Entry, error)
 }
