--- a/gateway/view/servers_test.go
+++ b/gateway/view/servers_test.go
@@ -12,7 +12,7 @@
 
 // registryAt returns a registry of servers of three services, without the servers in gone
 // and with later incarnations of those in again.
-func registerAt(offset store.Offset, size int, gone, again map[int]bool) Servers {
+func registryAt(offset store.Offset, size int, gone, again map[int]bool) Servers {
 	servers := Servers{Offset: offset, Servers: map[site.ServerID]site.Server{}}
 	for i := range size {
 		if gone[i] {
@@ -31,12 +31,12 @@
 // Load: 295 nodes apply every change of a registry of 720 servers, with several changes per
 // second on release days. The cost of a change must not grow with the services that it does
 // not affect: their pools remain unchanged.
-func TestAServiceKeepsItsListWhileItsServersStay(t *testing.T) {
+func TestServiceKeepsItsListWhileItsServersAreUnchanged(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := NewState()
-	s.MergeServers(registerAt(1, 720, nil, nil))
+	s.MergeServers(registryAt(1, 720, nil, nil))
 	before := s.Now()
-	s.MergeServers(registerAt(2, 720, map[int]bool{3: true}, map[int]bool{6: true}))
+	s.MergeServers(registryAt(2, 720, map[int]bool{3: true}, map[int]bool{6: true}))
 	after := s.Now()
 	g.Expect(after.ServersOf("service-0")).To(gomega.HaveLen(len(before.ServersOf("service-0")) - 1))
 	for _, service := range []site.ServiceName{"service-1", "service-2"} {
@@ -50,37 +50,37 @@
 
 // Nodes request the difference from the registry with their sum, so the sum must be that of
 // the whole registry, independent of the sequence of changes.
-func TestTheSumOfARegisterIsTheSameByEveryWay(t *testing.T) {
+func TestSumOfRegistryIsIndependentOfChangeSequence(t *testing.T) {
 	g := gomega.NewWithT(t)
 	atOnce, bySteps := NewState(), NewState()
-	bySteps.MergeServers(registerAt(1, 20, nil, nil))
-	bySteps.MergeServers(registerAt(2, 25, map[int]bool{3: true}, nil))
-	bySteps.MergeServers(registerAt(3, 25, map[int]bool{4: true}, map[int]bool{3: true, 7: true}))
-	whole := registerAt(3, 25, map[int]bool{4: true}, map[int]bool{3: true, 7: true})
+	bySteps.MergeServers(registryAt(1, 20, nil, nil))
+	bySteps.MergeServers(registryAt(2, 25, map[int]bool{3: true}, nil))
+	bySteps.MergeServers(registryAt(3, 25, map[int]bool{4: true}, map[int]bool{3: true, 7: true}))
+	whole := registryAt(3, 25, map[int]bool{4: true}, map[int]bool{3: true, 7: true})
 	atOnce.MergeServers(whole)
 	g.Expect(bySteps.Now().ServersSum()).To(gomega.Equal(atOnce.Now().ServersSum()))
 	g.Expect(bySteps.Now().ServersSum()).To(gomega.Equal(whole.sum()))
 
-	told := NewState()
-	told.MergeServers(registerAt(1, 20, nil, nil))
-	change := told.Now().Servers.ChangeTo(whole)
-	changed, ok := told.Now().ServersWith(change, 3, whole.sum())
+	reported := NewState()
+	reported.MergeServers(registryAt(1, 20, nil, nil))
+	change := reported.Now().Servers.ChangeTo(whole)
+	changed, ok := reported.Now().ServersWith(change, 3, whole.sum())
 	g.Expect(ok).To(gomega.BeTrue())
-	told.MergeServers(changed)
-	g.Expect(told.Now().Servers).To(gomega.Equal(whole))
-	g.Expect(told.Now().ServersSum()).To(gomega.Equal(whole.sum()))
+	reported.MergeServers(changed)
+	g.Expect(reported.Now().Servers).To(gomega.Equal(whole))
+	g.Expect(reported.Now().ServersSum()).To(gomega.Equal(whole.sum()))
 	_, ok = bySteps.Now().ServersWith(change, 3, whole.sum()+1)
-	g.Expect(ok).To(gomega.BeFalse(), "it began with another register")
+	g.Expect(ok).To(gomega.BeFalse(), "the change starts from another registry")
 }
 
 // The warm-up decreases with every write of a server. The lists contain it, but the sum
 // does not, so that it is not sent as a change.
-func TestAWarmUpIsShownAndIsNoNews(t *testing.T) {
+func TestWarmUpIsListedAndIsNoChange(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := NewState()
-	s.MergeServers(registerAt(1, 3, nil, nil))
+	s.MergeServers(registryAt(1, 3, nil, nil))
 	sum := s.Now().ServersSum()
-	next := registerAt(2, 3, nil, nil)
+	next := registryAt(2, 3, nil, nil)
 	warming := next.Servers["i-0001@a"]
 	warming.WarmUp = 1
 	next.Servers[warming.ID] = warming
@@ -90,7 +90,7 @@
 }
 
 // MembersHash is called twice in every call between nodes, so the view stores it.
-func TestTheSumOfTheMembersFollowsTheList(t *testing.T) {
+func TestHashOfMembersFollowsList(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := NewState()
 	none := s.Now().MembersSum()
@@ -99,5 +99,5 @@
 	g.Expect(s.Now().MembersSum()).To(gomega.Equal(SumMembers(members)))
 	g.Expect(s.Now().MembersSum()).NotTo(gomega.Equal(none))
 	s.SetMembers([]Member{{Node: "a", Boot: "1"}, {Node: "b", Boot: "3"}})
-	g.Expect(s.Now().MembersSum()).NotTo(gomega.Equal(SumMembers(members)), "b has started again")
+	g.Expect(s.Now().MembersSum()).NotTo(gomega.Equal(SumMembers(members)), "b has restarted")
 }
--- a/gateway/view/view.go
+++ b/gateway/view/view.go
@@ -136,12 +136,12 @@
 	mu      sync.Mutex
 	current atomic.Pointer[View]
 	changed broadcast.Signal
-	starts  starts // guarded by mu
+	starts  latestStarts // guarded by mu
 }
 
 // NewState returns the state of a node without any data.
 func NewState() *State {
-	s := &State{starts: newStarts()}
+	s := &State{starts: newLatestStarts()}
 	s.current.Store(new(View))
 	return s
 }
@@ -184,7 +184,7 @@
 		if servers.Offset <= next.Servers.Offset {
 			return false
 		}
-		servers.Servers = s.starts.latest(servers.Servers, next.Servers.Servers, clock.Now())
+		servers.Servers = s.starts.merged(servers.Servers, next.Servers.Servers, clock.Now())
 		next.setServers(servers)
 		return true
 	})
@@ -194,11 +194,11 @@
 // enough.
 func (s *State) SettleServers() bool {
 	return s.update(func(next *View) bool {
-		settled := s.starts.settle(next.Servers.Servers, clock.Now())
-		if settled == nil {
+		accepted := s.starts.accept(next.Servers.Servers, clock.Now())
+		if accepted == nil {
 			return false
 		}
-		next.setServers(Servers{Offset: next.Servers.Offset, Servers: settled})
+		next.setServers(Servers{Offset: next.Servers.Offset, Servers: accepted})
 		return true
 	})
 }
