--- a/gateway/follow/handoff.go
+++ b/gateway/follow/handoff.go
@@ -45,9 +45,9 @@
 
 // HandOff implements bspbconnect.GatewayHandler.
 func (f *Feed) HandOff(ctx context.Context, request *connect.Request[bspb.HandOffRequest]) (*connect.Response[bspb.HandOffReply], error) {
-	former := ranges.Lessor{Node: request.Msg.Node, Boot: request.Msg.Boot}
-	handOff := &HandOff{Former: former, Claim: store.Offset(request.Msg.ClaimOffset), Reply: make(chan FormerGrants, 1)}
-	unknown := &NotFormerLessorError{Boot: former.Boot}
+	previous := ranges.Lessor{Node: request.Msg.Node, Boot: request.Msg.Boot}
+	handOff := &HandOff{Former: previous, Claim: store.Offset(request.Msg.ClaimOffset), Reply: make(chan FormerGrants, 1)}
+	unknown := &NotFormerLessorError{Boot: previous.Boot}
 	select {
 	case f.HandOffs <- handOff:
 	default:
@@ -66,14 +66,14 @@
 
 // RequestGrants makes the lessor before a claim stop granting, and returns its outstanding
 // grants. Their durations are measured from the return of this function at the latest.
-func (f *Follower) AskFormer(ctx context.Context, former ranges.Lessor, claim store.Offset) (FormerGrants, error) {
+func (f *Follower) AskFormer(ctx context.Context, previous ranges.Lessor, claim store.Offset) (FormerGrants, error) {
 	ctx, cancel := context.WithTimeout(ctx, handOffTimeout)
 	defer cancel()
 	transport := &http.Transport{DialContext: f.dial, DisableCompression: true, DisableKeepAlives: true}
-	client := bspbconnect.NewGatewayClient(&http.Client{Transport: transport}, "http://"+former.Address)
-	reply, err := client.HandOff(ctx, connect.NewRequest(&bspb.HandOffRequest{Node: former.Node, Boot: former.Boot, ClaimOffset: int64(claim)}))
+	client := bspbconnect.NewGatewayClient(&http.Client{Transport: transport}, "http://"+previous.Address)
+	reply, err := client.HandOff(ctx, connect.NewRequest(&bspb.HandOffRequest{Node: previous.Node, Boot: previous.Boot, ClaimOffset: int64(claim)}))
 	if connect.CodeOf(err) == connect.CodeFailedPrecondition {
-		return FormerGrants{}, &NotFormerLessorError{Boot: former.Boot}
+		return FormerGrants{}, &NotFormerLessorError{Boot: previous.Boot}
 	}
 	if err != nil {
 		return FormerGrants{}, err
--- a/gateway/view/latest_starts.go
+++ b/gateway/view/latest_starts.go
@@ -38,7 +38,7 @@
 
 // merge returns the servers of a newer registry, with the current incarnation in place of a
 // reported earlier one.
-func (s *latestStarts) merged(reported, current map[site.ServerID]site.Server, now time.Time) map[site.ServerID]site.Server {
+func (s *latestStarts) merge(reported, current map[site.ServerID]site.Server, now time.Time) map[site.ServerID]site.Server {
 	deferredBefore := s.deferred
 	s.deferred = map[site.ServerName]deferredServer{}
 	for id, server := range reported {
@@ -63,8 +63,8 @@
 // the deferred ones.
 func (s *latestStarts) replaceDeferred(reported, current map[site.ServerID]site.Server) map[site.ServerID]site.Server {
 	replaced := maps.Clone(reported)
-	for _, held := range s.deferred {
-		delete(replaced, held.server.ID)
+	for _, deferred := range s.deferred {
+		delete(replaced, deferred.server.ID)
 	}
 	for id, server := range current {
 		if _, isDeferred := s.deferred[id.Name()]; isDeferred {
@@ -93,9 +93,9 @@
 // registry. It returns nil if there are none.
 func (s *latestStarts) accept(current map[site.ServerID]site.Server, now time.Time) map[site.ServerID]site.Server {
 	due := map[site.ServerName]site.Server{}
-	for name, held := range s.deferred {
-		if now.Sub(held.since) > acceptAfter {
-			due[name] = held.server
+	for name, deferred := range s.deferred {
+		if now.Sub(deferred.since) > acceptAfter {
+			due[name] = deferred.server
 			delete(s.deferred, name)
 		}
 	}
--- a/gateway/view/view.go
+++ b/gateway/view/view.go
@@ -184,7 +184,7 @@
 		if servers.Offset <= next.Servers.Offset {
 			return false
 		}
-		servers.Servers = s.starts.merged(servers.Servers, next.Servers.Servers, clock.Now())
+		servers.Servers = s.starts.merge(servers.Servers, next.Servers.Servers, clock.Now())
 		next.setServers(servers)
 		return true
 	})
