--- a/gateway/follow/incarnations_test.go
+++ b/gateway/follow/incarnations_test.go
@@ -51,8 +51,8 @@
 	return r
 }
 
-// incarnationID returns the ID of the incarnation of server s that started at this number of seconds;
-// 0 means that the ID has no start time.
+// incarnationID returns the ID of the incarnation of server s that started at this number of
+// seconds; 0 means that the ID has no start time.
 func incarnationID(started int) site.ServerID {
 	if started == 0 {
 		return site.RunID("s", time.Time{})
--- a/gateway/follow/metrics.go
+++ b/gateway/follow/metrics.go
@@ -11,7 +11,7 @@
 
 var storeCalls = metrics.New("gateway_store").Map("calls")
 
-// Counted is a store that counts its calls by kind and result.
+// CountingStore is a store that counts its calls by kind and result.
 type Counted struct{ Store store.Store }
 
 // Newest implements store.Store.
--- a/gateway/follow/reader.go
+++ b/gateway/follow/reader.go
@@ -17,9 +17,9 @@
 
 // Intervals of reading the store that do not depend on the read priority.
 const (
-	// configWait is how long a read of the configurations waits for a record.
-	// Configurations are rare, but a connection that stalls during the wait is detected
-	// only after it.
+	// configWait is how long a read of the configurations waits for a record. It is short
+	// although configurations are rare, because a connection that stalls during the wait is
+	// detected only after it.
 	configWait = 600 * time.Millisecond
 	// responseTime is the allowance for the transfer of a response.
 	responseTime = 50 * time.Millisecond
--- a/gateway/follow/reports.go
+++ b/gateway/follow/reports.go
@@ -36,7 +36,7 @@
 	return &Reports{keys: map[serviceKey]uint32{}, stats: map[site.ServerID]serverStats{}}
 }
 
-// Key counts a request for a key, whether or not it can be served.
+// CountKey counts a request for a key, whether or not it can be served.
 func (r *Reports) Key(service site.ServiceName, key ranges.Key) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -50,7 +50,7 @@
 	}
 }
 
-// Answer records how long a server of a keyed service worked on a request, and the load in
+// NoteResponse records how long a server of a keyed service worked on a request, and the load in
 // its response; nil if there was none.
 func (r *Reports) Answer(server site.ServerID, took time.Duration, load *site.Load) {
 	r.mu.Lock()
