--- a/gateway/follow/handoff.go
+++ b/gateway/follow/handoff.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// RequestGrants makes the lessor before a claim stop granting, and returns its outstanding
+// AskFormer makes the lessor before a claim stop granting, and returns its outstanding
 // grants. Their durations are measured from the return of this function at the latest.
 func (f *Follower) AskFormer(ctx context.Context, previous ranges.Lessor, claim store.Offset) (FormerGrants, error) {
 	ctx, cancel := context.WithTimeout(ctx, handOffTimeout)
