--- a/gateway/follow/events.go
+++ b/gateway/follow/events.go
@@ -8,27 +8,27 @@
 )
 
 var (
-	eventStoreLost     = events.Define(2000, hclog.Warn, "store lost")
-	eventStoreBack     = events.Define(2001, hclog.Info, "store regained")
-	eventBadRecord     = events.Define(2002, hclog.Warn, "record cannot be understood and is passed over")
-	eventConfig        = events.Define(2010, hclog.Info, "configuration adopted")
-	eventServerSeen    = events.Define(2011, hclog.Info, "server registered")
-	eventServerLeaving = events.Define(2012, hclog.Info, "server is draining")
-	eventServerGone    = events.Define(2013, hclog.Info, "server left the register")
-	eventTable         = events.Define(2014, hclog.Info, "table of ranges adopted")
-	eventSourceLost    = events.Define(2015, hclog.Warn, "no fresh news from the node that is followed")
-	eventSourceBack    = events.Define(2016, hclog.Info, "another node is followed")
-	eventRunReplaced   = events.Define(2018, hclog.Info, "server started again")
-	eventBrokenEntry   = events.Define(2019, hclog.Warn, "entry names no server to use")
-	eventEarlierRun    = events.Define(2020, hclog.Info, "entry of an earlier run is passed over")
-	eventReading       = events.Define(2021, hclog.Info, "the store is read")
-	eventReadingEnds   = events.Define(2022, hclog.Info, "the store is not read any more")
-	eventRegister      = events.Define(2023, hclog.Info, "register of servers adopted")
-	eventPeerFailed    = events.Define(2017, hclog.Debug, "call to another node failed")
+	eventStoreLost          = events.Define(2000, hclog.Warn, "store unavailable")
+	eventStoreBack          = events.Define(2001, hclog.Info, "store available again")
+	eventInvalidRecord      = events.Define(2002, hclog.Warn, "invalid record is skipped")
+	eventConfig             = events.Define(2010, hclog.Info, "configuration adopted")
+	eventServerSeen         = events.Define(2011, hclog.Info, "server registered")
+	eventServerLeaving      = events.Define(2012, hclog.Info, "server is draining")
+	eventServerLeft         = events.Define(2013, hclog.Info, "server left the registry")
+	eventTable              = events.Define(2014, hclog.Info, "table of ranges adopted")
+	eventSourceLost         = events.Define(2015, hclog.Warn, "no recent data from the followed node")
+	eventSourceBack         = events.Define(2016, hclog.Info, "following another node")
+	eventServerRestarted    = events.Define(2018, hclog.Info, "server restarted")
+	eventInvalidEntry       = events.Define(2019, hclog.Warn, "invalid server entry")
+	eventEarlierIncarnation = events.Define(2020, hclog.Info, "entry of an earlier incarnation is skipped")
+	eventReadingStarted     = events.Define(2021, hclog.Info, "started reading the store")
+	eventReadingStopped     = events.Define(2022, hclog.Info, "stopped reading the store")
+	eventRegistry           = events.Define(2023, hclog.Info, "registry of servers adopted")
+	eventPeerFailed         = events.Define(2017, hclog.Debug, "call to another node failed")
 )
 
-// logConfig tells which configuration the node applies from now on, and which
-// limits of callers' connections it sets.
+// logConfig logs the configuration that the node applies from now on, and its limits for
+// callers' connections.
 func logConfig(logger hclog.Logger, config *site.Config, from string, more ...any) {
 	fields := []any{
 		"version", config.Version, "routes", len(config.Routes), "from", from,
--- a/gateway/follow/feed.go
+++ b/gateway/follow/feed.go
@@ -18,26 +18,26 @@
 	"github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1/bspbconnect"
 )
 
-// Timing of following another node.
+// Timing of calls that follow another node.
 const (
-	// followWait is how long the other node waits for a change before it answers.
-	// Reports of load go along, so it is also their interval.
+	// followWait is how long the other node waits for a change before it responds. Load
+	// reports are sent with the request, so it is also their interval.
 	followWait = 500 * time.Millisecond
-	// coalesce is how long a changed view is held back, so that several changes
-	// become one answer.
-	coalesce = 40 * time.Millisecond
-	// followTimeout ends a call whose answer does not come.
+	// coalesceDelay is how long a changed view is held back, so that several changes share
+	// one response.
+	coalesceDelay = 40 * time.Millisecond
+	// followTimeout is the timeout of a call.
 	followTimeout = followWait + 400*time.Millisecond
-	// staleContact is the age of the lessor's contact with the store beyond which
-	// others do not rely on it: one read of each topic may fail.
-	staleContact = 950 * time.Millisecond
-	// staleRelay is the same for what a relay tells. A relay hears from the lessor
-	// every followWait, so what it tells is that much older.
-	staleRelay = 1500 * time.Millisecond
-	// MemberTimeout is how long a node counts after its latest call. A lessor knows
-	// all nodes after it.
+	// maxLessorContactAge is the age of the lessor's contact with the store beyond which
+	// other nodes do not rely on it. It allows one failed read of each topic.
+	maxLessorContactAge = 950 * time.Millisecond
+	// maxRelayContactAge is the corresponding limit for a relay. A relay receives data from
+	// the lessor every followWait, so its data is older by that time.
+	maxRelayContactAge = 1500 * time.Millisecond
+	// MemberTimeout is how long a node remains a member after its latest call. A new lessor
+	// knows all nodes after this time.
 	MemberTimeout = 2 * time.Second
-	// peerRetry is the pause after a call to another node failed.
+	// peerRetry is the pause after a failed call to another node.
 	peerRetry = 250 * time.Millisecond
 )
 
@@ -47,33 +47,34 @@
 	State    *view.State
 	Contact  *Contact
 	IsLessor func() bool
-	// Reports receives the reports of followers; a full channel drops them.
+	// Reports receives the reports of followers. Reports are dropped while the channel is
+	// full.
 	Reports chan Report
-	// HandOffs receives the requests of new lessors to this node; a full channel refuses
-	// them.
+	// HandOffs receives the requests of new lessors to this node. Requests are refused
+	// while the channel is full.
 	HandOffs chan *HandOff
 
-	configText encoded
-	servers    serversTeller
-	routes     routesTeller
+	configText encodedPart
+	servers    serversEncoder
+	routes     routesEncoder
 
-	follows  atomic.Bool // the node follows the lessor, directly or by way of another
-	resigned atomic.Bool // the node was the lessor and has given the lease up
+	follows  atomic.Bool // the node follows the lessor, directly or through another node
+	resigned atomic.Bool // the node was the lessor and has resigned
 
 	mu      sync.Mutex
-	members map[string]seenMember // by node
+	members map[string]followerState // keyed by node
 }
 
-// encoded keeps the JSON of the newest version of a part of the view: every
-// follower gets the same.
-type encoded struct {
+// encodedPart caches the JSON of the newest version of a part of the view, because every
+// follower receives the same JSON.
+type encodedPart struct {
 	mu      sync.Mutex
 	version int64
 	text    []byte
 }
 
-// of returns the JSON of a part in a version.
-func (e *encoded) of(version int64, part any) ([]byte, error) {
+// encode returns the JSON of a version of a part.
+func (e *encodedPart) encode(version int64, part any) ([]byte, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.text != nil && e.version == version {
@@ -87,17 +88,17 @@
 	return text, nil
 }
 
-// seenMember is a node that follows this one.
-type seenMember struct {
+// followerState describes a node that follows this one.
+type followerState struct {
 	view.Member
-	at            time.Time
-	followers     []view.Member // that follow it, in turn
+	lastCallAt    time.Time
+	followers     []view.Member // nodes that follow this follower
 	followersHash uint64
 }
 
 // NewFeed returns a feed without followers.
 func NewFeed(self view.Member, state *view.State, contact *Contact, isLessor func() bool) *Feed {
-	return &Feed{Self: self, State: state, Contact: contact, IsLessor: isLessor, Reports: make(chan Report, 64), HandOffs: make(chan *HandOff, 1), members: map[string]seenMember{}}
+	return &Feed{Self: self, State: state, Contact: contact, IsLessor: isLessor, Reports: make(chan Report, 64), HandOffs: make(chan *HandOff, 1), members: map[string]followerState{}}
 }
 
 // Handler returns the path and handler of the feed's calls.
@@ -105,17 +106,17 @@
 
 // Follow implements bspbconnect.GatewayHandler.
 func (f *Feed) Follow(ctx context.Context, request *connect.Request[bspb.FollowRequest]) (*connect.Response[bspb.FollowReply], error) {
-	asked := request.Msg
+	msg := request.Msg
 	startedAt := clock.Now()
-	followersHash := f.see(asked)
-	if len(asked.KeyCounts)+len(asked.Paces) > 0 {
+	followersHash := f.noteFollower(msg)
+	if len(msg.KeyCounts)+len(msg.Paces) > 0 {
 		select {
-		case f.Reports <- Report{KeyCounts: asked.KeyCounts, Paces: asked.Paces}:
-		default: // the next report tells nearly the same
+		case f.Reports <- Report{KeyCounts: msg.KeyCounts, Paces: msg.Paces}:
+		default: // the next report contains nearly the same data
 		}
 	}
-	f.await(ctx, asked)
-	reply, err := f.reply(asked)
+	f.awaitChange(ctx, msg)
+	reply, err := f.reply(msg)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeInternal, err)
 	}
@@ -124,20 +125,20 @@
 	return connect.NewResponse(reply), nil
 }
 
-// await waits until the view differs from what the request names, or until the
+// awaitChange waits until the view is newer than the versions in the request, or until the
 // node's contact with the store becomes too old for its followers.
-func (f *Feed) await(ctx context.Context, asked *bspb.FollowRequest) {
-	wait := time.Duration(asked.WaitMs) * time.Millisecond
-	if age, known := f.Contact.Age(); known && age < staleAfter(f.IsLessor()) {
-		wait = min(wait, staleAfter(f.IsLessor())-age)
+func (f *Feed) awaitChange(ctx context.Context, msg *bspb.FollowRequest) {
+	wait := time.Duration(msg.WaitMs) * time.Millisecond
+	if age, known := f.Contact.Age(); known && age < contactLimit(f.IsLessor()) {
+		wait = min(wait, contactLimit(f.IsLessor())-age)
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	f.awaitContact(ctx)
 	for {
 		changed := f.State.Changed()
-		if f.differs(asked) {
-			clock.Wait(ctx, coalesce)
+		if f.hasNewer(msg) {
+			clock.Wait(ctx, coalesceDelay)
 			return
 		}
 		select {
@@ -148,102 +149,102 @@
 	}
 }
 
-// awaitContact waits until a node that starts knows the store, since those that ask it
-// could not rely on its answer before.
+// awaitContact waits until a starting node has read the store, because callers cannot rely
+// on its response before then.
 func (f *Feed) awaitContact(ctx context.Context) {
 	for {
-		if _, known := f.Contact.Age(); known || !clock.Wait(ctx, leastPause) {
+		if _, known := f.Contact.Age(); known || !clock.Wait(ctx, minReadPause) {
 			return
 		}
 	}
 }
 
-// staleAfter returns the age of a node's contact with the store beyond which its
+// contactLimit returns the age of a node's contact with the store beyond which its
 // followers do not rely on it.
-func staleAfter(isLessor bool) time.Duration {
+func contactLimit(isLessor bool) time.Duration {
 	if isLessor {
-		return staleContact
+		return maxLessorContactAge
 	}
-	return staleRelay
+	return maxRelayContactAge
 }
 
-// SetFollows tells whether the node follows the lessor.
+// SetFollows sets whether the node follows the lessor.
 func (f *Feed) SetFollows(follows bool) { f.follows.Store(follows) }
 
-// SetResigned tells whether the node was the lessor last and has given the lease up.
+// SetResigned sets whether the node was the latest lessor and has resigned.
 func (f *Feed) SetResigned(resigned bool) { f.resigned.Store(resigned) }
 
-func (f *Feed) differs(asked *bspb.FollowRequest) bool {
+func (f *Feed) hasNewer(msg *bspb.FollowRequest) bool {
 	v := f.State.Now()
-	return v.Config != nil && uint64(v.Config.Version) > asked.ConfigVersion ||
-		int64(v.Servers.Offset) > asked.ServersOffset ||
-		routesDiffer(v, asked) || sharesDiffer(v, asked)
+	return v.Config != nil && uint64(v.Config.Version) > msg.ConfigVersion ||
+		int64(v.Servers.Offset) > msg.ServersOffset ||
+		newerRoutes(v, msg) || newerShares(v, msg)
 }
 
-func sharesDiffer(v *view.View, asked *bspb.FollowRequest) bool {
-	return v.Shares.Version().IsAfter(versionOf(asked.SharesOffset, asked.SharesSerial))
+func newerShares(v *view.View, msg *bspb.FollowRequest) bool {
+	return v.Shares.Version().IsAfter(versionOf(msg.SharesOffset, msg.SharesSerial))
 }
 
-func routesDiffer(v *view.View, asked *bspb.FollowRequest) bool {
-	return v.Routes.Lessor.Boot != "" && v.Routes.Version().IsAfter(routesVersion(asked))
+func newerRoutes(v *view.View, msg *bspb.FollowRequest) bool {
+	return v.Routes.Lessor.Boot != "" && v.Routes.Version().IsAfter(routesVersion(msg))
 }
 
-func (f *Feed) reply(asked *bspb.FollowRequest) (*bspb.FollowReply, error) {
+func (f *Feed) reply(msg *bspb.FollowRequest) (*bspb.FollowReply, error) {
 	reply := &bspb.FollowReply{ContactAgeMs: -1, IsLessor: f.IsLessor(), FollowsLessor: f.follows.Load()}
 	if age, known := f.Contact.Age(); known {
 		reply.ContactAgeMs = age.Milliseconds()
 	}
-	reply.ServersNext = int64(f.Contact.Next()) // before the view, which holds at least that
+	reply.ServersNext = int64(f.Contact.Next()) // read before the view, which contains at least these records
 	v := f.State.Now()
 	reply.Resigned = f.resigned.Load() && v.Routes.Lessor.Boot == f.Self.Boot
 	var err error
-	if v.Config != nil && uint64(v.Config.Version) > asked.ConfigVersion {
-		reply.Config, err = f.configText.of(int64(v.Config.Version), v.Config)
+	if v.Config != nil && uint64(v.Config.Version) > msg.ConfigVersion {
+		reply.Config, err = f.configText.encode(int64(v.Config.Version), v.Config)
 	}
-	if err == nil && int64(v.Servers.Offset) > asked.ServersOffset {
-		err = f.servers.tell(reply, asked, v)
+	if err == nil && int64(v.Servers.Offset) > msg.ServersOffset {
+		err = f.servers.encode(reply, msg, v)
 	}
-	if routesDiffer(v, asked) {
-		reply.Routes = f.routes.tell(asked, v.Routes)
+	if newerRoutes(v, msg) {
+		reply.Routes = f.routes.encode(msg, v.Routes)
 	}
-	if sharesDiffer(v, asked) {
+	if newerShares(v, msg) {
 		reply.Shares = sharesMessage(v.Shares)
 	}
-	if v.MembersSum() != asked.MembersHash {
+	if v.MembersSum() != msg.MembersHash {
 		reply.Members = memberMessages(v.Members)
 	}
 	return reply, err
 }
 
-// see takes who asks, and returns the hash of the followers that it is known to
-// have.
-func (f *Feed) see(asked *bspb.FollowRequest) uint64 {
-	if asked.Member == nil {
+// noteFollower records the calling node, and returns the hash of the followers that it is
+// known to have.
+func (f *Feed) noteFollower(msg *bspb.FollowRequest) uint64 {
+	if msg.Member == nil {
 		return 0
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	seen := f.members[asked.Member.Node]
-	if seen.Boot != asked.Member.Boot || asked.FollowersHash == 0 {
+	seen := f.members[msg.Member.Node]
+	if seen.Boot != msg.Member.Boot || msg.FollowersHash == 0 {
 		seen.followers, seen.followersHash = nil, 0
 	}
-	if len(asked.Followers) > 0 {
-		seen.followers, seen.followersHash = membersOf(asked.Followers), asked.FollowersHash
+	if len(msg.Followers) > 0 {
+		seen.followers, seen.followersHash = membersOf(msg.Followers), msg.FollowersHash
 	}
-	seen.Member = memberOf(asked.Member)
-	seen.at = time.Now()
+	seen.Member = memberOf(msg.Member)
+	seen.lastCallAt = time.Now()
 	f.members[seen.Node] = seen
 	return seen.followersHash
 }
 
-// Members returns the nodes that follow this one, directly or by way of another,
-// itself included.
+// Members returns the nodes that follow this one, directly or through another node, and
+// this node itself.
 func (f *Feed) Members() []view.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	members := map[string]view.Member{}
 	for node, seen := range f.members {
-		if time.Since(seen.at) > MemberTimeout {
+		if time.Since(seen.lastCallAt) > MemberTimeout {
 			delete(f.members, node)
 			continue
 		}
@@ -254,7 +255,7 @@
 		}
 	}
 	for node, seen := range f.members {
-		members[node] = seen.Member // newer than what another one tells
+		members[node] = seen.Member // newer than what another node reports
 	}
 	members[f.Self.Node] = f.Self
 	list := slices.Collect(maps.Values(members))
@@ -262,7 +263,7 @@
 	return list
 }
 
-// Followers returns the nodes that follow this one, without itself.
+// Followers returns the nodes that follow this one, without this node itself.
 func (f *Feed) Followers() []view.Member {
 	return slices.DeleteFunc(f.Members(), func(m view.Member) bool { return m.Node == f.Self.Node })
 }
--- a/gateway/follow/follower.go
+++ b/gateway/follow/follower.go
@@ -24,63 +24,63 @@
 // Follower follows other nodes' feeds.
 type Follower struct {
 	Self    view.Member
-	Feed    *Feed // the node's own
+	Feed    *Feed // of this node
 	State   *view.State
 	Reader  *Reader
 	Reports *Reports
 	Logger  hclog.Logger
 
-	seeds   atomic.Pointer[[]string]
-	client  *http.Client
-	clients map[string]bspbconnect.GatewayClient
-	behind  bool                 // no node is followed
-	relied  string               // address of the node that had fresh news last; empty: none
-	avoid   map[string]time.Time // until when relays are not followed, by address
-	// toldFollowers is the hash of the followers that each source knows of this
-	// node, by address.
-	toldFollowers map[string]uint64
+	seeds       atomic.Pointer[[]string]
+	client      *http.Client
+	clients     map[string]bspbconnect.GatewayClient
+	hasNoSource bool                 // whether no node with recent data is followed
+	current     string               // address of the last source that had recent data; empty if there is none
+	avoidUntil  map[string]time.Time // time until which a source is not followed, by address
+	// knownFollowers is the hash of this node's followers that each source knows, by
+	// address.
+	knownFollowers map[string]uint64
 }
 
-// SetSeeds sets the addresses of nodes that may know the site at start. It is
-// called before Run and before the reader begins, and whenever they change.
+// SetSeeds sets the addresses of nodes that may know the site at start. It is called before
+// Run, before the reader starts, and whenever the seeds change.
 func (f *Follower) SetSeeds(seeds []string) {
 	f.seeds.Store(&seeds)
-	f.takeStanding()
+	f.updatePriority()
 }
 
-// takeStanding tells the reader the node's place among those that may read.
-func (f *Follower) takeStanding() {
-	f.Reader.SetStanding(standingOf(f.Self, f.State.Now(), *f.seeds.Load()))
+// updatePriority sets the node's priority among those that may read the store.
+func (f *Follower) updatePriority() {
+	f.Reader.SetReadPriority(readPriorityOf(f.Self, f.State.Now(), *f.seeds.Load()))
 }
 
-// connectTimeout ends an attempt to connect to another node.
+// connectTimeout is the timeout of a connection attempt to another node.
 const connectTimeout = 400 * time.Millisecond
 
 const (
-	// avoidRelay is for how long a relay that failed is not followed: about as long
-	// as the lessor needs to tell that it is gone.
+	// avoidRelay is how long a failed relay is not followed: about the time that the lessor
+	// needs to report that the relay is gone.
 	avoidRelay = 3 * time.Second
-	// avoidLessor is the same for the lessor, which is replaced within two seconds if
-	// it is gone; otherwise its relays should not be without it for long.
+	// avoidLessor is the corresponding time for the lessor. A lessor that is gone is
+	// replaced within two seconds; otherwise its relays should not be without it for long.
 	avoidLessor = time.Second
 )
 
-// Run follows the lessor, by way of a relay if there is one, until ctx ends. While
-// nobody has fresh news the node reads the store itself as its turn comes.
+// Run follows the lessor, through a relay if there is one, until ctx ends. While no node
+// has recent data, this node reads the store itself according to its read priority.
 func (f *Follower) Run(ctx context.Context) {
 	transport := &http.Transport{DialContext: f.dial, DisableCompression: true}
 	f.client = &http.Client{Transport: transport}
 	f.clients = map[string]bspbconnect.GatewayClient{}
-	f.avoid = map[string]time.Time{}
-	f.toldFollowers = map[string]uint64{}
-	for turn := 0; ctx.Err() == nil; turn++ {
-		f.takeStanding()
-		if f.followSource(ctx) {
+	f.avoidUntil = map[string]time.Time{}
+	f.knownFollowers = map[string]uint64{}
+	for attempt := 0; ctx.Err() == nil; attempt++ {
+		f.updatePriority()
+		if f.pollSource(ctx) {
 			continue
 		}
 		f.Feed.SetFollows(false)
-		if age, known := f.Reader.Contact.Age(); !known || age > staleContact {
-			f.askOther(ctx, turn)
+		if age, known := f.Reader.Contact.Age(); !known || age > maxLessorContactAge {
+			f.queryAnyNode(ctx, attempt)
 		}
 		clock.Wait(ctx, peerRetry)
 	}
@@ -95,7 +95,7 @@
 	return traffic.Between(traffic.Nodes, f.Self.Zone, f.zoneOf(address)).Conn(conn), nil
 }
 
-// zoneOf returns the zone of the node at an address; empty if it is not known.
+// zoneOf returns the zone of the node at an address, or an empty string if it is unknown.
 func (f *Follower) zoneOf(address string) string {
 	for _, member := range f.State.Now().Members {
 		if member.Address == address {
@@ -105,10 +105,9 @@
 	return ""
 }
 
-// followSource makes one call to the node that this one follows and reports whether
-// there is one. If it does not answer, or has no fresh news, another node is followed
-// next.
-func (f *Follower) followSource(ctx context.Context) bool {
+// pollSource makes one call to the followed node and reports whether there is one. If the
+// call fails, or the response has no recent data, another node is followed next.
+func (f *Follower) pollSource(ctx context.Context) bool {
 	if f.Reader.lessor.Load() {
 		return false
 	}
@@ -117,34 +116,34 @@
 		return false
 	}
 	wait := followWait
-	if from.address != f.relied && len(f.State.Now().Members) > 0 {
-		wait = 0 // first it must show that it has fresh news
+	if from.address != f.current && len(f.State.Now().Members) > 0 {
+		wait = 0 // respond at once, to show whether its data is recent
 	}
-	f.relied = ""
+	f.current = ""
 	reply, err := f.follow(ctx, from.address, wait)
 	if err != nil || from.lessor && !reply.IsLessor {
-		f.noteSource(true, from, err)
+		f.logSource(true, from, err)
 		f.avoidFor(from)
-		return f.hasOther(from)
+		return f.hasAlternative(from)
 	}
 	age := time.Duration(reply.ContactAgeMs) * time.Millisecond
-	isFresh := reply.ContactAgeMs >= 0 && age < staleAfter(from.lessor)
+	isFresh := reply.ContactAgeMs >= 0 && age < contactLimit(from.lessor)
 	f.Feed.SetFollows(reply.IsLessor || reply.FollowsLessor)
 	if !isFresh {
 		f.avoidFor(from)
-		return f.hasOther(from)
+		return f.hasAlternative(from)
 	}
-	f.relied = from.address
-	f.noteSource(false, from, nil)
+	f.current = from.address
+	f.logSource(false, from, nil)
 	return true
 }
 
-// source returns the best source that has not failed lately; if all have, the best
-// one.
+// source returns the best source that has not failed recently. If all have failed, it
+// returns the best source.
 func (f *Follower) source(now time.Time) (best source, found bool) {
 	list := sources(f.Self, f.State.Now(), *f.seeds.Load())
 	for _, s := range list {
-		if now.After(f.avoid[s.address]) {
+		if now.After(f.avoidUntil[s.address]) {
 			return s, true
 		}
 	}
@@ -154,10 +153,10 @@
 	return list[0], true
 }
 
-// hasOther reports whether there is another source that has not failed lately.
-func (f *Follower) hasOther(than source) bool {
+// hasAlternative reports whether there is another source that has not failed recently.
+func (f *Follower) hasAlternative(to source) bool {
 	other, found := f.source(time.Now())
-	return found && other != than && time.Now().After(f.avoid[other.address])
+	return found && other != to && time.Now().After(f.avoidUntil[other.address])
 }
 
 func (f *Follower) avoidFor(s source) {
@@ -165,23 +164,23 @@
 	if s.lessor {
 		pause = avoidLessor
 	}
-	f.avoid[s.address] = time.Now().Add(pause)
+	f.avoidUntil[s.address] = time.Now().Add(pause)
 }
 
-func (f *Follower) noteSource(behind bool, from source, err error) {
-	if behind == f.behind {
+func (f *Follower) logSource(hasNoSource bool, from source, err error) {
+	if hasNoSource == f.hasNoSource {
 		return
 	}
-	f.behind = behind
-	if behind {
+	f.hasNoSource = hasNoSource
+	if hasNoSource {
 		eventSourceLost.Log(f.Logger, "address", from.address, "isLessor", from.lessor, "cause", err)
 	} else {
 		eventSourceBack.Log(f.Logger, "address", from.address, "isLessor", from.lessor)
 	}
 }
 
-// askOther asks one of the nodes known, or a seed, for its view.
-func (f *Follower) askOther(ctx context.Context, turn int) {
+// queryAnyNode requests the view of one of the known nodes or seeds.
+func (f *Follower) queryAnyNode(ctx context.Context, attempt int) {
 	seeds := *f.seeds.Load()
 	addresses := make([]string, 0, len(seeds))
 	for _, member := range f.State.Now().Members {
@@ -191,7 +190,7 @@
 	if len(addresses) == 0 {
 		return
 	}
-	address := addresses[turn%len(addresses)]
+	address := addresses[attempt%len(addresses)]
 	if address == f.Self.Address {
 		return
 	}
@@ -215,15 +214,15 @@
 		Paces:     report.Paces,
 		WaitMs:    uint32(wait.Milliseconds()),
 	}
-	describe(request, f.State.Now())
-	f.tellFollowers(request, address)
+	setKnownVersions(request, f.State.Now())
+	f.addFollowers(request, address)
 	startedAt := clock.Now()
 	response, err := client.Follow(ctx, connect.NewRequest(request))
 	if err != nil {
 		return nil, err
 	}
-	f.toldFollowers[address] = response.Msg.FollowersHash
-	at := knownAt(response.Msg, startedAt)
+	f.knownFollowers[address] = response.Msg.FollowersHash
+	at := contactTime(response.Msg, startedAt)
 	isWhole, err := f.merge(response.Msg, address)
 	if err != nil {
 		return nil, err
@@ -232,34 +231,35 @@
 		f.Reader.Contact.NoteTold(at, store.Offset(response.Msg.ServersNext))
 	}
 	if response.Msg.Resigned {
-		f.Reader.LookForLessor()
+		f.Reader.WatchForLessor()
 	}
 	return response.Msg, nil
 }
 
-// tellFollowers adds the nodes that follow this one, if the other node does not
-// know them.
-func (f *Follower) tellFollowers(request *bspb.FollowRequest, address string) {
+// addFollowers adds this node's followers to a request, if the other node does not know
+// them.
+func (f *Follower) addFollowers(request *bspb.FollowRequest, address string) {
 	followers := f.Feed.Followers()
 	if len(followers) == 0 {
 		return
 	}
 	request.FollowersHash = view.SumMembers(followers)
-	if f.toldFollowers[address] != request.FollowersHash {
+	if f.knownFollowers[address] != request.FollowersHash {
 		request.Followers = memberMessages(followers)
 	}
 }
 
-// knownAt returns up to when the other node knew the store. The reply may have been
-// on its way for what the other node did not hold the request.
-func knownAt(reply *bspb.FollowReply, startedAt time.Time) time.Time {
-	onItsWay := max(clock.Since(startedAt)-time.Duration(reply.HeldMs)*time.Millisecond, 0)
-	age := time.Duration(reply.ContactAgeMs)*time.Millisecond + onItsWay
+// contactTime returns the time up to which the other node knew the store. The part of the
+// call's duration in which the other node did not hold the request may be the response's
+// time in flight.
+func contactTime(reply *bspb.FollowReply, startedAt time.Time) time.Time {
+	inFlight := max(clock.Since(startedAt)-time.Duration(reply.HeldMs)*time.Millisecond, 0)
+	age := time.Duration(reply.ContactAgeMs)*time.Millisecond + inFlight
 	return clock.Now().Add(-age)
 }
 
-// describe names the parts of a view that the node has.
-func describe(request *bspb.FollowRequest, v *view.View) {
+// setKnownVersions sets the versions of the parts of the view that this node has.
+func setKnownVersions(request *bspb.FollowRequest, v *view.View) {
 	if v.Config != nil {
 		request.ConfigVersion = uint64(v.Config.Version)
 	}
@@ -274,8 +274,8 @@
 	request.MembersHash = v.MembersSum()
 }
 
-// merge takes what another node knows better. isWhole is false if it told a change of a
-// register or of routes that this node does not have any more.
+// merge applies the parts of a response that are newer than the view. isWhole is false if
+// the response contains a change to a registry or to routes that this node no longer has.
 func (f *Follower) merge(reply *bspb.FollowReply, from string) (isWhole bool, err error) {
 	if len(reply.Config) > 0 {
 		var config site.Config
@@ -287,12 +287,12 @@
 		}
 	}
 	before := f.State.Now()
-	servers, isTold, err := toldRegister(reply, before)
+	servers, hasServers, err := decodeRegistry(reply, before)
 	if err != nil {
 		return false, err
 	}
-	if isTold && f.State.MergeServers(servers) {
-		f.Reader.logServers(before.Servers.Servers)
+	if hasServers && f.State.MergeServers(servers) {
+		f.Reader.logServerChanges(before.Servers.Servers)
 	}
 	hasRoutes, err := f.mergeRoutes(reply.Routes, from)
 	if err != nil {
@@ -304,24 +304,24 @@
 	if (reply.IsLessor || reply.FollowsLessor) && len(reply.Members) > 0 {
 		f.State.SetMembers(membersOf(reply.Members))
 	}
-	return hasRoutes && (isTold || reply.ServersChange == nil), nil
+	return hasRoutes && (hasServers || reply.ServersChange == nil), nil
 }
 
-// mergeRoutes takes the routes that another node tells, if it does. isWhole is false if it
-// told a change of routes that this node does not have any more.
+// mergeRoutes applies the routes of a response, if there are any. isWhole is false if they
+// are a change to routes that this node no longer has.
 func (f *Follower) mergeRoutes(message *bspb.GatewayRoutes, from string) (isWhole bool, err error) {
 	if message == nil {
 		return true, nil
 	}
-	routes, found, err := toldRoutes(message, f.State.Now().Routes, from)
+	routes, found, err := decodeRoutes(message, f.State.Now().Routes, from)
 	if err == nil && found {
 		f.State.MergeRoutes(routes)
 	}
 	return found, err
 }
 
-// MalformedError reports an answer of another node that cannot be understood.
+// MalformedError reports a malformed response of another node.
 type MalformedError struct{ From string }
 
 // Error implements error.
-func (e *MalformedError) Error() string { return "malformed answer of the node at " + e.From }
+func (e *MalformedError) Error() string { return "malformed response from the node at " + e.From }
--- a/gateway/follow/behind_test.go
+++ b/gateway/follow/reader_lag_test.go
@@ -16,7 +16,7 @@
 	"github.com/burdockspindle/burdockspindle/gateway/view"
 )
 
-// pagedStore holds records of servers and returns one of them a read.
+// pagedStore holds records of servers and returns one of them per read.
 type pagedStore struct {
 	records int64
 	reads   atomic.Int64
@@ -45,16 +45,17 @@
 	return nil
 }
 
-// namesOnly decodes entries that hold nothing but their key.
+// namesOnly decodes entries that consist only of their key.
 type namesOnly struct{ view.Codec }
 
 func (namesOnly) Entry(key string, _ []byte) (site.Entry, error) {
 	return site.Entry{Server: site.Server{ID: site.ServerID(key), Service: "s"}}, nil
 }
 
-// A node that is behind does not tell its followers that it knows the register, and
-// goes on reading until it does: a draining server would get requests meanwhile.
-func TestANodeThatIsBehindReadsOnAndHasNoContact(t *testing.T) {
+// A node that is behind must not report to its followers that it knows the registry, and
+// reads on without a pause until it does. Otherwise a draining server would receive
+// requests in the meantime.
+func TestNodeBehindReadsOnAndReportsNoContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		paged := &pagedStore{records: 12}
@@ -64,7 +65,7 @@
 		done := make(chan struct{})
 		go func() { defer close(done); r.RunServers(ctx) }()
 		t.Cleanup(func() { cancel(); <-done })
-		time.Sleep(readEvery - leastPause)
+		time.Sleep(readEvery - minReadPause)
 		synctest.Wait()
 		_, known := r.Contact.Age()
 		g.Expect(known).To(gomega.Equal(paged.reads.Load() == 12), "%d of 12 pages are read", paged.reads.Load())
--- a/gateway/follow/reader_test.go
+++ b/gateway/follow/reader_test.go
@@ -17,15 +17,15 @@
 	"github.com/burdockspindle/burdockspindle/gateway/view"
 )
 
-// growingStore holds an ownership topic of tables and returns few of them a
-// read, as a store does that bounds the bytes of an answer.
+// growingStore holds an ownership topic of tables and returns a few of them per read, like
+// a store that limits the size of a response.
 type growingStore struct {
-	tables atomic.Int64
-	page   int
+	tables   atomic.Int64
+	pageSize int
 }
 
 func serialRecord(at int64) store.Record {
-	text, _ := json.Marshal(&ranges.Table{Serial: uint64(at)}) // has no field that fails
+	text, _ := json.Marshal(&ranges.Table{Serial: uint64(at)}) // no field can fail
 	return store.Record{Offset: store.Offset(at), Key: TableKey, Value: text}
 }
 
@@ -46,7 +46,7 @@
 	end := s.tables.Load()
 	batch := store.Batch{End: store.Offset(end)}
 	next := int64(from)
-	for ; next < end && len(batch.Records) < s.page; next++ {
+	for ; next < end && len(batch.Records) < s.pageSize; next++ {
 		batch.Records = append(batch.Records, serialRecord(next))
 	}
 	batch.Next = store.Offset(next)
@@ -58,14 +58,13 @@
 	return nil
 }
 
-// TestANodeFarBehindKnowsTheLeaseWithinASecond covers a node that followed
-// another one for so long that the ownership topic has grown by many pages. One
-// page in each readEvery took 9.1 s for 23 pages, in which no node of a site
-// could claim a lease that had been given up, and all keys lost their owners.
-func TestANodeFarBehindKnowsTheLeaseWithinASecond(t *testing.T) {
+// A node that followed another one for a long time is many pages behind in the ownership
+// topic. Reading one page in each readEvery took 9.1 s for 23 pages, in which no node of a
+// site could claim a lease after a resignation, and all keys lost their owners.
+func TestNodeFarBehindKnowsLeaseWithinOneSecond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		growing := &growingStore{page: 20}
+		growing := &growingStore{pageSize: 20}
 		growing.tables.Store(1)
 		reader := &Reader{Store: growing, State: view.NewState(), Contact: &Contact{}, Logger: hclog.NewNullLogger()}
 		done := make(chan struct{})
@@ -76,9 +75,9 @@
 		t.Cleanup(func() { cancel(); <-done })
 		await(t, reader, 1, time.Second)
 		reader.Contact.NoteTold(clock.Now(), 0)
-		time.Sleep(readEvery + leastPause)
+		time.Sleep(readEvery + minReadPause)
 		growing.tables.Store(460)
-		time.Sleep(firstTurn - readEvery - leastPause)
+		time.Sleep(firstReadAge - readEvery - minReadPause)
 		await(t, reader, 460, time.Second)
 	})
 }
@@ -99,10 +98,10 @@
 	}
 }
 
-// The duty of a node that is not the lessor sleeps until the ownership topic is read.
-func TestAReadOfTheOwnershipTopicIsTold(t *testing.T) {
+// The duty of a node that is not the lessor waits for a read of the ownership topic.
+func TestReadOfOwnershipTopicIsSignaled(t *testing.T) {
 	g := gomega.NewWithT(t)
-	growing := &growingStore{page: 20}
+	growing := &growingStore{pageSize: 20}
 	growing.tables.Store(1)
 	reader := &Reader{Store: growing, State: view.NewState(), Contact: &Contact{}, Logger: hclog.NewNullLogger()}
 	read := reader.OwnershipRead()
--- a/gateway/follow/register_test.go
+++ b/gateway/follow/registry_test.go
@@ -16,65 +16,65 @@
 
 func after(d time.Duration) time.Time { return start.Add(d) }
 
-// both are the servers that the view shows.
+// both contains the servers in the view.
 var both = map[site.ServerID]site.Server{"a": {ID: "a"}, "b": {ID: "b"}}
 
-func put(r *Register, server site.Server, end store.Offset, now time.Time) {
-	_, _ = r.Put(site.Entry{Server: server}, end, now) // only entries with a start are ever refused
+func put(r *Registry, server site.Server, end store.Offset, now time.Time) {
+	_, _ = r.Put(site.Entry{Server: server}, end, now) // only entries with a start time can be refused
 }
 
-// filled returns a register that has read servers a and b before offset 10.
-func filled() *Register {
-	r := NewRegister()
-	r.KeepOnly(map[site.ServerName]bool{"a": true, "b": true}, 10, start)
+// filled returns a registry that has read servers a and b before offset 10.
+func filled() *Registry {
+	r := NewRegistry()
+	r.Retain(map[site.ServerName]bool{"a": true, "b": true}, 10, start)
 	put(r, site.Server{ID: "a"}, 10, start)
 	put(r, site.Server{ID: "b"}, 10, start)
 	return r
 }
 
-func TestServerThatLeavesIsDroppedAtOnceAfterAPauseInReading(t *testing.T) {
+func TestServerThatLeavesIsRemovedAtOnceAfterPauseInReading(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := filled()
-	// The node followed another one meanwhile and read nothing.
-	r.Read(2, 12, after(9*time.Second))
-	r.Drop("a", 11, after(9*time.Second))
+	// In the meantime the node followed another one and did not read.
+	r.NoteRead(2, 12, after(9*time.Second))
+	r.Remove("a", 11, after(9*time.Second))
 	g.Expect(r.Servers(both, after(9*time.Second)).Servers).NotTo(gomega.HaveKey(site.ServerID("a")))
 }
 
-func TestEntryThatLapsedInAnOutageKeepsItsPlaceForAWhile(t *testing.T) {
+func TestEntryExpiredInOutageIsKeptForGracePeriod(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := filled()
-	r.Failed(after(time.Second))
-	r.Failed(after(3 * time.Second))
-	r.Read(2, 12, after(5*time.Second))
-	r.Drop("a", 11, after(5*time.Second))
-	r.Drop("b", 12, after(5*time.Second))
+	r.NoteReadFailed(after(time.Second))
+	r.NoteReadFailed(after(3 * time.Second))
+	r.NoteRead(2, 12, after(5*time.Second))
+	r.Remove("a", 11, after(5*time.Second))
+	r.Remove("b", 12, after(5*time.Second))
 	g.Expect(r.Servers(both, after(6*time.Second)).Servers).To(gomega.HaveLen(2))
 
 	put(r, site.Server{ID: "a"}, 13, after(6*time.Second))
-	g.Expect(r.Servers(both, after(5*time.Second+returnTime)).Servers).To(gomega.And(
+	g.Expect(r.Servers(both, after(5*time.Second+reregistrationTime)).Servers).To(gomega.And(
 		gomega.HaveKey(site.ServerID("a")), gomega.Not(gomega.HaveKey(site.ServerID("b")))))
 }
 
-func TestAnOutageOfThisNodeAloneKeepsNoPlace(t *testing.T) {
+func TestOutageOfThisNodeAloneKeepsNoEntry(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := filled()
-	r.Failed(after(time.Second))
-	r.Read(6, 16, after(5*time.Second)) // the servers wrote three times each meanwhile
-	r.Drop("a", 11, after(5*time.Second))
+	r.NoteReadFailed(after(time.Second))
+	r.NoteRead(6, 16, after(5*time.Second)) // each server wrote three times in the meantime
+	r.Remove("a", 11, after(5*time.Second))
 	g.Expect(r.Servers(both, after(5*time.Second)).Servers).NotTo(gomega.HaveKey(site.ServerID("a")))
 }
 
-func TestDrainingIsTakenAlsoAfterAnOutage(t *testing.T) {
+func TestDrainingIsAppliedAfterOutage(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := filled()
-	r.Failed(after(time.Second))
-	r.Read(2, 12, after(5*time.Second))
+	r.NoteReadFailed(after(time.Second))
+	r.NoteRead(2, 12, after(5*time.Second))
 	put(r, site.Server{ID: "a", Draining: true}, 12, after(5*time.Second))
 	g.Expect(r.Servers(both, after(5*time.Second)).Servers["a"].Draining).To(gomega.BeTrue())
 }
 
-func TestCountdownOfTheWarmUpIsNoChange(t *testing.T) {
+func TestWarmUpCountdownIsNoChange(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := filled()
 	put(r, site.Server{ID: "c", WarmUp: 3 * time.Second}, 11, start)
@@ -84,29 +84,29 @@
 	g.Expect(before).To(gomega.Equal(store.Offset(11)))
 }
 
-// Another node may have told of a server's leaving before this one reads again
-// after an outage: the server must not come back.
-func TestAServerKnownToHaveLeftDoesNotComeBackAfterAnOutage(t *testing.T) {
+// Another node may have reported that a server left before this one reads again after an
+// outage. The server must not return.
+func TestServerKnownToHaveLeftDoesNotReturnAfterOutage(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := filled()
-	r.Failed(after(time.Second))
-	r.KeepOnly(nil, 20, after(5*time.Second))
-	shown := map[site.ServerID]site.Server{"b": {ID: "b"}}
-	servers := r.Servers(shown, after(5*time.Second)).Servers
+	r.NoteReadFailed(after(time.Second))
+	r.Retain(nil, 20, after(5*time.Second))
+	current := map[site.ServerID]site.Server{"b": {ID: "b"}}
+	servers := r.Servers(current, after(5*time.Second)).Servers
 	g.Expect(servers).NotTo(gomega.HaveKey(site.ServerID("a")))
 	g.Expect(servers).To(gomega.HaveKey(site.ServerID("b")))
 }
 
-// A node that follows another one again reads nothing; the time for which entries
-// keep their place ends all the same.
-func TestKeptEntriesEndAlsoWhileTheNodeDoesNotRead(t *testing.T) {
+// A node that follows another one again does not read, but the grace period of its entries
+// must end nevertheless.
+func TestKeptEntriesExpireWhileNodeDoesNotRead(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := &Reader{State: view.NewState(), Logger: hclog.NewNullLogger(), register: filled()}
-	r.showServers(start)
-	r.register.Failed(after(time.Second))
-	r.register.KeepOnly(nil, 20, after(5*time.Second))
-	r.showServers(after(6 * time.Second))
+	r := &Reader{State: view.NewState(), Logger: hclog.NewNullLogger(), registry: filled()}
+	r.publishServers(start)
+	r.registry.NoteReadFailed(after(time.Second))
+	r.registry.Retain(nil, 20, after(5*time.Second))
+	r.publishServers(after(6 * time.Second))
 	g.Expect(r.State.Now().Servers.Servers).To(gomega.HaveLen(2))
-	r.showServers(after(5*time.Second + returnTime))
+	r.publishServers(after(5*time.Second + reregistrationTime))
 	g.Expect(r.State.Now().Servers.Servers).To(gomega.BeEmpty())
 }
--- a/gateway/follow/routes.go
+++ b/gateway/follow/routes.go
@@ -12,43 +12,43 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// routesTeller tells other nodes where requests go. It answers busy keys and releases on
-// large sites: the lessor changes some of hundreds of ranges up to ten times a second, and
-// with all ranges in each answer the news took a node as much of its processor as the
-// requests. Nodes that have one of the latest routes are told what has changed since; the
-// others get all.
-type routesTeller struct {
-	recent recent[view.Version, view.Routes, *bspb.GatewayRoutes]
+// routesEncoder encodes routes for other nodes. On large sites, busy keys and releases make
+// the lessor change some of hundreds of ranges up to ten times per second, and responses
+// with all ranges cost a node as much processor time as its requests. Nodes that have one
+// of the latest versions therefore receive only the changes since then; other nodes receive
+// all routes.
+type routesEncoder struct {
+	recent recentVersions[view.Version, view.Routes, *bspb.GatewayRoutes]
 }
 
-// tell returns what leads from the routes that a node has to the newest.
-func (t *routesTeller) tell(asked *bspb.FollowRequest, newest view.Routes) *bspb.GatewayRoutes {
-	known := routesVersion(asked)
+// encode returns the message that leads from the routes that a node has to the newest.
+func (e *routesEncoder) encode(msg *bspb.FollowRequest, newest view.Routes) *bspb.GatewayRoutes {
+	known := routesVersion(msg)
 	isKnown := func(version view.Version) bool { return version == known }
-	message, _ := t.recent.tell(versioned[view.Version, view.Routes]{newest.Version(), newest}, isKnown, func(base *view.Routes) (*bspb.GatewayRoutes, bool, error) {
+	message, _ := e.recent.message(versioned[view.Version, view.Routes]{newest.Version(), newest}, isKnown, func(base *view.Routes) (*bspb.GatewayRoutes, bool, error) {
 		message := routesMessage(newest, base)
-		return message, !hasSilent(message), nil // those tell a time that is left
-	}) // has no error that it could return
+		return message, !hasSilentRange(message), nil // such messages contain a remaining time
+	}) // build returns no error
 	return message
 }
 
-// versionOf returns a version as messages name it.
+// versionOf returns the version that the fields of a message describe.
 func versionOf(offset int64, serial uint64) view.Version {
 	return view.Version{Offset: store.Offset(offset), Serial: serial}
 }
 
-// routesVersion returns the version of the routes that the asking node has; one older than
-// all others if it has none.
-func routesVersion(asked *bspb.FollowRequest) view.Version {
-	return versionOf(asked.TableOffset, asked.RoutesSerial)
+// routesVersion returns the version of the routes that the calling node has. If it has
+// none, the version is older than all others.
+func routesVersion(msg *bspb.FollowRequest) view.Version {
+	return versionOf(msg.TableOffset, msg.RoutesSerial)
 }
 
-func hasSilent(message *bspb.GatewayRoutes) bool {
+func hasSilentRange(message *bspb.GatewayRoutes) bool {
 	return slices.ContainsFunc(message.Services, func(s *bspb.ServiceRoutes) bool { return len(s.SilentMs) > 0 })
 }
 
-// routesMessage writes routes in a few bytes for each range, since every change
-// goes to every node; with a base only what differs from it.
+// routesMessage encodes routes in a few bytes per range, because every change is sent to
+// every node. With a base, it encodes only the differences from it.
 func routesMessage(routes view.Routes, base *view.Routes) *bspb.GatewayRoutes {
 	lessor := &bspb.GatewayMember{Node: routes.Lessor.Node, Boot: routes.Lessor.Boot, Address: routes.Lessor.Address}
 	message := &bspb.GatewayRoutes{Lessor: lessor, TableOffset: int64(routes.Offset), Serial: routes.Serial}
@@ -68,16 +68,16 @@
 const (
 	// stateFactor separates owner and state in a number.
 	stateFactor = 4
-	// asBefore stands for an owner and a state where ranges are as in the base. No
+	// sameAsBase replaces owner and state for ranges that are unchanged from the base. No
 	// state has this number.
-	asBefore = stateFactor - 1
+	sameAsBase = stateFactor - 1
 )
 
-// serviceMessage writes the routes of a service, those that were the same before as one
-// range.
+// serviceMessage encodes the routes of a service. Adjacent routes that are unchanged are
+// joined into one range.
 func serviceMessage(service site.ServiceName, list, before []ranges.Route) *bspb.ServiceRoutes {
 	message := &bspb.ServiceRoutes{Service: string(service)}
-	places := map[site.ServerID]uint32{"": 0}
+	indexes := map[site.ServerID]uint32{"": 0}
 	for _, route := range list {
 		for len(before) > 0 && before[0].From < route.From {
 			before = before[1:]
@@ -86,21 +86,22 @@
 			addUnchanged(message, uint32(route.Keys()))
 			continue
 		}
-		addRoute(message, places, route)
+		addRoute(message, indexes, route)
 	}
 	return message
 }
 
-// addRoute adds one route; places are those of the servers that are named already.
-func addRoute(message *bspb.ServiceRoutes, places map[site.ServerID]uint32, route ranges.Route) {
-	place, exists := places[route.Server]
+// addRoute adds one route; indexes are those of the servers that the message already
+// contains.
+func addRoute(message *bspb.ServiceRoutes, indexes map[site.ServerID]uint32, route ranges.Route) {
+	index, exists := indexes[route.Server]
 	if !exists {
 		message.Servers = append(message.Servers, string(route.Server))
-		place = uint32(len(message.Servers))
-		places[route.Server] = place
+		index = uint32(len(message.Servers))
+		indexes[route.Server] = index
 	}
 	message.Keys = append(message.Keys, uint32(route.Keys()))
-	message.Owners = append(message.Owners, stateFactor*place+uint32(route.State))
+	message.Owners = append(message.Owners, stateFactor*index+uint32(route.State))
 	if route.State == ranges.Silent {
 		left := max(route.Until.Sub(clock.Now()), 0)
 		message.SilentMs = append(message.SilentMs, uint32(left.Milliseconds()))
@@ -109,18 +110,18 @@
 
 func addUnchanged(message *bspb.ServiceRoutes, keys uint32) {
 	last := len(message.Owners) - 1
-	if last >= 0 && message.Owners[last] == asBefore {
+	if last >= 0 && message.Owners[last] == sameAsBase {
 		message.Keys[last] += keys
 		return
 	}
 	message.Keys = append(message.Keys, keys)
-	message.Owners = append(message.Owners, asBefore)
+	message.Owners = append(message.Owners, sameAsBase)
 }
 
-// toldRoutes returns the routes that a message tells to a node that has others; found is
-// false if it tells a change of routes that the node does not have any more. The error
-// tells that the message is not well formed.
-func toldRoutes(message *bspb.GatewayRoutes, known view.Routes, from string) (routes view.Routes, found bool, err error) {
+// decodeRoutes returns the routes of a message for a node that has known. found is false if
+// the message is a change to routes that the node no longer has. The error reports a
+// malformed message.
+func decodeRoutes(message *bspb.GatewayRoutes, known view.Routes, from string) (routes view.Routes, found bool, err error) {
 	if base := message.Base; base != nil && (known.Lessor.Boot == "" || known.Version() != versionOf(base.TableOffset, base.Serial)) {
 		return view.Routes{}, false, nil
 	}
@@ -136,7 +137,7 @@
 		if message.Base != nil {
 			before = known.Services[site.ServiceName(service.Service)]
 		}
-		list, ok := serviceRoutes(service, before)
+		list, ok := decodeService(service, before)
 		if !ok {
 			return view.Routes{}, false, &MalformedError{From: from}
 		}
@@ -145,12 +146,12 @@
 	return routes, true, nil
 }
 
-// serviceRoutes reads the routes of a service that had others before.
-func serviceRoutes(message *bspb.ServiceRoutes, before []ranges.Route) (list []ranges.Route, ok bool) {
+// decodeService decodes the routes of a service, which had the routes before until now.
+func decodeService(message *bspb.ServiceRoutes, before []ranges.Route) (list []ranges.Route, ok bool) {
 	if len(message.Keys) != len(message.Owners) {
 		return nil, false
 	}
-	reader := routeReader{servers: message.Servers, silent: message.SilentMs}
+	reader := routeReader{servers: message.Servers, remaining: message.SilentMs}
 	list = make([]ranges.Route, 0, len(message.Keys)+len(before))
 	from := ranges.Key(0)
 	for i, keys := range message.Keys {
@@ -159,7 +160,7 @@
 		}
 		span := ranges.Span{From: from, To: from + ranges.Key(keys) - 1}
 		from = span.To + 1
-		if message.Owners[i] == asBefore {
+		if message.Owners[i] == sameAsBase {
 			kept, ok := routesIn(before, span)
 			if !ok {
 				return nil, false
@@ -176,34 +177,34 @@
 	return list, from == ranges.LastKey+1
 }
 
-// routeReader reads the routes of one message in their order.
+// routeReader decodes the routes of one message in order.
 type routeReader struct {
-	servers []string
-	silent  []uint32 // times that have not been read yet, in milliseconds
+	servers   []string
+	remaining []uint32 // remaining times that have not been read yet, in milliseconds
 }
 
 func (r *routeReader) read(span ranges.Span, owner uint32) (route ranges.Route, ok bool) {
-	place, state := int(owner/stateFactor), ranges.RouteState(owner%stateFactor)
-	if place > len(r.servers) || state > ranges.Silent {
+	index, state := int(owner/stateFactor), ranges.RouteState(owner%stateFactor)
+	if index > len(r.servers) || state > ranges.Silent {
 		return ranges.Route{}, false
 	}
 	route = ranges.Route{Span: span, State: state}
-	if place > 0 {
-		route.Server = site.ServerID(r.servers[place-1])
+	if index > 0 {
+		route.Server = site.ServerID(r.servers[index-1])
 	}
 	if state != ranges.Silent {
 		return route, true
 	}
-	if len(r.silent) == 0 {
+	if len(r.remaining) == 0 {
 		return ranges.Route{}, false
 	}
-	route.Until = clock.Now().Add(time.Duration(r.silent[0]) * time.Millisecond)
-	r.silent = r.silent[1:]
+	route.Until = clock.Now().Add(time.Duration(r.remaining[0]) * time.Millisecond)
+	r.remaining = r.remaining[1:]
 	return route, true
 }
 
-// routesIn returns the routes of exactly these keys; ok is false if they do not begin and
-// end with routes.
+// routesIn returns the routes of exactly the keys in span. ok is false if span does not
+// start and end at boundaries of routes.
 func routesIn(list []ranges.Route, span ranges.Span) (in []ranges.Route, ok bool) {
 	first, found := slices.BinarySearchFunc(list, span.From, func(r ranges.Route, key ranges.Key) int { return r.Compare(key) })
 	if !found || list[first].From != span.From {
