--- a/gateway/router/answer.go
+++ b/gateway/router/answer.go
@@ -21,7 +21,7 @@
 // finish answers the caller.
 func (x *exchange) finish(ctx, caller context.Context, r result) {
 	switch {
-	case r.callerLeft || caller.Err() != nil:
+	case r.callerDisconnected || caller.Err() != nil:
 		x.log("caller left", 0, "")
 		// A return would end the request with an empty success that no server gave,
 		// for a caller that has only closed its half of the connection.
@@ -76,7 +76,7 @@
 	target.Set("Content-Length", strconv.Itoa(len(body)))
 	x.writer.WriteHeader(status)
 	if _, err := x.writer.Write(body); err != nil {
-		x.trail.note("answer not written: " + err.Error())
+		x.trace.note("answer not written: " + err.Error())
 	}
 }
 
--- a/gateway/router/caller.go
+++ b/gateway/router/caller.go
@@ -21,7 +21,7 @@
 	return c
 }
 
-// callerLeft looks whether the caller still waits. A node that stood still finds
+// callerDisconnected looks whether the caller still waits. A node that stood still finds
 // a request and the end of its connection at once, and would send on in that moment
 // what nobody waits for any more: the end of a connection is read beside the request.
-func (x *exchange) callerLeft() bool { return x.caller != nil && x.caller.Left() }
+func (x *exchange) callerDisconnected() bool { return x.caller != nil && x.caller.Left() }
--- a/gateway/router/dispatch.go
+++ b/gateway/router/dispatch.go
@@ -13,40 +13,40 @@
 	// hedgeFactor is after how many usual times an idempotent request without an
 	// answer is also sent to a second server.
 	hedgeFactor = 3.0
-	// hedgeShare is the least share of the latency objective before that.
-	hedgeShare = 0.6
-	// hedgePause is how long a request whose server takes no connection waits before
+	// hedgeTargetShare is the least share of the latency objective before that.
+	hedgeTargetShare = 0.6
+	// hedgeRetryInterval is how long a request whose server takes no connection waits before
 	// it looks again for a place elsewhere: views change about as often.
-	hedgePause = 100 * time.Millisecond
-	// suspectFactor is after how many usual times without an answer a new
+	hedgeRetryInterval = 100 * time.Millisecond
+	// probeFactor is after how many usual times without an answer a new
 	// connection to the server is tried, and leastSuspect the least time.
-	suspectFactor = 2.0
-	leastSuspect  = 250 * time.Millisecond
+	probeFactor   = 2.0
+	minProbeDelay = 250 * time.Millisecond
 )
 
 // dispatch holds the sends of one request that are under way. None is given up because its
 // server is silent or takes no connection: the server may be at work on it, and its
 // answer is still the caller's. What helps the caller is another send beside it.
 type dispatch struct {
-	x        *exchange
-	ctx      context.Context // its end gives all up
-	outcomes chan sent
-	running  int
-	last     site.Server      // that the latest went to
-	hedge    <-chan time.Time // when to send beside them; nil: never
-	suspect  <-chan time.Time // when to look whether the last server can be reached; nil: never
-	looked   <-chan bool      // tells whether it cannot
+	x           *exchange
+	ctx         context.Context // its end gives all up
+	results     chan attemptResult
+	inFlight    int
+	lastServer  site.Server      // that the latest went to
+	hedgeTimer  <-chan time.Time // when to send beside them; nil: never
+	probeTimer  <-chan time.Time // when to look whether the last server can be reached; nil: never
+	probeResult <-chan bool      // tells whether it cannot
 }
 
 func newDispatch(ctx context.Context, x *exchange) *dispatch {
-	return &dispatch{x: x, ctx: ctx, outcomes: make(chan sent, mostTries+1)}
+	return &dispatch{x: x, ctx: ctx, results: make(chan attemptResult, maxAttempts+1)}
 }
 
 // sendTo sends the request to a server. The place is given back when it ends.
 func (d *dispatch) sendTo(server site.Server) {
 	x := d.x
 	x.sends++
-	x.tries++
+	x.attempts++
 	if !slices.Contains(x.tried, server.ID) {
 		x.tried = append(x.tried, server.ID)
 	}
@@ -56,50 +56,50 @@
 	go func() {
 		startedAt := time.Now()
 		answer, err := x.router.client.Send(d.ctx, server, &request)
-		ended := sent{server: server, answer: answer, err: err, took: time.Since(startedAt)}
-		x.service.done(server, x.outcome(d.ctx, ended))
-		d.outcomes <- ended
+		outcome := attemptResult{server: server, answer: answer, err: err, duration: time.Since(startedAt)}
+		x.service.releaseSlot(server, x.poolOutcome(d.ctx, outcome))
+		d.results <- outcome
 	}()
-	d.running++
-	d.last = server
-	d.hedge = x.hedgeTimer()
-	d.suspect = x.suspectTimer()
-	d.looked = nil
+	d.inFlight++
+	d.lastServer = server
+	d.hedgeTimer = x.hedgeTimer()
+	d.probeTimer = x.probeTimer()
+	d.probeResult = nil
 }
 
-// sendBeside sends the request to a second server if there is a place, and looks
+// sendHedge sends the request to a second server if there is a place, and looks
 // again for one if the first server takes no connection.
-func (d *dispatch) sendBeside() {
-	d.hedge = nil
+func (d *dispatch) sendHedge() {
+	d.hedgeTimer = nil
 	if !d.x.mayHedge() {
 		return
 	}
-	server, found := d.x.hedgePlace(d.last)
+	server, found := d.x.acquireHedgeSlot(d.lastServer)
 	switch {
 	case found:
 		d.sendTo(server)
-	case d.looked != nil:
-		d.hedge = time.After(hedgePause)
+	case d.probeResult != nil:
+		d.hedgeTimer = time.After(hedgeRetryInterval)
 	}
 }
 
-// look opens a connection to the server that is slow to answer.
-func (d *dispatch) look() {
-	d.suspect = nil
-	looked := make(chan bool, 1)
-	d.looked = looked
-	server := d.last
-	go func() { looked <- d.x.router.unreachable(d.ctx, d.x.service, server) }()
+// probe opens a connection to the server that is slow to answer.
+func (d *dispatch) probe() {
+	d.probeTimer = nil
+	probeResult := make(chan bool, 1)
+	d.probeResult = probeResult
+	server := d.lastServer
+	go func() { probeResult <- d.x.router.unreachable(d.ctx, d.x.service, server) }()
 }
 
-// takeLook takes whether the server took no connection.
-func (d *dispatch) takeLook(isLost bool) {
-	if !isLost {
-		d.looked = nil
+// handleProbe takes whether the server took no connection.
+func (d *dispatch) handleProbe(isUnreachable bool) {
+	if !isUnreachable {
+		d.probeResult = nil
 		return
 	}
-	d.x.trail.note(string(d.last.ID) + " takes no connection")
-	d.hedge = time.After(0)
+	d.x.trace.note(string(d.lastServer.ID) + " takes no connection")
+	d.hedgeTimer = time.After(0)
 }
 
 // hedgeTimer returns when to send an idempotent request to a second server; nil
@@ -109,47 +109,47 @@
 		return nil
 	}
 	usual := time.Duration(hedgeFactor * float64(x.service.typicalTime()))
-	least := time.Duration(hedgeShare * float64(x.route.Target))
+	least := time.Duration(hedgeTargetShare * float64(x.route.Target))
 	return time.After(max(usual, least))
 }
 
-// suspectTimer returns when to look whether the server of an idempotent request
+// probeTimer returns when to look whether the server of an idempotent request
 // can still be reached; nil for never. A request that must not run twice waits
 // for its answer as long as its time allows.
-func (x *exchange) suspectTimer() <-chan time.Time {
+func (x *exchange) probeTimer() <-chan time.Time {
 	if x.route.Kind != site.Idempotent {
 		return nil
 	}
-	return time.After(max(leastSuspect, time.Duration(suspectFactor*float64(x.service.typicalTime()))))
+	return time.After(max(minProbeDelay, time.Duration(probeFactor*float64(x.service.typicalTime()))))
 }
 
 // mayHedge reports whether the request may be sent once more beside the sends that are
 // under way. The route's attempts bound the servers of a request; a key has one.
 func (x *exchange) mayHedge() bool {
-	return x.tries < mostTries && (x.keyed || x.sends < x.route.Attempts)
+	return x.attempts < maxAttempts && (x.keyed || x.sends < x.route.Attempts)
 }
 
-// hedgePlace returns a place at a second server if one is free, the budget allows it
+// acquireHedgeSlot returns a place at a second server if one is free, the budget allows it
 // and the caller still waits. For a key that is its next owner, once it has another
 // one than the server that is silent.
-func (x *exchange) hedgePlace(silent site.Server) (site.Server, bool) {
-	if x.callerLeft() {
+func (x *exchange) acquireHedgeSlot(unresponsive site.Server) (site.Server, bool) {
+	if x.callerDisconnected() {
 		return site.Server{}, false
 	}
 	w := x.waiter()
 	if x.keyed {
 		owner, found := x.readyOwner()
-		if !found || owner == silent.ID {
+		if !found || owner == unresponsive.ID {
 			return site.Server{}, false
 		}
 		w.Only = owner
 	}
-	server, ok := x.service.tryAsk(w)
+	server, ok := x.service.tryRequestSlot(w)
 	if !ok {
 		return site.Server{}, false
 	}
 	if !x.service.spendRetry() {
-		x.service.done(server, pool.Outcome{Abandoned: true})
+		x.service.releaseSlot(server, pool.Outcome{Abandoned: true})
 		return site.Server{}, false
 	}
 	return server, true
--- a/gateway/router/dispatch_test.go
+++ b/gateway/router/dispatch_test.go
@@ -17,8 +17,8 @@
 	"github.com/burdockspindle/burdockspindle/gateway/view"
 )
 
-// owningServer answers each request after a while, whoever asks, and tells what has come.
-func owningServer(t *testing.T, after time.Duration) (address string, came <-chan struct{}) {
+// delayedServer answers each request after a while, whoever asks, and tells what has come.
+func delayedServer(t *testing.T, delay time.Duration) (address string, received <-chan struct{}) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	gomega.NewWithT(t).Expect(err).NotTo(gomega.HaveOccurred())
@@ -36,7 +36,7 @@
 					return
 				}
 				requests <- struct{}{}
-				time.Sleep(after)
+				time.Sleep(delay)
 				_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
 			}()
 		}
@@ -47,36 +47,36 @@
 // On a grown site servers with many connections turned new ones away, and then counted
 // as lost: 138 requests in two seconds that they had in work were broken off and answered
 // with 502, one of them by a node that had been told to shut down.
-func TestARequestInWorkIsNotGivenUpWhenItsServerTakesNoConnection(t *testing.T) {
+func TestRequestInFlightIsKeptWhenItsServerRefusesNewConnections(t *testing.T) {
 	for _, keyed := range []bool{true, false} {
 		g := gomega.NewWithT(t)
-		x := keyedExchange(t)
+		x := newKeyedExchange(t)
 		x.keyed = keyed
 		x.request = upstream.Request{Method: http.MethodGet, Target: "/", Host: "h"}
-		address, came := owningServer(t, 3*leastSuspect)
+		address, received := delayedServer(t, 3*minProbeDelay)
 		server := site.Server{ID: "b", Service: "s", Address: address, Slots: 4}
-		x.service.follow([]site.Server{server}, 1, view.Shares{})
+		x.service.applyView([]site.Server{server}, 1, view.Shares{})
 		go func() {
-			<-came
-			x.service.done(site.Server{ID: "b"}, pool.Outcome{Failed: true, NotReached: true})
+			<-received
+			x.service.releaseSlot(site.Server{ID: "b"}, pool.Outcome{Failed: true, NotReached: true})
 		}()
 		ctx, cancel := context.WithDeadline(context.Background(), x.deadline)
 		defer cancel()
 		end := x.run(ctx)
-		g.Expect(end.failure).To(gomega.BeEmpty(), "%v", x.trail.steps)
+		g.Expect(end.failure).To(gomega.BeEmpty(), "%v", x.trace.steps)
 		g.Expect(end.answer).NotTo(gomega.BeNil())
 		g.Expect(string(end.answer.Body)).To(gomega.Equal("ok"))
 	}
 }
 
 // A server that is full and turns a connection away is not lost.
-func TestAServerThatTurnsAConnectionAwayIsFull(t *testing.T) {
+func TestServerThatRejectsAConnectionIsTreatedAsFull(t *testing.T) {
 	g := gomega.NewWithT(t)
-	x := keyedExchange(t)
-	away := &upstream.AttemptError{Server: "b", TurnedAway: true, Cause: syscall.ECONNRESET}
-	outcome := x.outcome(context.Background(), sent{err: away})
+	x := newKeyedExchange(t)
+	rejected := &upstream.AttemptError{Server: "b", TurnedAway: true, Cause: syscall.ECONNRESET}
+	outcome := x.poolOutcome(context.Background(), attemptResult{err: rejected})
 	g.Expect(outcome).To(gomega.Equal(pool.Outcome{NoRoom: true}))
-	lost := &upstream.AttemptError{Server: "b", Cause: syscall.ECONNREFUSED}
-	outcome = x.outcome(context.Background(), sent{err: lost})
+	refused := &upstream.AttemptError{Server: "b", Cause: syscall.ECONNREFUSED}
+	outcome = x.poolOutcome(context.Background(), attemptResult{err: refused})
 	g.Expect(outcome).To(gomega.Equal(pool.Outcome{Failed: true, NotReached: true}))
 }
--- a/gateway/router/log.go
+++ b/gateway/router/log.go
@@ -17,14 +17,14 @@
 	eventDropped = events.Define(2201, hclog.Warn, "lines of requests left out")
 )
 
-// trail tells what was done with a request, in order.
-type trail struct{ steps []string }
+// trace tells what was done with a request, in order.
+type trace struct{ steps []string }
 
-func (t *trail) note(step string) { t.steps = append(t.steps, step) }
+func (t *trace) note(step string) { t.steps = append(t.steps, step) }
 
-func (t *trail) waited(d time.Duration) { t.note("waited " + milliseconds(d)) }
+func (t *trace) noteWait(d time.Duration) { t.note("waited " + milliseconds(d)) }
 
-func (t *trail) sent(s sent) {
+func (t *trace) noteAttempt(s attemptResult) {
 	step := "sent to " + string(s.server.ID) + ", "
 	switch {
 	case s.err != nil:
@@ -37,7 +37,7 @@
 	if s.err == nil && s.answer.Load != nil {
 		step += ", load " + loadText(*s.answer.Load)
 	}
-	t.note(step + " after " + milliseconds(s.took))
+	t.note(step + " after " + milliseconds(s.duration))
 }
 
 func loadText(l site.Load) string {
@@ -49,8 +49,8 @@
 // Bounds of the lines about requests, in lines a second and node. A line costs
 // about 20 microseconds.
 const (
-	failedLines   = 40 // of requests without a good answer
-	answeredLines = 2  // of all others, as samples
+	maxFailedLines   = 40 // of requests without a good answer
+	maxAnsweredLines = 2  // of all others, as samples
 )
 
 // lineBudget bounds the lines about requests.
@@ -69,28 +69,28 @@
 	defer b.mu.Unlock()
 	if second := now.Unix(); second != b.second {
 		dropped = b.dropped
-		b.second, b.failed, b.answered, b.dropped = second, failedLines, answeredLines, 0
+		b.second, b.failed, b.answered, b.dropped = second, maxFailedLines, maxAnsweredLines, 0
 	}
-	left := &b.answered
+	remaining := &b.answered
 	if failed {
-		left = &b.failed
+		remaining = &b.failed
 	}
-	if *left == 0 {
+	if *remaining == 0 {
 		if failed {
 			b.dropped++
 		}
 		return false, dropped
 	}
-	*left--
+	*remaining--
 	return true, dropped
 }
 
 // log counts the end of a request and writes its line.
 func (x *exchange) log(outcome string, status int, reason string) {
-	count(x, outcome, reason)
+	countOutcome(x, outcome, reason)
 	allowed, dropped := x.router.lines.take(outcome != "answered" || status >= 500, time.Now())
 	if dropped > 0 {
-		linesLeft.Add(int64(dropped))
+		linesDropped.Add(int64(dropped))
 		eventDropped.Log(x.router.logger, "lines", dropped)
 	}
 	if !allowed {
@@ -109,5 +109,5 @@
 	if x.keyed {
 		fields = append(fields, "key", int(x.key), "table", x.view.Routes.Offset)
 	}
-	eventRequest.Log(x.router.logger, append(fields, "steps", strings.Join(x.trail.steps, "; "))...)
+	eventRequest.Log(x.router.logger, append(fields, "steps", strings.Join(x.trace.steps, "; "))...)
 }
--- a/gateway/router/metrics.go
+++ b/gateway/router/metrics.go
@@ -16,15 +16,15 @@
 	sends    = group.Counter("sends")
 	// budgetLeft holds what is left of each service's retry budget on this node, in
 	// hundredths of a send.
-	budgetLeft = group.Map("retry_budget_left_hundredths")
-	linesLeft  = group.Counter("log_lines_left_out")
+	budgetLeft   = group.Map("retry_budget_left_hundredths")
+	linesDropped = group.Counter("log_lines_left_out")
 )
 
 // Bounds of the latency histograms, in microseconds, with two significant
 // digits.
 const (
-	histogramLeast  = 100
-	histogramMost   = 60_000_000
+	histogramMin    = 100
+	histogramMax    = 60_000_000
 	histogramDigits = 2
 )
 
@@ -53,10 +53,10 @@
 	defer h.mu.Unlock()
 	histogram := h.byService[service]
 	if histogram == nil {
-		histogram = hdrhistogram.New(histogramLeast, histogramMost, histogramDigits)
+		histogram = hdrhistogram.New(histogramMin, histogramMax, histogramDigits)
 		h.byService[service] = histogram
 	}
-	value := min(max(took.Microseconds(), histogramLeast), histogramMost)
+	value := min(max(took.Microseconds(), histogramMin), histogramMax)
 	if err := histogram.RecordValue(value); err != nil {
 		outcomes.Add("time not recorded", 1)
 	}
@@ -86,7 +86,7 @@
 	return all
 }
 
-func count(x *exchange, outcome, reason string) {
+func countOutcome(x *exchange, outcome, reason string) {
 	service := "none"
 	if x.service != nil {
 		service = string(x.service.name)
--- a/gateway/router/owner.go
+++ b/gateway/router/owner.go
@@ -11,26 +11,26 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// placeAtOwner waits for a place at the server that owns the request's key. An
+// acquireOwnerSlot waits for a place at the server that owns the request's key. An
 // owner that takes no connection has perhaps ended: the request waits a while
 // for another one.
-func (x *exchange) placeAtOwner(ctx context.Context, w *pool.Waiter) (site.Server, *refusal) {
-	patience := time.Now().Add(min(ownerWait, time.Until(x.deadline)/2))
+func (x *exchange) acquireOwnerSlot(ctx context.Context, w *pool.Waiter) (site.Server, *refusal) {
+	giveUpAt := time.Now().Add(min(ownerTimeout, time.Until(x.deadline)/2))
 	for {
 		owner, problem := x.owner(ctx)
 		if problem != nil {
 			return site.Server{}, problem
 		}
 		w.Only = owner
-		server, problem := x.wait(ctx, w)
+		server, problem := x.waitForSlot(ctx, w)
 		if problem == nil || problem.reason != string(pool.NoServer) {
 			return server, problem
 		}
-		if time.Now().After(patience) {
-			problem.retryAfter = goneRetry
+		if time.Now().After(giveUpAt) {
+			problem.retryAfter = unreachableOwnerRetryAfter
 			return site.Server{}, problem
 		}
-		x.awaitNews(ctx)
+		x.awaitViewChange(ctx)
 		// Without this, a request that nobody waits for goes round here without a
 		// pause, 50,000 times in half a second, and keeps the processor from all others.
 		if ctx.Err() != nil {
@@ -56,10 +56,10 @@
 // owner returns the server that owns the request's key, and waits for one while
 // the key changes hands, or until it has been granted to the next run of its owner.
 func (x *exchange) owner(ctx context.Context) (site.ServerID, *refusal) {
-	if x.tries > 0 {
-		x.awaitNews(ctx)
+	if x.attempts > 0 {
+		x.awaitViewChange(ctx)
 	}
-	wait := time.NewTimer(min(ownerWait, time.Until(x.deadline)/2))
+	wait := time.NewTimer(min(ownerTimeout, time.Until(x.deadline)/2))
 	defer wait.Stop()
 	for {
 		changed := x.router.state.Changed()
@@ -71,23 +71,23 @@
 		case found && route.State == ranges.Silent:
 			left := route.Until.Sub(clock.Now())
 			if left+x.service.typicalTime() > time.Until(x.deadline) {
-				return "", &refusal{status: http.StatusServiceUnavailable, reason: "owner of the key is silent", retryAfter: max(left, ownerPause)}
+				return "", &refusal{status: http.StatusServiceUnavailable, reason: "owner of the key is silent", retryAfter: max(left, ownerRetryDelay)}
 			}
-			wait.Reset(left + silentMargin)
+			wait.Reset(left + reassignmentMargin)
 		}
 		select {
 		case <-changed:
 		case <-wait.C:
-			return "", &refusal{status: http.StatusServiceUnavailable, reason: "key has no owner", retryAfter: ownerPause}
+			return "", &refusal{status: http.StatusServiceUnavailable, reason: "key has no owner", retryAfter: ownerRetryDelay}
 		case <-ctx.Done():
-			return "", &refusal{status: http.StatusServiceUnavailable, reason: "key has no owner", retryAfter: ownerPause}
+			return "", &refusal{status: http.StatusServiceUnavailable, reason: "key has no owner", retryAfter: ownerRetryDelay}
 		}
 	}
 }
 
-// awaitNews waits for a changed view after the owner of a key refused.
-func (x *exchange) awaitNews(ctx context.Context) {
-	timer := time.NewTimer(ownerPause)
+// awaitViewChange waits for a changed view after the owner of a key refused.
+func (x *exchange) awaitViewChange(ctx context.Context) {
+	timer := time.NewTimer(ownerRetryDelay)
 	defer timer.Stop()
 	select {
 	case <-x.router.state.Changed():
--- a/gateway/router/restart_test.go
+++ b/gateway/router/owner_restart_test.go
@@ -21,7 +21,7 @@
 // The register shows that the owner of a key has started again, and the lessor has
 // not granted the keys anew yet: that takes a moment, as a move does, and not a
 // hold, as the loss of a server does.
-func TestARequestWaitsForTheNextRunOfItsOwner(t *testing.T) {
+func TestRequestWaitsForTheNextIncarnationOfItsOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		state := view.NewState()
@@ -30,11 +30,11 @@
 			Services: map[site.ServiceName]site.Service{"s": {Name: "s", Keyed: true}},
 			Routes:   []site.Route{{Host: "h", Prefix: "/", Timeout: time.Minute, Targets: []site.Target{{Service: "s", Weight: 1}}}},
 		}
-		earlier, present := site.RunID("a", time.Unix(1, 0)), site.RunID("a", time.Unix(2, 0))
+		previousID, currentID := site.RunID("a", time.Unix(1, 0)), site.RunID("a", time.Unix(2, 0))
 		g.Expect(state.MergeConfig(config)).To(gomega.BeTrue())
-		server := site.Server{ID: present, Service: "s", Slots: 1}
-		g.Expect(state.MergeServers(view.Servers{Offset: 1, Servers: map[site.ServerID]site.Server{present: server}})).To(gomega.BeTrue())
-		route := ranges.Route{Span: ranges.Span{To: ranges.LastKey}, Server: earlier, State: ranges.Ready}
+		server := site.Server{ID: currentID, Service: "s", Slots: 1}
+		g.Expect(state.MergeServers(view.Servers{Offset: 1, Servers: map[site.ServerID]site.Server{currentID: server}})).To(gomega.BeTrue())
+		route := ranges.Route{Span: ranges.Span{To: ranges.LastKey}, Server: previousID, State: ranges.Ready}
 		routes := view.Routes{Lessor: ranges.Lessor{Boot: "x"}, Serial: 1, Services: map[site.ServiceName][]ranges.Route{"s": {route}}}
 		g.Expect(state.MergeRoutes(routes)).To(gomega.BeTrue())
 		headers := upstream.Headers{Key: "Key", ParseLoad: func(string) (site.Load, bool) { return site.Load{}, false }}
@@ -46,7 +46,7 @@
 		request.Header.Set("Key", "1")
 		r.ServeHTTP(answer, request)
 		g.Expect(answer.Code).To(gomega.Equal(http.StatusServiceUnavailable))
-		g.Expect(time.Since(startedAt)).To(gomega.Equal(ownerWait), "of the fake clock")
+		g.Expect(time.Since(startedAt)).To(gomega.Equal(ownerTimeout), "of the fake clock")
 		g.Expect(answer.Header().Get("Retry-After")).To(gomega.Equal("0.250"), "the keys are granted anew in a moment")
 	})
 }
--- a/gateway/router/owner_test.go
+++ b/gateway/router/owner_test.go
@@ -22,16 +22,16 @@
 // countedContext counts how often somebody looks whether it has ended.
 type countedContext struct {
 	context.Context
-	looks atomic.Int32
+	doneCalls atomic.Int32
 }
 
 func (c *countedContext) Done() <-chan struct{} {
-	c.looks.Add(1)
+	c.doneCalls.Add(1)
 	return c.Context.Done()
 }
 
-// keyedExchange returns a request for a key that a server owns.
-func keyedExchange(t *testing.T) *exchange {
+// newKeyedExchange returns a request for a key that a server owns.
+func newKeyedExchange(t *testing.T) *exchange {
 	t.Helper()
 	g := gomega.NewWithT(t)
 	state := view.NewState()
@@ -64,81 +64,81 @@
 // 29, with as many requests and as many lines "caller left". A request whose caller had
 // left, and whose key's owner took no connection, looked for the owner again and again
 // without a pause, for up to a second, and kept the processor from all others.
-func TestARequestWhoseCallerHasLeftDoesNotLookForAnOwnerAgainAndAgain(t *testing.T) {
+func TestRequestOfADisconnectedCallerDoesNotSpinWaitingForAnOwner(t *testing.T) {
 	g := gomega.NewWithT(t)
-	x := keyedExchange(t)
-	x.service.done(site.Server{ID: "b"}, pool.Outcome{Failed: true, NotReached: true})
+	x := newKeyedExchange(t)
+	x.service.releaseSlot(site.Server{ID: "b"}, pool.Outcome{Failed: true, NotReached: true})
 	ended, leave := context.WithCancel(context.Background())
 	leave()
 	ctx := &countedContext{Context: ended}
-	_, problem := x.placeAtOwner(ctx, x.waiter())
-	g.Expect(ctx.looks.Load()).To(gomega.BeNumerically("<", 5))
+	_, problem := x.acquireOwnerSlot(ctx, x.waiter())
+	g.Expect(ctx.doneCalls.Load()).To(gomega.BeNumerically("<", 5))
 	g.Expect(problem).NotTo(gomega.BeNil())
 }
 
 // A place may come in the moment in which a request is given up. What is sent then
 // is reset at once: a server has "gone" written for it, in the same millisecond.
-func TestARequestThatIsGivenUpIsNotSent(t *testing.T) {
+func TestCanceledRequestIsNotSent(t *testing.T) {
 	g := gomega.NewWithT(t)
-	x := keyedExchange(t)
+	x := newKeyedExchange(t)
 	ctx, leave := context.WithCancel(context.Background())
 	leave()
 	outcome := x.run(ctx)
 	g.Expect(outcome.refusal).NotTo(gomega.BeNil())
-	g.Expect(x.tries).To(gomega.BeZero(), "sends of a request that was given up")
-	again, _, _ := x.service.ask(&pool.Waiter{Only: "b", Deadline: x.deadline})
+	g.Expect(x.attempts).To(gomega.BeZero(), "sends of a request that was given up")
+	again, _, _ := x.service.requestSlot(&pool.Waiter{Only: "b", Deadline: x.deadline})
 	g.Expect(again.ID).To(gomega.Equal(site.ServerID("b")), "the place was given back")
 }
 
-type leftCaller struct{}
+type disconnectedCaller struct{}
 
-func (leftCaller) Left() bool { return true }
+func (disconnectedCaller) Left() bool { return true }
 
 // The end of a caller's connection is read beside the request, so that a hedge may
 // be due before it is.
-func TestNoHedgeIsSentForACallerThatHasLeft(t *testing.T) {
+func TestNoHedgeIsSentForADisconnectedCaller(t *testing.T) {
 	g := gomega.NewWithT(t)
-	x := keyedExchange(t)
+	x := newKeyedExchange(t)
 	x.keyed = false
 	for range 20 {
 		x.service.countRequest() // which lets some be sent again
 	}
-	server, isThere := x.hedgePlace(site.Server{})
-	g.Expect(isThere).To(gomega.BeTrue(), "there is room")
-	x.service.done(server, pool.Outcome{Abandoned: true})
-	x.caller = leftCaller{}
-	_, isThere = x.hedgePlace(site.Server{})
-	g.Expect(isThere).To(gomega.BeFalse())
+	server, found := x.acquireHedgeSlot(site.Server{})
+	g.Expect(found).To(gomega.BeTrue(), "there is room")
+	x.service.releaseSlot(server, pool.Outcome{Abandoned: true})
+	x.caller = disconnectedCaller{}
+	_, found = x.acquireHedgeSlot(site.Server{})
+	g.Expect(found).To(gomega.BeFalse())
 }
 
 // Whoever looks for the cause of a refusal finds the share in its line, and how old it is.
-func TestTheLineOfARefusedRequestTellsTheShareThatDecided(t *testing.T) {
+func TestLogLineOfARefusedRequestContainsTheShare(t *testing.T) {
 	g := gomega.NewWithT(t)
-	x := keyedExchange(t)
+	x := newKeyedExchange(t)
 	x.router.state.MergeShares(view.Shares{Offset: 1, Serial: 1, Of: quota.Shares{"b": 0.05}})
 	x.router.service("s") // takes them
 	refused := 0
 	for range 10 {
-		_, problem := x.place(context.Background())
+		_, problem := x.acquireSlot(context.Background())
 		if problem != nil {
 			refused++
 			g.Expect(problem.reason).To(gomega.Equal(string(pool.OverShare)))
 			g.Expect(problem.retryAfter).To(gomega.BeNumerically(">", 0))
-			g.Expect(x.trail.steps[len(x.trail.steps)-1]).To(gomega.MatchRegexp(`^b gets 0.05 of the requests for its keys, told \d+ ms ago$`))
+			g.Expect(x.trace.steps[len(x.trace.steps)-1]).To(gomega.MatchRegexp(`^b gets 0.05 of the requests for its keys, told \d+ ms ago$`))
 		}
 	}
 	g.Expect(refused).To(gomega.BeNumerically(">=", 9))
 }
 
 // A request that waits alone sees a server that comes: no other request is needed for that.
-func TestARequestThatWaitsGetsAPlaceAtANewServer(t *testing.T) {
+func TestWaitingRequestGetsASlotAtANewServer(t *testing.T) {
 	g := gomega.NewWithT(t)
-	x := keyedExchange(t)
+	x := newKeyedExchange(t)
 	x.keyed = false
 	w := &pool.Waiter{Deadline: x.deadline, Target: x.target}
 	for {
-		if _, places, _ := x.service.ask(w); places != nil { // the only server has no room
-			x.service.leave(w, places)
+		if _, results, _ := x.service.requestSlot(w); results != nil { // the only server has no room
+			x.service.cancelWait(w, results)
 			break
 		}
 	}
@@ -148,7 +148,7 @@
 		servers := map[site.ServerID]site.Server{"b": x.router.state.Now().Servers.Servers["b"], "c": added}
 		x.router.state.MergeServers(view.Servers{Offset: 2, Servers: servers})
 	}()
-	server, problem := x.wait(context.Background(), x.waiter())
+	server, problem := x.waitForSlot(context.Background(), x.waiter())
 	g.Expect(problem).To(gomega.BeNil())
 	g.Expect(server.ID).To(gomega.Equal(site.ServerID("c")))
 }
--- a/gateway/router/router.go
+++ b/gateway/router/router.go
@@ -41,11 +41,11 @@
 	close    context.CancelFunc
 	lines    lineBudget
 
-	mu       sync.Mutex
-	patience map[string]*patience // by route
-	services map[site.ServiceName]*service
-	seen     *view.View // the view that the services were made for
-	terms    Terms
+	mu          sync.Mutex
+	timeouts    map[string]*callerTimeouts // by route
+	services    map[site.ServiceName]*service
+	appliedView *view.View // the view that the services were made for
+	options     Terms
 }
 
 // service is what the router keeps of one service.
@@ -53,13 +53,13 @@
 	name    site.ServiceName
 	servers []site.Server // of the view that it was made for, guarded by the router's lock
 
-	mu       sync.Mutex // guards all below
-	pool     *pool.Pool
-	budget   *budget.Budget
-	waiters  map[*pool.Waiter]chan place
-	nodes    int         // that share the servers; 0: not known
-	sharesAt time.Time   // when the shares were told
-	wake     *time.Timer // when a pause ends for which requests wait; nil: none does
+	mu               sync.Mutex // guards all below
+	pool             *pool.Pool
+	budget           *budget.Budget
+	waiters          map[*pool.Waiter]chan waitResult
+	nodeCount        int         // that share the servers; 0: not known
+	sharesReportedAt time.Time   // when the shares were told
+	wakeTimer        *time.Timer // when a pause ends for which requests wait; nil: none does
 }
 
 // New returns a router without services.
@@ -70,12 +70,12 @@
 		close:    closeRouter,
 		zone:     zone,
 		headers:  headers,
-		terms:    terms,
+		options:  terms,
 		state:    state,
 		client:   client,
 		reports:  reports,
 		logger:   logger,
-		patience: map[string]*patience{},
+		timeouts: map[string]*callerTimeouts{},
 		services: map[site.ServiceName]*service{},
 	}
 }
@@ -87,7 +87,7 @@
 func (r *Router) SetTerms(terms Terms) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.terms = terms
+	r.options = terms
 	for _, s := range r.services {
 		s.mu.Lock()
 		s.pool.SetPenalty(terms.CrossZonePenalty)
@@ -109,111 +109,111 @@
 func (r *Router) service(name site.ServiceName) *service {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := r.followView()
+	v := r.applyView()
 	s := r.services[name]
 	if s == nil {
 		random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 		s = &service{
 			name:    name,
-			pool:    pool.New(r.zone, r.terms.CrossZonePenalty, random),
-			budget:  budget.New(r.terms.Retries),
-			waiters: map[*pool.Waiter]chan place{},
+			pool:    pool.New(r.zone, r.options.CrossZonePenalty, random),
+			budget:  budget.New(r.options.Retries),
+			waiters: map[*pool.Waiter]chan waitResult{},
 		}
-		s.follow(v.ServersOf(name), len(v.Members), v.Shares)
+		s.applyView(v.ServersOf(name), len(v.Members), v.Shares)
 		r.services[name] = s
 		budgetLeft.Set(string(name), expvar.Func(func() any { return s.budgetLeft() }))
 	}
 	return s
 }
 
-// update has every service take the present view. Requests that wait call it when the view
+// refreshView has every service take the present view. Requests that wait call it when the view
 // changes: on a service with few requests, one that waited saw a new server only when the
 // next one came.
-func (r *Router) update() {
+func (r *Router) refreshView() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.followView()
+	r.applyView()
 }
 
-// followView has the services take the present view, and returns it. The lock is held.
-func (r *Router) followView() *view.View {
+// applyView has the services take the present view, and returns it. The lock is held.
+func (r *Router) applyView() *view.View {
 	v := r.state.Now()
-	if v == r.seen {
+	if v == r.appliedView {
 		return v
 	}
-	r.seen = v
+	r.appliedView = v
 	for name, s := range r.services {
-		s.follow(v.ServersOf(name), len(v.Members), v.Shares)
+		s.applyView(v.ServersOf(name), len(v.Members), v.Shares)
 	}
 	return v
 }
 
-// ShareLife is for how long shares hold that the lessor does not tell again.
-const ShareLife = 5 * time.Second
+// ShareValidity is for how long shares hold that the lessor does not tell again.
+const ShareValidity = 5 * time.Second
 
-// follow takes what of a new view concerns the service. Most views change the routes
+// applyView takes what of a new view concerns the service. Most views change the routes
 // only.
-func (s *service) follow(servers []site.Server, nodes int, shares view.Shares) {
+func (s *service) applyView(servers []site.Server, nodes int, shares view.Shares) {
 	isSame := len(servers) == len(s.servers) && (len(servers) == 0 || &servers[0] == &s.servers[0])
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if !isSame || nodes != s.nodes || len(servers) == 0 {
+	if !isSame || nodes != s.nodeCount || len(servers) == 0 {
 		s.pool.Update(servers, nodes, now)
 	}
 	s.servers = servers
-	s.nodes = nodes
-	if shares.ToldAt != s.sharesAt {
-		s.sharesAt = shares.ToldAt
-		s.pool.SetShares(shares.Of, shares.ToldAt.Add(ShareLife))
+	s.nodeCount = nodes
+	if shares.ToldAt != s.sharesReportedAt {
+		s.sharesReportedAt = shares.ToldAt
+		s.pool.SetShares(shares.Of, shares.ToldAt.Add(ShareValidity))
 	}
 	s.deliver(s.pool.Admit(now))
 }
 
-// waited notes how long a caller of a route waits, as it states, and returns how long it
+// elapsedWait notes how long a caller of a route waits, as it states, and returns how long it
 // has waited already.
-func (r *Router) waited(route string, wait time.Duration) time.Duration {
+func (r *Router) elapsedWait(route string, timeout time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	p := r.patience[route]
-	if p == nil {
-		p = new(patience)
-		r.patience[route] = p
+	timeouts := r.timeouts[route]
+	if timeouts == nil {
+		timeouts = new(callerTimeouts)
+		r.timeouts[route] = timeouts
 	}
-	p.note(wait)
-	return p.waited(wait)
+	timeouts.record(timeout)
+	return timeouts.elapsed(timeout)
 }
 
-// place ends a wait: a place at a server, or a refusal.
-type place struct {
+// waitResult ends a wait: a place at a server, or a refusal.
+type waitResult struct {
 	server  site.Server
-	refused *pool.Refusal
+	refusal *pool.Refusal
 }
 
 // deliver hands places to those that wait for them, and refuses those that
 // would wait too long. The lock is held.
 func (s *service) deliver(admissions []pool.Admission) {
 	for _, a := range admissions {
-		s.waiters[a.Waiter] <- place{server: a.Server}
+		s.waiters[a.Waiter] <- waitResult{server: a.Server}
 		delete(s.waiters, a.Waiter)
 	}
 	for _, e := range s.pool.Evict(time.Now()) {
-		s.waiters[e.Waiter] <- place{refused: &e.Refusal}
+		s.waiters[e.Waiter] <- waitResult{refusal: &e.Refusal}
 		delete(s.waiters, e.Waiter)
 	}
-	s.setWake()
+	s.resetWakeTimer()
 }
 
-// setWake has requests that wait for the end of a pause sent then. The lock is
+// resetWakeTimer has requests that wait for the end of a pause sent then. The lock is
 // held.
-func (s *service) setWake() {
-	if s.wake != nil {
-		s.wake.Stop()
-		s.wake = nil
+func (s *service) resetWakeTimer() {
+	if s.wakeTimer != nil {
+		s.wakeTimer.Stop()
+		s.wakeTimer = nil
 	}
 	now := time.Now()
 	if at, waits := s.pool.NextRoom(now); waits {
-		s.wake = time.AfterFunc(at.Sub(now), s.admit)
+		s.wakeTimer = time.AfterFunc(at.Sub(now), s.admit)
 	}
 }
 
@@ -224,9 +224,9 @@
 	s.deliver(s.pool.Admit(time.Now()))
 }
 
-// ask asks for a place. It returns one, or a channel that receives one, or a
+// requestSlot asks for a place. It returns one, or a channel that receives one, or a
 // refusal.
-func (s *service) ask(w *pool.Waiter) (site.Server, <-chan place, *pool.Refusal) {
+func (s *service) requestSlot(w *pool.Waiter) (site.Server, <-chan waitResult, *pool.Refusal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	admission, refusal := s.pool.Ask(w, time.Now())
@@ -236,29 +236,29 @@
 	if admission != nil {
 		return admission.Server, nil, nil
 	}
-	places := make(chan place, 1)
-	s.waiters[w] = places
-	s.setWake()
-	return site.Server{}, places, nil
+	results := make(chan waitResult, 1)
+	s.waiters[w] = results
+	s.resetWakeTimer()
+	return site.Server{}, results, nil
 }
 
-// leave ends a wait. A place that came meanwhile is given back.
-func (s *service) leave(w *pool.Waiter, places <-chan place) {
+// cancelWait ends a wait. A place that came meanwhile is given back.
+func (s *service) cancelWait(w *pool.Waiter, results <-chan waitResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pool.Leave(w)
 	delete(s.waiters, w)
 	select {
-	case p := <-places:
-		if p.refused == nil {
+	case p := <-results:
+		if p.refusal == nil {
 			s.deliver(s.pool.Done(p.server.ID, pool.Outcome{Abandoned: true}, time.Now()))
 		}
 	default:
 	}
 }
 
-// done ends a request's place at a server.
-func (s *service) done(server site.Server, outcome pool.Outcome) {
+// releaseSlot ends a request's place at a server.
+func (s *service) releaseSlot(server site.Server, outcome pool.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.deliver(s.pool.Done(server.ID, outcome, time.Now()))
@@ -267,7 +267,7 @@
 func (s *service) countRequest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budget.Request(s.nodes, time.Now())
+	s.budget.Request(s.nodeCount, time.Now())
 }
 
 // budgetLeft returns what this node may still send again, in hundredths of a send.
@@ -281,7 +281,7 @@
 func (s *service) spendRetry() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.budget.Spend(s.nodes, time.Now())
+	return s.budget.Spend(s.nodeCount, time.Now())
 }
 
 // unreachable opens a connection to a server that is slow to answer, and
@@ -300,12 +300,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pool.Probed(server.ID, err == nil, time.Now())
-	s.setWake()
+	s.resetWakeTimer()
 	return err != nil
 }
 
-// tryAsk returns a place if there is one now.
-func (s *service) tryAsk(w *pool.Waiter) (site.Server, bool) {
+// tryRequestSlot returns a place if there is one now.
+func (s *service) tryRequestSlot(w *pool.Waiter) (site.Server, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	server, ok := s.pool.Try(w, time.Now())
--- a/gateway/router/run.go
+++ b/gateway/router/run.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	// leastTimeShare is the share of a usual service time that must be left for a
+	// minTimeShare is the share of a usual service time that must be left for a
 	// request to go on waiting: many requests are shorter than usual.
-	leastTimeShare = 0.5
-	// ownerPause is how long to wait for news when the owner of a key refused.
-	ownerPause = 250 * time.Millisecond
-	// ownerWait bounds how long a request waits for the next owner of its key: a
+	minTimeShare = 0.5
+	// ownerRetryDelay is how long to wait for news when the owner of a key refused.
+	ownerRetryDelay = 250 * time.Millisecond
+	// ownerTimeout bounds how long a request waits for the next owner of its key: a
 	// move takes as long as the requests on the key still run.
-	ownerWait = time.Second
-	// silentMargin is added to the time after which a silent owner's keys get
+	ownerTimeout = time.Second
+	// reassignmentMargin is added to the time after which a silent owner's keys get
 	// another one, for the append and the grant.
-	silentMargin = 200 * time.Millisecond
-	// goneRetry is when a caller comes back whose key's owner takes no connection:
+	reassignmentMargin = 200 * time.Millisecond
+	// unreachableOwnerRetryAfter is when a caller comes back whose key's owner takes no connection:
 	// the lessor waits for its hold to run out.
-	goneRetry = 1500 * time.Millisecond
-	// mostTries bounds the attempts of one request, those that reached no server and
+	unreachableOwnerRetryAfter = 1500 * time.Millisecond
+	// maxAttempts bounds the attempts of one request, those that reached no server and
 	// those while its key changes hands included.
-	mostTries = 4
+	maxAttempts = 4
 )
 
 // result is how an exchange ended.
@@ -38,83 +38,83 @@
 	answer  *upstream.Answer // of a server
 	refusal *refusal         // not run
 	failure string           // the request may have run, and why there is no answer
-	// callerLeft tells that nobody waits for an answer any more.
-	callerLeft bool
+	// callerDisconnected tells that nobody waits for an answer any more.
+	callerDisconnected bool
 }
 
-// sent is the outcome of one attempt.
-type sent struct {
-	server site.Server
-	answer *upstream.Answer
-	err    error
-	took   time.Duration
+// attemptResult is the outcome of one attempt.
+type attemptResult struct {
+	server   site.Server
+	answer   *upstream.Answer
+	err      error
+	duration time.Duration
 }
 
 // run has the request run. It returns when there is an answer, or none will come.
 func (x *exchange) run(ctx context.Context) result {
-	sending, cancel := context.WithCancel(ctx)
+	sendCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	d := newDispatch(sending, x)
+	d := newDispatch(sendCtx, x)
 	for {
-		if d.running == 0 {
-			server, end := x.placeToSend(ctx)
+		if d.inFlight == 0 {
+			server, end := x.acquireSlotToSend(ctx)
 			if end != nil {
 				return *end
 			}
 			d.sendTo(server)
 		}
 		select {
-		case ended := <-d.outcomes:
-			d.running--
-			if x.isFinal(ended) {
-				return x.final(ended)
+		case attempt := <-d.results:
+			d.inFlight--
+			if x.isFinal(attempt) {
+				return x.finalResult(attempt)
 			}
-		case <-d.hedge:
-			d.sendBeside()
-		case <-d.suspect:
-			d.look()
-		case isLost := <-d.looked:
-			d.takeLook(isLost)
+		case <-d.hedgeTimer:
+			d.sendHedge()
+		case <-d.probeTimer:
+			d.probe()
+		case isUnreachable := <-d.probeResult:
+			d.handleProbe(isUnreachable)
 		case <-ctx.Done():
 			x.mayHaveRun = true
-			x.trail.note("sent to " + string(d.last.ID) + ", no answer yet")
+			x.trace.note("sent to " + string(d.lastServer.ID) + ", no answer yet")
 			return x.giveUp(&refusal{status: http.StatusGatewayTimeout, reason: "timeout"})
 		}
 	}
 }
 
-// placeToSend waits for a place, and takes it only if somebody still waits for the
+// acquireSlotToSend waits for a place, and takes it only if somebody still waits for the
 // answer: a place may come in the moment in which the request is given up, and what
 // is sent then is reset at once.
-func (x *exchange) placeToSend(ctx context.Context) (site.Server, *result) {
-	server, problem := x.place(ctx)
+func (x *exchange) acquireSlotToSend(ctx context.Context) (site.Server, *result) {
+	server, problem := x.acquireSlot(ctx)
 	if problem != nil {
 		end := x.giveUp(problem)
 		return site.Server{}, &end
 	}
-	if x.callerLeft() {
-		x.service.done(server, pool.Outcome{Abandoned: true})
-		return site.Server{}, &result{callerLeft: true}
+	if x.callerDisconnected() {
+		x.service.releaseSlot(server, pool.Outcome{Abandoned: true})
+		return site.Server{}, &result{callerDisconnected: true}
 	}
 	if ctx.Err() != nil {
-		x.service.done(server, pool.Outcome{Abandoned: true})
-		end := x.giveUp(waitedInVain(x.service.typicalTime()))
+		x.service.releaseSlot(server, pool.Outcome{Abandoned: true})
+		end := x.giveUp(waitTimeoutRefusal(x.service.typicalTime()))
 		return site.Server{}, &end
 	}
 	return server, nil
 }
 
-// outcome tells the pool how an attempt ended.
-func (x *exchange) outcome(ctx context.Context, s sent) pool.Outcome {
+// poolOutcome tells the pool how an attempt ended.
+func (x *exchange) poolOutcome(ctx context.Context, s attemptResult) pool.Outcome {
 	if s.err != nil {
 		var attempt *upstream.AttemptError
 		isOver := ctx.Err() != nil
 		isAttempt := errors.As(s.err, &attempt)
 		if isAttempt && attempt.TurnedAway {
-			return pool.Outcome{Took: s.took, NoRoom: !isOver, Abandoned: isOver}
+			return pool.Outcome{Took: s.duration, NoRoom: !isOver, Abandoned: isOver}
 		}
 		return pool.Outcome{
-			Took:       s.took,
+			Took:       s.duration,
 			Failed:     !isOver,
 			Reset:      !isOver && errors.Is(s.err, syscall.ECONNRESET),
 			NotReached: !isOver && isAttempt && !attempt.Sent,
@@ -122,11 +122,11 @@
 		}
 	}
 	if x.keyed && !s.answer.NotRun {
-		x.router.reports.Answer(s.server.ID, workOf(s), s.answer.Load)
+		x.router.reports.Answer(s.server.ID, serviceTime(s), s.answer.Load)
 	}
 	isMisdirected := s.answer.Status == http.StatusMisdirectedRequest
 	return pool.Outcome{
-		Took:      s.took,
+		Took:      s.duration,
 		Load:      s.answer.Load,
 		Failed:    s.answer.Status >= http.StatusInternalServerError && !s.answer.NotRun,
 		NoRoom:    s.answer.NotRun && !isMisdirected,
@@ -134,19 +134,19 @@
 	}
 }
 
-// workOf estimates how long a server worked on a request: what waited there when
+// serviceTime estimates how long a server worked on a request: what waited there when
 // it ended had mostly waited when it came.
-func workOf(s sent) time.Duration {
+func serviceTime(s attemptResult) time.Duration {
 	load := s.answer.Load
 	if load == nil || load.Slots == 0 {
-		return s.took
+		return s.duration
 	}
-	return time.Duration(float64(s.took) / (1 + float64(load.Waiting)/float64(load.Slots)))
+	return time.Duration(float64(s.duration) / (1 + float64(load.Waiting)/float64(load.Slots)))
 }
 
 // isFinal notes how an attempt ended and reports whether the request is done.
-func (x *exchange) isFinal(s sent) bool {
-	x.trail.sent(s)
+func (x *exchange) isFinal(s attemptResult) bool {
+	x.trace.noteAttempt(s)
 	var attempt *upstream.AttemptError
 	if s.err != nil {
 		if !errors.As(s.err, &attempt) || attempt.Sent {
@@ -163,11 +163,11 @@
 	if s.answer.Status < http.StatusInternalServerError || x.route.Kind == site.AtMostOnce {
 		return true
 	}
-	x.last = s.answer
+	x.lastAnswer = s.answer
 	return false
 }
 
-func (x *exchange) final(s sent) result {
+func (x *exchange) finalResult(s attemptResult) result {
 	if s.err != nil {
 		return result{failure: "connection to the server lost"}
 	}
@@ -176,8 +176,8 @@
 
 // giveUp returns the best final answer when no attempt will follow.
 func (x *exchange) giveUp(problem *refusal) result {
-	if x.last != nil {
-		return result{answer: x.last}
+	if x.lastAnswer != nil {
+		return result{answer: x.lastAnswer}
 	}
 	if x.mayHaveRun {
 		return result{failure: problem.reason}
@@ -185,66 +185,66 @@
 	return result{refusal: problem}
 }
 
-// place waits for a place at a server that may run the request.
-func (x *exchange) place(ctx context.Context) (site.Server, *refusal) {
-	if problem := x.mayTryAgain(); problem != nil {
+// acquireSlot waits for a place at a server that may run the request.
+func (x *exchange) acquireSlot(ctx context.Context) (site.Server, *refusal) {
+	if problem := x.retryRefusal(); problem != nil {
 		return site.Server{}, problem
 	}
 	w := x.waiter()
 	if !x.keyed {
-		return x.wait(ctx, w)
+		return x.waitForSlot(ctx, w)
 	}
-	return x.placeAtOwner(ctx, w)
+	return x.acquireOwnerSlot(ctx, w)
 }
 
-// wait asks for a place and waits for it. A request that could not be answered
+// waitForSlot asks for a place and waits for it. A request that could not be answered
 // in time any more, or whose key has another owner now, waits no longer.
-func (x *exchange) wait(ctx context.Context, w *pool.Waiter) (site.Server, *refusal) {
+func (x *exchange) waitForSlot(ctx context.Context, w *pool.Waiter) (site.Server, *refusal) {
 	askedAt := time.Now()
-	server, places, refused := x.service.ask(w)
-	if refused != nil {
-		return site.Server{}, x.refusedBy(w, refused)
+	server, results, denied := x.service.requestSlot(w)
+	if denied != nil {
+		return site.Server{}, x.refusedBy(w, denied)
 	}
-	if places == nil {
+	if results == nil {
 		return server, nil
 	}
 	typical := x.service.typicalTime()
-	tooLate := time.NewTimer(time.Until(x.deadline) - time.Duration(leastTimeShare*float64(typical)))
+	tooLate := time.NewTimer(time.Until(x.deadline) - time.Duration(minTimeShare*float64(typical)))
 	defer tooLate.Stop()
 	for {
 		changed := x.router.state.Changed()
 		if x.keyed && !x.isOwner(w.Only) {
-			x.service.leave(w, places)
+			x.service.cancelWait(w, results)
 			x.noteWait(time.Since(askedAt))
-			return x.place(ctx)
+			return x.acquireSlot(ctx)
 		}
 		select {
-		case p := <-places:
+		case p := <-results:
 			x.noteWait(time.Since(askedAt))
-			if p.refused != nil {
-				return site.Server{}, x.refusedBy(w, p.refused)
+			if p.refusal != nil {
+				return site.Server{}, x.refusedBy(w, p.refusal)
 			}
 			return p.server, nil
 		case <-changed:
-			x.router.update()
+			x.router.refreshView()
 		case <-tooLate.C:
-			x.service.leave(w, places)
-			return site.Server{}, waitedInVain(typical)
+			x.service.cancelWait(w, results)
+			return site.Server{}, waitTimeoutRefusal(typical)
 		case <-ctx.Done():
-			x.service.leave(w, places)
-			return site.Server{}, waitedInVain(typical)
+			x.service.cancelWait(w, results)
+			return site.Server{}, waitTimeoutRefusal(typical)
 		}
 	}
 }
 
 // noteWait notes for how long the request waited for a place.
 func (x *exchange) noteWait(d time.Duration) {
-	x.trail.waited(d)
+	x.trace.noteWait(d)
 	waits.record(string(x.service.name), d)
 }
 
-// waitedInVain refuses a request that got no place in its time.
-func waitedInVain(typical time.Duration) *refusal {
+// waitTimeoutRefusal refuses a request that got no place in its time.
+func waitTimeoutRefusal(typical time.Duration) *refusal {
 	return &refusal{status: http.StatusServiceUnavailable, reason: "waited in vain", retryAfter: typical}
 }
 
@@ -252,21 +252,21 @@
 func (x *exchange) refusedBy(w *pool.Waiter, r *pool.Refusal) *refusal {
 	if r.Reason == pool.OverShare {
 		told := time.Since(x.router.state.Now().Shares.ToldAt)
-		x.trail.note(string(w.Only) + " gets " + strconv.FormatFloat(r.Share, 'g', 2, 64) + " of the requests for its keys, told " + milliseconds(told) + " ago")
+		x.trace.note(string(w.Only) + " gets " + strconv.FormatFloat(r.Share, 'g', 2, 64) + " of the requests for its keys, told " + milliseconds(told) + " ago")
 	}
 	return &refusal{status: http.StatusServiceUnavailable, reason: string(r.Reason), retryAfter: r.RetryAfter}
 }
 
-// mayTryAgain reports why a request that was sent before is not sent again.
-func (x *exchange) mayTryAgain() *refusal {
-	if x.tries == 0 {
+// retryRefusal reports why a request that was sent before is not sent again.
+func (x *exchange) retryRefusal() *refusal {
+	if x.attempts == 0 {
 		return nil
 	}
 	retryAfter := x.service.typicalTime()
-	if x.keyed && x.tries >= mostTries {
+	if x.keyed && x.attempts >= maxAttempts {
 		return &refusal{status: http.StatusServiceUnavailable, reason: "key is changing hands", retryAfter: retryAfter}
 	}
-	if !x.keyed && (x.sends >= max(x.route.Attempts, 1) || x.tries >= mostTries) {
+	if !x.keyed && (x.sends >= max(x.route.Attempts, 1) || x.attempts >= maxAttempts) {
 		return &refusal{status: http.StatusServiceUnavailable, reason: "attempts spent", retryAfter: retryAfter}
 	}
 	if x.sends > 0 && !x.service.spendRetry() {
@@ -276,5 +276,5 @@
 }
 
 func (x *exchange) waiter() *pool.Waiter {
-	return &pool.Waiter{Priority: x.route.Priority, Since: x.arrived, Target: x.target, Deadline: x.deadline, Not: x.tried, Once: x.route.Kind == site.AtMostOnce, Passed: x.tries > 0}
+	return &pool.Waiter{Priority: x.route.Priority, Since: x.arrived, Target: x.target, Deadline: x.deadline, Not: x.tried, Once: x.route.Kind == site.AtMostOnce, Passed: x.attempts > 0}
 }
--- a/gateway/router/run_test.go
+++ b/gateway/router/run_test.go
@@ -19,15 +19,15 @@
 
 // A server that has become slow always has a queue; its pace must show all the
 // same, and the queue must not be taken for slowness.
-func TestWorkOfAServerLeavesItsQueueOut(t *testing.T) {
+func TestServiceTimeExcludesTheQueue(t *testing.T) {
 	g := gomega.NewWithT(t)
-	answered := func(took time.Duration, load *site.Load) sent {
-		return sent{answer: &upstream.Answer{Load: load}, took: took}
+	answered := func(took time.Duration, load *site.Load) attemptResult {
+		return attemptResult{answer: &upstream.Answer{Load: load}, duration: took}
 	}
-	g.Expect(workOf(answered(100*time.Millisecond, nil))).To(gomega.Equal(100 * time.Millisecond))
-	g.Expect(workOf(answered(100*time.Millisecond, &site.Load{Running: 2, Slots: 4}))).To(gomega.Equal(100 * time.Millisecond))
-	g.Expect(workOf(answered(300*time.Millisecond, &site.Load{Running: 4, Waiting: 8, Slots: 4}))).To(gomega.Equal(100 * time.Millisecond))
-	g.Expect(workOf(answered(2*time.Second, &site.Load{Running: 4, Waiting: 4, Slots: 4}))).To(gomega.Equal(time.Second))
+	g.Expect(serviceTime(answered(100*time.Millisecond, nil))).To(gomega.Equal(100 * time.Millisecond))
+	g.Expect(serviceTime(answered(100*time.Millisecond, &site.Load{Running: 2, Slots: 4}))).To(gomega.Equal(100 * time.Millisecond))
+	g.Expect(serviceTime(answered(300*time.Millisecond, &site.Load{Running: 4, Waiting: 8, Slots: 4}))).To(gomega.Equal(100 * time.Millisecond))
+	g.Expect(serviceTime(answered(2*time.Second, &site.Load{Running: 4, Waiting: 4, Slots: 4}))).To(gomega.Equal(time.Second))
 }
 
 func TestLinesOfFailedRequestsAreBoundedAndCounted(t *testing.T) {
@@ -40,17 +40,17 @@
 			written++
 		}
 	}
-	g.Expect(written).To(gomega.Equal(failedLines))
+	g.Expect(written).To(gomega.Equal(maxFailedLines))
 	allowed, _ := b.take(false, now)
 	g.Expect(allowed).To(gomega.BeTrue(), "answered ones have lines of their own")
 	allowed, dropped := b.take(true, now.Add(time.Second))
 	g.Expect(allowed).To(gomega.BeTrue())
-	g.Expect(dropped).To(gomega.Equal(100 - failedLines))
+	g.Expect(dropped).To(gomega.Equal(100 - maxFailedLines))
 }
 
 // A request that comes on an open connection in the last moment of a shutdown
 // would be cut off with the process; it is refused instead, which is true.
-func TestRequestsAtTheEndOfAShutdownAreRefused(t *testing.T) {
+func TestRequestsJustBeforeTerminationAreRefused(t *testing.T) {
 	g := gomega.NewWithT(t)
 	state := view.NewState()
 	config := &site.Config{
@@ -74,7 +74,7 @@
 
 // A request that still waits when the process is about to end gets its answer: it
 // has not run.
-func TestRequestsThatWaitAtTheEndOfAShutdownAreAnswered(t *testing.T) {
+func TestWaitingRequestsAreAnsweredWhenTheRouterCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		state := view.NewState()
--- a/gateway/router/serve.go
+++ b/gateway/router/serve.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// unknownTimeout is the time that a caller is taken to wait who does not say.
-	unknownTimeout = 10 * time.Second
-	// notReadyRetry is when a caller comes back to a node that knows no
+	// defaultCallerTimeout is the time that a caller is taken to wait who does not say.
+	defaultCallerTimeout = 10 * time.Second
+	// notReadyRetryAfter is when a caller comes back to a node that knows no
 	// configuration yet: nodes learn it within about half a second.
-	notReadyRetry = 400 * time.Millisecond
-	// endingRetry is when a caller comes back who met the end of a node; another
+	notReadyRetryAfter = 400 * time.Millisecond
+	// shutdownRetryAfter is when a caller comes back who met the end of a node; another
 	// node takes the request.
-	endingRetry = 100 * time.Millisecond
-	// defaultBodyBytes bounds bodies for a configuration without a limit.
-	defaultBodyBytes = 8 << 20
+	shutdownRetryAfter = 100 * time.Millisecond
+	// defaultMaxBodyBytes bounds bodies for a configuration without a limit.
+	defaultMaxBodyBytes = 8 << 20
 )
 
 // exchange is one request on its way through the node.
@@ -43,12 +43,12 @@
 	arrived    time.Time
 	deadline   time.Time // of the caller or the route
 	target     time.Time // latency objective
-	tries      int       // attempts
+	attempts   int       // attempts
 	sends      int       // attempts that may have reached a server
 	mayHaveRun bool
 	tried      []site.ServerID
-	last       *upstream.Answer // of a server, that a caller may get if there is nothing better
-	trail      trail
+	lastAnswer *upstream.Answer // of a server, that a caller may get if there is nothing better
+	trace      trace
 }
 
 // ServeHTTP implements http.Handler.
@@ -80,10 +80,10 @@
 // prepare finds the route and reads the request.
 func (x *exchange) prepare(request *http.Request) *refusal {
 	if x.router.ending.Load() {
-		return &refusal{status: http.StatusServiceUnavailable, reason: "node shuts down", retryAfter: endingRetry}
+		return &refusal{status: http.StatusServiceUnavailable, reason: "node shuts down", retryAfter: shutdownRetryAfter}
 	}
 	if !x.view.Complete() {
-		return &refusal{status: http.StatusServiceUnavailable, reason: "no configuration yet", retryAfter: notReadyRetry}
+		return &refusal{status: http.StatusServiceUnavailable, reason: "no configuration yet", retryAfter: notReadyRetryAfter}
 	}
 	if most := x.view.Config.Limits.HeaderBytes; most > 0 && headerBytes(request) > most {
 		return &refusal{status: http.StatusRequestHeaderFieldsTooLarge, reason: "header too long"}
@@ -98,7 +98,7 @@
 	if problem := x.readKey(request); problem != nil {
 		return problem
 	}
-	x.setTimes(request)
+	x.setDeadlines(request)
 	x.request.Method = request.Method
 	x.request.Target = request.RequestURI
 	x.request.Host = request.Host
@@ -133,19 +133,19 @@
 	return nil
 }
 
-func (x *exchange) setTimes(request *http.Request) {
-	patience := unknownTimeout
-	stated := unknownTimeout
+func (x *exchange) setDeadlines(request *http.Request) {
+	allowance := defaultCallerTimeout
+	stated := defaultCallerTimeout
 	text := request.Header.Get(x.router.headers.Timeout)
 	if milliseconds, err := strconv.ParseInt(text, 10, 64); err == nil && milliseconds > 0 {
 		stated = time.Duration(milliseconds) * time.Millisecond
-		patience = stated
+		allowance = stated
 	}
 	if x.route.Timeout > 0 {
-		patience = min(patience, x.route.Timeout)
+		allowance = min(allowance, x.route.Timeout)
 	}
-	x.deadline = x.arrived.Add(patience)
-	x.target = x.arrived.Add(x.route.Target - x.router.waited(x.route.Name, stated))
+	x.deadline = x.arrived.Add(allowance)
+	x.target = x.arrived.Add(x.route.Target - x.router.elapsedWait(x.route.Name, stated))
 }
 
 func (x *exchange) readBody(request *http.Request) *refusal {
@@ -154,7 +154,7 @@
 	}
 	most := x.view.Config.Limits.BodyBytes
 	if most <= 0 {
-		most = defaultBodyBytes
+		most = defaultMaxBodyBytes
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(x.writer, request.Body, most))
 	var tooLong *http.MaxBytesError
--- a/gateway/router/runs_test.go
+++ b/gateway/router/server_restart_test.go
@@ -21,20 +21,20 @@
 // backend is a server on loopback that counts what it gets.
 type backend struct {
 	site.Server
-	got    atomic.Int32
-	before func() // called with each request; nil: nothing
-	breaks bool   // it ends the connection without an answer
+	received        atomic.Int32
+	onRequest       func() // called with each request; nil: nothing
+	dropsConnection bool   // it ends the connection without an answer
 }
 
 func newBackend(t *testing.T, id site.ServerID) *backend {
 	t.Helper()
 	b := &backend{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		b.got.Add(1)
-		if b.before != nil {
-			b.before()
+		b.received.Add(1)
+		if b.onRequest != nil {
+			b.onRequest()
 		}
-		if b.breaks {
+		if b.dropsConnection {
 			panic(http.ErrAbortHandler)
 		}
 		w.Header().Set("Request-Id", r.Header.Get("Request-Id"))
@@ -46,9 +46,9 @@
 	return b
 }
 
-// restarted is a router whose one server takes a request and starts again: the
+// newRouterWithRestart is a router whose one server takes a request and starts again: the
 // register shows the new run before the request's connection ends.
-func restarted(t *testing.T, kind site.Kind, others ...site.Server) (r *Router, first, second *backend) {
+func newRouterWithRestart(t *testing.T, kind site.Kind, others ...site.Server) (r *Router, first, second *backend) {
 	t.Helper()
 	g := gomega.NewWithT(t)
 	state := view.NewState()
@@ -60,26 +60,26 @@
 	})).To(gomega.BeTrue())
 	first = newBackend(t, site.RunID("i", time.UnixMilli(1)))
 	second = newBackend(t, site.RunID("i", time.UnixMilli(2)))
-	first.breaks = true
-	register := func(servers ...site.Server) {
+	first.dropsConnection = true
+	publish := func(servers ...site.Server) {
 		next := view.Servers{Offset: state.Now().Servers.Offset + 1, Servers: map[site.ServerID]site.Server{}}
 		for _, s := range servers {
 			next.Servers[s.ID] = s
 		}
 		state.MergeServers(next)
 	}
-	first.before = func() {
-		register(append(others, second.Server)...)
+	first.onRequest = func() {
+		publish(append(others, second.Server)...)
 		r.service("s") // as the next request does
 	}
-	register(first.Server)
+	publish(first.Server)
 	headers := upstream.Headers{RequestID: "Request-Id", Timeout: "Timeout", ExpectedServer: "Expected", ParseLoad: func(string) (site.Load, bool) { return site.Load{}, false }}
 	terms := Terms{Retries: budget.Terms{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}
 	r = New("a", headers, terms, state, upstream.NewClient(headers, "a"), follow.NewReports(), hclog.NewNullLogger())
 	return r, first, second
 }
 
-func answerOf(r *Router) *httptest.ResponseRecorder {
+func serveOnce(r *Router) *httptest.ResponseRecorder {
 	answer := httptest.NewRecorder()
 	request := httptest.NewRequest(http.MethodPost, "http://h/x", nil)
 	request.Header.Set("Request-Id", "1")
@@ -88,31 +88,31 @@
 }
 
 // The new run never saw the request; the earlier one may have run it.
-func TestARequestOfAnEarlierRunMayHaveRun(t *testing.T) {
+func TestRequestSentToAPreviousIncarnationMayHaveRun(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r, first, second := restarted(t, site.AtMostOnce)
-	g.Expect(answerOf(r).Code).To(gomega.Equal(http.StatusBadGateway))
-	g.Expect(first.got.Load()).To(gomega.Equal(int32(1)))
-	g.Expect(second.got.Load()).To(gomega.BeZero())
+	r, first, second := newRouterWithRestart(t, site.AtMostOnce)
+	g.Expect(serveOnce(r).Code).To(gomega.Equal(http.StatusBadGateway))
+	g.Expect(first.received.Load()).To(gomega.Equal(int32(1)))
+	g.Expect(second.received.Load()).To(gomega.BeZero())
 }
 
 // A new run counts as the server that was tried: it has just started, and the
 // route bounds the servers that a request goes to.
-func TestANewRunOfATriedServerIsNotTried(t *testing.T) {
+func TestNewIncarnationOfATriedServerIsNotTried(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r, first, second := restarted(t, site.Idempotent)
-	answer := answerOf(r)
+	r, first, second := newRouterWithRestart(t, site.Idempotent)
+	answer := serveOnce(r)
 	g.Expect(answer.Code).To(gomega.Equal(http.StatusBadGateway), "it may have run, so that it is no refusal: %s", answer.Body)
-	g.Expect(first.got.Load()).To(gomega.Equal(int32(1)))
-	g.Expect(second.got.Load()).To(gomega.BeZero())
+	g.Expect(first.received.Load()).To(gomega.Equal(int32(1)))
+	g.Expect(second.received.Load()).To(gomega.BeZero())
 }
 
 func TestAnotherServerIsTriedAfterARestart(t *testing.T) {
 	g := gomega.NewWithT(t)
 	other := newBackend(t, "other")
-	r, first, second := restarted(t, site.Idempotent, other.Server)
-	g.Expect(answerOf(r).Code).To(gomega.Equal(http.StatusOK))
-	g.Expect(first.got.Load()).To(gomega.Equal(int32(1)))
-	g.Expect(other.got.Load()).To(gomega.Equal(int32(1)))
-	g.Expect(second.got.Load()).To(gomega.BeZero())
+	r, first, second := newRouterWithRestart(t, site.Idempotent, other.Server)
+	g.Expect(serveOnce(r).Code).To(gomega.Equal(http.StatusOK))
+	g.Expect(first.received.Load()).To(gomega.Equal(int32(1)))
+	g.Expect(other.received.Load()).To(gomega.Equal(int32(1)))
+	g.Expect(second.received.Load()).To(gomega.BeZero())
 }
