--- a/gateway/router/answer.go
+++ b/gateway/router/answer.go
@@ -10,7 +10,7 @@
 	"github.com/burdockspindle/burdockspindle/gateway/upstream"
 )
 
-// notRunStatuses promise that a request has not run and never will.
+// notRunStatuses are the statuses which state that a request has not run and never will.
 var notRunStatuses = map[int]bool{
 	http.StatusRequestTimeout:     true,
 	http.StatusMisdirectedRequest: true,
@@ -18,13 +18,13 @@
 	http.StatusServiceUnavailable: true,
 }
 
-// finish answers the caller.
+// finish sends the final response to the caller and logs the request.
 func (x *exchange) finish(ctx, caller context.Context, r result) {
 	switch {
 	case r.callerDisconnected || caller.Err() != nil:
 		x.log("caller left", 0, "")
-		// A return would end the request with an empty success that no server gave,
-		// for a caller that has only closed its half of the connection.
+		// Returning would send an empty success that no server gave to a caller
+		// that has only closed its half of the connection.
 		panic(http.ErrAbortHandler)
 	case r.answer != nil:
 		x.answer(r.answer)
@@ -40,8 +40,8 @@
 	}
 }
 
-// answer hands a server's answer on. A status that promises that the request
-// has not run is only handed on if the server said so.
+// answer forwards a server's answer. A status which states that an at-most-once
+// request has not run is forwarded only if the server marked the answer as not run.
 func (x *exchange) answer(a *upstream.Answer) {
 	if x.route.Kind == site.AtMostOnce && notRunStatuses[a.Status] && !a.NotRun {
 		x.write(http.StatusBadGateway, nil, []byte("the server's answer does not tell whether the request has run\n"))
@@ -52,7 +52,7 @@
 	x.log("answered", a.Status, "")
 }
 
-// refuse answers a request that has not run.
+// refuse responds to a request that has not run.
 func (x *exchange) refuse(r *refusal) {
 	header := http.Header{}
 	if r.retryAfter > 0 {
@@ -68,7 +68,7 @@
 		target[name] = values
 	}
 	if len(target["Content-Type"]) == 0 {
-		target["Content-Type"] = nil // keeps the library from guessing one
+		target["Content-Type"] = nil // keeps net/http from sniffing one
 	}
 	if x.request.ID != "" && target.Get(x.router.headers.RequestID) == "" {
 		target.Set(x.router.headers.RequestID, x.request.ID)
@@ -80,5 +80,5 @@
 	}
 }
 
-// elapsed returns the time since the request came.
+// elapsed returns the time since the request arrived.
 func (x *exchange) elapsed() time.Duration { return time.Since(x.arrived) }
--- a/gateway/router/caller.go
+++ b/gateway/router/caller.go
@@ -2,16 +2,16 @@
 
 import "context"
 
-// Caller is the connection on which a request came.
+// Caller is the connection on which a request arrived.
 type Caller interface {
-	// Left reports whether the caller has closed or reset the connection, also if
-	// nobody has read that yet.
+	// Left reports whether the caller has closed or reset the connection, even if
+	// the end of the connection has not been read yet.
 	Left() bool
 }
 
 type callerKey struct{}
 
-// WithCaller returns the context of a connection's requests.
+// WithCaller returns a context for the requests of a connection.
 func WithCaller(ctx context.Context, c Caller) context.Context {
 	return context.WithValue(ctx, callerKey{}, c)
 }
@@ -21,7 +21,7 @@
 	return c
 }
 
-// callerDisconnected looks whether the caller still waits. A node that stood still finds
-// a request and the end of its connection at once, and would send on in that moment
-// what nobody waits for any more: the end of a connection is read beside the request.
+// callerDisconnected reports whether the caller no longer waits. The end of a connection
+// is read concurrently with the request, so that a node that was stalled finds both at
+// once and would otherwise forward a request whose caller has disconnected.
 func (x *exchange) callerDisconnected() bool { return x.caller != nil && x.caller.Left() }
--- a/gateway/router/caller_timeouts.go
+++ b/gateway/router/caller_timeouts.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// callerTimeouts learns how long the callers of a route usually wait. One that states less has
-// waited already: it comes back after a refusal, and its objective counts from when it
-// came first. It answers keys that are wanted for more than their owner can run: half of
-// the callers come back then, too late to be answered in time, and take the places of
-// those who could be.
+// callerTimeouts records the timeouts that the callers of a route state and determines the
+// usual one. A caller that states less is retrying after a refusal, so its latency objective
+// is measured from its first attempt. This matters for keys whose demand exceeds the capacity
+// of their owner: half of the callers retry then, too late to be answered in time, and would
+// take the slots of callers that still can be.
 type callerTimeouts struct {
 	stated   [maxStatedTimeouts]statedTimeout
 	recorded int
 }
 
-// statedTimeout is a time that callers stated, and how often.
+// statedTimeout is a timeout that callers stated and the number of times they did.
 type statedTimeout struct {
 	timeout time.Duration
 	count   int
 }
 
 const (
-	// maxStatedTimeouts is how many times are kept. Those that many callers state stay, and
-	// times left after a refusal, which are all different, give way to each other.
+	// maxStatedTimeouts is the number of distinct timeouts that are kept. Timeouts that many
+	// callers state stay; those that remain after a refusal all differ and replace each other.
 	maxStatedTimeouts = 4
-	// decayInterval is after how many notes their counts are halved, so that a changed
-	// route is learnt.
+	// decayInterval is the number of recorded timeouts after which all counts are halved, so
+	// that a change of the route's callers takes effect.
 	decayInterval = 64
-	// minUsualCount is how often a time must have been stated lately to be the usual one.
+	// minUsualCount is the least decayed count at which a timeout is treated as the usual one.
 	minUsualCount = 8
 )
 
-// record takes what a caller states.
+// record adds a timeout that a caller stated.
 func (c *callerTimeouts) record(timeout time.Duration) {
 	c.recorded++
 	if c.recorded%decayInterval == 0 {
@@ -54,8 +54,8 @@
 	c.stated[rarest].count--
 }
 
-// elapsed returns how long a caller has waited already who states a time; 0 if that is not
-// known.
+// elapsed returns how long a caller that states a timeout has already waited, or 0 if that
+// is unknown.
 func (c *callerTimeouts) elapsed(timeout time.Duration) time.Duration {
 	usual := statedTimeout{}
 	for _, s := range c.stated {
--- a/gateway/router/caller_timeouts_test.go
+++ b/gateway/router/caller_timeouts_test.go
@@ -12,12 +12,12 @@
 	g := gomega.NewWithT(t)
 	random := rand.New(rand.NewPCG(1, 1))
 	var timeouts callerTimeouts
-	g.Expect(timeouts.elapsed(time.Second)).To(gomega.BeZero(), "nothing is known")
+	g.Expect(timeouts.elapsed(time.Second)).To(gomega.BeZero(), "no usual timeout yet")
 	for range 300 {
 		timeouts.record(4 * time.Second)
-		timeouts.record(time.Duration(random.Int64N(int64(4 * time.Second)))) // half of the callers come back
+		timeouts.record(time.Duration(random.Int64N(int64(4 * time.Second)))) // half of the callers retry
 		if random.IntN(25) == 0 {
-			timeouts.record(10 * time.Second) // a few are more patient
+			timeouts.record(10 * time.Second) // a few have a longer timeout
 		}
 	}
 	g.Expect(timeouts.elapsed(4 * time.Second)).To(gomega.BeZero())
--- a/gateway/router/dispatch.go
+++ b/gateway/router/dispatch.go
@@ -10,39 +10,39 @@
 )
 
 const (
-	// hedgeFactor is after how many usual times an idempotent request without an
-	// answer is also sent to a second server.
+	// hedgeFactor is the multiple of the typical request time after which an idempotent
+	// request without an answer is also sent to a second server.
 	hedgeFactor = 3.0
-	// hedgeTargetShare is the least share of the latency objective before that.
+	// hedgeTargetShare is the least share of the latency objective that passes before a hedge.
 	hedgeTargetShare = 0.6
-	// hedgeRetryInterval is how long a request whose server takes no connection waits before
-	// it looks again for a place elsewhere: views change about as often.
+	// hedgeRetryInterval is how often a request whose server accepts no connection asks for a
+	// slot at another server. It is about the interval between changes of the view.
 	hedgeRetryInterval = 100 * time.Millisecond
-	// probeFactor is after how many usual times without an answer a new
-	// connection to the server is tried, and leastSuspect the least time.
+	// probeFactor is the multiple of the typical request time without an answer after which
+	// the server is probed with a new connection; minProbeDelay is the least delay.
 	probeFactor   = 2.0
 	minProbeDelay = 250 * time.Millisecond
 )
 
-// dispatch holds the sends of one request that are under way. None is given up because its
-// server is silent or takes no connection: the server may be at work on it, and its
-// answer is still the caller's. What helps the caller is another send beside it.
+// dispatch tracks the attempts of one request that are in flight. An attempt is not canceled
+// because its server is unresponsive or accepts no connection: the server may be running the
+// request, and its answer is still valid for the caller. The request is hedged instead.
 type dispatch struct {
 	x           *exchange
-	ctx         context.Context // its end gives all up
+	ctx         context.Context // canceling it cancels all attempts
 	results     chan attemptResult
 	inFlight    int
-	lastServer  site.Server      // that the latest went to
-	hedgeTimer  <-chan time.Time // when to send beside them; nil: never
-	probeTimer  <-chan time.Time // when to look whether the last server can be reached; nil: never
-	probeResult <-chan bool      // tells whether it cannot
+	lastServer  site.Server      // of the most recent attempt
+	hedgeTimer  <-chan time.Time // fires when to send a hedge; nil: never
+	probeTimer  <-chan time.Time // fires when to probe lastServer; nil: never
+	probeResult <-chan bool      // receives whether lastServer is unreachable; nil: no probe
 }
 
 func newDispatch(ctx context.Context, x *exchange) *dispatch {
 	return &dispatch{x: x, ctx: ctx, results: make(chan attemptResult, maxAttempts+1)}
 }
 
-// sendTo sends the request to a server. The place is given back when it ends.
+// sendTo sends the request to a server. The slot is released when the attempt ends.
 func (d *dispatch) sendTo(server site.Server) {
 	x := d.x
 	x.sends++
@@ -67,8 +67,8 @@
 	d.probeResult = nil
 }
 
-// sendHedge sends the request to a second server if there is a place, and looks
-// again for one if the first server takes no connection.
+// sendHedge sends the request to a second server if a slot is free. Otherwise it tries
+// again after hedgeRetryInterval if the first server accepts no connection.
 func (d *dispatch) sendHedge() {
 	d.hedgeTimer = nil
 	if !d.x.mayHedge() {
@@ -83,7 +83,7 @@
 	}
 }
 
-// probe opens a connection to the server that is slow to answer.
+// probe opens a connection to the server that is slow to answer, in the background.
 func (d *dispatch) probe() {
 	d.probeTimer = nil
 	probeResult := make(chan bool, 1)
@@ -92,7 +92,7 @@
 	go func() { probeResult <- d.x.router.unreachable(d.ctx, d.x.service, server) }()
 }
 
-// handleProbe takes whether the server took no connection.
+// handleProbe handles the result of a probe. An unreachable server triggers a hedge at once.
 func (d *dispatch) handleProbe(isUnreachable bool) {
 	if !isUnreachable {
 		d.probeResult = nil
@@ -102,8 +102,8 @@
 	d.hedgeTimer = time.After(0)
 }
 
-// hedgeTimer returns when to send an idempotent request to a second server; nil
-// for never.
+// hedgeTimer returns a channel that fires when to send an idempotent request to a second
+// server, or nil for never.
 func (x *exchange) hedgeTimer() <-chan time.Time {
 	if x.keyed || x.route.Kind != site.Idempotent || !x.mayHedge() {
 		return nil
@@ -113,9 +113,9 @@
 	return time.After(max(usual, least))
 }
 
-// probeTimer returns when to look whether the server of an idempotent request
-// can still be reached; nil for never. A request that must not run twice waits
-// for its answer as long as its time allows.
+// probeTimer returns a channel that fires when to probe the server of an idempotent
+// request, or nil for never. An at-most-once request waits for its answer until its
+// deadline.
 func (x *exchange) probeTimer() <-chan time.Time {
 	if x.route.Kind != site.Idempotent {
 		return nil
@@ -123,15 +123,15 @@
 	return time.After(max(minProbeDelay, time.Duration(probeFactor*float64(x.service.typicalTime()))))
 }
 
-// mayHedge reports whether the request may be sent once more beside the sends that are
-// under way. The route's attempts bound the servers of a request; a key has one.
+// mayHedge reports whether the request may be sent once more while attempts are in flight.
+// The route's Attempts bound the servers of a request; a key has only one server.
 func (x *exchange) mayHedge() bool {
 	return x.attempts < maxAttempts && (x.keyed || x.sends < x.route.Attempts)
 }
 
-// acquireHedgeSlot returns a place at a second server if one is free, the budget allows it
-// and the caller still waits. For a key that is its next owner, once it has another
-// one than the server that is silent.
+// acquireHedgeSlot returns a slot at a second server if one is free, the retry budget allows
+// it and the caller still waits. For a key, the second server is its new owner, once that is
+// a server other than the unresponsive one.
 func (x *exchange) acquireHedgeSlot(unresponsive site.Server) (site.Server, bool) {
 	if x.callerDisconnected() {
 		return site.Server{}, false
--- a/gateway/router/dispatch_test.go
+++ b/gateway/router/dispatch_test.go
@@ -17,7 +17,8 @@
 	"github.com/burdockspindle/burdockspindle/gateway/view"
 )
 
-// delayedServer answers each request after a while, whoever asks, and tells what has come.
+// delayedServer answers each request after a delay, without checking the expected server,
+// and reports each request that it received.
 func delayedServer(t *testing.T, delay time.Duration) (address string, received <-chan struct{}) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -44,9 +45,9 @@
 	return listener.Addr().String(), requests
 }
 
-// On a grown site servers with many connections turned new ones away, and then counted
-// as lost: 138 requests in two seconds that they had in work were broken off and answered
-// with 502, one of them by a node that had been told to shut down.
+// Servers that rejected new connections because they had too many were treated as lost, and
+// the requests that they were running were aborted: on a large site, 138 requests in two
+// seconds were answered with 502, one of them by a node that was shutting down.
 func TestRequestInFlightIsKeptWhenItsServerRefusesNewConnections(t *testing.T) {
 	for _, keyed := range []bool{true, false} {
 		g := gomega.NewWithT(t)
@@ -69,7 +70,7 @@
 	}
 }
 
-// A server that is full and turns a connection away is not lost.
+// A server that is full and rejects a connection is not treated as failed.
 func TestServerThatRejectsAConnectionIsTreatedAsFull(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := newKeyedExchange(t)
--- a/gateway/router/log.go
+++ b/gateway/router/log.go
@@ -14,10 +14,10 @@
 
 var (
 	eventRequest = events.Define(2200, hclog.Info, "request finished")
-	eventDropped = events.Define(2201, hclog.Warn, "lines of requests left out")
+	eventDropped = events.Define(2201, hclog.Warn, "request log lines dropped")
 )
 
-// trace tells what was done with a request, in order.
+// trace records the steps of a request in order, for its log line.
 type trace struct{ steps []string }
 
 func (t *trace) note(step string) { t.steps = append(t.steps, step) }
@@ -46,14 +46,14 @@
 
 func milliseconds(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) + " ms" }
 
-// Bounds of the lines about requests, in lines a second and node. A line costs
+// Limits of request log lines, in lines per second and node. Writing a line takes
 // about 20 microseconds.
 const (
-	maxFailedLines   = 40 // of requests without a good answer
-	maxAnsweredLines = 2  // of all others, as samples
+	maxFailedLines   = 40 // of requests that failed
+	maxAnsweredLines = 2  // of all other requests, as a sample
 )
 
-// lineBudget bounds the lines about requests.
+// lineBudget limits the rate of request log lines.
 type lineBudget struct {
 	mu       sync.Mutex
 	second   int64
@@ -62,8 +62,8 @@
 	dropped  int
 }
 
-// take reports whether a line may be written, and how many lines of failed
-// requests were left out in the second before.
+// take reports whether a line may be written. In the first call of a second, it also
+// returns how many lines of failed requests were dropped since the budget was last reset.
 func (b *lineBudget) take(failed bool, now time.Time) (allowed bool, dropped int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -85,7 +85,7 @@
 	return true, dropped
 }
 
-// log counts the end of a request and writes its line.
+// log counts the outcome of a request and writes its log line.
 func (x *exchange) log(outcome string, status int, reason string) {
 	countOutcome(x, outcome, reason)
 	allowed, dropped := x.router.lines.take(outcome != "answered" || status >= 500, time.Now())
--- a/gateway/router/metrics.go
+++ b/gateway/router/metrics.go
@@ -14,21 +14,20 @@
 	group    = metrics.New("gateway_requests")
 	outcomes = group.Map("by_service_outcome_and_reason")
 	sends    = group.Counter("sends")
-	// budgetLeft holds what is left of each service's retry budget on this node, in
+	// budgetLeft is the remaining retry budget of each service on this node, in
 	// hundredths of a send.
 	budgetLeft   = group.Map("retry_budget_left_hundredths")
 	linesDropped = group.Counter("log_lines_left_out")
 )
 
-// Bounds of the latency histograms, in microseconds, with two significant
-// digits.
+// Range of the latency histograms in microseconds, and their significant digits.
 const (
 	histogramMin    = 100
 	histogramMax    = 60_000_000
 	histogramDigits = 2
 )
 
-// histograms keeps times by service.
+// histograms records durations by service.
 type histograms struct {
 	mu        sync.Mutex
 	byService map[string]*hdrhistogram.Histogram
@@ -36,7 +35,7 @@
 
 var (
 	latencies = newHistograms() // of answered requests
-	waits     = newHistograms() // for a place at a server
+	waits     = newHistograms() // for a slot at a server
 )
 
 func init() {
--- a/gateway/router/owner.go
+++ b/gateway/router/owner.go
@@ -11,9 +11,9 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// acquireOwnerSlot waits for a place at the server that owns the request's key. An
-// owner that takes no connection has perhaps ended: the request waits a while
-// for another one.
+// acquireOwnerSlot waits for a slot at the server that owns the request's key. An owner
+// that accepts no connection may have terminated, so the request waits for another owner
+// for ownerTimeout or half of its remaining time, whichever is less.
 func (x *exchange) acquireOwnerSlot(ctx context.Context, w *pool.Waiter) (site.Server, *refusal) {
 	giveUpAt := time.Now().Add(min(ownerTimeout, time.Until(x.deadline)/2))
 	for {
@@ -31,21 +31,21 @@
 			return site.Server{}, problem
 		}
 		x.awaitViewChange(ctx)
-		// Without this, a request that nobody waits for goes round here without a
-		// pause, 50,000 times in half a second, and keeps the processor from all others.
+		// Without this check, a request whose context has ended spins here without
+		// blocking, 50,000 times in half a second, and starves other goroutines of CPU.
 		if ctx.Err() != nil {
 			return site.Server{}, problem
 		}
 	}
 }
 
-// isOwner reports whether a server still owns the request's key.
+// isOwner reports whether a server still owns and serves the request's key.
 func (x *exchange) isOwner(server site.ServerID) bool {
 	route, found := x.router.state.Now().RouteOf(x.service.name, x.key)
 	return found && route.Server == server && route.State == ranges.Ready
 }
 
-// readyOwner returns the server that owns the request's key now, if it serves it.
+// readyOwner returns the server that owns the request's key, and whether it serves it.
 func (x *exchange) readyOwner() (site.ServerID, bool) {
 	now := x.router.state.Now()
 	route, found := now.RouteOf(x.service.name, x.key)
@@ -53,8 +53,8 @@
 	return route.Server, isReady
 }
 
-// owner returns the server that owns the request's key, and waits for one while
-// the key changes hands, or until it has been granted to the next run of its owner.
+// owner returns the server that owns the request's key. It waits while the key is handed
+// over, or until the key has been granted to the next incarnation of its owner.
 func (x *exchange) owner(ctx context.Context) (site.ServerID, *refusal) {
 	if x.attempts > 0 {
 		x.awaitViewChange(ctx)
@@ -85,7 +85,8 @@
 	}
 }
 
-// awaitViewChange waits for a changed view after the owner of a key refused.
+// awaitViewChange waits for a change of the view, at most ownerRetryDelay, after the owner
+// of a key refused a request.
 func (x *exchange) awaitViewChange(ctx context.Context) {
 	timer := time.NewTimer(ownerRetryDelay)
 	defer timer.Stop()
--- a/gateway/router/owner_restart_test.go
+++ b/gateway/router/owner_restart_test.go
@@ -18,9 +18,9 @@
 	"github.com/burdockspindle/burdockspindle/gateway/view"
 )
 
-// The register shows that the owner of a key has started again, and the lessor has
-// not granted the keys anew yet: that takes a moment, as a move does, and not a
-// hold, as the loss of a server does.
+// The registry shows that the owner of a key has restarted, and the lessor has not granted
+// the keys to the new incarnation yet. That takes about as long as a handover, not as long
+// as a hold, which the keys of a lost server have to wait for.
 func TestRequestWaitsForTheNextIncarnationOfItsOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -46,7 +46,7 @@
 		request.Header.Set("Key", "1")
 		r.ServeHTTP(answer, request)
 		g.Expect(answer.Code).To(gomega.Equal(http.StatusServiceUnavailable))
-		g.Expect(time.Since(startedAt)).To(gomega.Equal(ownerTimeout), "of the fake clock")
-		g.Expect(answer.Header().Get("Retry-After")).To(gomega.Equal("0.250"), "the keys are granted anew in a moment")
+		g.Expect(time.Since(startedAt)).To(gomega.Equal(ownerTimeout), "by the fake clock")
+		g.Expect(answer.Header().Get("Retry-After")).To(gomega.Equal("0.250"), "the keys are granted again shortly")
 	})
 }
--- a/gateway/router/owner_test.go
+++ b/gateway/router/owner_test.go
@@ -19,7 +19,7 @@
 	"github.com/burdockspindle/burdockspindle/gateway/view"
 )
 
-// countedContext counts how often somebody looks whether it has ended.
+// countedContext counts the calls of Done.
 type countedContext struct {
 	context.Context
 	doneCalls atomic.Int32
@@ -30,7 +30,7 @@
 	return c.Context.Done()
 }
 
-// newKeyedExchange returns a request for a key that a server owns.
+// newKeyedExchange returns an exchange for a key that server "b" owns.
 func newKeyedExchange(t *testing.T) *exchange {
 	t.Helper()
 	g := gomega.NewWithT(t)
@@ -59,11 +59,11 @@
 	}
 }
 
-// Nodes stood still for 0.2 to 1.6 s. In five seconds after servers had fallen silent,
-// six of twelve nodes allocated 196 to 452 MB each, where the others allocated 11 to
-// 29, with as many requests and as many lines "caller left". A request whose caller had
-// left, and whose key's owner took no connection, looked for the owner again and again
-// without a pause, for up to a second, and kept the processor from all others.
+// A request whose caller had disconnected, and whose key's owner accepted no connection,
+// retried to find an owner for up to a second without blocking and starved other goroutines.
+// Nodes stalled for 0.2 to 1.6 s. In the five seconds after servers had become unresponsive,
+// six of twelve nodes allocated 196 to 452 MB each, and the others 11 to 29 MB, with as many
+// requests and as many lines "caller left".
 func TestRequestOfADisconnectedCallerDoesNotSpinWaitingForAnOwner(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := newKeyedExchange(t)
@@ -76,8 +76,8 @@
 	g.Expect(problem).NotTo(gomega.BeNil())
 }
 
-// A place may come in the moment in which a request is given up. What is sent then
-// is reset at once: a server has "gone" written for it, in the same millisecond.
+// A slot may become free at the moment when a request is canceled. A request sent then is
+// reset at once: the server logs "gone" for it in the same millisecond.
 func TestCanceledRequestIsNotSent(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := newKeyedExchange(t)
@@ -85,38 +85,38 @@
 	leave()
 	outcome := x.run(ctx)
 	g.Expect(outcome.refusal).NotTo(gomega.BeNil())
-	g.Expect(x.attempts).To(gomega.BeZero(), "sends of a request that was given up")
+	g.Expect(x.attempts).To(gomega.BeZero(), "attempts of a canceled request")
 	again, _, _ := x.service.requestSlot(&pool.Waiter{Only: "b", Deadline: x.deadline})
-	g.Expect(again.ID).To(gomega.Equal(site.ServerID("b")), "the place was given back")
+	g.Expect(again.ID).To(gomega.Equal(site.ServerID("b")), "the slot was released")
 }
 
 type disconnectedCaller struct{}
 
 func (disconnectedCaller) Left() bool { return true }
 
-// The end of a caller's connection is read beside the request, so that a hedge may
-// be due before it is.
+// The end of a caller's connection is read concurrently with the request, so that a hedge
+// may be due before the end has been read.
 func TestNoHedgeIsSentForADisconnectedCaller(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := newKeyedExchange(t)
 	x.keyed = false
 	for range 20 {
-		x.service.countRequest() // which lets some be sent again
+		x.service.countRequest() // adds to the retry budget
 	}
 	server, found := x.acquireHedgeSlot(site.Server{})
-	g.Expect(found).To(gomega.BeTrue(), "there is room")
+	g.Expect(found).To(gomega.BeTrue(), "a slot is free")
 	x.service.releaseSlot(server, pool.Outcome{Abandoned: true})
 	x.caller = disconnectedCaller{}
 	_, found = x.acquireHedgeSlot(site.Server{})
 	g.Expect(found).To(gomega.BeFalse())
 }
 
-// Whoever looks for the cause of a refusal finds the share in its line, and how old it is.
+// The log line of a refused request contains the share that caused the refusal and its age.
 func TestLogLineOfARefusedRequestContainsTheShare(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := newKeyedExchange(t)
 	x.router.state.MergeShares(view.Shares{Offset: 1, Serial: 1, Of: quota.Shares{"b": 0.05}})
-	x.router.service("s") // takes them
+	x.router.service("s") // applies them
 	refused := 0
 	for range 10 {
 		_, problem := x.acquireSlot(context.Background())
@@ -130,14 +130,14 @@
 	g.Expect(refused).To(gomega.BeNumerically(">=", 9))
 }
 
-// A request that waits alone sees a server that comes: no other request is needed for that.
+// A waiting request gets a slot at a newly registered server even if no other request arrives.
 func TestWaitingRequestGetsASlotAtANewServer(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := newKeyedExchange(t)
 	x.keyed = false
 	w := &pool.Waiter{Deadline: x.deadline, Target: x.target}
 	for {
-		if _, results, _ := x.service.requestSlot(w); results != nil { // the only server has no room
+		if _, results, _ := x.service.requestSlot(w); results != nil { // the only server is full
 			x.service.cancelWait(w, results)
 			break
 		}
--- a/gateway/router/router.go
+++ b/gateway/router/router.go
@@ -1,6 +1,6 @@
-// Package router takes the requests of callers and has them run by servers. What
-// it decides stands in the packages site, pool, budget and ranges; here is what
-// connects them: one goroutine for each request, attempts, and final answers.
+// Package router forwards the requests of callers to backend servers. The decisions are
+// made by the packages site, pool, budget and ranges; this package connects them: it runs
+// one goroutine for each request, makes attempts and returns final answers.
 package router
 
 import (
@@ -21,13 +21,13 @@
 	"github.com/burdockspindle/burdockspindle/gateway/view"
 )
 
-// Terms are the settings of a router that can change while it runs.
+// Terms are the settings of a router that can change at run time.
 type Terms struct {
-	CrossZonePenalty time.Duration // that sending to another zone counts as
+	CrossZonePenalty time.Duration // added to the expected time at servers of other zones
 	Retries          budget.Terms
 }
 
-// Router takes requests. It implements http.Handler.
+// Router forwards requests to backend servers. It implements http.Handler.
 type Router struct {
 	zone     string
 	headers  upstream.Headers
@@ -37,7 +37,7 @@
 	logger   hclog.Logger
 	draining atomic.Bool
 	ending   atomic.Bool
-	closing  context.Context // ends when every request must get its answer
+	closing  context.Context // done when every open request must be answered
 	close    context.CancelFunc
 	lines    lineBudget
 
@@ -48,18 +48,18 @@
 	options     Terms
 }
 
-// service is what the router keeps of one service.
+// service is the router's state of one service.
 type service struct {
 	name    site.ServiceName
-	servers []site.Server // of the view that it was made for, guarded by the router's lock
+	servers []site.Server // of the applied view; guarded by Router.mu
 
-	mu               sync.Mutex // guards all below
+	mu               sync.Mutex // guards the fields below
 	pool             *pool.Pool
 	budget           *budget.Budget
 	waiters          map[*pool.Waiter]chan waitResult
-	nodeCount        int         // that share the servers; 0: not known
-	sharesReportedAt time.Time   // when the shares were told
-	wakeTimer        *time.Timer // when a pause ends for which requests wait; nil: none does
+	nodeCount        int         // that share the servers; 0: unknown
+	sharesReportedAt time.Time   // when the shares were received
+	wakeTimer        *time.Timer // fires when a server that requests wait for has room again; nil: none
 }
 
 // New returns a router without services.
@@ -80,10 +80,10 @@
 	}
 }
 
-// SetDraining tells that the node shuts down: every answer ends its connection.
+// SetDraining marks the node as shutting down: every answer closes its connection.
 func (r *Router) SetDraining() { r.draining.Store(true) }
 
-// SetTerms replaces the terms.
+// SetTerms replaces the settings.
 func (r *Router) SetTerms(terms Terms) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -96,16 +96,16 @@
 	}
 }
 
-// SetEnding tells that the process ends soon: what comes now is refused, since
-// there may be no time left to answer it.
+// SetEnding makes the router refuse new requests, because the process terminates
+// soon and there may be no time left to answer them.
 func (r *Router) SetEnding() { r.ending.Store(true) }
 
-// Close has every request that is still open answered now: as not run, or as
-// perhaps run if it was sent. The process ends in a moment, and would end their
-// connections without an answer.
+// Close makes the router answer every open request now: as not run, or as possibly run if
+// it was sent. The process is about to terminate, which would close their connections
+// without an answer.
 func (r *Router) Close() { r.close() }
 
-// service returns a service with the servers of the present view.
+// service returns a service that has the current view applied.
 func (r *Router) service(name site.ServiceName) *service {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -126,16 +126,16 @@
 	return s
 }
 
-// refreshView has every service take the present view. Requests that wait call it when the view
-// changes: on a service with few requests, one that waited saw a new server only when the
-// next one came.
+// refreshView applies the current view to every service. Waiting requests call it when the view
+// changes: otherwise, on a service with few requests, a waiting request would see a new server
+// only when the next request arrived.
 func (r *Router) refreshView() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.applyView()
 }
 
-// applyView has the services take the present view, and returns it. The lock is held.
+// applyView applies the current view to all services and returns it. r.mu must be held.
 func (r *Router) applyView() *view.View {
 	v := r.state.Now()
 	if v == r.appliedView {
@@ -148,11 +148,11 @@
 	return v
 }
 
-// ShareValidity is for how long shares hold that the lessor does not tell again.
+// ShareValidity is how long shares remain valid if the lessor does not report them again.
 const ShareValidity = 5 * time.Second
 
-// applyView takes what of a new view concerns the service. Most views change the routes
-// only.
+// applyView applies the servers, the number of nodes and the shares of a new view to the
+// service. Most new views differ in the routes only.
 func (s *service) applyView(servers []site.Server, nodes int, shares view.Shares) {
 	isSame := len(servers) == len(s.servers) && (len(servers) == 0 || &servers[0] == &s.servers[0])
 	s.mu.Lock()
@@ -170,8 +170,8 @@
 	s.deliver(s.pool.Admit(now))
 }
 
-// elapsedWait notes how long a caller of a route waits, as it states, and returns how long it
-// has waited already.
+// elapsedWait records the timeout that a caller of a route states, and returns how long the
+// caller has already waited.
 func (r *Router) elapsedWait(route string, timeout time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -184,14 +184,14 @@
 	return timeouts.elapsed(timeout)
 }
 
-// waitResult ends a wait: a place at a server, or a refusal.
+// waitResult is the result of a wait: a slot at a server, or a refusal.
 type waitResult struct {
 	server  site.Server
 	refusal *pool.Refusal
 }
 
-// deliver hands places to those that wait for them, and refuses those that
-// would wait too long. The lock is held.
+// deliver sends admitted waiters their slots and refuses those that would wait too
+// long. s.mu must be held.
 func (s *service) deliver(admissions []pool.Admission) {
 	for _, a := range admissions {
 		s.waiters[a.Waiter] <- waitResult{server: a.Server}
@@ -204,8 +204,8 @@
 	s.resetWakeTimer()
 }
 
-// resetWakeTimer has requests that wait for the end of a pause sent then. The lock is
-// held.
+// resetWakeTimer schedules admit for the time when a server that requests wait for has
+// room again. s.mu must be held.
 func (s *service) resetWakeTimer() {
 	if s.wakeTimer != nil {
 		s.wakeTimer.Stop()
@@ -217,15 +217,15 @@
 	}
 }
 
-// admit gives places to those that wait for them, if there are any now.
+// admit gives free slots to waiting requests.
 func (s *service) admit() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.deliver(s.pool.Admit(time.Now()))
 }
 
-// requestSlot asks for a place. It returns one, or a channel that receives one, or a
-// refusal.
+// requestSlot requests a slot. It returns a server, or a channel that receives the result
+// of the wait, or a refusal.
 func (s *service) requestSlot(w *pool.Waiter) (site.Server, <-chan waitResult, *pool.Refusal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -242,7 +242,7 @@
 	return site.Server{}, results, nil
 }
 
-// cancelWait ends a wait. A place that came meanwhile is given back.
+// cancelWait ends a wait. A slot that was assigned in the meantime is released.
 func (s *service) cancelWait(w *pool.Waiter, results <-chan waitResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -257,7 +257,7 @@
 	}
 }
 
-// releaseSlot ends a request's place at a server.
+// releaseSlot releases a request's slot at a server and reports the outcome to the pool.
 func (s *service) releaseSlot(server site.Server, outcome pool.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -270,22 +270,23 @@
 	s.budget.Request(s.nodeCount, time.Now())
 }
 
-// budgetLeft returns what this node may still send again, in hundredths of a send.
+// budgetLeft returns the retry budget that remains to this node, in hundredths of a send.
 func (s *service) budgetLeft() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return int64(100 * s.budget.Left(time.Now()))
 }
 
-// spendRetry takes one send beyond the first out of the budget.
+// spendRetry takes one send beyond the first from the retry budget and reports whether it
+// was available.
 func (s *service) spendRetry() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.budget.Spend(s.nodeCount, time.Now())
 }
 
-// unreachable opens a connection to a server that is slow to answer, and
-// reports whether that failed. Then the server gets no requests for a while.
+// unreachable opens a connection to a server that is slow to answer and reports whether
+// that failed. The pool sends no requests to an unreachable server for some time.
 func (r *Router) unreachable(ctx context.Context, s *service, server site.Server) bool {
 	s.mu.Lock()
 	mustProbe, isBlocked := s.pool.Probe(server.ID, time.Now())
@@ -304,7 +305,7 @@
 	return err != nil
 }
 
-// tryRequestSlot returns a place if there is one now.
+// tryRequestSlot returns a slot if one is free, without waiting.
 func (s *service) tryRequestSlot(w *pool.Waiter) (site.Server, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -312,7 +313,7 @@
 	return server, ok
 }
 
-// typicalTime returns how long a request usually takes.
+// typicalTime returns the typical duration of a request.
 func (s *service) typicalTime() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/gateway/router/run.go
+++ b/gateway/router/run.go
@@ -14,31 +14,32 @@
 )
 
 const (
-	// minTimeShare is the share of a usual service time that must be left for a
-	// request to go on waiting: many requests are shorter than usual.
+	// minTimeShare is the share of the typical service time that must remain until the
+	// deadline for a request to keep waiting: many requests are shorter than typical.
 	minTimeShare = 0.5
-	// ownerRetryDelay is how long to wait for news when the owner of a key refused.
+	// ownerRetryDelay bounds the wait for a view change after the owner of a key refused,
+	// and is the Retry-After of requests for a key without an owner.
 	ownerRetryDelay = 250 * time.Millisecond
-	// ownerTimeout bounds how long a request waits for the next owner of its key: a
-	// move takes as long as the requests on the key still run.
+	// ownerTimeout bounds how long a request waits for the next owner of its key. A
+	// handover takes as long as the requests in flight for the key.
 	ownerTimeout = time.Second
-	// reassignmentMargin is added to the time after which a silent owner's keys get
-	// another one, for the append and the grant.
+	// reassignmentMargin is added to the time after which the keys of an unresponsive
+	// owner are reassigned, for the append to the log and the grant.
 	reassignmentMargin = 200 * time.Millisecond
-	// unreachableOwnerRetryAfter is when a caller comes back whose key's owner takes no connection:
-	// the lessor waits for its hold to run out.
+	// unreachableOwnerRetryAfter is the Retry-After of a request whose key's owner accepts
+	// no connection: the lessor waits for the owner's hold to expire.
 	unreachableOwnerRetryAfter = 1500 * time.Millisecond
-	// maxAttempts bounds the attempts of one request, those that reached no server and
-	// those while its key changes hands included.
+	// maxAttempts bounds the attempts of one request, including those that reached no
+	// server and those during a handover of its key.
 	maxAttempts = 4
 )
 
-// result is how an exchange ended.
+// result is the outcome of an exchange.
 type result struct {
-	answer  *upstream.Answer // of a server
-	refusal *refusal         // not run
-	failure string           // the request may have run, and why there is no answer
-	// callerDisconnected tells that nobody waits for an answer any more.
+	answer  *upstream.Answer // from a server
+	refusal *refusal         // the request has not run
+	failure string           // why there is no answer to a request that may have run
+	// callerDisconnected reports that the caller no longer waits for an answer.
 	callerDisconnected bool
 }
 
@@ -50,7 +51,7 @@
 	duration time.Duration
 }
 
-// run has the request run. It returns when there is an answer, or none will come.
+// run makes attempts until there is a final answer or no further attempt is possible.
 func (x *exchange) run(ctx context.Context) result {
 	sendCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -83,9 +84,9 @@
 	}
 }
 
-// acquireSlotToSend waits for a place, and takes it only if somebody still waits for the
-// answer: a place may come in the moment in which the request is given up, and what
-// is sent then is reset at once.
+// acquireSlotToSend waits for a slot and keeps it only if the caller still waits for the
+// answer: a slot may become free at the moment when the request is canceled, and a request
+// sent then would be reset at once.
 func (x *exchange) acquireSlotToSend(ctx context.Context) (site.Server, *result) {
 	server, problem := x.acquireSlot(ctx)
 	if problem != nil {
@@ -104,7 +105,7 @@
 	return server, nil
 }
 
-// poolOutcome tells the pool how an attempt ended.
+// poolOutcome returns the outcome of an attempt as the pool needs it.
 func (x *exchange) poolOutcome(ctx context.Context, s attemptResult) pool.Outcome {
 	if s.err != nil {
 		var attempt *upstream.AttemptError
@@ -134,8 +135,8 @@
 	}
 }
 
-// serviceTime estimates how long a server worked on a request: what waited there when
-// it ended had mostly waited when it came.
+// serviceTime estimates how long a server ran a request, without its wait in the server's
+// queue. It assumes that the queue was as long at the arrival of the request as at its end.
 func serviceTime(s attemptResult) time.Duration {
 	load := s.answer.Load
 	if load == nil || load.Slots == 0 {
@@ -144,7 +145,7 @@
 	return time.Duration(float64(s.duration) / (1 + float64(load.Waiting)/float64(load.Slots)))
 }
 
-// isFinal notes how an attempt ended and reports whether the request is done.
+// isFinal records the result of an attempt and reports whether the request is done.
 func (x *exchange) isFinal(s attemptResult) bool {
 	x.trace.noteAttempt(s)
 	var attempt *upstream.AttemptError
@@ -152,7 +153,7 @@
 		if !errors.As(s.err, &attempt) || attempt.Sent {
 			x.mayHaveRun = true
 		} else {
-			x.sends-- // it has not reached the server, so it is no extra load there
+			x.sends-- // it has not reached the server and caused no extra load there
 		}
 		return x.route.Kind == site.AtMostOnce && x.mayHaveRun
 	}
@@ -174,7 +175,7 @@
 	return result{answer: s.answer}
 }
 
-// giveUp returns the best final answer when no attempt will follow.
+// giveUp returns the best available result when no further attempt is made.
 func (x *exchange) giveUp(problem *refusal) result {
 	if x.lastAnswer != nil {
 		return result{answer: x.lastAnswer}
@@ -185,7 +186,7 @@
 	return result{refusal: problem}
 }
 
-// acquireSlot waits for a place at a server that may run the request.
+// acquireSlot waits for a slot at a server that may run the request.
 func (x *exchange) acquireSlot(ctx context.Context) (site.Server, *refusal) {
 	if problem := x.retryRefusal(); problem != nil {
 		return site.Server{}, problem
@@ -197,8 +198,8 @@
 	return x.acquireOwnerSlot(ctx, w)
 }
 
-// waitForSlot asks for a place and waits for it. A request that could not be answered
-// in time any more, or whose key has another owner now, waits no longer.
+// waitForSlot requests a slot and waits for it. The wait ends if the request can no longer
+// be answered in time, or if its key has a new owner.
 func (x *exchange) waitForSlot(ctx context.Context, w *pool.Waiter) (site.Server, *refusal) {
 	askedAt := time.Now()
 	server, results, denied := x.service.requestSlot(w)
@@ -237,18 +238,18 @@
 	}
 }
 
-// noteWait notes for how long the request waited for a place.
+// noteWait records how long the request waited for a slot.
 func (x *exchange) noteWait(d time.Duration) {
 	x.trace.noteWait(d)
 	waits.record(string(x.service.name), d)
 }
 
-// waitTimeoutRefusal refuses a request that got no place in its time.
+// waitTimeoutRefusal returns the refusal of a request that got no slot in time.
 func waitTimeoutRefusal(typical time.Duration) *refusal {
 	return &refusal{status: http.StatusServiceUnavailable, reason: "waited in vain", retryAfter: typical}
 }
 
-// refusedBy returns the refusal of the pool, and notes what it rests on.
+// refusedBy converts a refusal of the pool, and records the share that caused it.
 func (x *exchange) refusedBy(w *pool.Waiter, r *pool.Refusal) *refusal {
 	if r.Reason == pool.OverShare {
 		told := time.Since(x.router.state.Now().Shares.ToldAt)
@@ -257,7 +258,7 @@
 	return &refusal{status: http.StatusServiceUnavailable, reason: string(r.Reason), retryAfter: r.RetryAfter}
 }
 
-// retryRefusal reports why a request that was sent before is not sent again.
+// retryRefusal returns why a request must not be attempted again, or nil if it may.
 func (x *exchange) retryRefusal() *refusal {
 	if x.attempts == 0 {
 		return nil
--- a/gateway/router/run_test.go
+++ b/gateway/router/run_test.go
@@ -17,8 +17,8 @@
 	"github.com/burdockspindle/burdockspindle/gateway/view"
 )
 
-// A server that has become slow always has a queue; its pace must show all the
-// same, and the queue must not be taken for slowness.
+// A slow server always has a queue. The estimate of its service time must still show that
+// it is slow, and must not mistake time in the queue for slowness.
 func TestServiceTimeExcludesTheQueue(t *testing.T) {
 	g := gomega.NewWithT(t)
 	answered := func(took time.Duration, load *site.Load) attemptResult {
@@ -42,14 +42,15 @@
 	}
 	g.Expect(written).To(gomega.Equal(maxFailedLines))
 	allowed, _ := b.take(false, now)
-	g.Expect(allowed).To(gomega.BeTrue(), "answered ones have lines of their own")
+	g.Expect(allowed).To(gomega.BeTrue(), "answered requests have a separate budget")
 	allowed, dropped := b.take(true, now.Add(time.Second))
 	g.Expect(allowed).To(gomega.BeTrue())
 	g.Expect(dropped).To(gomega.Equal(100 - maxFailedLines))
 }
 
-// A request that comes on an open connection in the last moment of a shutdown
-// would be cut off with the process; it is refused instead, which is true.
+// A request that arrives on an open connection at the very end of a shutdown would be cut
+// off when the process terminates. It is refused instead, which truthfully reports that it
+// has not run.
 func TestRequestsJustBeforeTerminationAreRefused(t *testing.T) {
 	g := gomega.NewWithT(t)
 	state := view.NewState()
@@ -72,8 +73,7 @@
 	g.Expect(answer.Body.String()).To(gomega.Equal("node shuts down\n"))
 }
 
-// A request that still waits when the process is about to end gets its answer: it
-// has not run.
+// A request that still waits when the process is about to terminate is answered as not run.
 func TestWaitingRequestsAreAnsweredWhenTheRouterCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -92,9 +92,9 @@
 		startedAt := time.Now()
 		time.AfterFunc(100*time.Millisecond, r.Close)
 		request := httptest.NewRequest(http.MethodGet, "http://h/x", nil)
-		request.Header.Set("Key", "1") // its owner is not known: it waits
+		request.Header.Set("Key", "1") // its owner is unknown, so the request waits
 		r.ServeHTTP(answer, request)
 		g.Expect(answer.Code).To(gomega.Equal(http.StatusServiceUnavailable))
-		g.Expect(time.Since(startedAt)).To(gomega.Equal(100*time.Millisecond), "of the fake clock, and not at the end of its wait")
+		g.Expect(time.Since(startedAt)).To(gomega.Equal(100*time.Millisecond), "by the fake clock, not at the end of its wait")
 	})
 }
--- a/gateway/router/serve.go
+++ b/gateway/router/serve.go
@@ -16,23 +16,23 @@
 )
 
 const (
-	// defaultCallerTimeout is the time that a caller is taken to wait who does not say.
+	// defaultCallerTimeout is the assumed timeout of a caller that states none.
 	defaultCallerTimeout = 10 * time.Second
-	// notReadyRetryAfter is when a caller comes back to a node that knows no
-	// configuration yet: nodes learn it within about half a second.
+	// notReadyRetryAfter is the Retry-After of a node that has no configuration yet:
+	// nodes receive it within about half a second.
 	notReadyRetryAfter = 400 * time.Millisecond
-	// shutdownRetryAfter is when a caller comes back who met the end of a node; another
-	// node takes the request.
+	// shutdownRetryAfter is the Retry-After of a node that is terminating; another node
+	// serves the retry.
 	shutdownRetryAfter = 100 * time.Millisecond
-	// defaultMaxBodyBytes bounds bodies for a configuration without a limit.
+	// defaultMaxBodyBytes bounds request bodies if the configuration has no limit.
 	defaultMaxBodyBytes = 8 << 20
 )
 
-// exchange is one request on its way through the node.
+// exchange is the state of one request while the node handles it.
 type exchange struct {
 	router  *Router
 	writer  http.ResponseWriter
-	caller  Caller // nil: the connection cannot be looked at
+	caller  Caller // nil: the connection cannot be checked
 	view    *view.View
 	route   *site.Route
 	service *service
@@ -41,13 +41,13 @@
 	request upstream.Request
 
 	arrived    time.Time
-	deadline   time.Time // of the caller or the route
+	deadline   time.Time // from the timeouts of the caller and the route
 	target     time.Time // latency objective
-	attempts   int       // attempts
+	attempts   int       // all, including those that reached no server
 	sends      int       // attempts that may have reached a server
 	mayHaveRun bool
 	tried      []site.ServerID
-	lastAnswer *upstream.Answer // of a server, that a caller may get if there is nothing better
+	lastAnswer *upstream.Answer // a server's error, returned if no better answer arrives
 	trace      trace
 }
 
@@ -70,11 +70,11 @@
 	x.finish(ctx, request.Context(), x.run(ctx))
 }
 
-// refusal is an answer of the node itself to a request that has not run.
+// refusal is the node's own response to a request that has not run.
 type refusal struct {
 	status     int
 	reason     string
-	retryAfter time.Duration // 0: coming back does not help
+	retryAfter time.Duration // 0: a retry does not help
 }
 
 // prepare finds the route and reads the request.
@@ -106,7 +106,7 @@
 	return x.readBody(request)
 }
 
-// headerBytes returns the length of a request's head without the ends of lines.
+// headerBytes returns the length of a request's head, not counting separators and line ends.
 func headerBytes(request *http.Request) int64 {
 	length := len(request.Method) + len(request.RequestURI) + len(request.Host)
 	for name, values := range request.Header {
--- a/gateway/router/server_restart_test.go
+++ b/gateway/router/server_restart_test.go
@@ -18,12 +18,12 @@
 	"github.com/burdockspindle/burdockspindle/gateway/view"
 )
 
-// backend is a server on loopback that counts what it gets.
+// backend is a server on loopback that counts the requests that it receives.
 type backend struct {
 	site.Server
 	received        atomic.Int32
-	onRequest       func() // called with each request; nil: nothing
-	dropsConnection bool   // it ends the connection without an answer
+	onRequest       func() // called for each request unless nil
+	dropsConnection bool   // closes the connection without an answer
 }
 
 func newBackend(t *testing.T, id site.ServerID) *backend {
@@ -46,13 +46,13 @@
 	return b
 }
 
-// newRouterWithRestart is a router whose one server takes a request and starts again: the
-// register shows the new run before the request's connection ends.
+// newRouterWithRestart returns a router whose only server receives a request and restarts:
+// the registry shows the new incarnation before the request's connection ends.
 func newRouterWithRestart(t *testing.T, kind site.Kind, others ...site.Server) (r *Router, first, second *backend) {
 	t.Helper()
 	g := gomega.NewWithT(t)
 	state := view.NewState()
-	state.SetMembers([]view.Member{{Node: "n", Boot: "b", Zone: "a"}}) // that share the retry budget
+	state.SetMembers([]view.Member{{Node: "n", Boot: "b", Zone: "a"}}) // the nodes that share the retry budget
 	g.Expect(state.MergeConfig(&site.Config{
 		Version:  1,
 		Services: map[site.ServiceName]site.Service{"s": {Name: "s"}},
@@ -70,7 +70,7 @@
 	}
 	first.onRequest = func() {
 		publish(append(others, second.Server)...)
-		r.service("s") // as the next request does
+		r.service("s") // applies the new view, as the next request does
 	}
 	publish(first.Server)
 	headers := upstream.Headers{RequestID: "Request-Id", Timeout: "Timeout", ExpectedServer: "Expected", ParseLoad: func(string) (site.Load, bool) { return site.Load{}, false }}
@@ -87,7 +87,7 @@
 	return answer
 }
 
-// The new run never saw the request; the earlier one may have run it.
+// The new incarnation never received the request; the previous one may have run it.
 func TestRequestSentToAPreviousIncarnationMayHaveRun(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r, first, second := newRouterWithRestart(t, site.AtMostOnce)
@@ -96,13 +96,13 @@
 	g.Expect(second.received.Load()).To(gomega.BeZero())
 }
 
-// A new run counts as the server that was tried: it has just started, and the
-// route bounds the servers that a request goes to.
+// A new incarnation of a server that was tried is treated as tried: it has just started,
+// and the route bounds the number of servers that a request is sent to.
 func TestNewIncarnationOfATriedServerIsNotTried(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r, first, second := newRouterWithRestart(t, site.Idempotent)
 	answer := serveOnce(r)
-	g.Expect(answer.Code).To(gomega.Equal(http.StatusBadGateway), "it may have run, so that it is no refusal: %s", answer.Body)
+	g.Expect(answer.Code).To(gomega.Equal(http.StatusBadGateway), "the request may have run, so this is not a refusal: %s", answer.Body)
 	g.Expect(first.received.Load()).To(gomega.Equal(int32(1)))
 	g.Expect(second.received.Load()).To(gomega.BeZero())
 }
