--- a/gateway/upstream/receipt_test.go
+++ b/gateway/upstream/acknowledgment_test.go
@@ -13,8 +13,8 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// answerOnce answers what comes first on a connection, and reads what follows.
-func answerOnce(conn net.Conn) {
+// respondOnce answers what comes first on a connection, and reads what follows.
+func respondOnce(conn net.Conn) {
 	_, _ = conn.Read(make([]byte, 4096))
 	_, _ = io.WriteString(conn, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 	_, _ = io.Copy(io.Discard, conn)
@@ -22,11 +22,11 @@
 
 // A count of bytes that is not known passed for none: a grant that may have been under way
 // counted as one that had arrived.
-func TestBytesThatCannotBeCountedAreNotAcknowledged(t *testing.T) {
+func TestBytesOfUnknownCountAreNotTreatedAsAcknowledged(t *testing.T) {
 	g := gomega.NewWithT(t)
 	here, there := net.Pipe() // no socket
 	defer func() { _ = there.Close() }()
-	go answerOnce(there)
+	go respondOnce(there)
 	client := NewClient(Headers{RequestID: "Request-Id", Timeout: "Timeout", ExpectedServer: "Expected", ParseLoad: func(string) (site.Load, bool) { return site.Load{}, false }}, "a")
 	client.dial = func(context.Context, string, string) (net.Conn, error) { return here, nil }
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
@@ -48,14 +48,14 @@
 	conn, err := net.Dial("tcp", listener.Addr().String())
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	defer func() { _ = conn.Close() }()
-	var r receipt
-	r.begin()
-	r.look(conn)
-	g.Expect(r.at().IsZero()).To(gomega.BeTrue(), "nothing was written")
-	r.sent()
-	r.look(conn)
-	g.Expect(r.at().IsZero()).To(gomega.BeFalse())
-	r.begin()
-	r.look(conn) // of the call before
-	g.Expect(r.at().IsZero()).To(gomega.BeTrue())
+	var ack acknowledgment
+	ack.reset()
+	ack.check(conn)
+	g.Expect(ack.acknowledgedAt().IsZero()).To(gomega.BeTrue(), "nothing was written")
+	ack.markSent()
+	ack.check(conn)
+	g.Expect(ack.acknowledgedAt().IsZero()).To(gomega.BeFalse())
+	ack.reset()
+	ack.check(conn) // of the call before
+	g.Expect(ack.acknowledgedAt().IsZero()).To(gomega.BeTrue())
 }
--- a/gateway/upstream/client.go
+++ b/gateway/upstream/client.go
@@ -19,13 +19,13 @@
 	// connectTimeout ends an attempt to connect. Delays between zones are a few
 	// milliseconds; a lost opening packet is sent again only after one second.
 	connectTimeout = 300 * time.Millisecond
-	// sweepEvery is how often old idle connections are closed.
-	sweepEvery = time.Second
-	// maxAnswer bounds an answer's body in bytes, since it is kept in memory.
-	maxAnswer = 16 << 20
-	// inlineBody is the size in bytes up to which a body surely fits the send
+	// sweepInterval is how often old idle connections are closed.
+	sweepInterval = time.Second
+	// maxAnswerBytes bounds an answer's body in bytes, since it is kept in memory.
+	maxAnswerBytes = 16 << 20
+	// maxInlineBody is the size in bytes up to which a body surely fits the send
 	// buffer, so that it is written before the answer is read.
-	inlineBody = 32 << 10
+	maxInlineBody = 32 << 10
 )
 
 // Request is one request for a server.
@@ -59,8 +59,8 @@
 	// dial opens a connection; tests replace it.
 	dial func(ctx context.Context, network, address string) (net.Conn, error)
 	idle idlePool
-	// openings are the connections for control calls that are being opened.
-	openings openings
+	// pending are the connections for control calls that are being opened.
+	pending pendingConns
 }
 
 // NewClient returns a client of a node in a zone that uses a deployment's header
@@ -76,7 +76,7 @@
 
 // Run closes idle connections that have become too old, until ctx ends.
 func (c *Client) Run(ctx context.Context) {
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -101,8 +101,8 @@
 		return &AttemptError{Server: server.ID, Cause: err}
 	}
 	cn := newConn(raw, c.meter(server))
-	cn.answered = time.Now()
-	cn.until = cn.answered.Add(defaultIdle)
+	cn.answeredAt = time.Now()
+	cn.usableUntil = cn.answeredAt.Add(defaultIdleTime)
 	c.idle.put(idleKey{address: server.Address, server: server.ID}, cn)
 	return nil
 }
@@ -116,9 +116,9 @@
 			return nil, &AttemptError{Server: server.ID, Cause: err}
 		}
 		cn = newConn(raw, c.meter(server))
-		if err := cn.settle(time.Now()); err != nil {
+		if err := cn.awaitRejection(time.Now()); err != nil {
 			reset(raw)
-			return nil, &AttemptError{Server: server.ID, TurnedAway: isEnd(err), Cause: err}
+			return nil, &AttemptError{Server: server.ID, TurnedAway: isClosedByPeer(err), Cause: err}
 		}
 	}
 	answer, reusable, err := c.exchange(ctx, cn, r, head, true)
@@ -129,15 +129,15 @@
 func (c *Client) finish(key idleKey, cn *conn, answer *Answer, reusable bool, err error) (*Answer, error) {
 	if err != nil {
 		cn.abandon()
-		return nil, cn.lost(key.server, err)
+		return nil, cn.attempt(key.server, err)
 	}
 	if !reusable {
 		reset(cn.net)
 		return answer, nil
 	}
-	cn.carried(answer)
+	cn.markAnswered(answer)
 	c.idle.put(key, cn)
-	c.openings.signal(key)
+	c.pending.signalIdle(key)
 	return answer, nil
 }
 
@@ -150,12 +150,12 @@
 		return nil, false, err // a process that was held up must not send what has been given up
 	}
 	written := make(chan error, 1)
-	cn.written = true
-	if len(r.Body) <= inlineBody {
+	cn.mayBeSent = true
+	if len(r.Body) <= maxInlineBody {
 		if err := cn.write(append(head, r.Body...)); err != nil {
 			return nil, false, err
 		}
-		cn.receipt.sent()
+		cn.acknowledgment.markSent()
 		written <- nil
 	} else {
 		go func() { written <- cn.write(append(head, r.Body...)) }()
@@ -165,12 +165,12 @@
 		return nil, false, err
 	}
 	defer func() { _ = response.Body.Close() }() // the connection is closed or reused as a whole
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes+1))
 	if err != nil {
 		return nil, false, err
 	}
-	if len(body) > maxAnswer {
-		return nil, false, &TooLongError{Most: maxAnswer}
+	if len(body) > maxAnswerBytes {
+		return nil, false, &TooLongError{Most: maxAnswerBytes}
 	}
 	if matchID && response.Header.Get(c.headers.RequestID) != r.ID {
 		return nil, false, &MismatchError{Want: r.ID, Got: response.Header.Get(c.headers.RequestID)}
--- a/gateway/upstream/client_test.go
+++ b/gateway/upstream/client_test.go
@@ -21,20 +21,20 @@
 	ParseLoad: func(string) (site.Load, bool) { return site.Load{}, false },
 }
 
-// script answers the n-th request (from 0) on any connection with bytes; after
+// responder answers the n-th request (from 0) on any connection with bytes; after
 // them the connection is closed if the bytes say so, reset or kept.
-type script func(n int, r *http.Request) (answer string, end ending)
+type responder func(n int, r *http.Request) (answer string, end connEnd)
 
-type ending int
+type connEnd int
 
 const (
-	keep ending = iota
+	keep connEnd = iota
 	closeConn
 	resetConn
 )
 
 // serve runs a server of scripted answers and counts its connections.
-func serve(t *testing.T, answers script) (site.Server, *atomic.Int32) {
+func serve(t *testing.T, answers responder) (site.Server, *atomic.Int32) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,13 +49,13 @@
 				return
 			}
 			conns.Add(1)
-			go play(conn.(*net.TCPConn), answers, &requests)
+			go serveConn(conn.(*net.TCPConn), answers, &requests)
 		}
 	}()
 	return site.Server{ID: "s", Address: listener.Addr().String()}, &conns
 }
 
-func play(conn *net.TCPConn, answers script, requests *atomic.Int32) {
+func serveConn(conn *net.TCPConn, answers responder, requests *atomic.Int32) {
 	reader := bufio.NewReader(conn)
 	for {
 		request, err := http.ReadRequest(reader)
@@ -94,7 +94,7 @@
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var seen *http.Request
-	server, _ := serve(t, func(_ int, r *http.Request) (string, ending) {
+	server, _ := serve(t, func(_ int, r *http.Request) (string, connEnd) {
 		seen = r
 		return ok("1", "x"), closeConn
 	})
@@ -111,7 +111,7 @@
 
 func TestConnectionIsKeptForTheNextRequest(t *testing.T) {
 	g := gomega.NewWithT(t)
-	server, conns := serve(t, func(_ int, r *http.Request) (string, ending) { return ok(r.Header.Get("Request-Id"), "x"), keep })
+	server, conns := serve(t, func(_ int, r *http.Request) (string, connEnd) { return ok(r.Header.Get("Request-Id"), "x"), keep })
 	client := upstream.NewClient(headers, "a")
 	for _, id := range []string{"1", "2", "3"} {
 		_, err := send(t, client, server, id)
@@ -122,23 +122,23 @@
 
 // Whatever leaves a doubt about which request the next bytes belong to ends the
 // connection, and none of it reaches a caller.
-func TestDoubtfulAnswersAreErrors(t *testing.T) {
-	for name, answer := range map[string]script{
-		"of another request": func(int, *http.Request) (string, ending) { return ok("9", "x"), keep },
-		"cut short": func(int, *http.Request) (string, ending) {
+func TestUnusableAnswersAreErrors(t *testing.T) {
+	for name, answer := range map[string]responder{
+		"of another request": func(int, *http.Request) (string, connEnd) { return ok("9", "x"), keep },
+		"cut short": func(int, *http.Request) (string, connEnd) {
 			return "HTTP/1.1 200 OK\r\nRequest-Id: 1\r\nContent-Length: 9\r\n\r\nx", closeConn
 		},
-		"chunks cut short": func(int, *http.Request) (string, ending) {
+		"chunks cut short": func(int, *http.Request) (string, connEnd) {
 			return "HTTP/1.1 200 OK\r\nRequest-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabc", closeConn
 		},
-		"no HTTP": func(int, *http.Request) (string, ending) { return "\x00\x01garbage\r\n\r\n", closeConn },
-		"without length, reset": func(int, *http.Request) (string, ending) {
+		"no HTTP": func(int, *http.Request) (string, connEnd) { return "\x00\x01garbage\r\n\r\n", closeConn },
+		"without length, reset": func(int, *http.Request) (string, connEnd) {
 			return "HTTP/1.1 200 OK\r\nRequest-Id: 1\r\n\r\nabc", resetConn
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			server, conns := serve(t, func(n int, r *http.Request) (string, ending) {
+			server, conns := serve(t, func(n int, r *http.Request) (string, connEnd) {
 				if n == 0 {
 					return answer(n, r)
 				}
@@ -159,7 +159,7 @@
 
 func TestAnswerWithoutLengthEndsWithItsConnection(t *testing.T) {
 	g := gomega.NewWithT(t)
-	server, _ := serve(t, func(int, *http.Request) (string, ending) {
+	server, _ := serve(t, func(int, *http.Request) (string, connEnd) {
 		return "HTTP/1.1 200 OK\r\nRequest-Id: 1\r\n\r\nabc", closeConn
 	})
 	answer, err := send(t, upstream.NewClient(headers, "a"), server, "1")
@@ -167,9 +167,9 @@
 	g.Expect(string(answer.Body)).To(gomega.Equal("abc"))
 }
 
-func TestExtraBytesAfterAnAnswerEndTheConnection(t *testing.T) {
+func TestExtraBytesAfterAnAnswerCloseTheConnection(t *testing.T) {
 	g := gomega.NewWithT(t)
-	server, conns := serve(t, func(n int, r *http.Request) (string, ending) {
+	server, conns := serve(t, func(n int, r *http.Request) (string, connEnd) {
 		id := r.Header.Get("Request-Id")
 		if n == 0 {
 			return ok(id, "x") + ok(id, "again"), keep
@@ -188,7 +188,7 @@
 
 func TestIdleConnectionThatTheServerClosedIsNotUsed(t *testing.T) {
 	g := gomega.NewWithT(t)
-	server, conns := serve(t, func(n int, r *http.Request) (string, ending) {
+	server, conns := serve(t, func(n int, r *http.Request) (string, connEnd) {
 		if n == 0 {
 			return ok(r.Header.Get("Request-Id"), "x"), closeConn // without saying so
 		}
@@ -205,9 +205,9 @@
 
 // A server may forget a connection that has rested for 300 ms: what must not run
 // twice does not go out on it.
-func TestARequestThatMustNotRunTwiceTakesNoRestedConnection(t *testing.T) {
+func TestAtMostOnceRequestDoesNotUseAnIdleConnection(t *testing.T) {
 	g := gomega.NewWithT(t)
-	server, conns := serve(t, func(_ int, r *http.Request) (string, ending) { return ok(r.Header.Get("Request-Id"), "x"), keep })
+	server, conns := serve(t, func(_ int, r *http.Request) (string, connEnd) { return ok(r.Header.Get("Request-Id"), "x"), keep })
 	client := upstream.NewClient(headers, "a")
 	request := get("1")
 	request.Fresh = true
@@ -233,7 +233,7 @@
 func TestEndOfTheContextResetsTheConnection(t *testing.T) {
 	g := gomega.NewWithT(t)
 	gone := make(chan struct{})
-	server, _ := serve(t, func(int, *http.Request) (string, ending) {
+	server, _ := serve(t, func(int, *http.Request) (string, connEnd) {
 		time.Sleep(50 * time.Millisecond)
 		close(gone)
 		return "", keep
--- a/gateway/upstream/conn.go
+++ b/gateway/upstream/conn.go
@@ -19,38 +19,38 @@
 
 // Idle connections are not used beyond these ages.
 const (
-	// defaultIdle is how long a connection is kept without a statement of the
+	// defaultIdleTime is how long a connection is kept without a statement of the
 	// server: under the shortest idle timeout of common servers, 5 s.
-	defaultIdle = 4 * time.Second
+	defaultIdleTime = 4 * time.Second
 	// idleMargin is left before the idle timeout that a server states, for the
 	// request's way to it.
 	idleMargin = 1500 * time.Millisecond
-	// freshFor is how long after an answer a connection counts as fresh. Servers
+	// maxFreshAge is how long after an answer a connection counts as fresh. Servers
 	// may forget connections that rested for 300 ms without a notice, and what is
 	// sent on one then is lost; the rest is for the way there.
-	freshFor   = 200 * time.Millisecond
-	readBuffer = 4 << 10 // bytes
-	// settleTime is how long a new connection is watched before a request goes out
+	maxFreshAge = 200 * time.Millisecond
+	readBuffer  = 4 << 10 // bytes
+	// rejectionWait is how long a new connection is watched before a request goes out
 	// on it. A server at its limit of connections resets one as it accepts it, within
 	// about a millisecond; a request that was already sent then may have run for all
 	// that the node knows, and must not be refused or sent again freely.
-	settleTime = 3 * time.Millisecond
+	rejectionWait = 3 * time.Millisecond
 )
 
 // conn is one connection to a server, used by one request at a time.
 type conn struct {
-	net      net.Conn
-	reader   *bufio.Reader
-	until    time.Time // not to be used after this
-	answered time.Time // when it proved to work last
-	written  bool      // bytes of the present request may have left
-	meter    traffic.Meter
+	net         net.Conn
+	reader      *bufio.Reader
+	usableUntil time.Time // not to be used after this
+	answeredAt  time.Time // when it proved to work last
+	mayBeSent   bool      // bytes of the present request may have left
+	meter       traffic.Meter
 
 	// isUnaccepted tells that the server's process may not have accepted the connection.
 	isUnaccepted bool
 
-	abandoned sync.Once
-	receipt   receipt
+	abandoned      sync.Once
+	acknowledgment acknowledgment
 }
 
 func newConn(c net.Conn, meter traffic.Meter) *conn {
@@ -60,28 +60,28 @@
 // abandon resets the connection, and notes before that whether bytes may still be under way.
 func (c *conn) abandon() {
 	c.abandoned.Do(func() {
-		c.receipt.look(c.net)
+		c.acknowledgment.check(c.net)
 		reset(c.net)
 	})
 }
 
-// lost returns the error of an attempt whose connection was abandoned. What the server's
+// attempt returns the error of an attempt whose connection was abandoned. What the server's
 // machine has not acknowledged is no longer under way once it has ended the connection.
-func (c *conn) lost(server site.ServerID, cause error) *AttemptError {
-	if isEnd(cause) {
-		c.receipt.note(clock.Now())
+func (c *conn) attempt(server site.ServerID, cause error) *AttemptError {
+	if isClosedByPeer(cause) {
+		c.acknowledgment.markAcknowledged(clock.Now())
 	}
-	lost := &AttemptError{Server: server, Sent: c.written, Cause: cause}
-	if !c.isUnaccepted || isEnd(cause) {
-		lost.AcknowledgedAt = c.receipt.at()
+	attempt := &AttemptError{Server: server, Sent: c.mayBeSent, Cause: cause}
+	if !c.isUnaccepted || isClosedByPeer(cause) {
+		attempt.AcknowledgedAt = c.acknowledgment.acknowledgedAt()
 	}
-	return lost
+	return attempt
 }
 
-// carried notes that the connection has carried an answer just now.
-func (c *conn) carried(answer *Answer) {
-	c.answered = time.Now()
-	c.until = c.answered.Add(idleTime(answer.Header.Get("Keep-Alive")))
+// markAnswered notes that the connection has carried an answer just now.
+func (c *conn) markAnswered(answer *Answer) {
+	c.answeredAt = time.Now()
+	c.usableUntil = c.answeredAt.Add(idleTime(answer.Header.Get("Keep-Alive")))
 }
 
 // write writes a part of a request.
@@ -91,10 +91,10 @@
 	return err
 }
 
-// settle watches a new connection and returns an error if the server ends it or
+// awaitRejection watches a new connection and returns an error if the server ends it or
 // speaks first.
-func (c *conn) settle(now time.Time) error {
-	if err := c.net.SetReadDeadline(now.Add(settleTime)); err != nil {
+func (c *conn) awaitRejection(now time.Time) error {
+	if err := c.net.SetReadDeadline(now.Add(rejectionWait)); err != nil {
 		return err
 	}
 	_, err := c.reader.Peek(1)
@@ -108,9 +108,11 @@
 	return c.net.SetReadDeadline(time.Time{})
 }
 
-// isEnd reports whether an error of reading tells that the server ended the
+// isClosedByPeer reports whether an error of reading tells that the server ended the
 // connection.
-func isEnd(err error) bool { return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) }
+func isClosedByPeer(err error) bool {
+	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET)
+}
 
 // unexpectedBytesError tells that a connection has bytes that no request waits
 // for.
@@ -119,8 +121,8 @@
 // Error implements error.
 func (unexpectedBytesError) Error() string { return "unexpected bytes" }
 
-// quiet reports whether an idle connection is open and has nothing to read.
-func (c *conn) quiet() bool {
+// isIdle reports whether an idle connection is open and has nothing to read.
+func (c *conn) isIdle() bool {
 	return c.reader.Buffered() == 0 && socket.Look(c.net) == socket.Quiet
 }
 
@@ -137,5 +139,5 @@
 			return max(time.Duration(stated)*time.Second-idleMargin, 0)
 		}
 	}
-	return defaultIdle
+	return defaultIdleTime
 }
--- a/gateway/upstream/control.go
+++ b/gateway/upstream/control.go
@@ -10,9 +10,9 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// openTimeout ends the opening of a connection for control calls. A full server accepts
+// establishTimeout ends the opening of a connection for control calls. A full server accepts
 // a connection when one of its slots is free, seconds later.
-const openTimeout = 5 * time.Second
+const establishTimeout = 5 * time.Second
 
 // ControlCall is a call of the gateway itself.
 type ControlCall struct {
@@ -30,60 +30,60 @@
 // full server takes no new one, and its keys would be lost to it for want of a renewal.
 func (c *Client) Control(ctx context.Context, server site.Server, opening, call ControlCall) (*Answer, error) {
 	key := idleKey{address: server.Address, server: server.ID, control: true}
-	cn, err := c.accepted(ctx, key, server, opening)
+	cn, err := c.acceptedConn(ctx, key, server, opening)
 	var notKept *NotKeptError
 	if errors.As(err, &notKept) {
-		cn, err = c.unaccepted(ctx, server)
+		cn, err = c.unacceptedConn(ctx, server)
 	}
 	if err != nil {
-		return nil, &AttemptError{Server: server.ID, TurnedAway: isEnd(err), Cause: err}
+		return nil, &AttemptError{Server: server.ID, TurnedAway: isClosedByPeer(err), Cause: err}
 	}
-	answer, reusable, err := c.control(ctx, cn, server, call)
+	answer, reusable, err := c.sendControl(ctx, cn, server, call)
 	return c.finish(key, cn, answer, reusable, err)
 }
 
-// control writes a control call to a connection and reads its answer.
-func (c *Client) control(ctx context.Context, cn *conn, server site.Server, call ControlCall) (*Answer, bool, error) {
+// sendControl writes a control call to a connection and reads its answer.
+func (c *Client) sendControl(ctx context.Context, cn *conn, server site.Server, call ControlCall) (*Answer, bool, error) {
 	header := http.Header{"Content-Type": {"application/json"}, c.headers.ExpectedServer: {string(server.ID.Name())}}
 	r := &Request{Method: http.MethodPost, Target: call.Path, Host: server.Address, Header: header, Body: call.Body}
 	var head bytes.Buffer
 	writeHead(&head, r)
 	writeHeader(&head, header)
 	writeLength(&head, r)
-	cn.receipt.begin()
-	look := time.AfterFunc(receiptAfter, func() { cn.receipt.look(cn.net) })
-	defer look.Stop()
+	cn.acknowledgment.reset()
+	check := time.AfterFunc(acknowledgmentCheckDelay, func() { cn.acknowledgment.check(cn.net) })
+	defer check.Stop()
 	return c.exchange(ctx, cn, r, head.Bytes(), false)
 }
 
-// accepted returns a connection on which the server has answered: an idle one, or one
+// acceptedConn returns a connection on which the server has answered: an idle one, or one
 // that is opened now.
-func (c *Client) accepted(ctx context.Context, key idleKey, server site.Server, call ControlCall) (*conn, error) {
+func (c *Client) acceptedConn(ctx context.Context, key idleKey, server site.Server, call ControlCall) (*conn, error) {
 	for ctx.Err() == nil {
-		freed := c.openings.freed(key)
+		becameIdle := c.pending.idleSignal(key)
 		if cn := c.idle.take(key, time.Now(), false); cn != nil {
 			return cn, nil
 		}
-		o, isNew := c.openings.join(key)
+		pending, isNew := c.pending.join(key)
 		if isNew {
-			go c.open(ctx, key, server, call, o)
+			go c.establish(ctx, key, server, call, pending)
 		}
 		select {
-		case <-freed:
+		case <-becameIdle:
 			continue
-		case <-o.done:
+		case <-pending.done:
 		case <-ctx.Done():
-			c.leave(key, o)
-			if o.isConnected.Load() {
+			c.makeIdle(key, pending)
+			if pending.isConnected.Load() {
 				return nil, &UnacceptedError{}
 			}
 			continue
 		}
-		if cn := o.take(); cn != nil {
+		if cn := pending.take(); cn != nil {
 			return cn, nil
 		}
-		if o.err != nil && !isNotOpened(o.err) {
-			return nil, o.err
+		if pending.err != nil && !isNotOpened(pending.err) {
+			return nil, pending.err
 		}
 	}
 	return nil, &NotOpenedError{Cause: ctx.Err()}
@@ -95,9 +95,9 @@
 	return errors.As(err, &notOpened)
 }
 
-// unaccepted returns a new connection to a server that keeps none. What is sent on it may
+// unacceptedConn returns a new connection to a server that keeps none. What is sent on it may
 // be carried out late even if it is acknowledged.
-func (c *Client) unaccepted(ctx context.Context, server site.Server) (*conn, error) {
+func (c *Client) unacceptedConn(ctx context.Context, server site.Server) (*conn, error) {
 	cn, err := c.dialControl(ctx, server)
 	if err != nil {
 		return nil, err
@@ -112,49 +112,49 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := limitControl(raw); err != nil {
+	if err := setControlStallTimeout(raw); err != nil {
 		reset(raw)
 		return nil, err
 	}
 	return newConn(raw, c.meter(server)), nil
 }
 
-// open opens a connection, and goes on when the call that asked for it has been given up:
+// establish opens a connection, and goes on when the call that asked for it has been given up:
 // the next one finds it accepted.
-func (c *Client) open(asked context.Context, key idleKey, server site.Server, call ControlCall, o *opening) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(asked), openTimeout)
+func (c *Client) establish(callerCtx context.Context, key idleKey, server site.Server, call ControlCall, pending *pendingConn) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(callerCtx), establishTimeout)
 	defer cancel()
-	cn, answer, err := c.connect(ctx, asked, server, call, o)
+	cn, answer, err := c.dialAccepted(ctx, callerCtx, server, call, pending)
 	if err == nil {
-		cn.carried(answer)
-		cn.written = false
+		cn.markAnswered(answer)
+		cn.mayBeSent = false
 	}
-	c.openings.end(key, o, cn, err)
-	if asked.Err() != nil {
-		c.leave(key, o)
+	c.pending.finish(key, pending, cn, err)
+	if callerCtx.Err() != nil {
+		c.makeIdle(key, pending)
 	}
 }
 
-// leave makes the connection of an opening idle if nobody has taken it.
-func (c *Client) leave(key idleKey, o *opening) {
-	if cn := o.take(); cn != nil {
+// makeIdle makes the connection of an opening idle if nobody has taken it.
+func (c *Client) makeIdle(key idleKey, pending *pendingConn) {
+	if cn := pending.take(); cn != nil {
 		c.idle.put(key, cn)
-		c.openings.signal(key)
+		c.pending.signalIdle(key)
 	}
 }
 
-// connect returns a new connection that has carried an answer.
-func (c *Client) connect(ctx, asked context.Context, server site.Server, call ControlCall, o *opening) (*conn, *Answer, error) {
+// dialAccepted returns a new connection that has carried an answer.
+func (c *Client) dialAccepted(ctx, callerCtx context.Context, server site.Server, call ControlCall, pending *pendingConn) (*conn, *Answer, error) {
 	cn, err := c.dialControl(ctx, server)
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := asked.Err(); err != nil {
+	if err := callerCtx.Err(); err != nil {
 		reset(cn.net)
 		return nil, nil, &NotOpenedError{Cause: err}
 	}
-	o.isConnected.Store(true)
-	answer, reusable, err := c.control(ctx, cn, server, call)
+	pending.isConnected.Store(true)
+	answer, reusable, err := c.sendControl(ctx, cn, server, call)
 	switch {
 	case err != nil:
 		cn.abandon()
--- a/gateway/upstream/dial.go
+++ b/gateway/upstream/dial.go
@@ -11,41 +11,41 @@
 // Connections that go silent are detected by the kernel: unacknowledged bytes
 // end a connection after silentAfter, and idle ones are probed.
 const (
-	silentAfter = 4 * time.Second
+	stallTimeout = 4 * time.Second
 	// ControlSilentAfter is the same for connections of the gateway's own calls, also after
 	// the process has ended: grants that arrive late are counted for as long.
 	ControlSilentAfter = 3 * time.Second
-	probeIdle          = 5 * time.Second
-	probeEvery         = time.Second
-	probeCount         = 3
+	keepAliveIdle      = 5 * time.Second
+	keepAliveInterval  = time.Second
+	keepAliveCount     = 3
 )
 
 // Dialer returns a dialer for connections that may go silent without a reset.
 func Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout:         timeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeEvery, Count: probeCount},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
 		Control: func(_, _ string, raw syscall.RawConn) error {
-			return limitSilence(raw, silentAfter)
+			return setStallTimeout(raw, stallTimeout)
 		},
 	}
 }
 
-// limitSilence has the kernel end a connection whose bytes are not acknowledged for a time.
-func limitSilence(raw syscall.RawConn, after time.Duration) error {
-	var failure error
+// setStallTimeout has the kernel end a connection whose bytes are not acknowledged for a time.
+func setStallTimeout(raw syscall.RawConn, timeout time.Duration) error {
+	var optErr error
 	err := raw.Control(func(fd uintptr) {
-		failure = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(after.Milliseconds()))
+		optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failure
+	return optErr
 }
 
-// limitControl sets the silence after which the kernel ends a connection of the gateway's
+// setControlStallTimeout sets the silence after which the kernel ends a connection of the gateway's
 // own calls. A connection that is no socket has no such bound.
-func limitControl(conn net.Conn) error {
+func setControlStallTimeout(conn net.Conn) error {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
 		return nil
@@ -54,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	return limitSilence(raw, ControlSilentAfter)
+	return setStallTimeout(raw, ControlSilentAfter)
 }
 
 // reset closes a connection so that bytes that are still on their way are
--- a/gateway/upstream/idle.go
+++ b/gateway/upstream/idle.go
@@ -31,12 +31,12 @@
 		if c == nil {
 			return nil
 		}
-		if fresh && now.Sub(c.answered) > freshFor {
+		if fresh && now.Sub(c.answeredAt) > maxFreshAge {
 			p.put(key, c)
 			return nil
 		}
-		if now.Before(c.until) && c.quiet() {
-			c.written = false
+		if now.Before(c.usableUntil) && c.isIdle() {
+			c.mayBeSent = false
 			return c
 		}
 		_ = c.net.Close() // it carries nothing
@@ -65,8 +65,8 @@
 	p.conns[key] = append(p.conns[key], c)
 }
 
-// keepOnly closes the connections to runs that are not registered.
-func (p *idlePool) keepOnly(registered map[site.ServerID]bool) {
+// retain closes the connections to runs that are not registered.
+func (p *idlePool) retain(registered map[site.ServerID]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.registered = registered
@@ -88,7 +88,7 @@
 	for key, stack := range p.conns {
 		kept := stack[:0]
 		for _, c := range stack {
-			if now.Before(c.until) {
+			if now.Before(c.usableUntil) {
 				kept = append(kept, c)
 			} else {
 				_ = c.net.Close() // it carries nothing
--- a/gateway/upstream/runs.go
+++ b/gateway/upstream/incarnation.go
@@ -10,6 +10,6 @@
 	for id := range servers {
 		registered[id] = true
 	}
-	c.idle.keepOnly(registered)
-	c.openings.keepOnly(registered)
+	c.idle.retain(registered)
+	c.pending.retain(registered)
 }
--- a/gateway/upstream/settle_test.go
+++ b/gateway/upstream/rejection_test.go
@@ -16,7 +16,7 @@
 // A server at its limit of connections resets a new one as it accepts it. The
 // request has not reached it. The reset has arrived here when the connection is
 // handed out, so that the outcome does not depend on the machine's speed.
-func TestARequestIsNotSentOnAConnectionThatIsResetAtOnce(t *testing.T) {
+func TestRequestIsNotSentOnAConnectionThatIsResetAtOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -49,7 +49,7 @@
 
 // What has been given up while the connection was opened is not sent: a grant that arrives
 // late would be in force for longer than its lessor counts.
-func TestNothingIsSentOnceTheCallIsGivenUp(t *testing.T) {
+func TestCanceledCallIsNotSent(t *testing.T) {
 	g := gomega.NewWithT(t)
 	here, there := net.Pipe()
 	defer func() { _ = there.Close() }()
