--- a/gateway/upstream/acknowledgment_test.go
+++ b/gateway/upstream/acknowledgment_test.go
@@ -24,11 +24,11 @@
 // counted as one that had arrived.
 func TestBytesOfUnknownCountAreNotTreatedAsAcknowledged(t *testing.T) {
 	g := gomega.NewWithT(t)
-	here, there := net.Pipe() // no socket
-	defer func() { _ = there.Close() }()
-	go respondOnce(there)
+	local, remote := net.Pipe() // no socket
+	defer func() { _ = remote.Close() }()
+	go respondOnce(remote)
 	client := NewClient(Headers{RequestID: "Request-Id", Timeout: "Timeout", ExpectedServer: "Expected", ParseLoad: func(string) (site.Load, bool) { return site.Load{}, false }}, "a")
-	client.dial = func(context.Context, string, string) (net.Conn, error) { return here, nil }
+	client.dial = func(context.Context, string, string) (net.Conn, error) { return local, nil }
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
 	_, err := client.Control(ctx, site.Server{ID: "s", Address: "s:1"}, ControlCall{Path: "/open"}, ControlCall{Path: "/x"})
--- a/gateway/upstream/client.go
+++ b/gateway/upstream/client.go
@@ -129,7 +129,7 @@
 func (c *Client) finish(key idleKey, cn *conn, answer *Answer, reusable bool, err error) (*Answer, error) {
 	if err != nil {
 		cn.abandon()
-		return nil, cn.attempt(key.server, err)
+		return nil, cn.attemptError(key.server, err)
 	}
 	if !reusable {
 		reset(cn.net)
@@ -218,7 +218,7 @@
 	var text bytes.Buffer
 	writeHead(&text, r)
 	for name, values := range r.Header {
-		if hopByHop(name, r.Header) || name == c.headers.Timeout || name == c.headers.ExpectedServer || name == "Content-Length" {
+		if isHopByHop(name, r.Header) || name == c.headers.Timeout || name == c.headers.ExpectedServer || name == "Content-Length" {
 			continue
 		}
 		writeHeader(&text, http.Header{name: values})
@@ -250,16 +250,16 @@
 	text.WriteString("\r\n")
 }
 
-// connectionHeaders concern one connection only and are not forwarded.
-var connectionHeaders = map[string]bool{
+// hopByHopHeaders concern one connection only and are not forwarded.
+var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Expect": true,
 }
 
-// hopByHop reports whether a header concerns one connection only, by its name
+// isHopByHop reports whether a header concerns one connection only, by its name
 // or because the Connection header lists it.
-func hopByHop(name string, header http.Header) bool {
-	if connectionHeaders[name] {
+func isHopByHop(name string, header http.Header) bool {
+	if hopByHopHeaders[name] {
 		return true
 	}
 	for _, list := range header["Connection"] {
@@ -276,7 +276,7 @@
 func ForwardedHeader(header http.Header) http.Header {
 	forwarded := make(http.Header, len(header))
 	for name, values := range header {
-		if !hopByHop(name, header) && name != "Content-Length" {
+		if !isHopByHop(name, header) && name != "Content-Length" {
 			forwarded[name] = values
 		}
 	}
--- a/gateway/upstream/conn.go
+++ b/gateway/upstream/conn.go
@@ -46,8 +46,8 @@
 	mayBeSent   bool      // bytes of the present request may have left
 	meter       traffic.Meter
 
-	// isUnaccepted tells that the server's process may not have accepted the connection.
-	isUnaccepted bool
+	// mayBeUnaccepted tells that the server's process may not have accepted the connection.
+	mayBeUnaccepted bool
 
 	abandoned      sync.Once
 	acknowledgment acknowledgment
@@ -65,14 +65,14 @@
 	})
 }
 
-// attempt returns the error of an attempt whose connection was abandoned. What the server's
+// attemptError returns the error of an attempt whose connection was abandoned. What the server's
 // machine has not acknowledged is no longer under way once it has ended the connection.
-func (c *conn) attempt(server site.ServerID, cause error) *AttemptError {
+func (c *conn) attemptError(server site.ServerID, cause error) *AttemptError {
 	if isClosedByPeer(cause) {
 		c.acknowledgment.markAcknowledged(clock.Now())
 	}
 	attempt := &AttemptError{Server: server, Sent: c.mayBeSent, Cause: cause}
-	if !c.isUnaccepted || isClosedByPeer(cause) {
+	if !c.mayBeUnaccepted || isClosedByPeer(cause) {
 		attempt.AcknowledgedAt = c.acknowledgment.acknowledgedAt()
 	}
 	return attempt
--- a/gateway/upstream/control.go
+++ b/gateway/upstream/control.go
@@ -31,8 +31,8 @@
 func (c *Client) Control(ctx context.Context, server site.Server, opening, call ControlCall) (*Answer, error) {
 	key := idleKey{address: server.Address, server: server.ID, control: true}
 	cn, err := c.acceptedConn(ctx, key, server, opening)
-	var notKept *NotKeptError
-	if errors.As(err, &notKept) {
+	var noKeepAlive *NotKeptError
+	if errors.As(err, &noKeepAlive) {
 		cn, err = c.unacceptedConn(ctx, server)
 	}
 	if err != nil {
@@ -102,7 +102,7 @@
 	if err != nil {
 		return nil, err
 	}
-	cn.isUnaccepted = true
+	cn.mayBeUnaccepted = true
 	return cn, nil
 }
 
--- a/gateway/upstream/pending.go
+++ b/gateway/upstream/pending.go
@@ -78,8 +78,8 @@
 func (p *pendingConns) signalIdle(key idleKey) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if freed := p.idleSignals[key]; freed != nil {
-		close(freed)
+	if signal := p.idleSignals[key]; signal != nil {
+		close(signal)
 		delete(p.idleSignals, key)
 	}
 }
@@ -88,9 +88,9 @@
 func (p *pendingConns) retain(registered map[site.ServerID]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for key, freed := range p.idleSignals {
+	for key, signal := range p.idleSignals {
 		if !registered[key.server] {
-			close(freed)
+			close(signal)
 			delete(p.idleSignals, key)
 		}
 	}
--- a/gateway/upstream/rejection_test.go
+++ b/gateway/upstream/rejection_test.go
@@ -51,22 +51,22 @@
 // late would be in force for longer than its lessor counts.
 func TestCanceledCallIsNotSent(t *testing.T) {
 	g := gomega.NewWithT(t)
-	here, there := net.Pipe()
-	defer func() { _ = there.Close() }()
+	local, remote := net.Pipe()
+	defer func() { _ = remote.Close() }()
 	client := NewClient(Headers{RequestID: "Request-Id", Timeout: "Timeout", ExpectedServer: "Expected", ParseLoad: func(string) (site.Load, bool) { return site.Load{}, false }}, "a")
 	ctx, cancel := context.WithCancel(context.Background())
 	client.dial = func(context.Context, string, string) (net.Conn, error) {
 		cancel()
-		return here, nil
+		return local, nil
 	}
-	came := make(chan int, 1)
+	received := make(chan int, 1)
 	go func() {
-		n, _ := there.Read(make([]byte, 1))
-		came <- n
+		n, _ := remote.Read(make([]byte, 1))
+		received <- n
 	}()
 	_, err := client.Control(ctx, site.Server{ID: "s", Address: "s:1"}, ControlCall{Path: "/open"}, ControlCall{Path: "/x"})
 	var attempt *AttemptError
 	g.Expect(errors.As(err, &attempt)).To(gomega.BeTrue())
 	g.Expect(attempt.Sent).To(gomega.BeFalse())
-	g.Expect(<-came).To(gomega.BeZero())
+	g.Expect(<-received).To(gomega.BeZero())
 }
