--- a/gateway/upstream/acknowledgment.go
+++ b/gateway/upstream/acknowledgment.go
@@ -9,25 +9,26 @@
 	"github.com/burdockspindle/burdockspindle/gateway/socket"
 )
 
-// acknowledgmentCheckDelay is when it is looked whether a call has been acknowledged: after the round
-// trip between any two zones.
+// acknowledgmentCheckDelay is how long after the start of a call its acknowledgment is checked.
+// It exceeds the round-trip time between any two zones.
 const acknowledgmentCheckDelay = 50 * time.Millisecond
 
-// acknowledgment is by when the server's machine had all bytes of a call.
+// acknowledgment records by when the server's machine had acknowledged all bytes of a call.
 type acknowledgment struct {
 	mu      sync.Mutex
 	isSent  bool      // all bytes have been written
-	ackedAt time.Time // zero: not known
+	ackedAt time.Time // zero: unknown
 }
 
-// reset forgets what was acknowledged, for the next call.
+// reset prepares for the next call.
 func (a *acknowledgment) reset() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.isSent, a.ackedAt = false, time.Time{}
 }
 
-// markSent notes that all bytes have been written. Before that nothing is unacknowledged either.
+// markSent records that all bytes have been written. Before that, a count of 0 unacknowledged
+// bytes does not mean that the call was acknowledged.
 func (a *acknowledgment) markSent() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -40,7 +41,8 @@
 	return a.isSent
 }
 
-// markAcknowledged takes that all bytes have been acknowledged by a time.
+// markAcknowledged records that all bytes have been acknowledged by a time. The first time
+// is kept.
 func (a *acknowledgment) markAcknowledged(at time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -49,8 +51,8 @@
 	}
 }
 
-// check notes whether all bytes have been acknowledged by now. A count that is not known
-// tells nothing.
+// check records whether all bytes have been acknowledged by now. An unknown count of
+// unacknowledged bytes is not treated as 0.
 func (a *acknowledgment) check(conn net.Conn) {
 	if !a.wasSent() {
 		return
--- a/gateway/upstream/acknowledgment_test.go
+++ b/gateway/upstream/acknowledgment_test.go
@@ -13,18 +13,18 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// respondOnce answers what comes first on a connection, and reads what follows.
+// respondOnce answers the first request on a connection and discards all later bytes.
 func respondOnce(conn net.Conn) {
 	_, _ = conn.Read(make([]byte, 4096))
 	_, _ = io.WriteString(conn, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 	_, _ = io.Copy(io.Discard, conn)
 }
 
-// A count of bytes that is not known passed for none: a grant that may have been under way
-// counted as one that had arrived.
+// An unknown count of unacknowledged bytes was treated as 0, so that a grant that may have
+// been in flight was treated as one that had arrived.
 func TestBytesOfUnknownCountAreNotTreatedAsAcknowledged(t *testing.T) {
 	g := gomega.NewWithT(t)
-	local, remote := net.Pipe() // no socket
+	local, remote := net.Pipe() // not a socket
 	defer func() { _ = remote.Close() }()
 	go respondOnce(remote)
 	client := NewClient(Headers{RequestID: "Request-Id", Timeout: "Timeout", ExpectedServer: "Expected", ParseLoad: func(string) (site.Load, bool) { return site.Load{}, false }}, "a")
@@ -38,8 +38,8 @@
 	g.Expect(attempt.AcknowledgedAt.IsZero()).To(gomega.BeTrue())
 }
 
-// Before a call is written nothing of it is unacknowledged. A process that was held up between
-// two calls on a connection took that for the acknowledgement of the second one.
+// Before a call is written, none of its bytes are unacknowledged. A process that was stalled
+// between two calls on a connection treated that as the acknowledgment of the second call.
 func TestNothingIsAcknowledgedBeforeItWasWritten(t *testing.T) {
 	g := gomega.NewWithT(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -51,11 +51,11 @@
 	var ack acknowledgment
 	ack.reset()
 	ack.check(conn)
-	g.Expect(ack.acknowledgedAt().IsZero()).To(gomega.BeTrue(), "nothing was written")
+	g.Expect(ack.acknowledgedAt().IsZero()).To(gomega.BeTrue(), "nothing has been written")
 	ack.markSent()
 	ack.check(conn)
 	g.Expect(ack.acknowledgedAt().IsZero()).To(gomega.BeFalse())
 	ack.reset()
-	ack.check(conn) // of the call before
+	ack.check(conn) // still acknowledged for the previous call
 	g.Expect(ack.acknowledgedAt().IsZero()).To(gomega.BeTrue())
 }
--- a/gateway/upstream/client.go
+++ b/gateway/upstream/client.go
@@ -16,34 +16,34 @@
 
 // Bounds of a client.
 const (
-	// connectTimeout ends an attempt to connect. Delays between zones are a few
-	// milliseconds; a lost opening packet is sent again only after one second.
+	// connectTimeout bounds an attempt to connect. Delays between zones are a few
+	// milliseconds; a lost SYN is retransmitted only after one second.
 	connectTimeout = 300 * time.Millisecond
-	// sweepInterval is how often old idle connections are closed.
+	// sweepInterval is the interval at which expired idle connections are closed.
 	sweepInterval = time.Second
-	// maxAnswerBytes bounds an answer's body in bytes, since it is kept in memory.
+	// maxAnswerBytes bounds the body of an answer, which is kept in memory.
 	maxAnswerBytes = 16 << 20
-	// maxInlineBody is the size in bytes up to which a body surely fits the send
-	// buffer, so that it is written before the answer is read.
+	// maxInlineBody is the size in bytes up to which a body certainly fits into the send
+	// buffer, so that it can be written before the answer is read.
 	maxInlineBody = 32 << 10
 )
 
-// Request is one request for a server.
+// Request is a request to a server.
 type Request struct {
 	Method string
 	Target string // path and query, as the caller sent them
 	Host   string
-	Header http.Header // as the caller sent them
+	Header http.Header // as the caller sent it
 	Body   []byte
-	ID     string        // the caller's name of the request
-	Left   time.Duration // time that the caller still waits
-	// Fresh asks for a connection that has carried an answer just now, or a new
-	// one: what is sent on one that has gone silent is lost, and a request that
-	// must not run twice with it.
+	ID     string        // request ID from the caller
+	Left   time.Duration // remaining time until the caller's deadline
+	// Fresh requires a connection that carried an answer within maxFreshAge, or a new
+	// one: a request sent on a stalled connection is lost, and an at-most-once request
+	// cannot be sent again.
 	Fresh bool
 }
 
-// Answer is a server's whole answer.
+// Answer is a server's complete response.
 type Answer struct {
 	Status int
 	Header http.Header
@@ -55,26 +55,26 @@
 // Client sends requests to servers.
 type Client struct {
 	headers Headers
-	zone    string // of this node; empty: not known
-	// dial opens a connection; tests replace it.
+	zone    string // of this node; empty: unknown
+	// dial opens a connection. Tests replace it.
 	dial func(ctx context.Context, network, address string) (net.Conn, error)
 	idle idlePool
-	// pending are the connections for control calls that are being opened.
+	// pending holds the connections for control calls that are being opened.
 	pending pendingConns
 }
 
-// NewClient returns a client of a node in a zone that uses a deployment's header
-// names.
+// NewClient returns a client for a node in a zone, with the header names of the
+// deployment.
 func NewClient(headers Headers, zone string) *Client {
 	return &Client{headers: headers, zone: zone, dial: Dialer(connectTimeout).DialContext, idle: idlePool{conns: map[idleKey][]*conn{}}}
 }
 
-// meter returns the meter of connections to a server.
+// meter returns the traffic meter for connections to a server.
 func (c *Client) meter(server site.Server) traffic.Meter {
 	return traffic.Between(traffic.Servers, c.zone, server.Zone)
 }
 
-// Run closes idle connections that have become too old, until ctx ends.
+// Run closes expired idle connections until ctx is done.
 func (c *Client) Run(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -88,8 +88,8 @@
 	}
 }
 
-// Send sends a request once and returns the whole answer. The error is an
-// *AttemptError. When ctx ends the connection is reset, so that the server stops.
+// Send sends a request once and returns the complete answer. The error is an
+// *AttemptError. When ctx is done the connection is reset, so that the server stops.
 func (c *Client) Send(ctx context.Context, server site.Server, r *Request) (*Answer, error) {
 	return c.do(ctx, server, r, c.requestText(server, r))
 }
@@ -125,7 +125,7 @@
 	return c.finish(key, cn, answer, reusable, err)
 }
 
-// finish ends an attempt. Its connection becomes idle if it can be used again.
+// finish ends an attempt. Its connection becomes idle if it is reusable.
 func (c *Client) finish(key idleKey, cn *conn, answer *Answer, reusable bool, err error) (*Answer, error) {
 	if err != nil {
 		cn.abandon()
@@ -141,13 +141,13 @@
 	return answer, nil
 }
 
-// exchange writes a request and reads its answer. The connection can be used
-// again only if both ended exactly where they should.
+// exchange writes a request and reads its answer. The connection is reusable only
+// if the request was written completely and no bytes follow the answer.
 func (c *Client) exchange(ctx context.Context, cn *conn, r *Request, head []byte, matchID bool) (*Answer, bool, error) {
 	stop := context.AfterFunc(ctx, cn.abandon)
 	defer stop()
 	if err := ctx.Err(); err != nil {
-		return nil, false, err // a process that was held up must not send what has been given up
+		return nil, false, err // a stalled process must not send a canceled request
 	}
 	written := make(chan error, 1)
 	cn.mayBeSent = true
@@ -179,8 +179,8 @@
 	return c.answer(response, body), reusable, nil
 }
 
-// wasWritten reports whether the whole request was written when its answer had
-// been read. A server that answers before still expects the rest of the body.
+// wasWritten reports whether the whole request had been written by the time its answer
+// was read. A server that answers earlier still expects the rest of the body.
 func wasWritten(written <-chan error) bool {
 	select {
 	case err := <-written:
@@ -190,8 +190,8 @@
 	}
 }
 
-// readResponse reads the head of the final answer; informational ones are
-// passed over.
+// readResponse reads the head of the final response and skips informational
+// responses.
 func readResponse(cn *conn, method string) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(cn.reader, &http.Request{Method: method})
@@ -213,7 +213,7 @@
 	return answer
 }
 
-// requestText returns the head of a forwarded request.
+// requestText returns the head of a forwarded request as it is sent.
 func (c *Client) requestText(server site.Server, r *Request) []byte {
 	var text bytes.Buffer
 	writeHead(&text, r)
@@ -241,7 +241,7 @@
 	}
 }
 
-// writeLength writes the length of the body, if there is one or the method
+// writeLength writes the Content-Length header if there is a body or the method
 // usually has one, and ends the head.
 func writeLength(text *bytes.Buffer, r *Request) {
 	if len(r.Body) > 0 || r.Method != http.MethodGet && r.Method != http.MethodHead {
@@ -250,13 +250,13 @@
 	text.WriteString("\r\n")
 }
 
-// hopByHopHeaders concern one connection only and are not forwarded.
+// hopByHopHeaders apply to a single connection and are not forwarded.
 var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Expect": true,
 }
 
-// isHopByHop reports whether a header concerns one connection only, by its name
+// isHopByHop reports whether a header applies to a single connection, by its name
 // or because the Connection header lists it.
 func isHopByHop(name string, header http.Header) bool {
 	if hopByHopHeaders[name] {
@@ -272,7 +272,7 @@
 	return false
 }
 
-// ForwardedHeader returns the headers of an answer that a caller gets.
+// ForwardedHeader returns the headers of an answer that are forwarded to the caller.
 func ForwardedHeader(header http.Header) http.Header {
 	forwarded := make(http.Header, len(header))
 	for name, values := range header {
--- a/gateway/upstream/client_test.go
+++ b/gateway/upstream/client_test.go
@@ -21,8 +21,8 @@
 	ParseLoad: func(string) (site.Load, bool) { return site.Load{}, false },
 }
 
-// responder answers the n-th request (from 0) on any connection with bytes; after
-// them the connection is closed if the bytes say so, reset or kept.
+// responder returns the bytes that answer the n-th request (from 0) on any connection, and
+// whether the connection is then kept, closed or reset.
 type responder func(n int, r *http.Request) (answer string, end connEnd)
 
 type connEnd int
@@ -66,7 +66,7 @@
 		answer, end := answers(int(requests.Add(1))-1, request)
 		_, _ = conn.Write([]byte(answer))
 		if end == resetConn {
-			time.Sleep(20 * time.Millisecond) // so that the bytes are not dropped
+			time.Sleep(20 * time.Millisecond) // so that the reset does not discard the bytes
 			_ = conn.SetLinger(0)
 		}
 		if end != keep {
@@ -120,8 +120,8 @@
 	g.Expect(conns.Load()).To(gomega.Equal(int32(1)))
 }
 
-// Whatever leaves a doubt about which request the next bytes belong to ends the
-// connection, and none of it reaches a caller.
+// A connection is closed if it is uncertain which request its next bytes belong to, and
+// none of the answer reaches a caller.
 func TestUnusableAnswersAreErrors(t *testing.T) {
 	for name, answer := range map[string]responder{
 		"of another request": func(int, *http.Request) (string, connEnd) { return ok("9", "x"), keep },
@@ -152,7 +152,7 @@
 			next, err := send(t, client, server, "2")
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			g.Expect(string(next.Body)).To(gomega.Equal("y"))
-			g.Expect(conns.Load()).To(gomega.Equal(int32(2)), "the connection was thrown away")
+			g.Expect(conns.Load()).To(gomega.Equal(int32(2)), "the connection was closed")
 		})
 	}
 }
@@ -190,22 +190,22 @@
 	g := gomega.NewWithT(t)
 	server, conns := serve(t, func(n int, r *http.Request) (string, connEnd) {
 		if n == 0 {
-			return ok(r.Header.Get("Request-Id"), "x"), closeConn // without saying so
+			return ok(r.Header.Get("Request-Id"), "x"), closeConn // without a Connection: close header
 		}
 		return ok(r.Header.Get("Request-Id"), "y"), keep
 	})
 	client := upstream.NewClient(headers, "a")
 	_, err := send(t, client, server, "1")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	time.Sleep(50 * time.Millisecond) // the close is on its way
+	time.Sleep(50 * time.Millisecond) // until the close has arrived
 	_, err = send(t, client, server, "2")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(conns.Load()).To(gomega.Equal(int32(2)))
 }
 
-// A server may forget a connection that has rested for 300 ms: what must not run
-// twice does not go out on it.
-func TestAtMostOnceRequestDoesNotUseAnIdleConnection(t *testing.T) {
+// A server may silently drop a connection that was idle for 300 ms, so at-most-once
+// requests are sent only on connections that were used within maxFreshAge.
+func TestAtMostOnceRequestUsesOnlyFreshConnections(t *testing.T) {
 	g := gomega.NewWithT(t)
 	server, conns := serve(t, func(_ int, r *http.Request) (string, connEnd) { return ok(r.Header.Get("Request-Id"), "x"), keep })
 	client := upstream.NewClient(headers, "a")
--- a/gateway/upstream/conn.go
+++ b/gateway/upstream/conn.go
@@ -17,23 +17,23 @@
 	"github.com/burdockspindle/burdockspindle/gateway/traffic"
 )
 
-// Idle connections are not used beyond these ages.
+// Limits on the age of idle connections, and settings of new ones.
 const (
-	// defaultIdleTime is how long a connection is kept without a statement of the
-	// server: under the shortest idle timeout of common servers, 5 s.
+	// defaultIdleTime is how long a connection is kept if the server states no idle
+	// timeout. It is below the shortest idle timeout of common servers, 5 s.
 	defaultIdleTime = 4 * time.Second
-	// idleMargin is left before the idle timeout that a server states, for the
-	// request's way to it.
+	// idleMargin is subtracted from the idle timeout that a server states, to allow for
+	// the time that the next request takes to reach the server.
 	idleMargin = 1500 * time.Millisecond
-	// maxFreshAge is how long after an answer a connection counts as fresh. Servers
-	// may forget connections that rested for 300 ms without a notice, and what is
-	// sent on one then is lost; the rest is for the way there.
+	// maxFreshAge is how long after an answer a connection is treated as fresh. Servers
+	// may silently drop connections that were idle for 300 ms, and what is then sent on
+	// one is lost; the remaining 100 ms are for the request to reach the server.
 	maxFreshAge = 200 * time.Millisecond
 	readBuffer  = 4 << 10 // bytes
-	// rejectionWait is how long a new connection is watched before a request goes out
-	// on it. A server at its limit of connections resets one as it accepts it, within
-	// about a millisecond; a request that was already sent then may have run for all
-	// that the node knows, and must not be refused or sent again freely.
+	// rejectionWait is how long a new connection is observed before a request is sent on
+	// it. A server at its connection limit resets a connection as it accepts it, within
+	// about a millisecond. The outcome of a request that was sent before would be
+	// uncertain, so that it could not be refused or freely sent again.
 	rejectionWait = 3 * time.Millisecond
 )
 
@@ -41,12 +41,12 @@
 type conn struct {
 	net         net.Conn
 	reader      *bufio.Reader
-	usableUntil time.Time // not to be used after this
-	answeredAt  time.Time // when it proved to work last
-	mayBeSent   bool      // bytes of the present request may have left
+	usableUntil time.Time // time after which it must not be used
+	answeredAt  time.Time // time of the last answer or probe
+	mayBeSent   bool      // bytes of the current request may have been sent
 	meter       traffic.Meter
 
-	// mayBeUnaccepted tells that the server's process may not have accepted the connection.
+	// mayBeUnaccepted reports that the server's process may not have accepted the connection.
 	mayBeUnaccepted bool
 
 	abandoned      sync.Once
@@ -57,7 +57,7 @@
 	return &conn{net: c, reader: bufio.NewReaderSize(meter.Reader(c), readBuffer), meter: meter}
 }
 
-// abandon resets the connection, and notes before that whether bytes may still be under way.
+// abandon resets the connection, after recording whether bytes may still be in flight.
 func (c *conn) abandon() {
 	c.abandoned.Do(func() {
 		c.acknowledgment.check(c.net)
@@ -65,8 +65,8 @@
 	})
 }
 
-// attemptError returns the error of an attempt whose connection was abandoned. What the server's
-// machine has not acknowledged is no longer under way once it has ended the connection.
+// attemptError returns the error of an attempt whose connection was abandoned. Once the
+// server's machine has closed the connection, unacknowledged bytes are no longer in flight.
 func (c *conn) attemptError(server site.ServerID, cause error) *AttemptError {
 	if isClosedByPeer(cause) {
 		c.acknowledgment.markAcknowledged(clock.Now())
@@ -78,21 +78,22 @@
 	return attempt
 }
 
-// markAnswered notes that the connection has carried an answer just now.
+// markAnswered records that the connection has just carried an answer, and until when it
+// may be kept.
 func (c *conn) markAnswered(answer *Answer) {
 	c.answeredAt = time.Now()
 	c.usableUntil = c.answeredAt.Add(idleTime(answer.Header.Get("Keep-Alive")))
 }
 
-// write writes a part of a request.
+// write writes bytes of a request and counts them.
 func (c *conn) write(p []byte) error {
 	n, err := c.net.Write(p)
 	c.meter.Sent(n)
 	return err
 }
 
-// awaitRejection watches a new connection and returns an error if the server ends it or
-// speaks first.
+// awaitRejection observes a new connection for rejectionWait and returns an error if the
+// server closes it or sends bytes.
 func (c *conn) awaitRejection(now time.Time) error {
 	if err := c.net.SetReadDeadline(now.Add(rejectionWait)); err != nil {
 		return err
@@ -108,20 +109,20 @@
 	return c.net.SetReadDeadline(time.Time{})
 }
 
-// isClosedByPeer reports whether an error of reading tells that the server ended the
+// isClosedByPeer reports whether a read error means that the server closed or reset the
 // connection.
 func isClosedByPeer(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// unexpectedBytesError tells that a connection has bytes that no request waits
-// for.
+// unexpectedBytesError reports that a connection received bytes that do not answer a
+// request.
 type unexpectedBytesError struct{}
 
 // Error implements error.
-func (unexpectedBytesError) Error() string { return "unexpected bytes" }
+func (unexpectedBytesError) Error() string { return "unexpected bytes on a new connection" }
 
-// isIdle reports whether an idle connection is open and has nothing to read.
+// isIdle reports whether a connection is open and has nothing to read.
 func (c *conn) isIdle() bool {
 	return c.reader.Buffered() == 0 && socket.Look(c.net) == socket.Quiet
 }
--- a/gateway/upstream/control.go
+++ b/gateway/upstream/control.go
@@ -10,24 +10,24 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// establishTimeout ends the opening of a connection for control calls. A full server accepts
-// a connection when one of its slots is free, seconds later.
+// establishTimeout bounds the opening of a connection for control calls. A full server
+// accepts a connection only when one of its slots becomes free, which takes seconds.
 const establishTimeout = 5 * time.Second
 
-// ControlCall is a call of the gateway itself.
+// ControlCall is a call that the gateway itself makes, not on behalf of a caller.
 type ControlCall struct {
 	Path string
 	Body []byte // JSON
 }
 
-// Control sends one call of the gateway itself, over a connection on which the server
-// has answered before. The error is an *AttemptError.
+// Control sends a control call on a connection on which the server has answered before.
+// The error is an *AttemptError.
 //
-// A new connection is opened by a call without an effect. The server's machine takes a
-// connection and acknowledges what is sent on it long before the process accepts it if the
-// server is full, and a reset is lost in a cut: a grant would be carried out seconds after
-// it was abandoned. Connections for control calls are kept apart from those for requests: a
-// full server takes no new one, and its keys would be lost to it for want of a renewal.
+// A new connection is first used for opening, a call without an effect. The kernel of a full
+// server's machine accepts a connection and acknowledges bytes on it long before the process
+// does, and a reset is lost in a network partition, so that a grant sent first could be
+// applied seconds after it was abandoned. Control calls and requests use separate connections:
+// a full server accepts no new one, and would lose its keys because they are not renewed.
 func (c *Client) Control(ctx context.Context, server site.Server, opening, call ControlCall) (*Answer, error) {
 	key := idleKey{address: server.Address, server: server.ID, control: true}
 	cn, err := c.acceptedConn(ctx, key, server, opening)
@@ -56,8 +56,8 @@
 	return c.exchange(ctx, cn, r, head.Bytes(), false)
 }
 
-// acceptedConn returns a connection on which the server has answered: an idle one, or one
-// that is opened now.
+// acceptedConn returns a connection on which the server has answered: an idle one or a
+// new one.
 func (c *Client) acceptedConn(ctx context.Context, key idleKey, server site.Server, call ControlCall) (*conn, error) {
 	for ctx.Err() == nil {
 		becameIdle := c.pending.idleSignal(key)
@@ -89,14 +89,15 @@
 	return nil, &NotOpenedError{Cause: ctx.Err()}
 }
 
-// isNotOpened reports whether whoever asked for an opening gave it up.
+// isNotOpened reports whether the call that requested a connection was canceled before the
+// connection was used.
 func isNotOpened(err error) bool {
 	var notOpened *NotOpenedError
 	return errors.As(err, &notOpened)
 }
 
-// unacceptedConn returns a new connection to a server that keeps none. What is sent on it may
-// be carried out late even if it is acknowledged.
+// unacceptedConn returns a new connection to a server that keeps none. A call sent on it may
+// be applied late even if its bytes were acknowledged.
 func (c *Client) unacceptedConn(ctx context.Context, server site.Server) (*conn, error) {
 	cn, err := c.dialControl(ctx, server)
 	if err != nil {
@@ -106,7 +107,7 @@
 	return cn, nil
 }
 
-// dialControl makes a connection for control calls.
+// dialControl dials a connection for control calls.
 func (c *Client) dialControl(ctx context.Context, server site.Server) (*conn, error) {
 	raw, err := c.dial(ctx, "tcp", server.Address)
 	if err != nil {
@@ -119,8 +120,8 @@
 	return newConn(raw, c.meter(server)), nil
 }
 
-// establish opens a connection, and goes on when the call that asked for it has been given up:
-// the next one finds it accepted.
+// establish opens a connection. It continues after the call that requested the connection is
+// canceled, so that the next call finds it accepted.
 func (c *Client) establish(callerCtx context.Context, key idleKey, server site.Server, call ControlCall, pending *pendingConn) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(callerCtx), establishTimeout)
 	defer cancel()
@@ -135,7 +136,7 @@
 	}
 }
 
-// makeIdle makes the connection of an opening idle if nobody has taken it.
+// makeIdle returns a pending connection to the idle pool unless a call has taken it.
 func (c *Client) makeIdle(key idleKey, pending *pendingConn) {
 	if cn := pending.take(); cn != nil {
 		c.idle.put(key, cn)
@@ -143,7 +144,7 @@
 	}
 }
 
-// dialAccepted returns a new connection that has carried an answer.
+// dialAccepted dials a connection, makes a call on it and returns it with the answer.
 func (c *Client) dialAccepted(ctx, callerCtx context.Context, server site.Server, call ControlCall, pending *pendingConn) (*conn, *Answer, error) {
 	cn, err := c.dialControl(ctx, server)
 	if err != nil {
--- a/gateway/upstream/dial.go
+++ b/gateway/upstream/dial.go
@@ -8,19 +8,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// Connections that go silent are detected by the kernel: unacknowledged bytes
-// end a connection after silentAfter, and idle ones are probed.
+// The kernel detects stalled connections: it closes a connection whose bytes remain
+// unacknowledged for stallTimeout, and probes idle connections.
 const (
 	stallTimeout = 4 * time.Second
-	// ControlSilentAfter is the same for connections of the gateway's own calls, also after
-	// the process has ended: grants that arrive late are counted for as long.
+	// ControlSilentAfter is the stall timeout of connections for control calls. It also
+	// applies after the process has terminated: the lessor accounts for grants that may
+	// arrive late for at least as long.
 	ControlSilentAfter = 3 * time.Second
 	keepAliveIdle      = 5 * time.Second
 	keepAliveInterval  = time.Second
 	keepAliveCount     = 3
 )
 
-// Dialer returns a dialer for connections that may go silent without a reset.
+// Dialer returns a dialer for connections that may stall without a reset.
 func Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout:         timeout,
@@ -31,7 +32,8 @@
 	}
 }
 
-// setStallTimeout has the kernel end a connection whose bytes are not acknowledged for a time.
+// setStallTimeout makes the kernel close a connection whose bytes remain unacknowledged for
+// a timeout.
 func setStallTimeout(raw syscall.RawConn, timeout time.Duration) error {
 	var optErr error
 	err := raw.Control(func(fd uintptr) {
@@ -43,8 +45,8 @@
 	return optErr
 }
 
-// setControlStallTimeout sets the silence after which the kernel ends a connection of the gateway's
-// own calls. A connection that is no socket has no such bound.
+// setControlStallTimeout sets the stall timeout of a connection for control calls. It has no
+// effect on a connection that is not a socket.
 func setControlStallTimeout(conn net.Conn) error {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
@@ -57,11 +59,11 @@
 	return setStallTimeout(raw, ControlSilentAfter)
 }
 
-// reset closes a connection so that bytes that are still on their way are
-// dropped: what was given up must not arrive later.
+// reset closes a connection with a TCP reset, which discards unsent bytes, so that an
+// abandoned request does not arrive later.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // without it the close below is an ordinary one
+		_ = tcp.SetLinger(0) // on failure, Close closes without a reset
 	}
-	_ = conn.Close() // nothing is left to be done with it
+	_ = conn.Close() // the connection is abandoned in any case
 }
--- a/gateway/upstream/errors.go
+++ b/gateway/upstream/errors.go
@@ -10,15 +10,15 @@
 // AttemptError reports an attempt without a usable answer.
 type AttemptError struct {
 	Server site.ServerID
-	// Sent tells that bytes of the request may have reached the server, so that
+	// Sent reports that bytes of the request may have reached the server, so that
 	// it may have run.
 	Sent bool
-	// AcknowledgedAt is by when the server's machine had acknowledged all bytes of the
-	// request, or had ended the connection, by package clock. Zero: it had not, or that is
-	// not known; then bytes may wait in this machine's own link and reach the server later.
+	// AcknowledgedAt is a time, by package clock, by which the server's machine had
+	// acknowledged all bytes of the request or had closed the connection. Zero: it had not,
+	// or that is unknown, and bytes may still be queued on this machine and arrive later.
 	AcknowledgedAt time.Time
-	// TurnedAway tells that the server took a new connection and ended it at once, as
-	// servers do that have as many as they take: it lives, and is full.
+	// TurnedAway reports that the server accepted a new connection and closed it at once, as
+	// servers at their connection limit do: it is running, but full.
 	TurnedAway bool
 	Cause      error
 }
@@ -34,7 +34,7 @@
 // Unwrap returns the cause.
 func (e *AttemptError) Unwrap() error { return e.Cause }
 
-// MismatchError reports an answer that belongs to another request.
+// MismatchError reports an answer to a different request.
 type MismatchError struct{ Want, Got string }
 
 // Error implements error.
@@ -42,20 +42,20 @@
 	return fmt.Sprintf("answer belongs to request %q, not to %q", e.Got, e.Want)
 }
 
-// TooLongError reports an answer that is longer than a node keeps in memory.
+// TooLongError reports an answer whose body exceeds the limit in bytes.
 type TooLongError struct{ Most int }
 
 // Error implements error.
 func (e *TooLongError) Error() string { return fmt.Sprintf("answer is longer than %d bytes", e.Most) }
 
-// UnacceptedError reports a new connection that the server's machine has taken and its
-// process has not answered on yet.
+// UnacceptedError reports a new connection that the server's kernel has accepted and on
+// which its process has not answered yet.
 type UnacceptedError struct{}
 
 // Error implements error.
 func (*UnacceptedError) Error() string { return "the server has not accepted the connection yet" }
 
-// NotOpenedError reports a call that was given up before it had a connection.
+// NotOpenedError reports a call that was canceled before it had a connection.
 type NotOpenedError struct{ Cause error }
 
 // Error implements error.
@@ -64,8 +64,8 @@
 // Unwrap returns the cause.
 func (e *NotOpenedError) Unwrap() error { return e.Cause }
 
-// NotKeptError reports a server that ends each connection with its answer.
+// NotKeptError reports a server that closes each connection after its answer.
 type NotKeptError struct{}
 
 // Error implements error.
-func (*NotKeptError) Error() string { return "the server keeps no connection" }
+func (*NotKeptError) Error() string { return "the server closes each connection after its answer" }
--- a/gateway/upstream/idle.go
+++ b/gateway/upstream/idle.go
@@ -7,24 +7,24 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// idleKey names connections that are alike: those to one run of a server at one
-// address, for requests or for calls of the gateway itself.
+// idleKey identifies interchangeable connections: those to one incarnation of a server at
+// one address, either for requests or for control calls.
 type idleKey struct {
 	address string
 	server  site.ServerID
 	control bool
 }
 
-// idlePool keeps idle connections.
+// idlePool holds idle connections, the most recently used last. It is safe for concurrent use.
 type idlePool struct {
 	mu    sync.Mutex
 	conns map[idleKey][]*conn
-	// registered are the runs whose connections are kept; nil: of any run.
+	// registered are the incarnations whose connections are kept; nil: all.
 	registered map[site.ServerID]bool
 }
 
-// take returns the idle connection that was used last and is still good, or nil;
-// with fresh only one that proved to work just now.
+// take returns the most recently used idle connection that is still usable, or nil. If fresh
+// is set, it returns only a connection that proved to work within maxFreshAge.
 func (p *idlePool) take(key idleKey, now time.Time, fresh bool) *conn {
 	for {
 		c := p.pop(key)
@@ -39,7 +39,7 @@
 			c.mayBeSent = false
 			return c
 		}
-		_ = c.net.Close() // it carries nothing
+		_ = c.net.Close() // the connection is idle
 	}
 }
 
@@ -59,13 +59,13 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.registered != nil && !p.registered[key.server] {
-		_ = c.net.Close() // it carries nothing
+		_ = c.net.Close() // the connection is idle
 		return
 	}
 	p.conns[key] = append(p.conns[key], c)
 }
 
-// retain closes the connections to runs that are not registered.
+// retain closes the connections to incarnations that are not registered.
 func (p *idlePool) retain(registered map[site.ServerID]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -75,13 +75,13 @@
 			continue
 		}
 		for _, c := range stack {
-			_ = c.net.Close() // it carries nothing
+			_ = c.net.Close() // the connection is idle
 		}
 		delete(p.conns, key)
 	}
 }
 
-// sweep closes connections that are too old.
+// sweep closes expired connections.
 func (p *idlePool) sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,7 +91,7 @@
 			if now.Before(c.usableUntil) {
 				kept = append(kept, c)
 			} else {
-				_ = c.net.Close() // it carries nothing
+				_ = c.net.Close() // the connection is idle
 			}
 		}
 		if len(kept) == 0 {
--- a/gateway/upstream/incarnation_test.go
+++ b/gateway/upstream/incarnation_test.go
@@ -14,12 +14,13 @@
 	"github.com/burdockspindle/burdockspindle/gateway/upstream"
 )
 
-// trackedServer is a server that tells when a connection of it was ended by the client.
+// trackedServer is a server that reports accepted connections and those that the client
+// closed.
 type trackedServer struct {
 	site.Server
 	accepted chan struct{}
 	ended    chan struct{}
-	proceed  chan struct{} // answers wait for it; nil: they don't
+	proceed  chan struct{} // answers wait for it unless nil
 }
 
 func newTrackedServer(t *testing.T, proceed chan struct{}) *trackedServer {
@@ -54,11 +55,11 @@
 		if s.proceed != nil {
 			<-s.proceed
 		}
-		_, _ = conn.Write([]byte(ok(r.Header.Get("Request-Id"), "x"))) // a client that left needs none
+		_, _ = conn.Write([]byte(ok(r.Header.Get("Request-Id"), "x"))) // fails only if the client has disconnected
 	}
 }
 
-// nextIncarnation returns the next run of a server, at the same address.
+// nextIncarnation returns the next incarnation of the server, at the same address.
 func (s *trackedServer) nextIncarnation() site.Server {
 	next := s.Server
 	next.ID = site.RunID("s", time.UnixMilli(2))
@@ -73,12 +74,12 @@
 	return byID
 }
 
-// A kept connection of an ended run may be half open, or belong to whoever has the
-// address now.
+// A kept connection to a terminated incarnation may be half open, or belong to the server
+// that now has the address.
 func TestConnectionsOfAPreviousIncarnationAreClosedAtOnce(t *testing.T) {
 	for name, next := range map[string]func(s *trackedServer) map[site.ServerID]site.Server{
-		"a new run": func(s *trackedServer) map[site.ServerID]site.Server { return registered(s.nextIncarnation()) },
-		"gone":      func(*trackedServer) map[site.ServerID]site.Server { return registered() },
+		"new incarnation": func(s *trackedServer) map[site.ServerID]site.Server { return registered(s.nextIncarnation()) },
+		"gone":            func(*trackedServer) map[site.ServerID]site.Server { return registered() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
@@ -93,7 +94,7 @@
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			g.Expect(client.Probe(ctx, s.Server)).To(gomega.Succeed())
 			client.KeepOnly(registered(s.Server))
-			g.Consistently(s.ended, 50*time.Millisecond).ShouldNot(gomega.Receive(), "of the present run")
+			g.Consistently(s.ended, 50*time.Millisecond).ShouldNot(gomega.Receive(), "of the current incarnation")
 			client.KeepOnly(next(s))
 			for range 3 {
 				g.Eventually(s.ended, 10*time.Second).Should(gomega.Receive())
@@ -115,7 +116,7 @@
 	g.Eventually(s.accepted, 10*time.Second).Should(gomega.Receive())
 	client.KeepOnly(registered(s.nextIncarnation()))
 	close(s.proceed)
-	g.Expect(<-answered).To(gomega.Succeed(), "an answer of the earlier run is an answer")
+	g.Expect(<-answered).To(gomega.Succeed(), "an answer of the previous incarnation is valid")
 	g.Eventually(s.ended, 10*time.Second).Should(gomega.Receive())
 }
 
--- a/gateway/upstream/pending.go
+++ b/gateway/upstream/pending.go
@@ -9,16 +9,16 @@
 
 // pendingConn is a connection for control calls that is being opened.
 type pendingConn struct {
-	// isConnected tells that the server's machine has taken the connection.
+	// isConnected reports that the server's kernel has accepted the connection.
 	isConnected atomic.Bool
-	done        chan struct{} // closed when it has ended
-	err         error         // why it failed, once it has ended
+	done        chan struct{} // closed when the connection is established or has failed
+	err         error         // why it failed; read only after done is closed
 
 	mu   sync.Mutex
-	conn *conn // once it has ended, until it is taken
+	conn *conn // set when established, until it is taken; guarded by mu
 }
 
-// take returns the connection, once.
+// take returns the connection to its first caller, and nil afterwards.
 func (c *pendingConn) take() *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -27,15 +27,15 @@
 	return result
 }
 
-// pendingConns are the connections that are being opened, at most one at a time to a server:
-// each holds one of the server's slots for a moment.
+// pendingConns are the connections that are being opened, at most one at a time per server,
+// because each briefly occupies one of the server's slots.
 type pendingConns struct {
 	mu          sync.Mutex
 	conns       map[idleKey]*pendingConn
 	idleSignals map[idleKey]chan struct{} // closed when a connection becomes idle
 }
 
-// join returns the opening of a server, and whether the caller must begin it.
+// join returns the pending connection to a server, and whether the caller must open it.
 func (p *pendingConns) join(key idleKey) (c *pendingConn, isNew bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -50,7 +50,7 @@
 	return c, true
 }
 
-// finish ends an opening with its connection or an error.
+// finish completes a pending connection with the connection or an error.
 func (p *pendingConns) finish(key idleKey, c *pendingConn, result *conn, err error) {
 	c.mu.Lock()
 	c.conn, c.err = result, err
@@ -74,7 +74,7 @@
 	return p.idleSignals[key]
 }
 
-// signalIdle tells those who wait that a connection has become idle.
+// signalIdle notifies waiting calls that a connection has become idle.
 func (p *pendingConns) signalIdle(key idleKey) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,7 +84,8 @@
 	}
 }
 
-// retain forgets who waits for runs that are not registered; they look again.
+// retain wakes the calls that wait for incarnations that are not registered, so that they
+// check again, and removes their signals.
 func (p *pendingConns) retain(registered map[site.ServerID]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/gateway/upstream/rejection_test.go
+++ b/gateway/upstream/rejection_test.go
@@ -13,9 +13,9 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// A server at its limit of connections resets a new one as it accepts it. The
-// request has not reached it. The reset has arrived here when the connection is
-// handed out, so that the outcome does not depend on the machine's speed.
+// A server at its connection limit resets a new connection as it accepts it, before the
+// request has reached it. In this test, the reset has arrived by the time dial returns, so
+// that the result does not depend on the speed of the machine.
 func TestRequestIsNotSentOnAConnectionThatIsResetAtOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -47,8 +47,8 @@
 	}
 }
 
-// What has been given up while the connection was opened is not sent: a grant that arrives
-// late would be in force for longer than its lessor counts.
+// A call that is canceled while its connection is opened is not sent: a grant that arrives
+// late would be in force for longer than its lessor accounts for.
 func TestCanceledCallIsNotSent(t *testing.T) {
 	g := gomega.NewWithT(t)
 	local, remote := net.Pipe()
