--- a/gateway/site/run.go
+++ b/gateway/site/incarnation.go
@@ -15,29 +15,29 @@
 // the present one.
 type ServerID string
 
-// startSeparator stands between a run's name and its start, and startBase is the
+// incarnationSeparator stands between a run's name and its start, and startBase is the
 // base of the start's number: IDs go to every node with each change of the routes.
 const (
-	startSeparator = "@"
-	startBase      = 36
+	incarnationSeparator = "@"
+	startBase            = 36
 )
 
 // RunID returns the ID of a run of a server. start is the time of its start by
 // the server's own clock, in whole milliseconds; the zero time if it is not known.
 func RunID(name ServerName, start time.Time) ServerID {
-	if start.IsZero() && !strings.Contains(string(name), startSeparator) {
+	if start.IsZero() && !strings.Contains(string(name), incarnationSeparator) {
 		return ServerID(name)
 	}
 	milliseconds := int64(0)
 	if !start.IsZero() {
 		milliseconds = start.UnixMilli()
 	}
-	return ServerID(string(name) + startSeparator + strconv.FormatInt(milliseconds, startBase))
+	return ServerID(string(name) + incarnationSeparator + strconv.FormatInt(milliseconds, startBase))
 }
 
 // Name returns the name under which the run registered.
 func (id ServerID) Name() ServerName {
-	if at := strings.LastIndex(string(id), startSeparator); at >= 0 {
+	if at := strings.LastIndex(string(id), incarnationSeparator); at >= 0 {
 		return ServerName(id[:at])
 	}
 	return ServerName(id)
@@ -46,7 +46,7 @@
 // Start returns the start of the run by the server's own clock; the zero time if
 // it is not known.
 func (id ServerID) Start() time.Time {
-	at := strings.LastIndex(string(id), startSeparator)
+	at := strings.LastIndex(string(id), incarnationSeparator)
 	if at < 0 {
 		return time.Time{}
 	}
--- a/gateway/site/run_test.go
+++ b/gateway/site/incarnation_test.go
@@ -9,7 +9,7 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-func TestARunIsNamedByItsServerAndItsStart(t *testing.T) {
+func TestIncarnationIDContainsTheNameAndTheStart(t *testing.T) {
 	g := gomega.NewWithT(t)
 	start := time.UnixMilli(1764728238123)
 	for _, c := range []struct {
--- a/gateway/site/site_test.go
+++ b/gateway/site/site_test.go
@@ -13,7 +13,7 @@
 	return site.Route{Name: name, Host: host, Prefix: prefix, Targets: []site.Target{{Service: "s", Weight: 1}}}
 }
 
-func TestTheLongestPrefixOfTheHostWins(t *testing.T) {
+func TestMatchReturnsTheLongestPrefixOfTheHost(t *testing.T) {
 	config := (&site.Config{Routes: []site.Route{
 		route("root", "a", "/"), route("long", "a", "/x/y/"), route("short", "a", "/x/"), route("other", "b", "/x/"),
 	}}).Index()
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestTargetsGetTheirWeights(t *testing.T) {
+func TestPickFollowsTheWeights(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := site.Route{Targets: []site.Target{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c"}}}
 	random := rand.New(rand.NewPCG(1, 2))
@@ -47,12 +47,12 @@
 	g.Expect(counts["c"]).To(gomega.BeZero())
 }
 
-func TestConfigurationsThatCannotBeServedAreFaults(t *testing.T) {
+func TestInvalidConfigurationsAreRejected(t *testing.T) {
 	valid := func() *site.Config {
 		return &site.Config{Services: map[site.ServiceName]site.Service{"s": {Name: "s"}}, Routes: []site.Route{route("r", "h", "/x/")}}
 	}
 	gomega.NewWithT(t).Expect(valid().Check()).To(gomega.Succeed())
-	for name, spoil := range map[string]func(*site.Route){
+	for name, invalidate := range map[string]func(*site.Route){
 		"prefix without a slash": func(r *site.Route) { r.Prefix = "/x" },
 		"no service":             func(r *site.Route) { r.Targets = nil },
 		"unknown service":        func(r *site.Route) { r.Targets[0].Service = "t" },
@@ -62,7 +62,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			config := valid()
-			spoil(&config.Routes[0])
+			invalidate(&config.Routes[0])
 			gomega.NewWithT(t).Expect(config.Check()).NotTo(gomega.Succeed())
 		})
 	}
