--- a/gateway/site/check.go
+++ b/gateway/site/check.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// InvalidError reports a configuration that cannot be put in force.
+// InvalidError reports a configuration that cannot be applied.
 type InvalidError struct {
 	Version Version
 	Route   string
@@ -17,8 +17,8 @@
 	return fmt.Sprintf("configuration %d, route %q: %s", e.Version, e.Route, e.Problem)
 }
 
-// Check reports the first fault that would make a configuration impossible to
-// serve. Nothing of a faulty configuration is put in force.
+// Check returns an *InvalidError for the first fault of the configuration. A
+// configuration with a fault is rejected as a whole.
 func (c *Config) Check() error {
 	for _, route := range c.Routes {
 		if problem := c.problem(route); problem != "" {
@@ -30,26 +30,26 @@
 
 func (c *Config) problem(route Route) string {
 	if !strings.HasPrefix(route.Prefix, "/") || !strings.HasSuffix(route.Prefix, "/") {
-		return "the path prefix does not begin and end with a slash"
+		return "the path prefix must begin and end with a slash"
 	}
 	if route.Timeout < 0 || route.Target < 0 || route.Attempts < 0 {
-		return "a time or a number is negative"
+		return "timeout, latency target or number of attempts is negative"
 	}
 	if len(route.Targets) == 0 {
-		return "it has no service"
+		return "there is no target"
 	}
 	total := 0
 	for _, target := range route.Targets {
 		if _, exists := c.Services[target.Service]; !exists {
-			return "its service " + string(target.Service) + " is not defined"
+			return "service " + string(target.Service) + " is not defined"
 		}
 		if target.Weight < 0 {
-			return "a weight is negative"
+			return "the weight of a target is negative"
 		}
 		total += target.Weight
 	}
 	if total == 0 {
-		return "all weights are 0"
+		return "the weights of all targets are 0"
 	}
 	return ""
 }
--- a/gateway/site/incarnation.go
+++ b/gateway/site/incarnation.go
@@ -6,24 +6,25 @@
 	"time"
 )
 
-// ServerName is the name under which a backend server registers. A server that
-// starts again may keep its name; it then knows nothing of before.
+// ServerName is the name under which a backend server registers. A server may keep
+// its name when it restarts, but keeps no state.
 type ServerName string
 
-// ServerID names one run of a backend server: its name and its start. What is
-// known of a server is kept under it, so that nothing of an earlier run is taken for
-// the present one.
+// ServerID identifies one incarnation of a backend server by its name and start time.
+// All knowledge of a server is keyed by its ID, so that nothing known of a previous
+// incarnation is applied to the current one.
 type ServerID string
 
-// incarnationSeparator stands between a run's name and its start, and startBase is the
-// base of the start's number: IDs go to every node with each change of the routes.
+// incarnationSeparator separates the name and the start time in a ServerID, and startBase is
+// the base of the start time. The high base keeps IDs short, because they are sent to every
+// node with each change of the routes.
 const (
 	incarnationSeparator = "@"
 	startBase            = 36
 )
 
-// RunID returns the ID of a run of a server. start is the time of its start by
-// the server's own clock, in whole milliseconds; the zero time if it is not known.
+// RunID returns the ID of an incarnation of a server. start is its start time by the
+// server's own clock, in whole milliseconds, or the zero time if it is unknown.
 func RunID(name ServerName, start time.Time) ServerID {
 	if start.IsZero() && !strings.Contains(string(name), incarnationSeparator) {
 		return ServerID(name)
@@ -35,7 +36,7 @@
 	return ServerID(string(name) + incarnationSeparator + strconv.FormatInt(milliseconds, startBase))
 }
 
-// Name returns the name under which the run registered.
+// Name returns the name under which the incarnation registered.
 func (id ServerID) Name() ServerName {
 	if at := strings.LastIndex(string(id), incarnationSeparator); at >= 0 {
 		return ServerName(id[:at])
@@ -43,8 +44,8 @@
 	return ServerName(id)
 }
 
-// Start returns the start of the run by the server's own clock; the zero time if
-// it is not known.
+// Start returns the start time of the incarnation by the server's own clock, or the zero
+// time if it is unknown.
 func (id ServerID) Start() time.Time {
 	at := strings.LastIndex(string(id), incarnationSeparator)
 	if at < 0 {
@@ -52,7 +53,7 @@
 	}
 	milliseconds, err := strconv.ParseInt(string(id[at+1:]), startBase, 64)
 	if err != nil || milliseconds == 0 {
-		return time.Time{} // not known
+		return time.Time{} // unknown
 	}
 	return time.UnixMilli(milliseconds)
 }
--- a/gateway/site/incarnation_test.go
+++ b/gateway/site/incarnation_test.go
@@ -27,5 +27,5 @@
 		g.Expect(id.Start().Equal(c.start)).To(gomega.BeTrue(), string(id))
 	}
 	g.Expect(site.RunID("a", start)).NotTo(gomega.Equal(site.RunID("a", start.Add(time.Millisecond))))
-	g.Expect(site.RunID("a", time.Time{})).To(gomega.Equal(site.ServerID("a")), "as before servers told their start")
+	g.Expect(site.RunID("a", time.Time{})).To(gomega.Equal(site.ServerID("a")), "IDs without a start time, as used before servers reported one")
 }
--- a/gateway/site/match.go
+++ b/gateway/site/match.go
@@ -20,8 +20,7 @@
 	return c
 }
 
-// Match returns the route of a host with the longest prefix that begins the
-// path, or nil.
+// Match returns the route of a host with the longest prefix of the path, or nil.
 func (c *Config) Match(host, path string) *Route {
 	for _, route := range c.byHost[withoutPort(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
@@ -31,7 +30,7 @@
 	return nil
 }
 
-// withoutPort cuts the port off a Host header's value.
+// withoutPort returns the value of a Host header without its port.
 func withoutPort(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		return host[:i]
--- a/gateway/site/registry_entry.go
+++ b/gateway/site/registry_entry.go
@@ -1,8 +1,8 @@
 package site
 
-// Entry is what a backend server wrote of itself into the register.
+// Entry is the registry entry that a backend server wrote about itself.
 type Entry struct {
 	Server
-	// Sequence numbers what one run wrote; it only grows.
+	// Sequence numbers the entries of one incarnation and only increases.
 	Sequence int64
 }
--- a/gateway/site/site.go
+++ b/gateway/site/site.go
@@ -1,7 +1,7 @@
-// Package site holds what a gateway node knows of the site that it serves: the
-// routes and services that the operator published, and the backend servers that
-// registered themselves. It is vocabulary without I/O; values are never changed
-// once they are shared.
+// Package site defines the types that describe the site that a gateway node serves:
+// the routes and services that the operator published, and the backend servers that
+// registered themselves. It does no I/O. Values must not be modified once they are
+// shared.
 package site
 
 import (
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// Version numbers the operator's site configurations; it only grows.
+// Version numbers the operator's site configurations and only increases.
 type Version uint64
 
-// ServiceName names a service of the site.
+// ServiceName is the name of a service of the site.
 type ServiceName string
 
-// Kind tells whether a request may run more than once.
+// Kind states whether a request may run more than once.
 type Kind string
 
 // The kinds of request.
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = "idempotent"
-	// AtMostOnce requests are sent again only if they are known not to have run.
+	// AtMostOnce requests are retried only if they are known not to have run.
 	AtMostOnce Kind = "at-most-once"
 )
 
@@ -33,20 +33,20 @@
 	Services map[ServiceName]Service `json:"services"`
 	Limits   Limits                  `json:"limits"`
 
-	byHost map[string][]*Route // longest prefix first; made by Index
+	byHost map[string][]*Route // longest prefix first; set by Index
 }
 
-// Route sends the requests of one host and path prefix to services.
+// Route assigns the requests of one host and path prefix to services.
 type Route struct {
 	Name     string        `json:"name"`
 	Host     string        `json:"host"`
 	Prefix   string        `json:"prefix"` // begins and ends with a slash
 	Kind     Kind          `json:"kind"`
 	Targets  []Target      `json:"targets"`  // at least one
-	Timeout  time.Duration `json:"timeout"`  // longest time a request is kept waiting; 0: none
+	Timeout  time.Duration `json:"timeout"`  // longest time until a request is answered; 0: no limit
 	Target   time.Duration `json:"target"`   // latency objective
-	Attempts int           `json:"attempts"` // most servers that one request may be sent to
-	Priority int           `json:"priority"` // 0 is the most urgent
+	Attempts int           `json:"attempts"` // maximum number of servers that one request may be sent to
+	Priority int           `json:"priority"` // 0 is the highest
 }
 
 // Target is one service of a route and its share of the route's requests.
@@ -58,10 +58,10 @@
 // Service is a group of servers that run the same requests.
 type Service struct {
 	Name  ServiceName `json:"name"`
-	Keyed bool        `json:"keyed"` // each key is owned by one server
+	Keyed bool        `json:"keyed"` // each key is owned by a single server
 }
 
-// Limits bound what a client may send and how long it may take.
+// Limits bound the size of callers' requests and how long callers may take.
 type Limits struct {
 	HeaderBytes   int64         `json:"headerBytes"`
 	BodyBytes     int64         `json:"bodyBytes"`
@@ -75,21 +75,21 @@
 	Service  ServiceName   `json:"service"`
 	Address  string        `json:"address"`
 	Zone     string        `json:"zone"`
-	Slots    int           `json:"slots"` // requests that it runs at once
+	Slots    int           `json:"slots"` // number of requests that it runs concurrently
 	Draining bool          `json:"draining"`
-	WarmUp   time.Duration `json:"warmUp"` // how much longer it is slow after its start
-	// ClockSetBack tells that this run began after one whose start lies later, by
-	// clocks that were set meanwhile, as it has proved by writing.
+	WarmUp   time.Duration `json:"warmUp"` // remaining time for which it is slow after its start
+	// ClockSetBack reports that this incarnation began after one with a later start time,
+	// because a clock was set back. Its later writes to the registry have proved the order.
 	ClockSetBack bool `json:"clockSetBack,omitempty"`
 }
 
-// Load is what a server reported of itself with an answer.
+// Load is the load that a server reported with an answer, in requests.
 type Load struct{ Running, Waiting, Slots int }
 
-// Total returns the requests that the server had, running or waiting.
+// Total returns the number of requests at the server, running or waiting.
 func (l Load) Total() int { return l.Running + l.Waiting }
 
-// Pick chooses the service of a request by the weights.
+// Pick chooses the service of a request at random by the weights of the targets.
 func (r *Route) Pick(random *rand.Rand) ServiceName {
 	if len(r.Targets) == 1 {
 		return r.Targets[0].Service
