--- a/gateway/config/config.go
+++ b/gateway/config/config.go
@@ -69,9 +69,9 @@
 	LinkMbps  float64 // of the VM's own link, in Mbit/s; 0: not known
 }
 
-// dutyLinkMbps is the link, in Mbit/s, at which the network does not bound the duties for
+// fullCapacityLinkMbps is the link, in Mbit/s, at which the network does not bound the duties for
 // others, twice what they send for seconds on a site of hundreds of servers.
-const dutyLinkMbps = 100
+const fullCapacityLinkMbps = 100
 
 // Strength returns what the node can do for others, in processor cores. A
 // narrow link weakens it.
@@ -79,7 +79,7 @@
 	if r.LinkMbps <= 0 {
 		return r.Processor
 	}
-	return r.Processor * min(1, r.LinkMbps/dutyLinkMbps)
+	return r.Processor * min(1, r.LinkMbps/fullCapacityLinkMbps)
 }
 
 // Defaults of the optional settings.
@@ -92,14 +92,14 @@
 	// defaultNotice suits a balancer that asks once a second and acts on the second
 	// miss.
 	defaultNotice = 2500 * time.Millisecond
-	// defaultPenalty prefers the own zone among servers that are about equally
+	// defaultCrossZonePenalty prefers the own zone among servers that are about equally
 	// loaded: a fifth of a service time of 150 ms.
-	defaultPenalty = 30 * time.Millisecond
-	maxDuration    = time.Hour
-	maxSlack       = 1e6
-	maxMemory      = 1 << 30
-	maxCores       = 4096
-	maxLinkMbps    = 1e6
+	defaultCrossZonePenalty = 30 * time.Millisecond
+	maxDuration             = time.Hour
+	maxSlack                = 1e6
+	maxMemoryMB             = 1 << 30
+	maxCores                = 4096
+	maxLinkMbps             = 1e6
 )
 
 // Load reads a settings file. The error is a *settings.FileError or a
@@ -129,7 +129,7 @@
 		Timing:    readTiming(root.Get("timing").Object()),
 		Place:     readPlacement(root.Get("placement").Object()),
 		Resources: readResources(root.Get("resources").Object()),
-		MemoryMB:  root.Get("memoryMB").Int(0, 0, maxMemory),
+		MemoryMB:  root.Get("memoryMB").Int(0, 0, maxMemoryMB),
 		LogLevel:  root.Get("logLevel").Choice("info", "trace", "debug", "info", "warn", "error"),
 	}
 	for _, element := range root.Get("seeds").Elements() {
@@ -187,7 +187,7 @@
 }
 
 func readPlacement(o *jsonc.Object) Placement {
-	placement := Placement{CrossZonePenalty: o.Get("crossZonePenalty").Duration(defaultPenalty, 0, maxDuration)}
+	placement := Placement{CrossZonePenalty: o.Get("crossZonePenalty").Duration(defaultCrossZonePenalty, 0, maxDuration)}
 	o.Close()
 	return placement
 }
@@ -203,6 +203,6 @@
 	return resources
 }
 
-func readDuration(value *jsonc.Value, byDefault time.Duration) time.Duration {
-	return value.Duration(byDefault, time.Millisecond, maxDuration)
+func readDuration(value *jsonc.Value, fallback time.Duration) time.Duration {
+	return value.Duration(fallback, time.Millisecond, maxDuration)
 }
--- a/gateway/config/config_test.go
+++ b/gateway/config/config_test.go
@@ -31,7 +31,7 @@
 	g.Expect(s.Driver.Options).To(gomega.HaveKeyWithValue("address", "127.0.0.1:5"))
 }
 
-func TestEachProblemNamesItsField(t *testing.T) {
+func TestProblemsNameTheirField(t *testing.T) {
 	for field, change := range map[string][2]string{
 		"node":          {`"node": "n1"`, `"node": ""`},
 		"listen.front":  {"127.0.0.1:1", "nowhere"},
@@ -59,7 +59,7 @@
 	"{{bounds.grace-s}}", "6", "{{bounds.hold-max-s}}", "10",
 )
 
-func TestTheTemplateOfTheDeploymentIsValid(t *testing.T) {
+func TestDeploymentTemplateIsValid(t *testing.T) {
 	g := gomega.NewWithT(t)
 	template, err := os.ReadFile("../../deploy/settings.jsonc")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
--- a/gateway/config/live.go
+++ b/gateway/config/live.go
@@ -20,9 +20,9 @@
 	eventNeedRestart = events.Define(2322, hclog.Warn, "changed settings need a restart")
 )
 
-// watchEvery is how often the settings file is read: it may change without a
+// reloadInterval is how often the settings file is read: it may change without a
 // signal, and a change is to be in use within about two seconds.
-const watchEvery = time.Second
+const reloadInterval = time.Second
 
 // Live keeps a node's settings up to date with their file. Addresses, names and
 // the driver stay as they were at the start; the rest changes while the node
@@ -50,16 +50,16 @@
 }
 
 // Watch has a function called with the settings after each change.
-func (l *Live) Watch(changed func(*Settings)) {
+func (l *Live) Watch(watcher func(*Settings)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.watchers = append(l.watchers, changed)
+	l.watchers = append(l.watchers, watcher)
 }
 
 // Run reads the file again and again, and at once when reload receives, until
 // ctx ends.
 func (l *Live) Run(ctx context.Context, reload <-chan os.Signal) {
-	ticker := time.NewTicker(watchEvery)
+	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -90,28 +90,28 @@
 		eventNotReloaded.Log(l.logger, "file", l.file, "cause", err)
 		return
 	}
-	l.adopt(next)
+	l.apply(next)
 }
 
-// adopt takes the settings that can change while the node runs.
-func (l *Live) adopt(next *Settings) {
-	adopted := *l.current
-	adopted.Seeds = next.Seeds
-	adopted.Retries = next.Retries
-	adopted.Timing.Grace = next.Timing.Grace
-	adopted.Timing.Notice = next.Timing.Notice
-	adopted.Place = next.Place
-	adopted.LogLevel = next.LogLevel
-	if !reflect.DeepEqual(&adopted, next) {
+// apply takes the settings that can change while the node runs.
+func (l *Live) apply(next *Settings) {
+	applied := *l.current
+	applied.Seeds = next.Seeds
+	applied.Retries = next.Retries
+	applied.Timing.Grace = next.Timing.Grace
+	applied.Timing.Notice = next.Timing.Notice
+	applied.Place = next.Place
+	applied.LogLevel = next.LogLevel
+	if !reflect.DeepEqual(&applied, next) {
 		eventNeedRestart.Log(l.logger, "file", l.file)
 	}
-	if reflect.DeepEqual(&adopted, l.current) {
+	if reflect.DeepEqual(&applied, l.current) {
 		return
 	}
-	l.current = &adopted
-	l.logger.SetLevel(hclog.LevelFromString(adopted.LogLevel))
-	eventReloaded.Log(l.logger, "file", l.file, "seeds", adopted.Seeds, "retries", adopted.Retries.Ratio, "grace", adopted.Timing.Grace)
-	for _, changed := range l.watchers {
-		changed(&adopted)
+	l.current = &applied
+	l.logger.SetLevel(hclog.LevelFromString(applied.LogLevel))
+	eventReloaded.Log(l.logger, "file", l.file, "seeds", applied.Seeds, "retries", applied.Retries.Ratio, "grace", applied.Timing.Grace)
+	for _, watcher := range l.watchers {
+		watcher(&applied)
 	}
 }
