--- a/gateway/config/config.go
+++ b/gateway/config/config.go
@@ -12,69 +12,70 @@
 	"github.com/burdockspindle/burdockspindle/settings"
 )
 
-// Settings is everything that a gateway node learns from its settings file.
+// Settings are the settings of a gateway node, as read from its settings file.
 type Settings struct {
 	Node    string
 	Zone    string
 	Region  string
 	Listen  Listen
-	Seeds   []string // peer addresses of nodes that may know the site at start
+	Seeds   []string // peer addresses of nodes to get the site's state from at start
 	Driver  settings.Driver
 	Retries Retries
 	Timing  Timing
 	Place   Placement
-	// Resources are what the VM gives the process.
+	// Resources are the resources that the VM provides to the process.
 	Resources Resources
-	// MemoryMB is the memory that the process may use, in units of 2^20 bytes; 0: no
-	// limit is known.
+	// MemoryMB is the memory that the process may use, in units of 2^20 bytes; 0: the
+	// limit is unknown.
 	MemoryMB int64
 	LogLevel string
 }
 
 // Listen holds the addresses of the listeners, IP:port.
 type Listen struct {
-	Front   string // callers
-	Ready   string // the balancer's readiness checks
-	Peer    string // other nodes
-	Metrics string // empty: none
+	Front   string // requests of callers
+	Ready   string // readiness checks of the load balancer
+	Peer    string // calls of other nodes
+	Metrics string // empty: no listener
 }
 
-// Retries bound what all nodes together send again to a service.
+// Retries bound the retries that all nodes together send to a service.
 type Retries struct {
-	Ratio  float64       // sends beyond the first for each request
-	Slack  float64       // sends beyond that in a window
-	Window time.Duration // any span of this length counts
+	Ratio  float64       // retries per request
+	Slack  float64       // additional retries per window
+	Window time.Duration // the bounds hold for any span of this length
 }
 
-// Timing holds what the site asks of a node.
+// Timing holds the time limits that the site sets for a node.
 type Timing struct {
-	Grace time.Duration // from SIGTERM to the end of the process
-	// Notice is for how long new connections may still come after the node has
-	// said that it is not ready.
+	Grace time.Duration // from SIGTERM to the termination of the process
+	// Notice is how long new connections may still arrive after the node has
+	// reported that it is not ready.
 	Notice  time.Duration
 	HoldMax time.Duration // longest hold of a range
 }
 
-// Placement weighs where requests go.
+// Placement holds the weights for the choice of a server.
 type Placement struct {
-	// CrossZonePenalty is the time that sending a request to another zone counts
-	// as, next to the time that the request takes.
+	// CrossZonePenalty is added to the expected time of a request at a server of
+	// another zone.
 	CrossZonePenalty time.Duration
 }
 
-// Resources are what a VM gives the process. Duties that one node has for others
-// go to strong nodes.
+// Resources are the resources that a VM provides to the process. Duties that one node
+// performs for others are assigned to nodes of high capacity.
 type Resources struct {
-	Processor float64 // share of a core, times their number
-	LinkMbps  float64 // of the VM's own link, in Mbit/s; 0: not known
+	Processor float64 // CPU in cores: share of a core times the number of cores
+	LinkMbps  float64 // of the VM's own link, in Mbit/s; 0: unknown
 }
 
-// fullCapacityLinkMbps is the link, in Mbit/s, at which the network does not bound the duties for
-// others, twice what they send for seconds on a site of hundreds of servers.
+// fullCapacityLinkMbps is the link, in Mbit/s, at and above which the network does not limit
+// the duties for other nodes. It is twice what they send for seconds at a time on a site of
+// hundreds of servers.
 const fullCapacityLinkMbps = 100
 
-// Strength returns what the node can do for others, in processor cores. A
-// narrow link weakens it.
+// Strength returns the capacity of the node for duties for other nodes, in CPU cores. A link below
+// fullCapacityLinkMbps reduces it in proportion.
 func (r Resources) Strength() float64 {
 	if r.LinkMbps <= 0 {
 		return r.Processor
@@ -89,11 +90,11 @@
 	defaultWindow  = 10 * time.Second
 	defaultGrace   = 6 * time.Second
 	defaultHoldMax = 10 * time.Second
-	// defaultNotice suits a balancer that asks once a second and acts on the second
-	// miss.
+	// defaultNotice suits a load balancer that checks once a second and acts on the
+	// second consecutive failure.
 	defaultNotice = 2500 * time.Millisecond
-	// defaultCrossZonePenalty prefers the own zone among servers that are about equally
-	// loaded: a fifth of a service time of 150 ms.
+	// defaultCrossZonePenalty makes nodes prefer their own zone among servers of about
+	// equal load. It is a fifth of a service time of 150 ms.
 	defaultCrossZonePenalty = 30 * time.Millisecond
 	maxDuration             = time.Hour
 	maxSlack                = 1e6
@@ -102,7 +103,7 @@
 	maxLinkMbps             = 1e6
 )
 
-// Load reads a settings file. The error is a *settings.FileError or a
+// Load reads and validates a settings file. The error is a *settings.FileError or a
 // *jsonc.InvalidError with all problems.
 func Load(file string) (*Settings, error) {
 	text, err := os.ReadFile(file)
@@ -116,7 +117,7 @@
 	return s, nil
 }
 
-// Parse reads and validates settings.
+// Parse parses and validates settings. file is the name used in problems.
 func Parse(text []byte, file string) (*Settings, []jsonc.Problem) {
 	root, report := jsonc.Parse(text, file)
 	s := &Settings{
--- a/gateway/config/config_test.go
+++ b/gateway/config/config_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// placeholders stand for what the platform fills in.
+// placeholders replaces the placeholders of the deployment template, as the platform does.
 var placeholders = strings.NewReplacer(
 	"{{node|json}}", `"n1"`, "{{zone|json}}", `"a"`, "{{region|json}}", `"r"`,
 	"{{listen.front|json}}", `"127.0.0.1:1"`, "{{listen.ready|json}}", `"127.0.0.1:2"`, "{{listen.control|json}}", `"127.0.0.1:3"`,
--- a/gateway/config/live.go
+++ b/gateway/config/live.go
@@ -15,18 +15,18 @@
 )
 
 var (
-	eventReloaded    = events.Define(2320, hclog.Info, "changed settings are in use")
-	eventNotReloaded = events.Define(2321, hclog.Warn, "changed settings cannot be used, the earlier ones stay in use")
-	eventNeedRestart = events.Define(2322, hclog.Warn, "changed settings need a restart")
+	eventReloaded    = events.Define(2320, hclog.Info, "changed settings applied")
+	eventNotReloaded = events.Define(2321, hclog.Warn, "changed settings cannot be loaded; the previous settings stay in use")
+	eventNeedRestart = events.Define(2322, hclog.Warn, "changed settings need a restart to take effect")
 )
 
-// reloadInterval is how often the settings file is read: it may change without a
-// signal, and a change is to be in use within about two seconds.
+// reloadInterval is the interval at which the settings file is read. The file may change
+// without a signal, and a change must take effect within about two seconds.
 const reloadInterval = time.Second
 
-// Live keeps a node's settings up to date with their file. Addresses, names and
-// the driver stay as they were at the start; the rest changes while the node
-// runs. It is safe for concurrent use.
+// Live keeps a node's settings up to date with their file. Some settings, such as
+// listen addresses, names and the driver, keep their values from the start; apply takes
+// over those that can change at run time. It is safe for concurrent use.
 type Live struct {
 	file   string
 	logger hclog.Logger
@@ -37,27 +37,28 @@
 	watchers []func(*Settings)
 }
 
-// NewLive returns settings that were loaded from a file.
+// NewLive returns a Live for settings that were loaded from a file.
 func NewLive(file string, s *Settings, logger hclog.Logger) *Live {
 	return &Live{file: file, current: s, logger: logger}
 }
 
-// Settings returns the present settings, which are not to be changed.
+// Settings returns the current settings, which must not be modified.
 func (l *Live) Settings() *Settings {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.current
 }
 
-// Watch has a function called with the settings after each change.
+// Watch registers a function that is called with the settings after each change. It is
+// called with the lock held and must not call methods of Live.
 func (l *Live) Watch(watcher func(*Settings)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.watchers = append(l.watchers, watcher)
 }
 
-// Run reads the file again and again, and at once when reload receives, until
-// ctx ends.
+// Run reloads the file at every reloadInterval, and at once when reload receives, until
+// ctx is done.
 func (l *Live) Run(ctx context.Context, reload <-chan os.Signal) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
@@ -72,7 +73,7 @@
 	}
 }
 
-// Reload reads the file, and puts what has changed in use if it is valid.
+// Reload reads the file and applies its changes if it is valid.
 func (l *Live) Reload() {
 	text, err := os.ReadFile(l.file)
 	l.mu.Lock()
@@ -93,7 +94,7 @@
 	l.apply(next)
 }
 
-// apply takes the settings that can change while the node runs.
+// apply applies the settings that can change at run time. l.mu must be held.
 func (l *Live) apply(next *Settings) {
 	applied := *l.current
 	applied.Seeds = next.Seeds
