--- a/gateway/router/dispatch.go
+++ b/gateway/router/dispatch.go
@@ -51,7 +51,7 @@
 		x.tried = append(x.tried, server.ID)
 	}
 	request := x.request
-	request.Left = time.Until(x.deadline)
+	request.Remaining = time.Until(x.deadline)
 	request.Fresh = x.route.Kind == site.AtMostOnce
 	go func() {
 		startedAt := time.Now()
--- a/gateway/router/dispatch_test.go
+++ b/gateway/router/dispatch_test.go
@@ -74,7 +74,7 @@
 func TestServerThatRejectsAConnectionIsTreatedAsFull(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := newKeyedExchange(t)
-	rejected := &upstream.AttemptError{Server: "b", TurnedAway: true, Cause: syscall.ECONNRESET}
+	rejected := &upstream.AttemptError{Server: "b", Rejected: true, Cause: syscall.ECONNRESET}
 	outcome := x.poolOutcome(context.Background(), attemptResult{err: rejected})
 	g.Expect(outcome).To(gomega.Equal(pool.Outcome{NoRoom: true}))
 	refused := &upstream.AttemptError{Server: "b", Cause: syscall.ECONNREFUSED}
--- a/gateway/router/router.go
+++ b/gateway/router/router.go
@@ -29,17 +29,17 @@
 
 // Router forwards requests to backend servers. It implements http.Handler.
 type Router struct {
-	zone     string
-	headers  upstream.Headers
-	state    *view.State
-	client   *upstream.Client
-	reports  *follow.Reports
-	logger   hclog.Logger
-	draining atomic.Bool
-	ending   atomic.Bool
-	closing  context.Context // done when every open request must be answered
-	close    context.CancelFunc
-	lines    lineBudget
+	zone        string
+	headers     upstream.Headers
+	state       *view.State
+	client      *upstream.Client
+	reports     *follow.Reports
+	logger      hclog.Logger
+	draining    atomic.Bool
+	terminating atomic.Bool
+	closing     context.Context // done when every open request must be answered
+	close       context.CancelFunc
+	lines       lineBudget
 
 	mu          sync.Mutex
 	timeouts    map[string]*callerTimeouts // by route
@@ -98,7 +98,7 @@
 
 // SetEnding makes the router refuse new requests, because the process terminates
 // soon and there may be no time left to answer them.
-func (r *Router) SetEnding() { r.ending.Store(true) }
+func (r *Router) SetEnding() { r.terminating.Store(true) }
 
 // Close makes the router answer every open request now: as not run, or as possibly run if
 // it was sent. The process is about to terminate, which would close their connections
--- a/gateway/router/run.go
+++ b/gateway/router/run.go
@@ -111,7 +111,7 @@
 		var attempt *upstream.AttemptError
 		isOver := ctx.Err() != nil
 		isAttempt := errors.As(s.err, &attempt)
-		if isAttempt && attempt.TurnedAway {
+		if isAttempt && attempt.Rejected {
 			return pool.Outcome{Took: s.duration, NoRoom: !isOver, Abandoned: isOver}
 		}
 		return pool.Outcome{
--- a/gateway/router/serve.go
+++ b/gateway/router/serve.go
@@ -79,7 +79,7 @@
 
 // prepare finds the route and reads the request.
 func (x *exchange) prepare(request *http.Request) *refusal {
-	if x.router.ending.Load() {
+	if x.router.terminating.Load() {
 		return &refusal{status: http.StatusServiceUnavailable, reason: "node shuts down", retryAfter: shutdownRetryAfter}
 	}
 	if !x.view.Complete() {
--- a/gateway/upstream/client.go
+++ b/gateway/upstream/client.go
@@ -30,13 +30,13 @@
 
 // Request is a request to a server.
 type Request struct {
-	Method string
-	Target string // path and query, as the caller sent them
-	Host   string
-	Header http.Header // as the caller sent it
-	Body   []byte
-	ID     string        // request ID from the caller
-	Left   time.Duration // remaining time until the caller's deadline
+	Method    string
+	Target    string // path and query, as the caller sent them
+	Host      string
+	Header    http.Header // as the caller sent it
+	Body      []byte
+	ID        string        // request ID from the caller
+	Remaining time.Duration // remaining time until the caller's deadline
 	// Fresh requires a connection that carried an answer within maxFreshAge, or a new
 	// one: a request sent on a stalled connection is lost, and an at-most-once request
 	// cannot be sent again.
@@ -118,7 +118,7 @@
 		cn = newConn(raw, c.meter(server))
 		if err := cn.awaitRejection(time.Now()); err != nil {
 			reset(raw)
-			return nil, &AttemptError{Server: server.ID, TurnedAway: isClosedByPeer(err), Cause: err}
+			return nil, &AttemptError{Server: server.ID, Rejected: isClosedByPeer(err), Cause: err}
 		}
 	}
 	answer, reusable, err := c.exchange(ctx, cn, r, head, true)
@@ -170,7 +170,7 @@
 		return nil, false, err
 	}
 	if len(body) > maxAnswerBytes {
-		return nil, false, &TooLongError{Most: maxAnswerBytes}
+		return nil, false, &TooLongError{Limit: maxAnswerBytes}
 	}
 	if matchID && response.Header.Get(c.headers.RequestID) != r.ID {
 		return nil, false, &MismatchError{Want: r.ID, Got: response.Header.Get(c.headers.RequestID)}
@@ -224,7 +224,7 @@
 		writeHeader(&text, http.Header{name: values})
 	}
 	writeHeader(&text, http.Header{c.headers.ExpectedServer: {string(server.ID.Name())}})
-	writeHeader(&text, http.Header{c.headers.Timeout: {strconv.FormatInt(max(r.Left.Milliseconds(), 1), 10)}})
+	writeHeader(&text, http.Header{c.headers.Timeout: {strconv.FormatInt(max(r.Remaining.Milliseconds(), 1), 10)}})
 	writeLength(&text, r)
 	return text.Bytes()
 }
--- a/gateway/upstream/client_test.go
+++ b/gateway/upstream/client_test.go
@@ -81,7 +81,7 @@
 }
 
 func get(id string) *upstream.Request {
-	return &upstream.Request{Method: http.MethodGet, Target: "/a?b=c", Host: "h", Header: http.Header{"Request-Id": {id}, "X": {"y"}, "Connection": {"X2"}, "X2": {"z"}}, ID: id, Left: time.Second}
+	return &upstream.Request{Method: http.MethodGet, Target: "/a?b=c", Host: "h", Header: http.Header{"Request-Id": {id}, "X": {"y"}, "Connection": {"X2"}, "X2": {"z"}}, ID: id, Remaining: time.Second}
 }
 
 func send(t *testing.T, client *upstream.Client, server site.Server, id string) (*upstream.Answer, error) {
--- a/gateway/upstream/control.go
+++ b/gateway/upstream/control.go
@@ -31,12 +31,12 @@
 func (c *Client) Control(ctx context.Context, server site.Server, opening, call ControlCall) (*Answer, error) {
 	key := idleKey{address: server.Address, server: server.ID, control: true}
 	cn, err := c.acceptedConn(ctx, key, server, opening)
-	var noKeepAlive *NotKeptError
+	var noKeepAlive *NoKeepAliveError
 	if errors.As(err, &noKeepAlive) {
 		cn, err = c.unacceptedConn(ctx, server)
 	}
 	if err != nil {
-		return nil, &AttemptError{Server: server.ID, TurnedAway: isClosedByPeer(err), Cause: err}
+		return nil, &AttemptError{Server: server.ID, Rejected: isClosedByPeer(err), Cause: err}
 	}
 	answer, reusable, err := c.sendControl(ctx, cn, server, call)
 	return c.finish(key, cn, answer, reusable, err)
@@ -162,7 +162,7 @@
 		return nil, nil, err
 	case !reusable:
 		reset(cn.net)
-		return nil, nil, &NotKeptError{}
+		return nil, nil, &NoKeepAliveError{}
 	}
 	return cn, answer, nil
 }
--- a/gateway/upstream/errors.go
+++ b/gateway/upstream/errors.go
@@ -17,10 +17,10 @@
 	// acknowledged all bytes of the request or had closed the connection. Zero: it had not,
 	// or that is unknown, and bytes may still be queued on this machine and arrive later.
 	AcknowledgedAt time.Time
-	// TurnedAway reports that the server accepted a new connection and closed it at once, as
+	// Rejected reports that the server accepted a new connection and closed it at once, as
 	// servers at their connection limit do: it is running, but full.
-	TurnedAway bool
-	Cause      error
+	Rejected bool
+	Cause    error
 }
 
 // Error implements error.
@@ -43,10 +43,10 @@
 }
 
 // TooLongError reports an answer whose body exceeds the limit in bytes.
-type TooLongError struct{ Most int }
+type TooLongError struct{ Limit int }
 
 // Error implements error.
-func (e *TooLongError) Error() string { return fmt.Sprintf("answer is longer than %d bytes", e.Most) }
+func (e *TooLongError) Error() string { return fmt.Sprintf("answer is longer than %d bytes", e.Limit) }
 
 // UnacceptedError reports a new connection that the server's kernel has accepted and on
 // which its process has not answered yet.
@@ -64,8 +64,8 @@
 // Unwrap returns the cause.
 func (e *NotOpenedError) Unwrap() error { return e.Cause }
 
-// NotKeptError reports a server that closes each connection after its answer.
-type NotKeptError struct{}
+// NoKeepAliveError reports a server that closes each connection after its answer.
+type NoKeepAliveError struct{}
 
 // Error implements error.
-func (*NotKeptError) Error() string { return "the server closes each connection after its answer" }
+func (*NoKeepAliveError) Error() string { return "the server closes each connection after its answer" }
--- a/gateway/upstream/rejection_test.go
+++ b/gateway/upstream/rejection_test.go
@@ -37,13 +37,13 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	request := &Request{Method: http.MethodPost, Target: "/a", Host: "h", Header: http.Header{}, ID: "1", Left: time.Second}
+	request := &Request{Method: http.MethodPost, Target: "/a", Host: "h", Header: http.Header{}, ID: "1", Remaining: time.Second}
 	for range 20 {
 		_, err = client.Send(ctx, site.Server{ID: "s", Address: listener.Addr().String()}, request)
 		var attempt *AttemptError
 		g.Expect(errors.As(err, &attempt)).To(gomega.BeTrue())
 		g.Expect(attempt.Sent).To(gomega.BeFalse())
-		g.Expect(attempt.TurnedAway).To(gomega.BeTrue())
+		g.Expect(attempt.Rejected).To(gomega.BeTrue())
 	}
 }
 
