--- a/gateway/router/owner_restart_test.go
+++ b/gateway/router/owner_restart_test.go
@@ -38,8 +38,8 @@
 		routes := view.Routes{Lessor: ranges.Lessor{Boot: "x"}, Serial: 1, Services: map[site.ServiceName][]ranges.Route{"s": {route}}}
 		g.Expect(state.MergeRoutes(routes)).To(gomega.BeTrue())
 		headers := upstream.Headers{Key: "Key", ParseLoad: func(string) (site.Load, bool) { return site.Load{}, false }}
-		terms := Terms{Retries: budget.Terms{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}
-		r := New("a", headers, terms, state, upstream.NewClient(headers, "a"), follow.NewReports(), hclog.NewNullLogger())
+		options := Terms{Retries: budget.Terms{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}
+		r := New("a", headers, options, state, upstream.NewClient(headers, "a"), follow.NewReports(), hclog.NewNullLogger())
 		answer := httptest.NewRecorder()
 		startedAt := time.Now()
 		request := httptest.NewRequest(http.MethodGet, "http://h/x", nil)
--- a/gateway/router/owner_test.go
+++ b/gateway/router/owner_test.go
@@ -43,9 +43,9 @@
 	all := ranges.Route{Span: ranges.Span{To: ranges.LastKey}, Server: "b", State: ranges.Ready}
 	routes := view.Routes{Offset: 1, Services: map[site.ServiceName][]ranges.Route{"s": {all}}}
 	g.Expect(state.MergeRoutes(routes)).To(gomega.BeTrue())
-	terms := Terms{Retries: budget.Terms{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}
+	options := Terms{Retries: budget.Terms{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}
 	headers := upstream.Headers{Timeout: "Timeout", ExpectedServer: "Expected", ParseLoad: func(string) (site.Load, bool) { return site.Load{}, false }}
-	r := New("a", headers, terms, state, upstream.NewClient(headers, "a"), follow.NewReports(), hclog.NewNullLogger())
+	r := New("a", headers, options, state, upstream.NewClient(headers, "a"), follow.NewReports(), hclog.NewNullLogger())
 	now := time.Now()
 	return &exchange{
 		router:   r,
--- a/gateway/router/router.go
+++ b/gateway/router/router.go
@@ -63,14 +63,14 @@
 }
 
 // New returns a router without services.
-func New(zone string, headers upstream.Headers, terms Terms, state *view.State, client *upstream.Client, reports *follow.Reports, logger hclog.Logger) *Router {
+func New(zone string, headers upstream.Headers, options Terms, state *view.State, client *upstream.Client, reports *follow.Reports, logger hclog.Logger) *Router {
 	closing, closeRouter := context.WithCancel(context.Background())
 	return &Router{
 		closing:  closing,
 		close:    closeRouter,
 		zone:     zone,
 		headers:  headers,
-		options:  terms,
+		options:  options,
 		state:    state,
 		client:   client,
 		reports:  reports,
@@ -84,14 +84,14 @@
 func (r *Router) SetDraining() { r.draining.Store(true) }
 
 // SetTerms replaces the settings.
-func (r *Router) SetTerms(terms Terms) {
+func (r *Router) SetTerms(options Terms) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.options = terms
+	r.options = options
 	for _, s := range r.services {
 		s.mu.Lock()
-		s.pool.SetPenalty(terms.CrossZonePenalty)
-		s.budget.SetTerms(terms.Retries)
+		s.pool.SetPenalty(options.CrossZonePenalty)
+		s.budget.SetTerms(options.Retries)
 		s.mu.Unlock()
 	}
 }
--- a/gateway/router/run_test.go
+++ b/gateway/router/run_test.go
@@ -86,8 +86,8 @@
 		g.Expect(state.MergeConfig(config)).To(gomega.BeTrue())
 		g.Expect(state.MergeServers(view.Servers{Offset: 1})).To(gomega.BeTrue())
 		headers := upstream.Headers{Key: "Key", ParseLoad: func(string) (site.Load, bool) { return site.Load{}, false }}
-		terms := Terms{Retries: budget.Terms{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}
-		r := New("a", headers, terms, state, upstream.NewClient(headers, "a"), follow.NewReports(), hclog.NewNullLogger())
+		options := Terms{Retries: budget.Terms{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}
+		r := New("a", headers, options, state, upstream.NewClient(headers, "a"), follow.NewReports(), hclog.NewNullLogger())
 		answer := httptest.NewRecorder()
 		startedAt := time.Now()
 		time.AfterFunc(100*time.Millisecond, r.Close)
--- a/gateway/router/server_restart_test.go
+++ b/gateway/router/server_restart_test.go
@@ -74,8 +74,8 @@
 	}
 	publish(first.Server)
 	headers := upstream.Headers{RequestID: "Request-Id", Timeout: "Timeout", ExpectedServer: "Expected", ParseLoad: func(string) (site.Load, bool) { return site.Load{}, false }}
-	terms := Terms{Retries: budget.Terms{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}
-	r = New("a", headers, terms, state, upstream.NewClient(headers, "a"), follow.NewReports(), hclog.NewNullLogger())
+	options := Terms{Retries: budget.Terms{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}
+	r = New("a", headers, options, state, upstream.NewClient(headers, "a"), follow.NewReports(), hclog.NewNullLogger())
 	return r, first, second
 }
 
