--- a/gateway/router/router.go
+++ b/gateway/router/router.go
@@ -59,7 +59,7 @@
 	waiters          map[*pool.Waiter]chan waitResult
 	nodeCount        int         // that share the servers; 0: unknown
 	sharesReportedAt time.Time   // when the shares were received
-	wakeTimer        *time.Timer // fires when a server that requests wait for has room again; nil: none
+	wakeTimer        *time.Timer // fires when waiting requests may next be admitted; nil: no such time
 }
 
 // New returns a router without services.
@@ -204,8 +204,8 @@
 	s.resetWakeTimer()
 }
 
-// resetWakeTimer schedules admit for the time when a server that requests wait for has
-// room again. s.mu must be held.
+// resetWakeTimer schedules admit for the next time when the pause of a server that requests
+// wait for ends or an unreachable server is tried again. s.mu must be held.
 func (s *service) resetWakeTimer() {
 	if s.wakeTimer != nil {
 		s.wakeTimer.Stop()
