--- a/gateway/config/live.go
+++ b/gateway/config/live.go
@@ -15,18 +15,18 @@
 )
 
 var (
-	eventReloaded    = events.Define(2320, hclog.Info, "changed settings are in use")
-	eventNotReloaded = events.Define(2321, hclog.Warn, "changed settings cannot be used, the earlier ones stay in use")
-	eventNeedRestart = events.Define(2322, hclog.Warn, "changed settings need a restart")
+	eventReloaded    = events.Define(2320, hclog.Info, "changed settings applied")
+	eventNotReloaded = events.Define(2321, hclog.Warn, "changed settings cannot be loaded; the previous settings stay in use")
+	eventNeedRestart = events.Define(2322, hclog.Warn, "changed settings need a restart to take effect")
 )
 
-// watchEvery is how often the settings file is read: it may change without a
-// signal, and a change is to be in use within about two seconds.
-const watchEvery = time.Second
+// reloadInterval is the interval at which the settings file is read. The file may change
+// without a signal, and a change must take effect within about two seconds.
+const reloadInterval = time.Second
 
-// Live keeps a node's settings up to date with their file. Addresses, names and
-// the driver stay as they were at the start; the rest changes while the node
-// runs. It is safe for concurrent use.
+// Live keeps a node's settings up to date with their file. Some settings, such as
+// listen addresses, names and the driver, keep their values from the start; apply takes
+// over those that can change at run time. It is safe for concurrent use.
 type Live struct {
 	file   string
 	logger hclog.Logger
@@ -37,29 +37,30 @@
 	watchers []func(*Settings)
 }
 
-// NewLive returns settings that were loaded from a file.
+// NewLive returns a Live for settings that were loaded from a file.
 func NewLive(file string, s *Settings, logger hclog.Logger) *Live {
 	return &Live{file: file, current: s, logger: logger}
 }
 
-// Settings returns the present settings, which are not to be changed.
+// Settings returns the current settings, which must not be modified.
 func (l *Live) Settings() *Settings {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.current
 }
 
-// Watch has a function called with the settings after each change.
-func (l *Live) Watch(changed func(*Settings)) {
+// Watch registers a function that is called with the settings after each change. It is
+// called with the lock held and must not call methods of Live.
+func (l *Live) Watch(watcher func(*Settings)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.watchers = append(l.watchers, changed)
+	l.watchers = append(l.watchers, watcher)
 }
 
-// Run reads the file again and again, and at once when reload receives, until
-// ctx ends.
+// Run reloads the file at every reloadInterval, and at once when reload receives, until
+// ctx is done.
 func (l *Live) Run(ctx context.Context, reload <-chan os.Signal) {
-	ticker := time.NewTicker(watchEvery)
+	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -72,7 +73,7 @@
 	}
 }
 
-// Reload reads the file, and puts what has changed in use if it is valid.
+// Reload reads the file and applies its changes if it is valid.
 func (l *Live) Reload() {
 	text, err := os.ReadFile(l.file)
 	l.mu.Lock()
@@ -90,28 +91,28 @@
 		eventNotReloaded.Log(l.logger, "file", l.file, "cause", err)
 		return
 	}
-	l.adopt(next)
+	l.apply(next)
 }
 
-// adopt takes the settings that can change while the node runs.
-func (l *Live) adopt(next *Settings) {
-	adopted := *l.current
-	adopted.Seeds = next.Seeds
-	adopted.Retries = next.Retries
-	adopted.Timing.Grace = next.Timing.Grace
-	adopted.Timing.Notice = next.Timing.Notice
-	adopted.Place = next.Place
-	adopted.LogLevel = next.LogLevel
-	if !reflect.DeepEqual(&adopted, next) {
+// apply applies the settings that can change at run time. l.mu must be held.
+func (l *Live) apply(next *Settings) {
+	applied := *l.current
+	applied.Seeds = next.Seeds
+	applied.Retries = next.Retries
+	applied.Timing.Grace = next.Timing.Grace
+	applied.Timing.Notice = next.Timing.Notice
+	applied.Place = next.Place
+	applied.LogLevel = next.LogLevel
+	if !reflect.DeepEqual(&applied, next) {
 		eventNeedRestart.Log(l.logger, "file", l.file)
 	}
-	if reflect.DeepEqual(&adopted, l.current) {
+	if reflect.DeepEqual(&applied, l.current) {
 		return
 	}
-	l.current = &adopted
-	l.logger.SetLevel(hclog.LevelFromString(adopted.LogLevel))
-	eventReloaded.Log(l.logger, "file", l.file, "seeds", adopted.Seeds, "retries", adopted.Retries.Ratio, "grace", adopted.Timing.Grace)
-	for _, changed := range l.watchers {
-		changed(&adopted)
+	l.current = &applied
+	l.logger.SetLevel(hclog.LevelFromString(applied.LogLevel))
+	eventReloaded.Log(l.logger, "file", l.file, "seeds", applied.Seeds, "retries", applied.Retries.Ratio, "grace", applied.Timing.Grace)
+	for _, watcher := range l.watchers {
+		watcher(&applied)
 	}
 }
--- /dev/null
+++ b/gateway/router/caller_timeouts.go
@@ -0,0 +1,70 @@
+package router
+
+import "time"
+
+// callerTimeouts records the timeouts that the callers of a route state and determines the
+// usual one. A caller that states less is retrying after a refusal, so its latency objective
+// is measured from its first attempt. This matters for keys whose demand exceeds the capacity
+// of their owner: half of the callers retry then, too late to be answered in time, and would
+// take the slots of callers that still can be.
+type callerTimeouts struct {
+	stated   [maxStatedTimeouts]statedTimeout
+	recorded int
+}
+
+// statedTimeout is a timeout that callers stated and the number of times they did.
+type statedTimeout struct {
+	timeout time.Duration
+	count   int
+}
+
+const (
+	// maxStatedTimeouts is the number of distinct timeouts that are kept. Timeouts that many
+	// callers state stay; those that remain after a refusal all differ and replace each other.
+	maxStatedTimeouts = 4
+	// decayInterval is the number of recorded timeouts after which all counts are halved, so
+	// that a change of the route's callers takes effect.
+	decayInterval = 64
+	// minUsualCount is the least decayed count at which a timeout is treated as the usual one.
+	minUsualCount = 8
+)
+
+// record adds a timeout that a caller stated.
+func (c *callerTimeouts) record(timeout time.Duration) {
+	c.recorded++
+	if c.recorded%decayInterval == 0 {
+		for i := range c.stated {
+			c.stated[i].count /= 2
+		}
+	}
+	rarest := 0
+	for i, s := range c.stated {
+		if s.count > 0 && s.timeout == timeout {
+			c.stated[i].count++
+			return
+		}
+		if s.count < c.stated[rarest].count {
+			rarest = i
+		}
+	}
+	if c.stated[rarest].count == 0 {
+		c.stated[rarest] = statedTimeout{timeout: timeout, count: 1}
+		return
+	}
+	c.stated[rarest].count--
+}
+
+// elapsed returns how long a caller that states a timeout has already waited, or 0 if that
+// is unknown.
+func (c *callerTimeouts) elapsed(timeout time.Duration) time.Duration {
+	usual := statedTimeout{}
+	for _, s := range c.stated {
+		if s.count > usual.count {
+			usual = s
+		}
+	}
+	if usual.count < minUsualCount {
+		return 0
+	}
+	return max(usual.timeout-timeout, 0)
+}
--- a/gateway/router/router.go
+++ b/gateway/router/router.go
@@ -1,6 +1,6 @@
-// Package router takes the requests of callers and has them run by servers. What
-// it decides stands in the packages site, pool, budget and ranges; here is what
-// connects them: one goroutine for each request, attempts, and final answers.
+// Package router forwards the requests of callers to backend servers. The decisions are
+// made by the packages site, pool, budget and ranges; this package connects them: it runs
+// one goroutine for each request, makes attempts and returns final answers.
 package router
 
 import (
@@ -21,212 +21,212 @@
 	"github.com/burdockspindle/burdockspindle/gateway/view"
 )
 
-// Terms are the settings of a router that can change while it runs.
+// Terms are the settings of a router that can change at run time.
 type Terms struct {
-	CrossZonePenalty time.Duration // that sending to another zone counts as
+	CrossZonePenalty time.Duration // added to the expected time at servers of other zones
 	Retries          budget.Terms
 }
 
-// Router takes requests. It implements http.Handler.
+// Router forwards requests to backend servers. It implements http.Handler.
 type Router struct {
-	zone     string
-	headers  upstream.Headers
-	state    *view.State
-	client   *upstream.Client
-	reports  *follow.Reports
-	logger   hclog.Logger
-	draining atomic.Bool
-	ending   atomic.Bool
-	closing  context.Context // ends when every request must get its answer
-	close    context.CancelFunc
-	lines    lineBudget
-
-	mu       sync.Mutex
-	patience map[string]*patience // by route
-	services map[site.ServiceName]*service
-	seen     *view.View // the view that the services were made for
-	terms    Terms
+	zone        string
+	headers     upstream.Headers
+	state       *view.State
+	client      *upstream.Client
+	reports     *follow.Reports
+	logger      hclog.Logger
+	draining    atomic.Bool
+	terminating atomic.Bool
+	closing     context.Context // done when every open request must be answered
+	close       context.CancelFunc
+	lines       lineBudget
+
+	mu          sync.Mutex
+	timeouts    map[string]*callerTimeouts // by route
+	services    map[site.ServiceName]*service
+	appliedView *view.View // the view that the services were made for
+	options     Terms
 }
 
-// service is what the router keeps of one service.
+// service is the router's state of one service.
 type service struct {
 	name    site.ServiceName
-	servers []site.Server // of the view that it was made for, guarded by the router's lock
-
-	mu       sync.Mutex // guards all below
-	pool     *pool.Pool
-	budget   *budget.Budget
-	waiters  map[*pool.Waiter]chan place
-	nodes    int         // that share the servers; 0: not known
-	sharesAt time.Time   // when the shares were told
-	wake     *time.Timer // when a pause ends for which requests wait; nil: none does
+	servers []site.Server // of the applied view; guarded by Router.mu
+
+	mu               sync.Mutex // guards the fields below
+	pool             *pool.Pool
+	budget           *budget.Budget
+	waiters          map[*pool.Waiter]chan waitResult
+	nodeCount        int         // that share the servers; 0: unknown
+	sharesReportedAt time.Time   // when the shares were received
+	wakeTimer        *time.Timer // fires when waiting requests may next be admitted; nil: no such time
 }
 
 // New returns a router without services.
-func New(zone string, headers upstream.Headers, terms Terms, state *view.State, client *upstream.Client, reports *follow.Reports, logger hclog.Logger) *Router {
+func New(zone string, headers upstream.Headers, options Terms, state *view.State, client *upstream.Client, reports *follow.Reports, logger hclog.Logger) *Router {
 	closing, closeRouter := context.WithCancel(context.Background())
 	return &Router{
 		closing:  closing,
 		close:    closeRouter,
 		zone:     zone,
 		headers:  headers,
-		terms:    terms,
+		options:  options,
 		state:    state,
 		client:   client,
 		reports:  reports,
 		logger:   logger,
-		patience: map[string]*patience{},
+		timeouts: map[string]*callerTimeouts{},
 		services: map[site.ServiceName]*service{},
 	}
 }
 
-// SetDraining tells that the node shuts down: every answer ends its connection.
+// SetDraining marks the node as shutting down: every answer closes its connection.
 func (r *Router) SetDraining() { r.draining.Store(true) }
 
-// SetTerms replaces the terms.
-func (r *Router) SetTerms(terms Terms) {
+// SetTerms replaces the settings.
+func (r *Router) SetTerms(options Terms) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.terms = terms
+	r.options = options
 	for _, s := range r.services {
 		s.mu.Lock()
-		s.pool.SetPenalty(terms.CrossZonePenalty)
-		s.budget.SetTerms(terms.Retries)
+		s.pool.SetPenalty(options.CrossZonePenalty)
+		s.budget.SetTerms(options.Retries)
 		s.mu.Unlock()
 	}
 }
 
-// SetEnding tells that the process ends soon: what comes now is refused, since
-// there may be no time left to answer it.
-func (r *Router) SetEnding() { r.ending.Store(true) }
+// SetEnding makes the router refuse new requests, because the process terminates
+// soon and there may be no time left to answer them.
+func (r *Router) SetEnding() { r.terminating.Store(true) }
 
-// Close has every request that is still open answered now: as not run, or as
-// perhaps run if it was sent. The process ends in a moment, and would end their
-// connections without an answer.
+// Close makes the router answer every open request now: as not run, or as possibly run if
+// it was sent. The process is about to terminate, which would close their connections
+// without an answer.
 func (r *Router) Close() { r.close() }
 
-// service returns a service with the servers of the present view.
+// service returns a service that has the current view applied.
 func (r *Router) service(name site.ServiceName) *service {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := r.followView()
+	v := r.applyView()
 	s := r.services[name]
 	if s == nil {
 		random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 		s = &service{
 			name:    name,
-			pool:    pool.New(r.zone, r.terms.CrossZonePenalty, random),
-			budget:  budget.New(r.terms.Retries),
-			waiters: map[*pool.Waiter]chan place{},
+			pool:    pool.New(r.zone, r.options.CrossZonePenalty, random),
+			budget:  budget.New(r.options.Retries),
+			waiters: map[*pool.Waiter]chan waitResult{},
 		}
-		s.follow(v.ServersOf(name), len(v.Members), v.Shares)
+		s.applyView(v.ServersOf(name), len(v.Members), v.Shares)
 		r.services[name] = s
 		budgetLeft.Set(string(name), expvar.Func(func() any { return s.budgetLeft() }))
 	}
 	return s
 }
 
-// update has every service take the present view. Requests that wait call it when the view
-// changes: on a service with few requests, one that waited saw a new server only when the
-// next one came.
-func (r *Router) update() {
+// refreshView applies the current view to every service. Waiting requests call it when the view
+// changes: otherwise, on a service with few requests, a waiting request would see a new server
+// only when the next request arrived.
+func (r *Router) refreshView() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.followView()
+	r.applyView()
 }
 
-// followView has the services take the present view, and returns it. The lock is held.
-func (r *Router) followView() *view.View {
+// applyView applies the current view to all services and returns it. r.mu must be held.
+func (r *Router) applyView() *view.View {
 	v := r.state.Now()
-	if v == r.seen {
+	if v == r.appliedView {
 		return v
 	}
-	r.seen = v
+	r.appliedView = v
 	for name, s := range r.services {
-		s.follow(v.ServersOf(name), len(v.Members), v.Shares)
+		s.applyView(v.ServersOf(name), len(v.Members), v.Shares)
 	}
 	return v
 }
 
-// ShareLife is for how long shares hold that the lessor does not tell again.
-const ShareLife = 5 * time.Second
+// ShareValidity is how long shares remain valid if the lessor does not report them again.
+const ShareValidity = 5 * time.Second
 
-// follow takes what of a new view concerns the service. Most views change the routes
-// only.
-func (s *service) follow(servers []site.Server, nodes int, shares view.Shares) {
+// applyView applies the servers, the number of nodes and the shares of a new view to the
+// service. Most new views differ in the routes only.
+func (s *service) applyView(servers []site.Server, nodes int, shares view.Shares) {
 	isSame := len(servers) == len(s.servers) && (len(servers) == 0 || &servers[0] == &s.servers[0])
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if !isSame || nodes != s.nodes || len(servers) == 0 {
+	if !isSame || nodes != s.nodeCount || len(servers) == 0 {
 		s.pool.Update(servers, nodes, now)
 	}
 	s.servers = servers
-	s.nodes = nodes
-	if shares.ToldAt != s.sharesAt {
-		s.sharesAt = shares.ToldAt
-		s.pool.SetShares(shares.Of, shares.ToldAt.Add(ShareLife))
+	s.nodeCount = nodes
+	if shares.ToldAt != s.sharesReportedAt {
+		s.sharesReportedAt = shares.ToldAt
+		s.pool.SetShares(shares.Of, shares.ToldAt.Add(ShareValidity))
 	}
 	s.deliver(s.pool.Admit(now))
 }
 
-// waited notes how long a caller of a route waits, as it states, and returns how long it
-// has waited already.
-func (r *Router) waited(route string, wait time.Duration) time.Duration {
+// elapsedWait records the timeout that a caller of a route states, and returns how long the
+// caller has already waited.
+func (r *Router) elapsedWait(route string, timeout time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	p := r.patience[route]
-	if p == nil {
-		p = new(patience)
-		r.patience[route] = p
+	timeouts := r.timeouts[route]
+	if timeouts == nil {
+		timeouts = new(callerTimeouts)
+		r.timeouts[route] = timeouts
 	}
-	p.note(wait)
-	return p.waited(wait)
+	timeouts.record(timeout)
+	return timeouts.elapsed(timeout)
 }
 
-// place ends a wait: a place at a server, or a refusal.
-type place struct {
+// waitResult is the result of a wait: a slot at a server, or a refusal.
+type waitResult struct {
 	server  site.Server
-	refused *pool.Refusal
+	refusal *pool.Refusal
 }
 
-// deliver hands places to those that wait for them, and refuses those that
-// would wait too long. The lock is held.
+// deliver sends admitted waiters their slots and refuses those that would wait too
+// long. s.mu must be held.
 func (s *service) deliver(admissions []pool.Admission) {
 	for _, a := range admissions {
-		s.waiters[a.Waiter] <- place{server: a.Server}
+		s.waiters[a.Waiter] <- waitResult{server: a.Server}
 		delete(s.waiters, a.Waiter)
 	}
 	for _, e := range s.pool.Evict(time.Now()) {
-		s.waiters[e.Waiter] <- place{refused: &e.Refusal}
+		s.waiters[e.Waiter] <- waitResult{refusal: &e.Refusal}
 		delete(s.waiters, e.Waiter)
 	}
-	s.setWake()
+	s.resetWakeTimer()
 }
 
-// setWake has requests that wait for the end of a pause sent then. The lock is
-// held.
-func (s *service) setWake() {
-	if s.wake != nil {
-		s.wake.Stop()
-		s.wake = nil
+// resetWakeTimer schedules admit for the next time when the pause of a server that requests
+// wait for ends or an unreachable server is tried again. s.mu must be held.
+func (s *service) resetWakeTimer() {
+	if s.wakeTimer != nil {
+		s.wakeTimer.Stop()
+		s.wakeTimer = nil
 	}
 	now := time.Now()
 	if at, waits := s.pool.NextRoom(now); waits {
-		s.wake = time.AfterFunc(at.Sub(now), s.admit)
+		s.wakeTimer = time.AfterFunc(at.Sub(now), s.admit)
 	}
 }
 
-// admit gives places to those that wait for them, if there are any now.
+// admit gives free slots to waiting requests.
 func (s *service) admit() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.deliver(s.pool.Admit(time.Now()))
 }
 
-// ask asks for a place. It returns one, or a channel that receives one, or a
-// refusal.
-func (s *service) ask(w *pool.Waiter) (site.Server, <-chan place, *pool.Refusal) {
+// requestSlot requests a slot. It returns a server, or a channel that receives the result
+// of the wait, or a refusal.
+func (s *service) requestSlot(w *pool.Waiter) (site.Server, <-chan waitResult, *pool.Refusal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	admission, refusal := s.pool.Ask(w, time.Now())
@@ -236,29 +236,29 @@
 	if admission != nil {
 		return admission.Server, nil, nil
 	}
-	places := make(chan place, 1)
-	s.waiters[w] = places
-	s.setWake()
-	return site.Server{}, places, nil
+	results := make(chan waitResult, 1)
+	s.waiters[w] = results
+	s.resetWakeTimer()
+	return site.Server{}, results, nil
 }
 
-// leave ends a wait. A place that came meanwhile is given back.
-func (s *service) leave(w *pool.Waiter, places <-chan place) {
+// cancelWait ends a wait. A slot that was assigned in the meantime is released.
+func (s *service) cancelWait(w *pool.Waiter, results <-chan waitResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pool.Leave(w)
 	delete(s.waiters, w)
 	select {
-	case p := <-places:
-		if p.refused == nil {
+	case p := <-results:
+		if p.refusal == nil {
 			s.deliver(s.pool.Done(p.server.ID, pool.Outcome{Abandoned: true}, time.Now()))
 		}
 	default:
 	}
 }
 
-// done ends a request's place at a server.
-func (s *service) done(server site.Server, outcome pool.Outcome) {
+// releaseSlot releases a request's slot at a server and reports the outcome to the pool.
+func (s *service) releaseSlot(server site.Server, outcome pool.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.deliver(s.pool.Done(server.ID, outcome, time.Now()))
@@ -267,25 +267,26 @@
 func (s *service) countRequest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budget.Request(s.nodes, time.Now())
+	s.budget.Request(s.nodeCount, time.Now())
 }
 
-// budgetLeft returns what this node may still send again, in hundredths of a send.
+// budgetLeft returns the retry budget that remains to this node, in hundredths of a send.
 func (s *service) budgetLeft() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return int64(100 * s.budget.Left(time.Now()))
 }
 
-// spendRetry takes one send beyond the first out of the budget.
+// spendRetry takes one send beyond the first from the retry budget and reports whether it
+// was available.
 func (s *service) spendRetry() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.budget.Spend(s.nodes, time.Now())
+	return s.budget.Spend(s.nodeCount, time.Now())
 }
 
-// unreachable opens a connection to a server that is slow to answer, and
-// reports whether that failed. Then the server gets no requests for a while.
+// unreachable opens a connection to a server that is slow to answer and reports whether
+// that failed. The pool sends no requests to an unreachable server for some time.
 func (r *Router) unreachable(ctx context.Context, s *service, server site.Server) bool {
 	s.mu.Lock()
 	mustProbe, isBlocked := s.pool.Probe(server.ID, time.Now())
@@ -300,19 +301,19 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pool.Probed(server.ID, err == nil, time.Now())
-	s.setWake()
+	s.resetWakeTimer()
 	return err != nil
 }
 
-// tryAsk returns a place if there is one now.
-func (s *service) tryAsk(w *pool.Waiter) (site.Server, bool) {
+// tryRequestSlot returns a slot if one is free, without waiting.
+func (s *service) tryRequestSlot(w *pool.Waiter) (site.Server, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	server, ok := s.pool.Try(w, time.Now())
 	return server, ok
 }
 
-// typicalTime returns how long a request usually takes.
+// typicalTime returns the typical duration of a request.
 func (s *service) typicalTime() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/gateway/router/run_test.go
+++ b/gateway/router/run_test.go
@@ -17,17 +17,17 @@
 	"github.com/burdockspindle/burdockspindle/gateway/view"
 )
 
-// A server that has become slow always has a queue; its pace must show all the
-// same, and the queue must not be taken for slowness.
-func TestWorkOfAServerLeavesItsQueueOut(t *testing.T) {
+// A slow server always has a queue. The estimate of its service time must still show that
+// it is slow, and must not mistake time in the queue for slowness.
+func TestServiceTimeExcludesTheQueue(t *testing.T) {
 	g := gomega.NewWithT(t)
-	answered := func(took time.Duration, load *site.Load) sent {
-		return sent{answer: &upstream.Answer{Load: load}, took: took}
+	answered := func(took time.Duration, load *site.Load) attemptResult {
+		return attemptResult{answer: &upstream.Answer{Load: load}, duration: took}
 	}
-	g.Expect(workOf(answered(100*time.Millisecond, nil))).To(gomega.Equal(100 * time.Millisecond))
-	g.Expect(workOf(answered(100*time.Millisecond, &site.Load{Running: 2, Slots: 4}))).To(gomega.Equal(100 * time.Millisecond))
-	g.Expect(workOf(answered(300*time.Millisecond, &site.Load{Running: 4, Waiting: 8, Slots: 4}))).To(gomega.Equal(100 * time.Millisecond))
-	g.Expect(workOf(answered(2*time.Second, &site.Load{Running: 4, Waiting: 4, Slots: 4}))).To(gomega.Equal(time.Second))
+	g.Expect(serviceTime(answered(100*time.Millisecond, nil))).To(gomega.Equal(100 * time.Millisecond))
+	g.Expect(serviceTime(answered(100*time.Millisecond, &site.Load{Running: 2, Slots: 4}))).To(gomega.Equal(100 * time.Millisecond))
+	g.Expect(serviceTime(answered(300*time.Millisecond, &site.Load{Running: 4, Waiting: 8, Slots: 4}))).To(gomega.Equal(100 * time.Millisecond))
+	g.Expect(serviceTime(answered(2*time.Second, &site.Load{Running: 4, Waiting: 4, Slots: 4}))).To(gomega.Equal(time.Second))
 }
 
 func TestLinesOfFailedRequestsAreBoundedAndCounted(t *testing.T) {
@@ -40,17 +40,18 @@
 			written++
 		}
 	}
-	g.Expect(written).To(gomega.Equal(failedLines))
+	g.Expect(written).To(gomega.Equal(maxFailedLines))
 	allowed, _ := b.take(false, now)
-	g.Expect(allowed).To(gomega.BeTrue(), "answered ones have lines of their own")
+	g.Expect(allowed).To(gomega.BeTrue(), "answered requests have a separate budget")
 	allowed, dropped := b.take(true, now.Add(time.Second))
 	g.Expect(allowed).To(gomega.BeTrue())
-	g.Expect(dropped).To(gomega.Equal(100 - failedLines))
+	g.Expect(dropped).To(gomega.Equal(100 - maxFailedLines))
 }
 
-// A request that comes on an open connection in the last moment of a shutdown
-// would be cut off with the process; it is refused instead, which is true.
-func TestRequestsAtTheEndOfAShutdownAreRefused(t *testing.T) {
+// A request that arrives on an open connection at the very end of a shutdown would be cut
+// off when the process terminates. It is refused instead, which truthfully reports that it
+// has not run.
+func TestRequestsJustBeforeTerminationAreRefused(t *testing.T) {
 	g := gomega.NewWithT(t)
 	state := view.NewState()
 	config := &site.Config{
@@ -72,9 +73,8 @@
 	g.Expect(answer.Body.String()).To(gomega.Equal("node shuts down\n"))
 }
 
-// A request that still waits when the process is about to end gets its answer: it
-// has not run.
-func TestRequestsThatWaitAtTheEndOfAShutdownAreAnswered(t *testing.T) {
+// A request that still waits when the process is about to terminate is answered as not run.
+func TestWaitingRequestsAreAnsweredWhenTheRouterCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		state := view.NewState()
@@ -86,15 +86,15 @@
 		g.Expect(state.MergeConfig(config)).To(gomega.BeTrue())
 		g.Expect(state.MergeServers(view.Servers{Offset: 1})).To(gomega.BeTrue())
 		headers := upstream.Headers{Key: "Key", ParseLoad: func(string) (site.Load, bool) { return site.Load{}, false }}
-		terms := Terms{Retries: budget.Terms{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}
-		r := New("a", headers, terms, state, upstream.NewClient(headers, "a"), follow.NewReports(), hclog.NewNullLogger())
+		options := Terms{Retries: budget.Terms{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}
+		r := New("a", headers, options, state, upstream.NewClient(headers, "a"), follow.NewReports(), hclog.NewNullLogger())
 		answer := httptest.NewRecorder()
 		startedAt := time.Now()
 		time.AfterFunc(100*time.Millisecond, r.Close)
 		request := httptest.NewRequest(http.MethodGet, "http://h/x", nil)
-		request.Header.Set("Key", "1") // its owner is not known: it waits
+		request.Header.Set("Key", "1") // its owner is unknown, so the request waits
 		r.ServeHTTP(answer, request)
 		g.Expect(answer.Code).To(gomega.Equal(http.StatusServiceUnavailable))
-		g.Expect(time.Since(startedAt)).To(gomega.Equal(100*time.Millisecond), "of the fake clock, and not at the end of its wait")
+		g.Expect(time.Since(startedAt)).To(gomega.Equal(100*time.Millisecond), "by the fake clock, not at the end of its wait")
 	})
 }
--- a/gateway/router/serve.go
+++ b/gateway/router/serve.go
@@ -16,23 +16,23 @@
 )
 
 const (
-	// unknownTimeout is the time that a caller is taken to wait who does not say.
-	unknownTimeout = 10 * time.Second
-	// notReadyRetry is when a caller comes back to a node that knows no
-	// configuration yet: nodes learn it within about half a second.
-	notReadyRetry = 400 * time.Millisecond
-	// endingRetry is when a caller comes back who met the end of a node; another
-	// node takes the request.
-	endingRetry = 100 * time.Millisecond
-	// defaultBodyBytes bounds bodies for a configuration without a limit.
-	defaultBodyBytes = 8 << 20
+	// defaultCallerTimeout is the assumed timeout of a caller that states none.
+	defaultCallerTimeout = 10 * time.Second
+	// notReadyRetryAfter is the Retry-After of a node that has no configuration yet:
+	// nodes receive it within about half a second.
+	notReadyRetryAfter = 400 * time.Millisecond
+	// shutdownRetryAfter is the Retry-After of a node that is terminating; another node
+	// serves the retry.
+	shutdownRetryAfter = 100 * time.Millisecond
+	// defaultMaxBodyBytes bounds request bodies if the configuration has no limit.
+	defaultMaxBodyBytes = 8 << 20
 )
 
-// exchange is one request on its way through the node.
+// exchange is the state of one request while the node handles it.
 type exchange struct {
 	router  *Router
 	writer  http.ResponseWriter
-	caller  Caller // nil: the connection cannot be looked at
+	caller  Caller // nil: the connection cannot be checked
 	view    *view.View
 	route   *site.Route
 	service *service
@@ -41,14 +41,14 @@
 	request upstream.Request
 
 	arrived    time.Time
-	deadline   time.Time // of the caller or the route
+	deadline   time.Time // from the timeouts of the caller and the route
 	target     time.Time // latency objective
-	tries      int       // attempts
+	attempts   int       // all, including those that reached no server
 	sends      int       // attempts that may have reached a server
 	mayHaveRun bool
 	tried      []site.ServerID
-	last       *upstream.Answer // of a server, that a caller may get if there is nothing better
-	trail      trail
+	lastAnswer *upstream.Answer // a server's error, returned if no better answer arrives
+	trace      trace
 }
 
 // ServeHTTP implements http.Handler.
@@ -70,20 +70,20 @@
 	x.finish(ctx, request.Context(), x.run(ctx))
 }
 
-// refusal is an answer of the node itself to a request that has not run.
+// refusal is the node's own response to a request that has not run.
 type refusal struct {
 	status     int
 	reason     string
-	retryAfter time.Duration // 0: coming back does not help
+	retryAfter time.Duration // 0: a retry does not help
 }
 
 // prepare finds the route and reads the request.
 func (x *exchange) prepare(request *http.Request) *refusal {
-	if x.router.ending.Load() {
-		return &refusal{status: http.StatusServiceUnavailable, reason: "node shuts down", retryAfter: endingRetry}
+	if x.router.terminating.Load() {
+		return &refusal{status: http.StatusServiceUnavailable, reason: "node shuts down", retryAfter: shutdownRetryAfter}
 	}
 	if !x.view.Complete() {
-		return &refusal{status: http.StatusServiceUnavailable, reason: "no configuration yet", retryAfter: notReadyRetry}
+		return &refusal{status: http.StatusServiceUnavailable, reason: "no configuration yet", retryAfter: notReadyRetryAfter}
 	}
 	if most := x.view.Config.Limits.HeaderBytes; most > 0 && headerBytes(request) > most {
 		return &refusal{status: http.StatusRequestHeaderFieldsTooLarge, reason: "header too long"}
@@ -98,7 +98,7 @@
 	if problem := x.readKey(request); problem != nil {
 		return problem
 	}
-	x.setTimes(request)
+	x.setDeadlines(request)
 	x.request.Method = request.Method
 	x.request.Target = request.RequestURI
 	x.request.Host = request.Host
@@ -106,7 +106,7 @@
 	return x.readBody(request)
 }
 
-// headerBytes returns the length of a request's head without the ends of lines.
+// headerBytes returns the length of a request's head, not counting separators and line ends.
 func headerBytes(request *http.Request) int64 {
 	length := len(request.Method) + len(request.RequestURI) + len(request.Host)
 	for name, values := range request.Header {
@@ -133,19 +133,19 @@
 	return nil
 }
 
-func (x *exchange) setTimes(request *http.Request) {
-	patience := unknownTimeout
-	stated := unknownTimeout
+func (x *exchange) setDeadlines(request *http.Request) {
+	allowance := defaultCallerTimeout
+	stated := defaultCallerTimeout
 	text := request.Header.Get(x.router.headers.Timeout)
 	if milliseconds, err := strconv.ParseInt(text, 10, 64); err == nil && milliseconds > 0 {
 		stated = time.Duration(milliseconds) * time.Millisecond
-		patience = stated
+		allowance = stated
 	}
 	if x.route.Timeout > 0 {
-		patience = min(patience, x.route.Timeout)
+		allowance = min(allowance, x.route.Timeout)
 	}
-	x.deadline = x.arrived.Add(patience)
-	x.target = x.arrived.Add(x.route.Target - x.router.waited(x.route.Name, stated))
+	x.deadline = x.arrived.Add(allowance)
+	x.target = x.arrived.Add(x.route.Target - x.router.elapsedWait(x.route.Name, stated))
 }
 
 func (x *exchange) readBody(request *http.Request) *refusal {
@@ -154,7 +154,7 @@
 	}
 	most := x.view.Config.Limits.BodyBytes
 	if most <= 0 {
-		most = defaultBodyBytes
+		most = defaultMaxBodyBytes
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(x.writer, request.Body, most))
 	var tooLong *http.MaxBytesError
--- a/gateway/site/run_test.go
+++ b/gateway/site/incarnation_test.go
@@ -9,7 +9,7 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-func TestARunIsNamedByItsServerAndItsStart(t *testing.T) {
+func TestIncarnationIDContainsTheNameAndTheStart(t *testing.T) {
 	g := gomega.NewWithT(t)
 	start := time.UnixMilli(1764728238123)
 	for _, c := range []struct {
@@ -27,5 +27,5 @@
 		g.Expect(id.Start().Equal(c.start)).To(gomega.BeTrue(), string(id))
 	}
 	g.Expect(site.RunID("a", start)).NotTo(gomega.Equal(site.RunID("a", start.Add(time.Millisecond))))
-	g.Expect(site.RunID("a", time.Time{})).To(gomega.Equal(site.ServerID("a")), "as before servers told their start")
+	g.Expect(site.RunID("a", time.Time{})).To(gomega.Equal(site.ServerID("a")), "IDs without a start time, as used before servers reported one")
 }
--- a/gateway/upstream/receipt_test.go
+++ b/gateway/upstream/acknowledgment_test.go
@@ -13,22 +13,22 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// answerOnce answers what comes first on a connection, and reads what follows.
-func answerOnce(conn net.Conn) {
+// respondOnce answers the first request on a connection and discards all later bytes.
+func respondOnce(conn net.Conn) {
 	_, _ = conn.Read(make([]byte, 4096))
 	_, _ = io.WriteString(conn, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 	_, _ = io.Copy(io.Discard, conn)
 }
 
-// A count of bytes that is not known passed for none: a grant that may have been under way
-// counted as one that had arrived.
-func TestBytesThatCannotBeCountedAreNotAcknowledged(t *testing.T) {
+// An unknown count of unacknowledged bytes was treated as 0, so that a grant that may have
+// been in flight was treated as one that had arrived.
+func TestBytesOfUnknownCountAreNotTreatedAsAcknowledged(t *testing.T) {
 	g := gomega.NewWithT(t)
-	here, there := net.Pipe() // no socket
-	defer func() { _ = there.Close() }()
-	go answerOnce(there)
+	local, remote := net.Pipe() // not a socket
+	defer func() { _ = remote.Close() }()
+	go respondOnce(remote)
 	client := NewClient(Headers{RequestID: "Request-Id", Timeout: "Timeout", ExpectedServer: "Expected", ParseLoad: func(string) (site.Load, bool) { return site.Load{}, false }}, "a")
-	client.dial = func(context.Context, string, string) (net.Conn, error) { return here, nil }
+	client.dial = func(context.Context, string, string) (net.Conn, error) { return local, nil }
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
 	_, err := client.Control(ctx, site.Server{ID: "s", Address: "s:1"}, ControlCall{Path: "/open"}, ControlCall{Path: "/x"})
@@ -38,8 +38,8 @@
 	g.Expect(attempt.AcknowledgedAt.IsZero()).To(gomega.BeTrue())
 }
 
-// Before a call is written nothing of it is unacknowledged. A process that was held up between
-// two calls on a connection took that for the acknowledgement of the second one.
+// Before a call is written, none of its bytes are unacknowledged. A process that was stalled
+// between two calls on a connection treated that as the acknowledgment of the second call.
 func TestNothingIsAcknowledgedBeforeItWasWritten(t *testing.T) {
 	g := gomega.NewWithT(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,14 +48,14 @@
 	conn, err := net.Dial("tcp", listener.Addr().String())
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	defer func() { _ = conn.Close() }()
-	var r receipt
-	r.begin()
-	r.look(conn)
-	g.Expect(r.at().IsZero()).To(gomega.BeTrue(), "nothing was written")
-	r.sent()
-	r.look(conn)
-	g.Expect(r.at().IsZero()).To(gomega.BeFalse())
-	r.begin()
-	r.look(conn) // of the call before
-	g.Expect(r.at().IsZero()).To(gomega.BeTrue())
+	var ack acknowledgment
+	ack.reset()
+	ack.check(conn)
+	g.Expect(ack.acknowledgedAt().IsZero()).To(gomega.BeTrue(), "nothing has been written")
+	ack.markSent()
+	ack.check(conn)
+	g.Expect(ack.acknowledgedAt().IsZero()).To(gomega.BeFalse())
+	ack.reset()
+	ack.check(conn) // still acknowledged for the previous call
+	g.Expect(ack.acknowledgedAt().IsZero()).To(gomega.BeTrue())
 }
--- a/gateway/upstream/conn.go
+++ b/gateway/upstream/conn.go
@@ -17,84 +17,85 @@
 	"github.com/burdockspindle/burdockspindle/gateway/traffic"
 )
 
-// Idle connections are not used beyond these ages.
+// Limits on the age of idle connections, and settings of new ones.
 const (
-	// defaultIdle is how long a connection is kept without a statement of the
-	// server: under the shortest idle timeout of common servers, 5 s.
-	defaultIdle = 4 * time.Second
-	// idleMargin is left before the idle timeout that a server states, for the
-	// request's way to it.
+	// defaultIdleTime is how long a connection is kept if the server states no idle
+	// timeout. It is below the shortest idle timeout of common servers, 5 s.
+	defaultIdleTime = 4 * time.Second
+	// idleMargin is subtracted from the idle timeout that a server states, to allow for
+	// the time that the next request takes to reach the server.
 	idleMargin = 1500 * time.Millisecond
-	// freshFor is how long after an answer a connection counts as fresh. Servers
-	// may forget connections that rested for 300 ms without a notice, and what is
-	// sent on one then is lost; the rest is for the way there.
-	freshFor   = 200 * time.Millisecond
-	readBuffer = 4 << 10 // bytes
-	// settleTime is how long a new connection is watched before a request goes out
-	// on it. A server at its limit of connections resets one as it accepts it, within
-	// about a millisecond; a request that was already sent then may have run for all
-	// that the node knows, and must not be refused or sent again freely.
-	settleTime = 3 * time.Millisecond
+	// maxFreshAge is how long after an answer a connection is treated as fresh. Servers
+	// may silently drop connections that were idle for 300 ms, and what is then sent on
+	// one is lost; the remaining 100 ms are for the request to reach the server.
+	maxFreshAge = 200 * time.Millisecond
+	readBuffer  = 4 << 10 // bytes
+	// rejectionWait is how long a new connection is observed before a request is sent on
+	// it. A server at its connection limit resets a connection as it accepts it, within
+	// about a millisecond. The outcome of a request that was sent before would be
+	// uncertain, so that it could not be refused or freely sent again.
+	rejectionWait = 3 * time.Millisecond
 )
 
 // conn is one connection to a server, used by one request at a time.
 type conn struct {
-	net      net.Conn
-	reader   *bufio.Reader
-	until    time.Time // not to be used after this
-	answered time.Time // when it proved to work last
-	written  bool      // bytes of the present request may have left
-	meter    traffic.Meter
-
-	// isUnaccepted tells that the server's process may not have accepted the connection.
-	isUnaccepted bool
-
-	abandoned sync.Once
-	receipt   receipt
+	net         net.Conn
+	reader      *bufio.Reader
+	usableUntil time.Time // time after which it must not be used
+	answeredAt  time.Time // time of the last answer or probe
+	mayBeSent   bool      // bytes of the current request may have been sent
+	meter       traffic.Meter
+
+	// mayBeUnaccepted reports that the server's process may not have accepted the connection.
+	mayBeUnaccepted bool
+
+	abandoned      sync.Once
+	acknowledgment acknowledgment
 }
 
 func newConn(c net.Conn, meter traffic.Meter) *conn {
 	return &conn{net: c, reader: bufio.NewReaderSize(meter.Reader(c), readBuffer), meter: meter}
 }
 
-// abandon resets the connection, and notes before that whether bytes may still be under way.
+// abandon resets the connection, after recording whether bytes may still be in flight.
 func (c *conn) abandon() {
 	c.abandoned.Do(func() {
-		c.receipt.look(c.net)
+		c.acknowledgment.check(c.net)
 		reset(c.net)
 	})
 }
 
-// lost returns the error of an attempt whose connection was abandoned. What the server's
-// machine has not acknowledged is no longer under way once it has ended the connection.
-func (c *conn) lost(server site.ServerID, cause error) *AttemptError {
-	if isEnd(cause) {
-		c.receipt.note(clock.Now())
+// attemptError returns the error of an attempt whose connection was abandoned. Once the
+// server's machine has closed the connection, unacknowledged bytes are no longer in flight.
+func (c *conn) attemptError(server site.ServerID, cause error) *AttemptError {
+	if isClosedByPeer(cause) {
+		c.acknowledgment.markAcknowledged(clock.Now())
 	}
-	lost := &AttemptError{Server: server, Sent: c.written, Cause: cause}
-	if !c.isUnaccepted || isEnd(cause) {
-		lost.AcknowledgedAt = c.receipt.at()
+	attempt := &AttemptError{Server: server, Sent: c.mayBeSent, Cause: cause}
+	if !c.mayBeUnaccepted || isClosedByPeer(cause) {
+		attempt.AcknowledgedAt = c.acknowledgment.acknowledgedAt()
 	}
-	return lost
+	return attempt
 }
 
-// carried notes that the connection has carried an answer just now.
-func (c *conn) carried(answer *Answer) {
-	c.answered = time.Now()
-	c.until = c.answered.Add(idleTime(answer.Header.Get("Keep-Alive")))
+// markAnswered records that the connection has just carried an answer, and until when it
+// may be kept.
+func (c *conn) markAnswered(answer *Answer) {
+	c.answeredAt = time.Now()
+	c.usableUntil = c.answeredAt.Add(idleTime(answer.Header.Get("Keep-Alive")))
 }
 
-// write writes a part of a request.
+// write writes bytes of a request and counts them.
 func (c *conn) write(p []byte) error {
 	n, err := c.net.Write(p)
 	c.meter.Sent(n)
 	return err
 }
 
-// settle watches a new connection and returns an error if the server ends it or
-// speaks first.
-func (c *conn) settle(now time.Time) error {
-	if err := c.net.SetReadDeadline(now.Add(settleTime)); err != nil {
+// awaitRejection observes a new connection for rejectionWait and returns an error if the
+// server closes it or sends bytes.
+func (c *conn) awaitRejection(now time.Time) error {
+	if err := c.net.SetReadDeadline(now.Add(rejectionWait)); err != nil {
 		return err
 	}
 	_, err := c.reader.Peek(1)
@@ -108,19 +109,21 @@
 	return c.net.SetReadDeadline(time.Time{})
 }
 
-// isEnd reports whether an error of reading tells that the server ended the
+// isClosedByPeer reports whether a read error means that the server closed or reset the
 // connection.
-func isEnd(err error) bool { return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) }
+func isClosedByPeer(err error) bool {
+	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET)
+}
 
-// unexpectedBytesError tells that a connection has bytes that no request waits
-// for.
+// unexpectedBytesError reports that a connection received bytes that do not answer a
+// request.
 type unexpectedBytesError struct{}
 
 // Error implements error.
-func (unexpectedBytesError) Error() string { return "unexpected bytes" }
+func (unexpectedBytesError) Error() string { return "unexpected bytes on a new connection" }
 
-// quiet reports whether an idle connection is open and has nothing to read.
-func (c *conn) quiet() bool {
+// isIdle reports whether a connection is open and has nothing to read.
+func (c *conn) isIdle() bool {
 	return c.reader.Buffered() == 0 && socket.Look(c.net) == socket.Quiet
 }
 
@@ -137,5 +140,5 @@
 			return max(time.Duration(stated)*time.Second-idleMargin, 0)
 		}
 	}
-	return defaultIdle
+	return defaultIdleTime
 }
--- a/gateway/upstream/control.go
+++ b/gateway/upstream/control.go
@@ -10,158 +10,159 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// openTimeout ends the opening of a connection for control calls. A full server accepts
-// a connection when one of its slots is free, seconds later.
-const openTimeout = 5 * time.Second
+// establishTimeout bounds the opening of a connection for control calls. A full server
+// accepts a connection only when one of its slots becomes free, which takes seconds.
+const establishTimeout = 5 * time.Second
 
-// ControlCall is a call of the gateway itself.
+// ControlCall is a call that the gateway itself makes, not on behalf of a caller.
 type ControlCall struct {
 	Path string
 	Body []byte // JSON
 }
 
-// Control sends one call of the gateway itself, over a connection on which the server
-// has answered before. The error is an *AttemptError.
+// Control sends a control call on a connection on which the server has answered before.
+// The error is an *AttemptError.
 //
-// A new connection is opened by a call without an effect. The server's machine takes a
-// connection and acknowledges what is sent on it long before the process accepts it if the
-// server is full, and a reset is lost in a cut: a grant would be carried out seconds after
-// it was abandoned. Connections for control calls are kept apart from those for requests: a
-// full server takes no new one, and its keys would be lost to it for want of a renewal.
+// A new connection is first used for opening, a call without an effect. The kernel of a full
+// server's machine accepts a connection and acknowledges bytes on it long before the process
+// does, and a reset is lost in a network partition, so that a grant sent first could be
+// applied seconds after it was abandoned. Control calls and requests use separate connections:
+// a full server accepts no new one, and would lose its keys because they are not renewed.
 func (c *Client) Control(ctx context.Context, server site.Server, opening, call ControlCall) (*Answer, error) {
 	key := idleKey{address: server.Address, server: server.ID, control: true}
-	cn, err := c.accepted(ctx, key, server, opening)
-	var notKept *NotKeptError
-	if errors.As(err, &notKept) {
-		cn, err = c.unaccepted(ctx, server)
+	cn, err := c.acceptedConn(ctx, key, server, opening)
+	var noKeepAlive *NoKeepAliveError
+	if errors.As(err, &noKeepAlive) {
+		cn, err = c.unacceptedConn(ctx, server)
 	}
 	if err != nil {
-		return nil, &AttemptError{Server: server.ID, TurnedAway: isEnd(err), Cause: err}
+		return nil, &AttemptError{Server: server.ID, Rejected: isClosedByPeer(err), Cause: err}
 	}
-	answer, reusable, err := c.control(ctx, cn, server, call)
+	answer, reusable, err := c.sendControl(ctx, cn, server, call)
 	return c.finish(key, cn, answer, reusable, err)
 }
 
-// control writes a control call to a connection and reads its answer.
-func (c *Client) control(ctx context.Context, cn *conn, server site.Server, call ControlCall) (*Answer, bool, error) {
+// sendControl writes a control call to a connection and reads its answer.
+func (c *Client) sendControl(ctx context.Context, cn *conn, server site.Server, call ControlCall) (*Answer, bool, error) {
 	header := http.Header{"Content-Type": {"application/json"}, c.headers.ExpectedServer: {string(server.ID.Name())}}
 	r := &Request{Method: http.MethodPost, Target: call.Path, Host: server.Address, Header: header, Body: call.Body}
 	var head bytes.Buffer
 	writeHead(&head, r)
 	writeHeader(&head, header)
 	writeLength(&head, r)
-	cn.receipt.begin()
-	look := time.AfterFunc(receiptAfter, func() { cn.receipt.look(cn.net) })
-	defer look.Stop()
+	cn.acknowledgment.reset()
+	check := time.AfterFunc(acknowledgmentCheckDelay, func() { cn.acknowledgment.check(cn.net) })
+	defer check.Stop()
 	return c.exchange(ctx, cn, r, head.Bytes(), false)
 }
 
-// accepted returns a connection on which the server has answered: an idle one, or one
-// that is opened now.
-func (c *Client) accepted(ctx context.Context, key idleKey, server site.Server, call ControlCall) (*conn, error) {
+// acceptedConn returns a connection on which the server has answered: an idle one or a
+// new one.
+func (c *Client) acceptedConn(ctx context.Context, key idleKey, server site.Server, call ControlCall) (*conn, error) {
 	for ctx.Err() == nil {
-		freed := c.openings.freed(key)
+		becameIdle := c.pending.idleSignal(key)
 		if cn := c.idle.take(key, time.Now(), false); cn != nil {
 			return cn, nil
 		}
-		o, isNew := c.openings.join(key)
+		pending, isNew := c.pending.join(key)
 		if isNew {
-			go c.open(ctx, key, server, call, o)
+			go c.establish(ctx, key, server, call, pending)
 		}
 		select {
-		case <-freed:
+		case <-becameIdle:
 			continue
-		case <-o.done:
+		case <-pending.done:
 		case <-ctx.Done():
-			c.leave(key, o)
-			if o.isConnected.Load() {
+			c.makeIdle(key, pending)
+			if pending.isConnected.Load() {
 				return nil, &UnacceptedError{}
 			}
 			continue
 		}
-		if cn := o.take(); cn != nil {
+		if cn := pending.take(); cn != nil {
 			return cn, nil
 		}
-		if o.err != nil && !isNotOpened(o.err) {
-			return nil, o.err
+		if pending.err != nil && !isNotOpened(pending.err) {
+			return nil, pending.err
 		}
 	}
 	return nil, &NotOpenedError{Cause: ctx.Err()}
 }
 
-// isNotOpened reports whether whoever asked for an opening gave it up.
+// isNotOpened reports whether the call that requested a connection was canceled before the
+// connection was used.
 func isNotOpened(err error) bool {
 	var notOpened *NotOpenedError
 	return errors.As(err, &notOpened)
 }
 
-// unaccepted returns a new connection to a server that keeps none. What is sent on it may
-// be carried out late even if it is acknowledged.
-func (c *Client) unaccepted(ctx context.Context, server site.Server) (*conn, error) {
+// unacceptedConn returns a new connection to a server that keeps none. A call sent on it may
+// be applied late even if its bytes were acknowledged.
+func (c *Client) unacceptedConn(ctx context.Context, server site.Server) (*conn, error) {
 	cn, err := c.dialControl(ctx, server)
 	if err != nil {
 		return nil, err
 	}
-	cn.isUnaccepted = true
+	cn.mayBeUnaccepted = true
 	return cn, nil
 }
 
-// dialControl makes a connection for control calls.
+// dialControl dials a connection for control calls.
 func (c *Client) dialControl(ctx context.Context, server site.Server) (*conn, error) {
 	raw, err := c.dial(ctx, "tcp", server.Address)
 	if err != nil {
 		return nil, err
 	}
-	if err := limitControl(raw); err != nil {
+	if err := setControlStallTimeout(raw); err != nil {
 		reset(raw)
 		return nil, err
 	}
 	return newConn(raw, c.meter(server)), nil
 }
 
-// open opens a connection, and goes on when the call that asked for it has been given up:
-// the next one finds it accepted.
-func (c *Client) open(asked context.Context, key idleKey, server site.Server, call ControlCall, o *opening) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(asked), openTimeout)
+// establish opens a connection. It continues after the call that requested the connection is
+// canceled, so that the next call finds it accepted.
+func (c *Client) establish(callerCtx context.Context, key idleKey, server site.Server, call ControlCall, pending *pendingConn) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(callerCtx), establishTimeout)
 	defer cancel()
-	cn, answer, err := c.connect(ctx, asked, server, call, o)
+	cn, answer, err := c.dialAccepted(ctx, callerCtx, server, call, pending)
 	if err == nil {
-		cn.carried(answer)
-		cn.written = false
+		cn.markAnswered(answer)
+		cn.mayBeSent = false
 	}
-	c.openings.end(key, o, cn, err)
-	if asked.Err() != nil {
-		c.leave(key, o)
+	c.pending.finish(key, pending, cn, err)
+	if callerCtx.Err() != nil {
+		c.makeIdle(key, pending)
 	}
 }
 
-// leave makes the connection of an opening idle if nobody has taken it.
-func (c *Client) leave(key idleKey, o *opening) {
-	if cn := o.take(); cn != nil {
+// makeIdle returns a pending connection to the idle pool unless a call has taken it.
+func (c *Client) makeIdle(key idleKey, pending *pendingConn) {
+	if cn := pending.take(); cn != nil {
 		c.idle.put(key, cn)
-		c.openings.signal(key)
+		c.pending.signalIdle(key)
 	}
 }
 
-// connect returns a new connection that has carried an answer.
-func (c *Client) connect(ctx, asked context.Context, server site.Server, call ControlCall, o *opening) (*conn, *Answer, error) {
+// dialAccepted dials a connection, makes a call on it and returns it with the answer.
+func (c *Client) dialAccepted(ctx, callerCtx context.Context, server site.Server, call ControlCall, pending *pendingConn) (*conn, *Answer, error) {
 	cn, err := c.dialControl(ctx, server)
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := asked.Err(); err != nil {
+	if err := callerCtx.Err(); err != nil {
 		reset(cn.net)
 		return nil, nil, &NotOpenedError{Cause: err}
 	}
-	o.isConnected.Store(true)
-	answer, reusable, err := c.control(ctx, cn, server, call)
+	pending.isConnected.Store(true)
+	answer, reusable, err := c.sendControl(ctx, cn, server, call)
 	switch {
 	case err != nil:
 		cn.abandon()
 		return nil, nil, err
 	case !reusable:
 		reset(cn.net)
-		return nil, nil, &NotKeptError{}
+		return nil, nil, &NoKeepAliveError{}
 	}
 	return cn, answer, nil
 }
--- a/gateway/upstream/dial.go
+++ b/gateway/upstream/dial.go
@@ -8,44 +8,46 @@
 	"golang.org/x/sys/unix"
 )
 
-// Connections that go silent are detected by the kernel: unacknowledged bytes
-// end a connection after silentAfter, and idle ones are probed.
+// The kernel detects stalled connections: it closes a connection whose bytes remain
+// unacknowledged for stallTimeout, and probes idle connections.
 const (
-	silentAfter = 4 * time.Second
-	// ControlSilentAfter is the same for connections of the gateway's own calls, also after
-	// the process has ended: grants that arrive late are counted for as long.
+	stallTimeout = 4 * time.Second
+	// ControlSilentAfter is the stall timeout of connections for control calls. It also
+	// applies after the process has terminated: the lessor accounts for grants that may
+	// arrive late for at least as long.
 	ControlSilentAfter = 3 * time.Second
-	probeIdle          = 5 * time.Second
-	probeEvery         = time.Second
-	probeCount         = 3
+	keepAliveIdle      = 5 * time.Second
+	keepAliveInterval  = time.Second
+	keepAliveCount     = 3
 )
 
-// Dialer returns a dialer for connections that may go silent without a reset.
+// Dialer returns a dialer for connections that may stall without a reset.
 func Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout:         timeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeEvery, Count: probeCount},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
 		Control: func(_, _ string, raw syscall.RawConn) error {
-			return limitSilence(raw, silentAfter)
+			return setStallTimeout(raw, stallTimeout)
 		},
 	}
 }
 
-// limitSilence has the kernel end a connection whose bytes are not acknowledged for a time.
-func limitSilence(raw syscall.RawConn, after time.Duration) error {
-	var failure error
+// setStallTimeout makes the kernel close a connection whose bytes remain unacknowledged for
+// a timeout.
+func setStallTimeout(raw syscall.RawConn, timeout time.Duration) error {
+	var optErr error
 	err := raw.Control(func(fd uintptr) {
-		failure = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(after.Milliseconds()))
+		optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failure
+	return optErr
 }
 
-// limitControl sets the silence after which the kernel ends a connection of the gateway's
-// own calls. A connection that is no socket has no such bound.
-func limitControl(conn net.Conn) error {
+// setControlStallTimeout sets the stall timeout of a connection for control calls. It has no
+// effect on a connection that is not a socket.
+func setControlStallTimeout(conn net.Conn) error {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
 		return nil
@@ -54,14 +56,14 @@
 	if err != nil {
 		return err
 	}
-	return limitSilence(raw, ControlSilentAfter)
+	return setStallTimeout(raw, ControlSilentAfter)
 }
 
-// reset closes a connection so that bytes that are still on their way are
-// dropped: what was given up must not arrive later.
+// reset closes a connection with a TCP reset, which discards unsent bytes, so that an
+// abandoned request does not arrive later.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // without it the close below is an ordinary one
+		_ = tcp.SetLinger(0) // on failure, Close closes without a reset
 	}
-	_ = conn.Close() // nothing is left to be done with it
+	_ = conn.Close() // the connection is abandoned in any case
 }
--- a/gateway/upstream/settle_test.go
+++ b/gateway/upstream/rejection_test.go
@@ -13,10 +13,10 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// A server at its limit of connections resets a new one as it accepts it. The
-// request has not reached it. The reset has arrived here when the connection is
-// handed out, so that the outcome does not depend on the machine's speed.
-func TestARequestIsNotSentOnAConnectionThatIsResetAtOnce(t *testing.T) {
+// A server at its connection limit resets a new connection as it accepts it, before the
+// request has reached it. In this test, the reset has arrived by the time dial returns, so
+// that the result does not depend on the speed of the machine.
+func TestRequestIsNotSentOnAConnectionThatIsResetAtOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -37,36 +37,36 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	request := &Request{Method: http.MethodPost, Target: "/a", Host: "h", Header: http.Header{}, ID: "1", Left: time.Second}
+	request := &Request{Method: http.MethodPost, Target: "/a", Host: "h", Header: http.Header{}, ID: "1", Remaining: time.Second}
 	for range 20 {
 		_, err = client.Send(ctx, site.Server{ID: "s", Address: listener.Addr().String()}, request)
 		var attempt *AttemptError
 		g.Expect(errors.As(err, &attempt)).To(gomega.BeTrue())
 		g.Expect(attempt.Sent).To(gomega.BeFalse())
-		g.Expect(attempt.TurnedAway).To(gomega.BeTrue())
+		g.Expect(attempt.Rejected).To(gomega.BeTrue())
 	}
 }
 
-// What has been given up while the connection was opened is not sent: a grant that arrives
-// late would be in force for longer than its lessor counts.
-func TestNothingIsSentOnceTheCallIsGivenUp(t *testing.T) {
+// A call that is canceled while its connection is opened is not sent: a grant that arrives
+// late would be in force for longer than its lessor accounts for.
+func TestCanceledCallIsNotSent(t *testing.T) {
 	g := gomega.NewWithT(t)
-	here, there := net.Pipe()
-	defer func() { _ = there.Close() }()
+	local, remote := net.Pipe()
+	defer func() { _ = remote.Close() }()
 	client := NewClient(Headers{RequestID: "Request-Id", Timeout: "Timeout", ExpectedServer: "Expected", ParseLoad: func(string) (site.Load, bool) { return site.Load{}, false }}, "a")
 	ctx, cancel := context.WithCancel(context.Background())
 	client.dial = func(context.Context, string, string) (net.Conn, error) {
 		cancel()
-		return here, nil
+		return local, nil
 	}
-	came := make(chan int, 1)
+	received := make(chan int, 1)
 	go func() {
-		n, _ := there.Read(make([]byte, 1))
-		came <- n
+		n, _ := remote.Read(make([]byte, 1))
+		received <- n
 	}()
 	_, err := client.Control(ctx, site.Server{ID: "s", Address: "s:1"}, ControlCall{Path: "/open"}, ControlCall{Path: "/x"})
 	var attempt *AttemptError
 	g.Expect(errors.As(err, &attempt)).To(gomega.BeTrue())
 	g.Expect(attempt.Sent).To(gomega.BeFalse())
-	g.Expect(<-came).To(gomega.BeZero())
+	g.Expect(<-received).To(gomega.BeZero())
 }
