--- a/gateway/pool/bench_test.go
+++ b/gateway/pool/bench_test.go
@@ -9,9 +9,9 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// queuedPool returns a pool of twelve servers without room, with requests that
+// newQueuedPool returns a pool of twelve servers without room, with requests that
 // wait for one of them each, and the time.
-func queuedPool(b *testing.B, waiting int) (*Pool, time.Time) {
+func newQueuedPool(b *testing.B, waiting int) (*Pool, time.Time) {
 	b.Helper()
 	now := time.Unix(1000, 0)
 	p := New("a", 0, rand.New(rand.NewPCG(1, 1)))
@@ -34,7 +34,7 @@
 func BenchmarkDone(b *testing.B) {
 	for _, waiting := range []int{20, 100, 400} {
 		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
-			p, now := queuedPool(b, waiting)
+			p, now := newQueuedPool(b, waiting)
 			for b.Loop() {
 				m := p.order[0]
 				w := &Waiter{Priority: 1, Since: now, Target: now.Add(time.Minute), Deadline: now.Add(time.Hour), Only: m.ID}
--- a/gateway/pool/crash_test.go
+++ b/gateway/pool/crash_test.go
@@ -13,9 +13,9 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// crashing returns eight servers of which one ends every two seconds and starts
+// crashLoopServers returns eight servers of which one ends every two seconds and starts
 // again after a while.
-func crashing() []replay.Server {
+func crashLoopServers() []replay.Server {
 	servers := eight()
 	for i := range servers {
 		servers[i].Work = 90 * time.Millisecond
@@ -27,11 +27,11 @@
 
 // A server in a crash loop takes the requests with it that it has. A pool that
 // takes each run for a server that it has never seen gives it full load each time.
-func TestAServerInACrashLoopGetsLittle(t *testing.T) {
+func TestCrashLoopingServerGetsFewRequests(t *testing.T) {
 	for _, rate := range []float64{100, 200, 260} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			l := replay.Load{Nodes: 8, Servers: crashing(), Rate: steady(rate), Length: 30 * time.Second, Target: 300 * time.Millisecond, Patient: 2 * time.Second}
+			l := replay.Load{Nodes: 8, Servers: crashLoopServers(), Rate: steady(rate), Length: 30 * time.Second, Target: 300 * time.Millisecond, Patient: 2 * time.Second}
 			remembered := run(l)
 			l.Renamed = true
 			renamed := run(l)
@@ -43,9 +43,9 @@
 	}
 }
 
-// restarted returns a pool with a server that has started again so many times, a second
+// newRestartedPool returns a pool with a server that has started again so many times, a second
 // apart, and two servers beside it.
-func restarted(times int) (*pool.Pool, site.ServerID, time.Time) {
+func newRestartedPool(times int) (*pool.Pool, site.ServerID, time.Time) {
 	p := pool.New("a", 0, rand.New(rand.NewPCG(1, 2)))
 	now := start
 	var id site.ServerID
@@ -57,8 +57,8 @@
 	return p, id, now
 }
 
-// places counts the requests that a server takes at once.
-func places(p *pool.Pool, id site.ServerID, now time.Time) int {
+// countSlots counts the requests that a server takes at once.
+func countSlots(p *pool.Pool, id site.ServerID, now time.Time) int {
 	count := 0
 	for ; count < 100; count++ {
 		w := &pool.Waiter{Only: id, Since: now, Target: now.Add(time.Second), Deadline: now.Add(time.Minute)}
@@ -70,12 +70,12 @@
 	return count
 }
 
-func TestARestartedServerStartsWithASmallLimitAndGrowsByAnswers(t *testing.T) {
+func TestRestartedServerStartsWithSmallLimitThatGrowsWithResponses(t *testing.T) {
 	g := gomega.NewWithT(t)
-	p, id, now := restarted(0)
-	g.Expect(places(p, id, now)).To(gomega.Equal(6), "the limit of a server that is new")
-	p, id, now = restarted(2)
-	g.Expect(places(p, id, now)).To(gomega.Equal(1))
+	p, id, now := newRestartedPool(0)
+	g.Expect(countSlots(p, id, now)).To(gomega.Equal(6), "the limit of a server that is new")
+	p, id, now = newRestartedPool(2)
+	g.Expect(countSlots(p, id, now)).To(gomega.Equal(1))
 	good := pool.Outcome{Took: 50 * time.Millisecond, Load: &site.Load{Running: 1, Slots: 4}}
 	p.Done(id, good, now)
 	for range 40 {
@@ -84,15 +84,15 @@
 			p.Done(id, good, now.Add(50*time.Millisecond))
 		}
 	}
-	g.Expect(places(p, id, now)).To(gomega.BeNumerically(">=", 4))
+	g.Expect(countSlots(p, id, now)).To(gomega.BeNumerically(">=", 4))
 }
 
 // A single restart, as in a rolling upgrade, is over soon; more of them count for
 // longer.
-func TestRestartsCountForLongerTheMoreTheyAre(t *testing.T) {
+func TestProbationGrowsWithRestartCount(t *testing.T) {
 	g := gomega.NewWithT(t)
 	untried := func(times int, after time.Duration) int {
-		p, id, now := restarted(times)
+		p, id, now := newRestartedPool(times)
 		now = now.Add(after)
 		// Those that have answered are quicker than what is assumed of others.
 		p.Done("steady", pool.Outcome{Took: 10 * time.Millisecond}, now)
@@ -117,24 +117,24 @@
 }
 
 // What was learnt of the earlier run does not count for the new one.
-func TestANewRunIsNotBlockedForTheEarlierOne(t *testing.T) {
+func TestNewIncarnationIsNotBlockedForPreviousOne(t *testing.T) {
 	g := gomega.NewWithT(t)
-	p, id, now := restarted(0)
-	places(p, id, now)
+	p, id, now := newRestartedPool(0)
+	countSlots(p, id, now)
 	p.Done(id, pool.Outcome{Failed: true, NotReached: true}, now)
 	_, refusal := p.Ask(&pool.Waiter{Only: id, Deadline: now.Add(time.Minute)}, now)
 	g.Expect(refusal).NotTo(gomega.BeNil())
 	next := site.RunID("again", now.Add(time.Hour))
 	p.Update([]site.Server{{ID: next, Zone: "a", Slots: 4}, {ID: "steady", Zone: "a", Slots: 4}}, 1, now)
-	g.Expect(places(p, next, now)).To(gomega.Equal(1))
+	g.Expect(countSlots(p, next, now)).To(gomega.Equal(1))
 	_, refusal = p.Ask(&pool.Waiter{Only: id, Deadline: now.Add(time.Minute)}, now)
 	g.Expect(refusal.Reason).To(gomega.Equal(pool.NoServer))
 	p.Done(id, pool.Outcome{Failed: true}, now) // an answer of the earlier run comes late
-	g.Expect(places(p, next, now)).To(gomega.BeZero(), "and frees no place at the new one")
+	g.Expect(countSlots(p, next, now)).To(gomega.BeZero(), "and frees no place at the new one")
 }
 
 // When a whole service starts again there is nobody else to send to.
-func TestServersThatAllRestartAtOnceAreNotAllHeldBack(t *testing.T) {
+func TestSimultaneousRestartPutsAtMostHalfOnProbation(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := pool.New("a", 0, rand.New(rand.NewPCG(1, 2)))
 	var ids []site.ServerID
@@ -150,7 +150,7 @@
 	}
 	free := 0
 	for _, id := range ids {
-		if places(p, id, start.Add(time.Second)) == 6 {
+		if countSlots(p, id, start.Add(time.Second)) == 6 {
 			free++
 		}
 	}
--- a/gateway/pool/evict_test.go
+++ b/gateway/pool/evict_test.go
@@ -13,7 +13,7 @@
 
 // A more urgent request that cannot be answered any more gives its turn up; the one
 // behind it can then be answered, and stays.
-func TestWhoGivesItsTurnUpCountsForNoneBehindIt(t *testing.T) {
+func TestEvictedWaiterDoesNotCountAgainstLaterOnes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := pool.New("a", 0, rand.New(rand.NewPCG(1, 1)))
 	p.Update([]site.Server{{ID: "s", Service: "s", Zone: "a", Slots: 1}}, 12, start)
@@ -36,7 +36,7 @@
 
 // The only server takes no connection while a request waits for it. The request is
 // sent when the server is tried again, and not left until its time is over.
-func TestWhoWaitsForABlockedServerIsWokenWhenItIsTriedAgain(t *testing.T) {
+func TestWaiterIsAdmittedWhenBlockedServerIsRetried(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := pool.New("a", 0, rand.New(rand.NewPCG(1, 1)))
 	p.Update([]site.Server{{ID: "s", Service: "s", Zone: "a", Slots: 1}}, 12, start)
--- a/gateway/pool/pool.go
+++ b/gateway/pool/pool.go
@@ -34,33 +34,33 @@
 	timeWeight = 0.2
 	// initialTime is assumed of a service whose times are unknown.
 	initialTime = 150 * time.Millisecond
-	// reportLife is how fast a load report loses weight: about two service times.
-	reportLife = 300 * time.Millisecond
+	// reportHalfLife is how fast a load report loses weight: about two service times.
+	reportHalfLife = 300 * time.Millisecond
 	// failureWeight is the weight of one outcome in a server's failure rate.
 	failureWeight = 0.3
-	// failureLife is how fast the failure rate falls without outcomes, so that a
+	// failureHalfLife is how fast the failure rate falls without outcomes, so that a
 	// server that was avoided is tried again.
-	failureLife = 3 * time.Second
+	failureHalfLife = 3 * time.Second
 	// failureCost is the time that a failure costs a caller whose request may be
 	// sent again, and onceCost what it costs one whose request must not run twice,
 	// since that is lost: a server near by that fails a third of the time is left for
 	// one in another zone.
-	failureCost = 400 * time.Millisecond
-	onceCost    = time.Second
+	failureCost           = 400 * time.Millisecond
+	atMostOnceFailureCost = time.Second
 	// ownZoneShare is the share of the time left to the objective within which a
 	// server of the own zone is taken although another would answer sooner:
 	// callers lose nothing, and no bytes go between zones.
 	ownZoneShare = 0.5
-	// noise is the share by which estimates are varied, so that nodes with the
+	// estimateNoise is the share by which estimates are varied, so that nodes with the
 	// same reports do not choose the same server.
-	noise = 0.15
+	estimateNoise = 0.15
 	// untriedShare is the share of requests that go to a warm server that has not
 	// answered this node yet, the newest first. Among many servers each node
 	// otherwise keeps to the quick ones that it knows, and servers that are added get
 	// nothing. More of them would go to servers that are slow.
 	untriedShare = 0.1
-	// slowLife is how fast a server that was slow comes to count as a usual one.
-	slowLife = 5 * time.Second
+	// slowHalfLife is how fast a server that was slow comes to count as a usual one.
+	slowHalfLife = 5 * time.Second
 	// hangFactor is after how many usual times without any answer a server that has
 	// requests counts as failing: about one request in a hundred takes three. Callers
 	// that leave after half of their objective do so sooner.
@@ -72,31 +72,31 @@
 // member is what the pool knows of one server.
 type member struct {
 	site.Server
-	sends  []time.Time // of the requests that have not ended, the oldest first
-	proven time.Time   // when the latest request was sent whose answer told room
-	limit  float64     // requests of this node at once, or the share of the time with one
+	sentAt       []time.Time // of the requests that have not ended, the oldest first
+	queueEmptyAt time.Time   // when the latest request was sent whose answer told room
+	limit        float64     // requests of this node at once, or the share of the time with one
 	// pausedUntil is until when a limit below one lets no request go.
-	pausedUntil time.Time
-	mean        float64 // seconds that a request takes; 0: not known
-	meanAt      time.Time
-	others      float64 // requests of other nodes, as of reportAt
-	reportAt    time.Time
-	hadRoom     bool    // it told free slots and no queue then
-	failure     float64 // rate of failures lately, as of failureAt
-	failureAt   time.Time
-	coldUntil   time.Time
-	addedAt     time.Time
-	trialUntil  time.Time // until when it gets few requests after a restart
-	// silentSince is since when it has requests of this node and has answered none.
-	silentSince time.Time
+	pausedUntil    time.Time
+	meanSeconds    float64 // seconds that a request takes; 0: not known
+	meanUpdatedAt  time.Time
+	otherRequests  float64 // requests of other nodes, as of reportAt
+	reportAt       time.Time
+	hadFreeSlots   bool    // it told free slots and no queue then
+	failureRate    float64 // rate of failures lately, as of failureAt
+	failureAt      time.Time
+	coldUntil      time.Time
+	addedAt        time.Time
+	probationUntil time.Time // until when it gets few requests after a restart
+	// unansweredSince is since when it has requests of this node and has answered none.
+	unansweredSince time.Time
 	// blockedUntil is until when a server that took no connection gets no request.
-	blockedUntil time.Time
-	blocks       int       // connections in a row that it did not take
-	probedAt     time.Time // when a connection was last tried for that reason
+	blockedUntil   time.Time
+	failedConnects int       // connections in a row that it did not take
+	probedAt       time.Time // when a connection was last tried for that reason
 	// share is the part of the requests for its keys that may be sent until sharedUntil,
 	// and credit what the node has kept of it.
 	share, credit float64
-	sharedUntil   time.Time
+	shareExpiry   time.Time
 }
 
 // blocked reports whether the server took no connection lately.
@@ -109,11 +109,11 @@
 	nodes   int           // nodes that share the servers
 	members map[site.ServerID]*member
 	// histories are the runs of servers lately, also of those that have left.
-	histories map[site.ServerName]*history
-	order     []*member
-	queue     []*Waiter
-	known     serviceTimes // zero: to be made anew
-	shares    quota.Shares // of requests for keys, until sharesUntil
+	histories   map[site.ServerName]*history
+	order       []*member
+	queue       []*Waiter
+	cachedTimes serviceTimes // zero: to be made anew
+	shares      quota.Shares // of requests for keys, until sharesUntil
 	// sharesUntil is when the shares end if nothing newer is told.
 	sharesUntil time.Time
 	random      *rand.Rand
@@ -138,20 +138,20 @@
 	if nodes <= 0 {
 		p.nodes = assumedNodes
 	}
-	p.dropOthers(servers)
+	p.removeUnlisted(servers)
 	for _, server := range servers {
-		restarts := p.noteRun(server.ID, now)
+		restarts := p.recordIncarnation(server.ID, now)
 		m := p.members[server.ID]
 		if m == nil {
 			m = &member{Server: server, limit: p.initialLimit(server), coldUntil: now.Add(server.WarmUp), addedAt: now}
-			p.putOnTrial(m, restarts, now)
+			p.startProbation(m, restarts, now)
 			p.members[server.ID] = m
 			p.setShare(m)
 		}
 		m.Server = server
 	}
-	p.forgetRuns(now)
-	p.known = serviceTimes{}
+	p.pruneHistories(now)
+	p.cachedTimes = serviceTimes{}
 	p.order = slices.AppendSeq(p.order[:0], maps.Values(p.members))
 	slices.SortFunc(p.order, func(a, b *member) int {
 		if a.ID < b.ID {
@@ -161,8 +161,8 @@
 	})
 }
 
-// dropOthers forgets all servers but those given.
-func (p *Pool) dropOthers(servers []site.Server) {
+// removeUnlisted forgets all servers but those given.
+func (p *Pool) removeUnlisted(servers []site.Server) {
 	kept := make(map[site.ServerID]bool, len(servers))
 	for _, server := range servers {
 		kept[server.ID] = true
@@ -186,7 +186,7 @@
 // objective.
 func (p *Pool) pick(w *Waiter, now time.Time) *member {
 	if w.Only != "" {
-		if m := p.members[w.Only]; m != nil && p.takes(m, w, now) {
+		if m := p.members[w.Only]; m != nil && p.canSend(m, w, now) {
 			return m
 		}
 		return nil
@@ -199,10 +199,10 @@
 	var best, bestNear *member
 	bestTime, nearTime := math.Inf(1), math.Inf(1)
 	for _, m := range p.order {
-		if !p.takes(m, w, now) {
+		if !p.canSend(m, w, now) {
 			continue
 		}
-		expected := p.expected(m, w, now)
+		expected := p.expectedTime(m, w, now)
 		if expected < bestTime {
 			best, bestTime = m, expected
 		}
@@ -216,10 +216,10 @@
 	return best
 }
 
-// takes reports whether a request may be sent to a server now.
-func (p *Pool) takes(m *member, w *Waiter, now time.Time) bool {
-	isOver := w.Only != "" && m.isShared(now) && !w.Passed
-	return !isOver && !m.Draining && !m.blocked(now) && w.accepts(m.ID) && p.hasRoom(m, now)
+// canSend reports whether a request may be sent to a server now.
+func (p *Pool) canSend(m *member, w *Waiter, now time.Time) bool {
+	isOverShare := w.Only != "" && m.hasShare(now) && !w.Passed
+	return !isOverShare && !m.Draining && !m.blocked(now) && w.accepts(m.ID) && p.hasCapacity(m, now)
 }
 
 // untried returns the warm server of the own zone that was added last of those
@@ -227,32 +227,32 @@
 func (p *Pool) untried(w *Waiter, now time.Time) *member {
 	var newest *member
 	for _, m := range p.order {
-		isUntried := m.mean == 0 && m.inFlight() == 0 && !now.Before(m.coldUntil) && !m.onTrial(now) && m.Zone == p.zone
-		if isUntried && p.takes(m, w, now) && (newest == nil || m.addedAt.After(newest.addedAt)) {
+		isUntried := m.meanSeconds == 0 && m.inFlight() == 0 && !now.Before(m.coldUntil) && !m.onProbation(now) && m.Zone == p.zone
+		if isUntried && p.canSend(m, w, now) && (newest == nil || m.addedAt.After(newest.addedAt)) {
 			newest = m
 		}
 	}
 	return newest
 }
 
-// expected returns the time in seconds after which a request sent now is
-// expected to be answered, varied by noise.
-func (p *Pool) expected(m *member, w *Waiter, now time.Time) float64 {
-	mean := p.usual(m, now)
+// expectedTime returns the time in seconds after which a request sent now is
+// expectedTime to be answered, varied by noise.
+func (p *Pool) expectedTime(m *member, w *Waiter, now time.Time) float64 {
+	mean := p.serviceTime(m, now)
 	slots := float64(max(m.Slots, 1))
-	busy := float64(m.inFlight()) + m.others*fade(now.Sub(m.reportAt), reportLife)
+	busy := float64(m.inFlight()) + m.otherRequests*decay(now.Sub(m.reportAt), reportHalfLife)
 	expected := mean * (1 + max(0, busy+1-slots)/slots)
 	if now.Before(m.coldUntil) {
 		expected *= coldFactor
 	}
-	if p.hangs(m, now) {
+	if p.isHanging(m, now) {
 		expected += w.failureCost().Seconds()
 	}
-	expected += m.failure * fade(now.Sub(m.failureAt), failureLife) * w.failureCost().Seconds()
+	expected += m.failureRate * decay(now.Sub(m.failureAt), failureHalfLife) * w.failureCost().Seconds()
 	if m.Zone != p.zone {
 		expected += p.penalty.Seconds()
 	}
-	return expected * (1 + noise*(p.random.Float64()-0.5))
+	return expected * (1 + estimateNoise*(p.random.Float64()-0.5))
 }
 
 // Outcome is how a request ended at a server.
@@ -275,52 +275,52 @@
 	if m == nil {
 		return p.Admit(now)
 	}
-	m.end(outcome.Took, now)
+	m.recordEnd(outcome.Took, now)
 	if outcome.Load != nil {
-		p.takeLoad(m, *outcome.Load, now)
-		if m.hadRoom {
-			m.prove(outcome.Took, now)
+		p.recordLoad(m, *outcome.Load, now)
+		if m.hadFreeSlots {
+			m.recordEmptyQueue(outcome.Took, now)
 		}
 	}
 	if !outcome.Failed && !outcome.NoRoom && !outcome.Abandoned {
-		if m.mean == 0 {
-			m.mean = outcome.Took.Seconds()
+		if m.meanSeconds == 0 {
+			m.meanSeconds = outcome.Took.Seconds()
 		}
-		m.mean = p.usual(m, now)
-		m.meanAt = now
-		m.mean += timeWeight * (outcome.Took.Seconds() - m.mean)
-		p.known = serviceTimes{}
+		m.meanSeconds = p.serviceTime(m, now)
+		m.meanUpdatedAt = now
+		m.meanSeconds += timeWeight * (outcome.Took.Seconds() - m.meanSeconds)
+		p.cachedTimes = serviceTimes{}
 	}
 	hung := outcome.Abandoned && p.isOverdue(m, outcome.Took, now)
 	if !outcome.Abandoned || hung {
-		p.takeFailure(m, outcome.Failed || outcome.NoRoom || hung, now)
+		p.recordFailure(m, outcome.Failed || outcome.NoRoom || hung, now)
 	}
 	if !outcome.Abandoned {
-		m.silentSince = now
+		m.unansweredSince = now
 	}
 	if outcome.NotReached {
 		m.block(now)
 	} else if !outcome.Abandoned && !outcome.Failed {
-		m.blocks = 0
+		m.failedConnects = 0
 	}
-	p.takeRefusal(m, outcome)
-	p.pause(m, now)
+	p.recordRefusal(m, outcome)
+	p.startPause(m, now)
 	return p.Admit(now)
 }
 
 // Times for which a server that takes no connection is left alone.
 const (
-	leastBlock = 500 * time.Millisecond
-	mostBlock  = 2 * time.Second
-	// probeEvery is the least time between two connections to a slow server that
+	minBlock = 500 * time.Millisecond
+	maxBlock = 2 * time.Second
+	// probeInterval is the least time between two connections to a slow server that
 	// are opened to see whether it can be reached.
-	probeEvery = 400 * time.Millisecond
+	probeInterval = 400 * time.Millisecond
 )
 
 // block keeps requests from a server that took no connection, longer each time.
 func (m *member) block(now time.Time) {
-	pause := min(leastBlock<<min(m.blocks, 4), mostBlock)
-	m.blocks++
+	pause := min(minBlock<<min(m.failedConnects, 4), maxBlock)
+	m.failedConnects++
 	m.blockedUntil = now.Add(pause)
 }
 
@@ -331,7 +331,7 @@
 	if m == nil || m.blocked(now) {
 		return false, m != nil
 	}
-	if now.Sub(m.probedAt) < probeEvery {
+	if now.Sub(m.probedAt) < probeInterval {
 		return false, false
 	}
 	m.probedAt = now
@@ -345,12 +345,12 @@
 	}
 }
 
-func (p *Pool) takeFailure(m *member, failed bool, now time.Time) {
-	rate := m.failure * fade(now.Sub(m.failureAt), failureLife)
+func (p *Pool) recordFailure(m *member, failed bool, now time.Time) {
+	rate := m.failureRate * decay(now.Sub(m.failureAt), failureHalfLife)
 	target := 0.0
 	if failed {
 		target = 1
 	}
-	m.failure = rate + failureWeight*(target-rate)
+	m.failureRate = rate + failureWeight*(target-rate)
 	m.failureAt = now
 }
--- a/gateway/pool/pool_test.go
+++ b/gateway/pool/pool_test.go
@@ -13,7 +13,7 @@
 )
 
 // High load on servers of unlike speed: random choice overloads the slow half.
-func TestUnlikeSpeedsAtHighLoad(t *testing.T) {
+func TestServersOfDifferentSpeedUnderHighLoad(t *testing.T) {
 	g := gomega.NewWithT(t)
 	pooled, blind := compare(t, replay.Load{Nodes: 8, Servers: eight(), Rate: steady(320), Length: 20 * time.Second, Target: 300 * time.Millisecond, Patient: 2 * time.Second})
 	g.Expect(pooled.InTime).To(gomega.BeNumerically(">", pooled.Asked*97/100))
@@ -37,7 +37,7 @@
 }
 
 // A third of the servers refuse half of what they get although they run.
-func TestServersThatShedAreAvoided(t *testing.T) {
+func TestSheddingServersAreAvoided(t *testing.T) {
 	g := gomega.NewWithT(t)
 	servers := eight()
 	for i := range 3 {
@@ -50,7 +50,7 @@
 
 // A third of the servers never answer half of what they get, although they run. The
 // node learns nothing but that its callers leave, and those requests are lost.
-func TestServersThatHangAreAvoided(t *testing.T) {
+func TestHangingServersAreAvoided(t *testing.T) {
 	g := gomega.NewWithT(t)
 	servers := eight()
 	for i := range 3 {
@@ -65,7 +65,7 @@
 
 // Servers of the own zone fail some requests, those of other zones none. What must
 // not run twice goes to the others, since a failure loses it.
-func TestRequestsThatMustNotRunTwiceAvoidServersThatFail(t *testing.T) {
+func TestAtMostOnceRequestsAvoidFailingServers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	failures := func(once bool) int {
 		random := rand.New(rand.NewPCG(3, 3))
@@ -90,7 +90,7 @@
 
 // One key becomes busier than its owner can be: the owner stays busy with
 // requests that are answered in time, and the others hear so at once.
-func TestABusyKeyBeyondItsOwner(t *testing.T) {
+func TestHotKeyExceedsOwnerCapacity(t *testing.T) {
 	g := gomega.NewWithT(t)
 	servers := eight()[:1]
 	pooled := run(replay.Load{Nodes: 8, Servers: servers, Rate: steady(100), Length: 15 * time.Second, Target: 300 * time.Millisecond, Patient: 1200 * time.Millisecond, Only: true})
@@ -102,7 +102,7 @@
 
 // The same at a site of many nodes: one request of each is already too much for
 // the owner, and every refusal costs a retry out of a budget that all share.
-func TestABusyKeyWantedByManyNodes(t *testing.T) {
+func TestHotKeyRequestedByManyNodes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	servers := []replay.Server{{Zone: "a", Slots: 6, Queue: 16, Work: 400 * time.Millisecond}}
 	l := replay.Load{Nodes: 71, Servers: servers, Rate: steady(200), Length: 15 * time.Second, Target: 1200 * time.Millisecond, Patient: 3 * time.Second, Only: true}
@@ -117,7 +117,7 @@
 // Servers are added to a site of many nodes that is far from busy, and are slow at
 // first. Each node knows quicker ones; the new ones must get their share all the
 // same, soon after they are warm.
-func TestAddedServersGetRequests(t *testing.T) {
+func TestAddedServersReceiveRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const nodes, perNode = 29, 70 * time.Millisecond
 	var servers []site.Server
@@ -159,7 +159,7 @@
 }
 
 // A server was slow for a while, and is not any more. It gets requests again.
-func TestAServerThatWasSlowIsTriedAgain(t *testing.T) {
+func TestPreviouslySlowServerIsRetried(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := pool.New("a", 0, rand.New(rand.NewPCG(1, 1)))
 	p.Update([]site.Server{{ID: "s1", Slots: 4, Zone: "a"}, {ID: "s2", Slots: 4, Zone: "a"}, {ID: "s3", Slots: 4, Zone: "a"}}, 8, start)
@@ -179,7 +179,7 @@
 	g.Expect(got).To(gomega.BeNumerically(">", 100), "of 600")
 }
 
-func TestOwnZoneIsPreferredWithinTheObjective(t *testing.T) {
+func TestOwnZoneIsPreferredWithinObjective(t *testing.T) {
 	g := gomega.NewWithT(t)
 	pooled := run(replay.Load{Nodes: 9, Servers: append(eight(), eight()[2]), Rate: steady(150), Length: 10 * time.Second, Target: 400 * time.Millisecond, Patient: 2 * time.Second})
 	t.Log(pooled)
@@ -187,7 +187,7 @@
 	g.Expect(pooled.InTime).To(gomega.BeNumerically(">", pooled.Asked*97/100))
 }
 
-func TestDrainingAndUnreachableServersGetNothing(t *testing.T) {
+func TestDrainingAndUnreachableServersGetNoRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := pool.New("a", 0, rand.New(rand.NewPCG(1, 1)))
 	servers := []site.Server{{ID: "s1", Slots: 4, Draining: true}, {ID: "s2", Slots: 4}}
--- a/gateway/pool/queue.go
+++ b/gateway/pool/queue.go
@@ -10,13 +10,13 @@
 
 // Bounds of waiting.
 const (
-	// mostWaiting bounds the requests that wait for one service at a node.
-	mostWaiting = 400
-	// leastRetryAfter and mostRetryAfter bound when a refused caller is asked to
+	// maxWaiting bounds the requests that wait for one service at a node.
+	maxWaiting = 400
+	// minRetryAfter and mostRetryAfter bound when a refused caller is asked to
 	// come back: not before a request or two could have ended, and not so late
 	// that it has no time left.
-	leastRetryAfter = 100 * time.Millisecond
-	mostRetryAfter  = 2 * time.Second
+	minRetryAfter = 100 * time.Millisecond
+	maxRetryAfter = 2 * time.Second
 )
 
 // Waiter is a request that wants a server.
@@ -43,7 +43,7 @@
 
 func (w *Waiter) failureCost() time.Duration {
 	if w.Once {
-		return onceCost
+		return atMostOnceFailureCost
 	}
 	return failureCost
 }
@@ -77,7 +77,7 @@
 	if !p.hasServer(w, now) {
 		return nil, &Refusal{Reason: NoServer, RetryAfter: p.retryAfter(0)}
 	}
-	if refusal := p.overShare(w, now); refusal != nil {
+	if refusal := p.refuseOverShare(w, now); refusal != nil {
 		return nil, refusal
 	}
 	if len(p.queue) == 0 || w.Only != "" {
@@ -85,11 +85,11 @@
 			return p.admit(w, m, now), nil
 		}
 	}
-	wait := p.expectedWait(w, p.ahead(w, now), now)
+	wait := p.expectedWait(w, p.countAhead(w, now), now)
 	if now.Add(wait).After(w.Deadline) {
 		return nil, &Refusal{Reason: TooLong, RetryAfter: p.retryAfter(wait)}
 	}
-	if len(p.queue) >= mostWaiting {
+	if len(p.queue) >= maxWaiting {
 		return nil, &Refusal{Reason: QueueFull, RetryAfter: p.retryAfter(wait)}
 	}
 	p.queue = append(p.queue, w)
@@ -107,17 +107,17 @@
 
 func (p *Pool) admit(w *Waiter, m *member, now time.Time) *Admission {
 	if m.inFlight() == 0 {
-		m.silentSince = now
+		m.unansweredSince = now
 	}
-	m.send(now)
+	m.recordSend(now)
 	return &Admission{Waiter: w, Server: m.Server}
 }
 
-// ahead counts the waiters that go before a request to the same servers.
-func (p *Pool) ahead(w *Waiter, now time.Time) int {
+// countAhead counts the waiters that go before a request to the same servers.
+func (p *Pool) countAhead(w *Waiter, now time.Time) int {
 	count := 0
 	for _, other := range p.queue {
-		if other != w && (w.Only == "" || other.Only == w.Only) && !p.before(w, other, now) {
+		if other != w && (w.Only == "" || other.Only == w.Only) && !p.precedes(w, other, now) {
 			count++
 		}
 	}
@@ -128,50 +128,50 @@
 // before it: this node's requests end at the rate of its limits by the times
 // that servers take, which include their own queues.
 func (p *Pool) expectedWait(w *Waiter, ahead int, now time.Time) time.Duration {
-	return p.paceFor(w, now).wait(ahead)
+	return p.throughputFor(w, now).wait(ahead)
 }
 
-// pace is how fast this node's requests end at the servers that may run one.
-type pace struct {
-	rate    float64 // requests a second
-	slowest float64 // seconds that one takes at the slowest of them
+// throughput is how fast this node's requests end at the servers that may run one.
+type throughput struct {
+	rate           float64 // requests a second
+	slowestSeconds float64 // seconds that one takes at the slowest of them
 }
 
-func (p *Pool) paceFor(w *Waiter, now time.Time) pace {
+func (p *Pool) throughputFor(w *Waiter, now time.Time) throughput {
 	if w.Only != "" {
 		m := p.members[w.Only]
 		if m == nil || m.Draining {
-			return pace{}
+			return throughput{}
 		}
-		taken := p.usual(m, now)
-		return pace{rate: m.rate(taken), slowest: taken}
+		seconds := p.serviceTime(m, now)
+		return throughput{rate: m.rate(seconds), slowestSeconds: seconds}
 	}
-	var all pace
+	var total throughput
 	for _, m := range p.order {
 		if m.Draining || !w.accepts(m.ID) {
 			continue
 		}
-		taken := p.usual(m, now)
-		all.rate += m.rate(taken)
-		all.slowest = max(all.slowest, taken)
+		seconds := p.serviceTime(m, now)
+		total.rate += m.rate(seconds)
+		total.slowestSeconds = max(total.slowestSeconds, seconds)
 	}
-	return all
+	return total
 }
 
-func (c pace) wait(ahead int) time.Duration {
-	if c.rate == 0 {
-		return mostRetryAfter
+func (t throughput) wait(ahead int) time.Duration {
+	if t.rate == 0 {
+		return maxRetryAfter
 	}
-	return time.Duration((float64(ahead+1)/c.rate + c.slowest/2) * float64(time.Second))
+	return time.Duration((float64(ahead+1)/t.rate + t.slowestSeconds/2) * float64(time.Second))
 }
 
 // rate returns how many requests a second of this node end at a server where one
 // takes so many seconds.
-func (m *member) rate(taken float64) float64 {
+func (m *member) rate(seconds float64) float64 {
 	if m.limit >= 1 {
-		return math.Floor(m.limit) / taken
+		return math.Floor(m.limit) / seconds
 	}
-	return 1 / (taken + m.pauseAfter(taken).Seconds())
+	return 1 / (seconds + m.pauseDuration(seconds).Seconds())
 }
 
 // Evict takes the waiters out of the queue that would not be answered in time
@@ -185,76 +185,76 @@
 // 2.1 ms with 400 waiters, most of a weak VM's processor at 50 requests a second.
 func (p *Pool) Evict(now time.Time) []Eviction {
 	var evictions []Eviction
-	paces := map[site.ServerID]pace{}
+	throughputs := map[site.ServerID]throughput{}
 	ahead := map[site.ServerID]int{} // waiters kept so far, by their only server
 	kept := 0
-	for _, w := range p.byTurn(now) {
-		if refusal := p.overShare(w, now); refusal != nil {
+	for _, w := range p.inSendOrder(now) {
+		if refusal := p.refuseOverShare(w, now); refusal != nil {
 			evictions = append(evictions, Eviction{Waiter: w, Refusal: *refusal})
 			continue
 		}
-		before := kept
+		waitersAhead := kept
 		if w.Only != "" {
-			before = ahead[w.Only]
+			waitersAhead = ahead[w.Only]
 		}
-		wait := p.paceOnce(paces, w, now).wait(before)
-		if !now.Add(time.Duration(evictShare * float64(wait))).After(w.Deadline) {
+		wait := p.cachedThroughput(throughputs, w, now).wait(waitersAhead)
+		if !now.Add(time.Duration(evictionWaitFactor * float64(wait))).After(w.Deadline) {
 			kept++
 			ahead[w.Only]++
 			continue
 		}
 		evictions = append(evictions, Eviction{Waiter: w, Refusal: Refusal{Reason: TooLong, RetryAfter: p.retryAfter(wait)}})
 	}
-	p.leaveAll(evictions)
+	p.removeAll(evictions)
 	return evictions
 }
 
-// byTurn returns the waiters in the order in which they are sent.
-func (p *Pool) byTurn(now time.Time) []*Waiter {
-	type turn struct {
+// inSendOrder returns the waiters in the order in which they are sent.
+func (p *Pool) inSendOrder(now time.Time) []*Waiter {
+	type queued struct {
 		*Waiter
 		inTime bool
 	}
-	turns := make([]turn, 0, len(p.queue))
+	entries := make([]queued, 0, len(p.queue))
 	for _, w := range p.queue {
-		turns = append(turns, turn{w, p.inTime(w, now)})
+		entries = append(entries, queued{w, p.inTime(w, now)})
 	}
-	slices.SortStableFunc(turns, func(a, b turn) int { return compareTurns(a.Waiter, b.Waiter, a.inTime, b.inTime) })
-	order := make([]*Waiter, 0, len(turns))
-	for _, t := range turns {
+	slices.SortStableFunc(entries, func(a, b queued) int { return compareWaiters(a.Waiter, b.Waiter, a.inTime, b.inTime) })
+	order := make([]*Waiter, 0, len(entries))
+	for _, t := range entries {
 		order = append(order, t.Waiter)
 	}
 	return order
 }
 
-// paceOnce returns the pace of a waiter's servers, which is the same for all that
+// cachedThroughput returns the pace of a waiter's servers, which is the same for all that
 // may go to the same ones.
-func (p *Pool) paceOnce(known map[site.ServerID]pace, w *Waiter, now time.Time) pace {
+func (p *Pool) cachedThroughput(cache map[site.ServerID]throughput, w *Waiter, now time.Time) throughput {
 	if w.Only == "" && len(w.Not) > 0 {
-		return p.paceFor(w, now)
+		return p.throughputFor(w, now)
 	}
-	c, exists := known[w.Only]
+	t, exists := cache[w.Only]
 	if !exists {
-		c = p.paceFor(w, now)
-		known[w.Only] = c
+		t = p.throughputFor(w, now)
+		cache[w.Only] = t
 	}
-	return c
+	return t
 }
 
-func (p *Pool) leaveAll(evictions []Eviction) {
+func (p *Pool) removeAll(evictions []Eviction) {
 	if len(evictions) == 0 {
 		return
 	}
-	left := make(map[*Waiter]bool, len(evictions))
+	removed := make(map[*Waiter]bool, len(evictions))
 	for _, e := range evictions {
-		left[e.Waiter] = true
+		removed[e.Waiter] = true
 	}
-	p.queue = slices.DeleteFunc(p.queue, func(w *Waiter) bool { return left[w] })
+	p.queue = slices.DeleteFunc(p.queue, func(w *Waiter) bool { return removed[w] })
 }
 
-// evictShare is the share of the expected wait that must still fit the time
+// evictionWaitFactor is the share of the expected wait that must still fit the time
 // left: the estimate is rough, and a place given up is not had again.
-const evictShare = 0.7
+const evictionWaitFactor = 0.7
 
 // Eviction refuses a request that waited.
 type Eviction struct {
@@ -265,9 +265,9 @@
 // retryAfter returns when a refused caller should come back, spread so that
 // callers that were refused together return one after the other.
 func (p *Pool) retryAfter(wait time.Duration) time.Duration {
-	after := max(leastRetryAfter, wait/2)
+	after := max(minRetryAfter, wait/2)
 	after += time.Duration(p.random.Int64N(int64(after)))
-	return min(after, mostRetryAfter)
+	return min(after, maxRetryAfter)
 }
 
 // Admit returns the waiters that can be sent now. Those that can still be
@@ -288,7 +288,7 @@
 	var first *Waiter
 	var server *member
 	for _, w := range p.queue {
-		if first != nil && !p.before(w, first, now) {
+		if first != nil && !p.precedes(w, first, now) {
 			continue
 		}
 		if m := p.pick(w, now); m != nil {
@@ -298,13 +298,13 @@
 	return first, server
 }
 
-func (p *Pool) before(a, b *Waiter, now time.Time) bool {
-	return compareTurns(a, b, p.inTime(a, now), p.inTime(b, now)) < 0
+func (p *Pool) precedes(a, b *Waiter, now time.Time) bool {
+	return compareWaiters(a, b, p.inTime(a, now), p.inTime(b, now)) < 0
 }
 
-// compareTurns orders two waiters by when they are sent: the more urgent first,
+// compareWaiters orders two waiters by when they are sent: the more urgent first,
 // of these what can still be answered by its target, then what came first.
-func compareTurns(a, b *Waiter, aInTime, bInTime bool) int {
+func compareWaiters(a, b *Waiter, aInTime, bInTime bool) int {
 	switch {
 	case a.Priority != b.Priority:
 		return a.Priority - b.Priority
@@ -323,8 +323,8 @@
 // inTime reports whether a request sent now would be answered by its target.
 func (p *Pool) inTime(w *Waiter, now time.Time) bool {
 	mean := p.times().mean
-	if m := p.members[w.Only]; m != nil && m.mean > 0 {
-		mean = m.mean
+	if m := p.members[w.Only]; m != nil && m.meanSeconds > 0 {
+		mean = m.meanSeconds
 	}
 	return now.Add(time.Duration(inTimeFactor * mean * float64(time.Second))).Before(w.Target)
 }
--- a/gateway/pool/share.go
+++ b/gateway/pool/share.go
@@ -22,53 +22,53 @@
 
 func (p *Pool) setShare(m *member) {
 	share, isShared := p.shares[m.ID]
-	if isShared && m.sharedUntil.IsZero() {
+	if isShared && m.shareExpiry.IsZero() {
 		m.credit = p.random.Float64() // nodes do not begin with the same request
 	}
-	m.share, m.sharedUntil = share, time.Time{}
+	m.share, m.shareExpiry = share, time.Time{}
 	if isShared {
-		m.sharedUntil = p.sharesUntil
+		m.shareExpiry = p.sharesUntil
 	}
 }
 
-// isShared reports whether a share of the requests for a server's keys may be sent.
-func (m *member) isShared(now time.Time) bool { return now.Before(m.sharedUntil) }
+// hasShare reports whether a share of the requests for a server's keys may be sent.
+func (m *member) hasShare(now time.Time) bool { return now.Before(m.shareExpiry) }
 
-// overShare refuses a request that is not among those of its server's share. What waited
+// refuseOverShare refuses a request that is not among those of its server's share. What waited
 // before the share was told is counted like what comes.
-func (p *Pool) overShare(w *Waiter, now time.Time) *Refusal {
+func (p *Pool) refuseOverShare(w *Waiter, now time.Time) *Refusal {
 	m := p.members[w.Only]
-	if m == nil || w.Passed || !m.isShared(now) {
+	if m == nil || w.Passed || !m.hasShare(now) {
 		return nil
 	}
-	if !m.takeCredit(p.inTime(w, now)) {
-		return &Refusal{Reason: OverShare, RetryAfter: p.sharedRetry(m, now), Share: m.share}
+	if !m.spendCredit(p.inTime(w, now)) {
+		return &Refusal{Reason: OverShare, RetryAfter: p.shareRetryAfter(m, now), Share: m.share}
 	}
 	w.Passed = true
 	return nil
 }
 
-// takeCredit counts a request for the keys of a server with a share, and reports whether
+// spendCredit counts a request for the keys of a server with a share, and reports whether
 // it is one of those that may be sent. Those that can still be answered in time go first:
 // a request that comes back late is sent only from what these leave.
-func (m *member) takeCredit(inTime bool) bool {
-	m.credit = math.Min(m.credit+m.share, mostCredit)
-	if m.credit < 1 || !inTime && m.credit < mostCredit {
+func (m *member) spendCredit(inTime bool) bool {
+	m.credit = math.Min(m.credit+m.share, maxCredit)
+	if m.credit < 1 || !inTime && m.credit < maxCredit {
 		return false
 	}
 	m.credit--
 	return true
 }
 
-// mostCredit bounds what a node keeps of its share while few ask.
-const mostCredit = 2.0
+// maxCredit bounds what a node keeps of its share while few ask.
+const maxCredit = 2.0
 
-// sharedRetry returns when a caller comes back whose request a share did not let pass. At
+// shareRetryAfter returns when a caller comes back whose request a share did not let pass. At
 // that pace the server could take it, if nobody else came.
-func (p *Pool) sharedRetry(m *member, now time.Time) time.Duration {
-	passes := p.usual(m, now) / float64(max(m.Slots, 1)) / max(m.share, leastShare)
-	return p.retryAfter(time.Duration(passes * float64(time.Second)))
+func (p *Pool) shareRetryAfter(m *member, now time.Time) time.Duration {
+	interval := p.serviceTime(m, now) / float64(max(m.Slots, 1)) / max(m.share, minShare)
+	return p.retryAfter(time.Duration(interval * float64(time.Second)))
 }
 
-// leastShare bounds the share for the estimate of a caller's return.
-const leastShare = 0.01
+// minShare bounds the share for the estimate of a caller's return.
+const minShare = 0.01
--- a/gateway/pool/share_test.go
+++ b/gateway/pool/share_test.go
@@ -13,17 +13,17 @@
 
 var shareStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// sharedPool returns a pool of one server of which a share may be sent for ten seconds.
-func sharedPool(share float64) *Pool {
+// newSharedPool returns a pool of one server of which a share may be sent for ten seconds.
+func newSharedPool(share float64) *Pool {
 	p := New("a", 0, rand.New(rand.NewPCG(1, 1)))
 	p.Update([]site.Server{{ID: "s", Slots: 4, Zone: "a"}}, 295, shareStart)
 	p.SetShares(quota.Shares{"s": share}, shareStart.Add(10*time.Second))
 	return p
 }
 
-// passed asks for a place many times, one after the other, and returns how often there
+// countAdmitted asks for a place many times, one after the other, and returns how often there
 // was one.
-func passed(p *Pool, times int, target time.Duration, now time.Time) int {
+func countAdmitted(p *Pool, times int, target time.Duration, now time.Time) int {
 	count := 0
 	for range times {
 		w := &Waiter{Only: "s", Since: now, Target: now.Add(target), Deadline: now.Add(5 * time.Second)}
@@ -40,40 +40,40 @@
 	return count
 }
 
-func TestANodeSendsItsShareAndRefusesTheRest(t *testing.T) {
+func TestNodeSendsItsShareAndRefusesTheRest(t *testing.T) {
 	g := gomega.NewWithT(t)
-	g.Expect(passed(sharedPool(0.25), 400, time.Second, shareStart)).To(gomega.BeNumerically("~", 100, 1), "whatever it hears of the server's queue")
+	g.Expect(countAdmitted(newSharedPool(0.25), 400, time.Second, shareStart)).To(gomega.BeNumerically("~", 100, 1), "whatever it hears of the server's queue")
 }
 
 // Shares that nobody has told again hold no longer: the node may not reach the lessor.
-func TestOldSharesHoldNoLonger(t *testing.T) {
+func TestSharesExpire(t *testing.T) {
 	g := gomega.NewWithT(t)
-	p := sharedPool(0.01)
+	p := newSharedPool(0.01)
 	now := shareStart.Add(11 * time.Second)
 	admission, _ := p.Ask(&Waiter{Only: "s", Since: now, Target: now.Add(time.Second), Deadline: now.Add(5 * time.Second)}, now)
 	g.Expect(admission).NotTo(gomega.BeNil())
 }
 
 // Callers that come back late take no place of those who can be answered in time.
-func TestRequestsThatCanBeInTimeGoFirst(t *testing.T) {
+func TestRequestsWithinTargetTakePrecedence(t *testing.T) {
 	g := gomega.NewWithT(t)
-	p := sharedPool(0.2)
+	p := newSharedPool(0.2)
 	inTime, late := 0, 0
 	for range 200 {
-		inTime += passed(p, 1, time.Second, shareStart)
-		late += passed(p, 1, 0, shareStart)
+		inTime += countAdmitted(p, 1, time.Second, shareStart)
+		late += countAdmitted(p, 1, 0, shareStart)
 	}
 	g.Expect(inTime).To(gomega.BeNumerically("~", 80, 2))
 	g.Expect(late).To(gomega.BeNumerically("<", 3))
-	g.Expect(passed(sharedPool(0.2), 200, 0, shareStart)).To(gomega.BeNumerically(">", 30), "alone most of the share is sent")
+	g.Expect(countAdmitted(newSharedPool(0.2), 200, 0, shareStart)).To(gomega.BeNumerically(">", 30), "alone most of the share is sent")
 }
 
 // What waits when a share is told, because the node's own limit let nothing pass, is
 // counted like what comes. On 295 nodes such requests kept an owner's queue full for six
 // seconds after the share was told.
-func TestRequestsThatWaitAreCountedForTheShare(t *testing.T) {
+func TestWaitingRequestsCountAgainstNewShare(t *testing.T) {
 	g := gomega.NewWithT(t)
-	p := sharedPool(1)
+	p := newSharedPool(1)
 	p.SetShares(nil, shareStart)
 	now := shareStart
 	for range 20 { // the server is full, and the limit falls
--- a/gateway/pool/unanswered.go
+++ b/gateway/pool/unanswered.go
@@ -15,44 +15,44 @@
 // sent after it and told room, so that it does not wait there. A server that answers
 // nothing any more proves nothing, and its places stay taken.
 
-// lostFactor is after how many usual times such a request gives its place up. One in ten
+// lostResponseFactor is after how many usual times such a request gives its place up. One in ten
 // takes longer and is still at work: it has a slot, and the server told that others are free.
-const lostFactor = 2.0
+const lostResponseFactor = 2.0
 
-// send notes that a request goes to the server now.
-func (m *member) send(now time.Time) { m.sends = append(m.sends, now) }
+// recordSend notes that a request goes to the server now.
+func (m *member) recordSend(now time.Time) { m.sentAt = append(m.sentAt, now) }
 
 // inFlight returns how many requests have not ended.
-func (m *member) inFlight() int { return len(m.sends) }
+func (m *member) inFlight() int { return len(m.sentAt) }
 
-// end takes that a request has ended that was under way for a while.
-func (m *member) end(took time.Duration, now time.Time) {
-	if len(m.sends) == 0 {
+// recordEnd takes that a request has ended that was under way for a while.
+func (m *member) recordEnd(took time.Duration, now time.Time) {
+	if len(m.sentAt) == 0 {
 		return
 	}
 	sent := now.Add(-took)
-	last := 0 // of those that were sent by then
-	for i, at := range m.sends {
+	match := 0 // of those that were sent by then
+	for i, at := range m.sentAt {
 		if !at.After(sent) {
-			last = i
+			match = i
 		}
 	}
-	m.sends = slices.Delete(m.sends, last, last+1)
+	m.sentAt = slices.Delete(m.sentAt, match, match+1)
 }
 
-// prove takes an answer that told room: requests that were sent before it do not wait at
+// recordEmptyQueue takes an answer that told room: requests that were sent before it do not wait at
 // the server.
-func (m *member) prove(took time.Duration, now time.Time) {
-	if sent := now.Add(-took); sent.After(m.proven) {
-		m.proven = sent
+func (m *member) recordEmptyQueue(took time.Duration, now time.Time) {
+	if sent := now.Add(-took); sent.After(m.queueEmptyAt) {
+		m.queueEmptyAt = sent
 	}
 }
 
-// taken returns how many places of the limit are taken.
-func (m *member) taken(usual float64, now time.Time) int {
+// takenSlots returns how many places of the limit are taken.
+func (m *member) takenSlots(serviceTime float64, now time.Time) int {
 	taken := 0
-	for _, at := range m.sends {
-		isLost := at.Before(m.proven) && now.Sub(at).Seconds() > lostFactor*usual
+	for _, at := range m.sentAt {
+		isLost := at.Before(m.queueEmptyAt) && now.Sub(at).Seconds() > lostResponseFactor*serviceTime
 		if !isLost {
 			taken++
 		}
