--- a/gateway/pool/bench_test.go
+++ b/gateway/pool/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// newQueuedPool returns a pool of twelve servers without room, with requests that
-// wait for one of them each, and the time.
+// newQueuedPool returns a pool of twelve servers without capacity, with the given number of
+// requests waiting, each for one of the servers, and the time.
 func newQueuedPool(b *testing.B, waiting int) (*Pool, time.Time) {
 	b.Helper()
 	now := time.Unix(1000, 0)
@@ -30,7 +30,7 @@
 	return p, now
 }
 
-// BenchmarkDone measures what the end of a request costs while others wait.
+// BenchmarkDone measures the cost of the end of a request while others wait.
 func BenchmarkDone(b *testing.B) {
 	for _, waiting := range []int{20, 100, 400} {
 		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
--- a/gateway/pool/crash_test.go
+++ b/gateway/pool/crash_test.go
@@ -13,8 +13,8 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// crashLoopServers returns eight servers of which one ends every two seconds and starts
-// again after a while.
+// crashLoopServers returns eight servers, one of which ends every two seconds and restarts
+// after 300 ms.
 func crashLoopServers() []replay.Server {
 	servers := eight()
 	for i := range servers {
@@ -25,8 +25,8 @@
 	return servers
 }
 
-// A server in a crash loop takes the requests with it that it has. A pool that
-// takes each run for a server that it has never seen gives it full load each time.
+// A server in a crash loop loses its requests in flight. A pool that treats each incarnation
+// as an unknown server gives it full load each time.
 func TestCrashLoopingServerGetsFewRequests(t *testing.T) {
 	for _, rate := range []float64{100, 200, 260} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
@@ -35,7 +35,7 @@
 			remembered := run(l)
 			l.Renamed = true
 			renamed := run(l)
-			t.Logf("known by name: %v, %d lost, %d not reached; each run under a name of its own: %v, %d lost, %d not reached",
+			t.Logf("known by name: %v, %d lost, %d not reached; each incarnation under a new name: %v, %d lost, %d not reached",
 				remembered, remembered.Lost, remembered.NotReached, renamed, renamed.Lost, renamed.NotReached)
 			g.Expect(remembered.Lost).To(gomega.BeNumerically("<", renamed.Lost*2/3))
 			g.Expect(remembered.InTime).To(gomega.BeNumerically(">=", renamed.InTime))
@@ -43,13 +43,13 @@
 	}
 }
 
-// newRestartedPool returns a pool with a server that has started again so many times, a second
-// apart, and two servers beside it.
-func newRestartedPool(times int) (*pool.Pool, site.ServerID, time.Time) {
+// newRestartedPool returns a pool with a server that has restarted the given number of times,
+// one second apart, and two other servers.
+func newRestartedPool(restarts int) (*pool.Pool, site.ServerID, time.Time) {
 	p := pool.New("a", 0, rand.New(rand.NewPCG(1, 2)))
 	now := start
 	var id site.ServerID
-	for range times + 1 {
+	for range restarts + 1 {
 		now = now.Add(time.Second)
 		id = site.RunID("again", now)
 		p.Update([]site.Server{{ID: id, Zone: "a", Slots: 4}, {ID: "steady", Zone: "a", Slots: 4}, {ID: "slow", Zone: "b", Slots: 4}}, 1, now)
@@ -57,7 +57,7 @@
 	return p, id, now
 }
 
-// countSlots counts the requests that a server takes at once.
+// countSlots counts the requests that a server is given at once.
 func countSlots(p *pool.Pool, id site.ServerID, now time.Time) int {
 	count := 0
 	for ; count < 100; count++ {
@@ -73,7 +73,7 @@
 func TestRestartedServerStartsWithSmallLimitThatGrowsWithResponses(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p, id, now := newRestartedPool(0)
-	g.Expect(countSlots(p, id, now)).To(gomega.Equal(6), "the limit of a server that is new")
+	g.Expect(countSlots(p, id, now)).To(gomega.Equal(6), "initial limit of a new server")
 	p, id, now = newRestartedPool(2)
 	g.Expect(countSlots(p, id, now)).To(gomega.Equal(1))
 	good := pool.Outcome{Took: 50 * time.Millisecond, Load: &site.Load{Running: 1, Slots: 4}}
@@ -87,14 +87,14 @@
 	g.Expect(countSlots(p, id, now)).To(gomega.BeNumerically(">=", 4))
 }
 
-// A single restart, as in a rolling upgrade, is over soon; more of them count for
-// longer.
+// A single restart, as in a rolling upgrade, has a short probation; more restarts have a
+// longer one.
 func TestProbationGrowsWithRestartCount(t *testing.T) {
 	g := gomega.NewWithT(t)
 	untried := func(times int, after time.Duration) int {
 		p, id, now := newRestartedPool(times)
 		now = now.Add(after)
-		// Those that have answered are quicker than what is assumed of others.
+		// The other servers are faster than the time assumed of a server without responses.
 		p.Done("steady", pool.Outcome{Took: 10 * time.Millisecond}, now)
 		p.Done("slow", pool.Outcome{Took: time.Second}, now)
 		count := 0
@@ -116,7 +116,7 @@
 	g.Expect(untried(4, time.Minute)).To(gomega.BeNumerically(">", 0))
 }
 
-// What was learnt of the earlier run does not count for the new one.
+// A new incarnation is not blocked because of what was observed of the previous one.
 func TestNewIncarnationIsNotBlockedForPreviousOne(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p, id, now := newRestartedPool(0)
@@ -129,11 +129,11 @@
 	g.Expect(countSlots(p, next, now)).To(gomega.Equal(1))
 	_, refusal = p.Ask(&pool.Waiter{Only: id, Deadline: now.Add(time.Minute)}, now)
 	g.Expect(refusal.Reason).To(gomega.Equal(pool.NoServer))
-	p.Done(id, pool.Outcome{Failed: true}, now) // an answer of the earlier run comes late
-	g.Expect(countSlots(p, next, now)).To(gomega.BeZero(), "and frees no place at the new one")
+	p.Done(id, pool.Outcome{Failed: true}, now) // late outcome of the previous incarnation
+	g.Expect(countSlots(p, next, now)).To(gomega.BeZero(), "it frees no slot at the new incarnation")
 }
 
-// When a whole service starts again there is nobody else to send to.
+// When a whole service restarts, no other servers can take its requests.
 func TestSimultaneousRestartPutsAtMostHalfOnProbation(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := pool.New("a", 0, rand.New(rand.NewPCG(1, 2)))
--- a/gateway/pool/evict_test.go
+++ b/gateway/pool/evict_test.go
@@ -11,8 +11,8 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// A more urgent request that cannot be answered any more gives its turn up; the one
-// behind it can then be answered, and stays.
+// A more urgent request that can no longer be answered in time is evicted. The request behind
+// it can then be answered and stays in the queue.
 func TestEvictedWaiterDoesNotCountAgainstLaterOnes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := pool.New("a", 0, rand.New(rand.NewPCG(1, 1)))
@@ -30,12 +30,12 @@
 	for _, e := range p.Evict(start.Add(time.Second)) {
 		evicted[e.Waiter] = true
 	}
-	g.Expect(evicted).To(gomega.HaveKey(hopeless), "100 ms left, a request takes 150")
-	g.Expect(evicted).NotTo(gomega.HaveKey(behind), "200 ms left")
+	g.Expect(evicted).To(gomega.HaveKey(hopeless), "100 ms are left, a request takes 150 ms")
+	g.Expect(evicted).NotTo(gomega.HaveKey(behind), "200 ms are left")
 }
 
-// The only server takes no connection while a request waits for it. The request is
-// sent when the server is tried again, and not left until its time is over.
+// A request waits for its only server, to which a connection has failed. It is sent when the
+// server is retried, before its deadline.
 func TestWaiterIsAdmittedWhenBlockedServerIsRetried(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := pool.New("a", 0, rand.New(rand.NewPCG(1, 1)))
@@ -47,7 +47,7 @@
 		return admission
 	}
 	g.Expect(ask()).NotTo(gomega.BeNil())
-	g.Expect(ask()).To(gomega.BeNil(), "it waits")
+	g.Expect(ask()).To(gomega.BeNil(), "the request is queued")
 	g.Expect(p.Done("s", pool.Outcome{Failed: true, NotReached: true}, start)).To(gomega.BeEmpty())
 	at, waits := p.NextRoom(start)
 	g.Expect(waits).To(gomega.BeTrue())
--- a/gateway/pool/limit.go
+++ b/gateway/pool/limit.go
@@ -7,38 +7,39 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// Weights and bounds of the limit of requests at a server. A limit below one is a
-// share of the time: the node sends one request and then pauses. It answers many
-// nodes that want one server at once, as when a key becomes busy: one request of
-// each of dozens of nodes is already more than a server with six slots and a queue takes,
-// and each refused one costs a retry, or is lost if the server resets it.
+// Bounds and factors of the per-node limit of concurrent requests at a server. A limit below
+// one is a duty cycle: the node sends one request and then pauses. It covers many nodes that
+// send to one server at once, as when a key becomes hot: one request from each of dozens of
+// nodes already exceeds a server with six slots and a queue, and each refused request costs a
+// retry, or is lost if the server resets the connection.
 const (
-	// slotOvercommit is how much of the slots the first limits of all nodes add up to:
-	// some nodes always want nothing.
+	// slotOvercommit is the ratio of the sum of all nodes' initial limits to the slots. It is
+	// above one because some nodes have no demand at any time.
 	slotOvercommit = 1.5
-	// minLimit bounds the share of a node: slots are divided among 100 nodes or so.
+	// minLimit is the lower bound of the limit: slots are divided among about 100 nodes at
+	// most.
 	minLimit = 0.04
-	// maxPause bounds the pause after a request, in case the server has become
-	// less busy meanwhile: about as long as a key stays busy.
+	// maxPause bounds the pause after a request, in case the server has become less busy
+	// during it. It is about as long as a key stays hot.
 	maxPause = 5 * time.Second
-	// limitIncrement is added to the limit for each free slot that an answer reports, so
-	// that a server whose keys become busy is filled within a few answers.
+	// limitIncrement is added to the limit for each free slot that a response reports, so
+	// that a server whose keys become hot is filled within a few responses.
 	limitIncrement = 0.25
-	// limitDecrease is the factor of the limit with each answer of a server whose queue is
-	// longer than shortQueue of its slots.
+	// limitDecrease multiplies the limit on each response from a server whose queue is longer
+	// than shortQueueRatio times its slots.
 	limitDecrease   = 0.85
 	shortQueueRatio = 0.5
-	// refusalDecrease is the factor after a refusal for lack of room.
+	// refusalDecrease multiplies the limit after a refusal for lack of capacity.
 	refusalDecrease = 0.6
 )
 
-// initialLimit gives every node its share of the slots, and one request at least:
-// most nodes rarely want the same server at once.
+// initialLimit gives every node its share of the slots, and at least one request, because
+// most nodes rarely send to the same server at once.
 func (p *Pool) initialLimit(server site.Server) float64 {
 	return max(1, math.Ceil(slotOvercommit*float64(server.Slots)/float64(p.nodes)))
 }
 
-// lowerLimit multiplies the limit of requests at a server.
+// lowerLimit multiplies the limit by factor, down to minLimit.
 func (m *member) lowerLimit(factor float64) { m.limit = max(minLimit, m.limit*factor) }
 
 // hasCapacity reports whether the limit lets another request go to a server.
@@ -56,22 +57,24 @@
 	return taken == 0 && !now.Before(m.pausedUntil)
 }
 
-// startPause keeps a limit below one after a request has ended.
+// startPause delays the next request after one has ended, for a limit below one.
 func (p *Pool) startPause(m *member, now time.Time) {
 	if m.limit < 1 {
-		// Spread, since nodes that were refused together would come back together.
+		// The pause is randomized because nodes that were refused together would otherwise
+		// return together.
 		spread := 0.5 + p.random.Float64()
 		m.pausedUntil = now.Add(time.Duration(spread * float64(m.pauseDuration(p.serviceTime(m, now)))))
 	}
 }
 
-// pauseDuration returns the pause after a request that takes so many seconds.
+// pauseDuration returns the pause after a request that takes the given number of seconds.
 func (m *member) pauseDuration(seconds float64) time.Duration {
 	return min(time.Duration(seconds*(1/m.limit-1)*float64(time.Second)), maxPause)
 }
 
-// NextRoom returns when a pause ends for which requests wait, or a server that took
-// no connection is tried again; waits is false if there is no such time.
+// NextRoom returns the earliest time at which Admit may send a waiting request because a
+// pause ends or a server is retried after a failed connection. found is false if there is no
+// such time.
 func (p *Pool) NextRoom(now time.Time) (at time.Time, found bool) {
 	if len(p.queue) == 0 {
 		return time.Time{}, false
@@ -88,12 +91,11 @@
 	return at, found
 }
 
-// recordRefusal lowers the limit of a server that is full. One that refuses for
-// lack of room is wanted by other nodes too, so that this one keeps to its share
-// at once. One that refuses with free
-// slots fails for another reason. If it does not tell its load, what it told with its
-// latest answer counts: servers that refuse at random then keep the node's share, and
-// are not left idle while requests are refused for want of limits.
+// recordRefusal lowers the limit of a server that is full. A refusal for lack of capacity
+// means that other nodes use the server too, so this node drops to its fair share at once. A
+// refusal by a server with free slots has another cause. If the refusal reports no load, the
+// load in the server's latest response decides: servers that refuse at random then keep the
+// node's fair share, and are not left idle while requests are refused because of low limits.
 func (p *Pool) recordRefusal(m *member, outcome Outcome) {
 	switch {
 	case outcome.Reset:
@@ -107,13 +109,13 @@
 	}
 }
 
-// fairLimit is a node's share of the slots of a server.
+// fairLimit returns a node's share of the slots of a server.
 func (p *Pool) fairLimit(m *member) float64 {
 	return slotOvercommit * float64(max(m.Slots, 1)) / float64(p.nodes)
 }
 
 func (p *Pool) recordLoad(m *member, load site.Load, now time.Time) {
-	// The report counts the request that it answers.
+	// The report includes the request that it answers.
 	m.otherRequests = max(0, float64(load.Total()-1-m.inFlight()))
 	m.reportAt = now
 	m.hadFreeSlots = load.Waiting == 0 && load.Running < load.Slots
--- a/gateway/pool/pool.go
+++ b/gateway/pool/pool.go
@@ -1,20 +1,22 @@
-// Package pool decides which server of a service gets a request, how many
-// requests a node has at each server at once, who waits, and who is refused. It
-// has no I/O, clock or lock: times come in as arguments.
+// Package pool selects the server of a service for each request, limits the requests that a
+// node has in flight at each server, queues requests and refuses them. It has no I/O, clock
+// or lock: times are passed as arguments.
 //
-// It answers these load patterns:
+// It handles these load patterns:
 //
-//   - Bursts and overload: what waits at the node is ordered and can be refused
-//     truthfully; what waits at a server cannot. So a node's requests at a server
-//     are limited by the queue that the server reports, and a request that cannot
-//     be answered in its time is refused when it comes, not when it expires.
-//   - Servers of unlike speed, cold, slow or failing: a request goes where it is
-//     expected to end first, by the times, load reports and failures seen lately.
-//   - Many nodes that see each server seldom: reports lose weight within a few
-//     service times, so that nodes do not all follow the same old report, and for
-//     busy keys the lessor tells all nodes the same share.
-//   - Answers that are lost: a request that is overdue at a server with room gives
-//     its place up.
+//   - Bursts and overload: a request that waits at the node is ordered and can be refused
+//     with the certainty that it has not run, which does not hold for one that waits at a
+//     server. A node's requests at a server are therefore limited by the queue that the
+//     server reports, and a request that cannot be answered before its deadline is refused on
+//     arrival, not when it expires.
+//   - Servers of different speed, cold, slow or failing: a request goes to the server where
+//     it is expected to end first, according to recent service times, load reports and
+//     failures.
+//   - Many nodes that rarely use each server: load reports lose weight within a few service
+//     times, so that nodes do not all act on the same outdated report, and for hot keys the
+//     lessor sends all nodes the same share.
+//   - Lost responses: a request that is overdue at a server with free slots releases its slot
+//     in the limit.
 package pool
 
 import (
@@ -28,111 +30,114 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// Weights and bounds of the choice of a server.
+// Weights and bounds of server selection.
 const (
-	// timeWeight is the weight of one answer in a server's mean time.
+	// timeWeight is the weight of one response in a server's mean service time.
 	timeWeight = 0.2
-	// initialTime is assumed of a service whose times are unknown.
+	// initialTime is the assumed service time of a service without any response.
 	initialTime = 150 * time.Millisecond
-	// reportHalfLife is how fast a load report loses weight: about two service times.
+	// reportHalfLife is the half-life of the weight of a load report: about two service
+	// times.
 	reportHalfLife = 300 * time.Millisecond
 	// failureWeight is the weight of one outcome in a server's failure rate.
 	failureWeight = 0.3
-	// failureHalfLife is how fast the failure rate falls without outcomes, so that a
-	// server that was avoided is tried again.
+	// failureHalfLife is the half-life of the failure rate without new outcomes, so that an
+	// avoided server is retried.
 	failureHalfLife = 3 * time.Second
-	// failureCost is the time that a failure costs a caller whose request may be
-	// sent again, and onceCost what it costs one whose request must not run twice,
-	// since that is lost: a server near by that fails a third of the time is left for
-	// one in another zone.
+	// failureCost is the time that a failure costs a caller whose request may be retried.
+	// atMostOnceFailureCost applies to requests that must not run twice and are lost by a
+	// failure: a server of the own zone that fails a third of the time is then avoided in
+	// favor of one in another zone.
 	failureCost           = 400 * time.Millisecond
 	atMostOnceFailureCost = time.Second
-	// ownZoneShare is the share of the time left to the objective within which a
-	// server of the own zone is taken although another would answer sooner:
-	// callers lose nothing, and no bytes go between zones.
+	// ownZoneShare is the share of the time left until the target within which a server of
+	// the own zone is preferred although another would answer sooner: callers lose nothing,
+	// and no bytes cross zones.
 	ownZoneShare = 0.5
-	// estimateNoise is the share by which estimates are varied, so that nodes with the
-	// same reports do not choose the same server.
+	// estimateNoise is the relative width of the random variation of estimates, so that nodes
+	// with the same reports do not choose the same server.
 	estimateNoise = 0.15
-	// untriedShare is the share of requests that go to a warm server that has not
-	// answered this node yet, the newest first. Among many servers each node
-	// otherwise keeps to the quick ones that it knows, and servers that are added get
-	// nothing. More of them would go to servers that are slow.
+	// untriedShare is the share of requests that go to a warm server that has not answered
+	// this node yet, the newest first. With many servers, each node otherwise stays with the
+	// fast ones that it knows, and added servers get no requests. A higher share would send
+	// more requests to slow servers.
 	untriedShare = 0.1
-	// slowHalfLife is how fast a server that was slow comes to count as a usual one.
+	// slowHalfLife is the half-life of the excess of a slow server's mean over the median.
 	slowHalfLife = 5 * time.Second
-	// hangFactor is after how many usual times without any answer a server that has
-	// requests counts as failing: about one request in a hundred takes three. Callers
-	// that leave after half of their objective do so sooner.
+	// hangFactor is the number of usual service times without any response after which a
+	// server with requests in flight is treated as failing: about one request in a hundred
+	// takes three. Callers that give up after half of their target do so sooner.
 	hangFactor = 4.0
-	// coldFactor is how much longer a server takes that has just started.
+	// coldFactor multiplies the expected time at a server that has just started.
 	coldFactor = 2.0
 )
 
-// member is what the pool knows of one server.
+// member is the pool's state of one server.
 type member struct {
 	site.Server
-	sentAt       []time.Time // of the requests that have not ended, the oldest first
-	queueEmptyAt time.Time   // when the latest request was sent whose answer told room
-	limit        float64     // requests of this node at once, or the share of the time with one
-	// pausedUntil is until when a limit below one lets no request go.
+	sentAt       []time.Time // send times of the requests in flight, oldest first
+	queueEmptyAt time.Time   // send time of the latest request whose response reported free slots
+	limit        float64     // concurrent requests of this node, or the duty cycle of one request if below one
+	// pausedUntil is the end of the pause during which a limit below one admits no request.
 	pausedUntil    time.Time
-	meanSeconds    float64 // seconds that a request takes; 0: not known
+	meanSeconds    float64 // mean service time; 0: not known
 	meanUpdatedAt  time.Time
 	otherRequests  float64 // requests of other nodes, as of reportAt
 	reportAt       time.Time
-	hadFreeSlots   bool    // it told free slots and no queue then
-	failureRate    float64 // rate of failures lately, as of failureAt
+	hadFreeSlots   bool    // whether that report had free slots and no queue
+	failureRate    float64 // recent failure rate, as of failureAt
 	failureAt      time.Time
 	coldUntil      time.Time
 	addedAt        time.Time
-	probationUntil time.Time // until when it gets few requests after a restart
-	// unansweredSince is since when it has requests of this node and has answered none.
+	probationUntil time.Time // end of the low limit after a restart
+	// unansweredSince is the start of the period in which the server has had requests of this
+	// node and has answered none.
 	unansweredSince time.Time
-	// blockedUntil is until when a server that took no connection gets no request.
+	// blockedUntil is the time before which a server that could not be connected to gets no
+	// request.
 	blockedUntil   time.Time
-	failedConnects int       // connections in a row that it did not take
-	probedAt       time.Time // when a connection was last tried for that reason
-	// share is the part of the requests for its keys that may be sent until sharedUntil,
-	// and credit what the node has kept of it.
+	failedConnects int       // consecutive failed connections
+	probedAt       time.Time // when a connection was last tried as a probe
+	// share is the fraction of the requests for the server's keys that may be sent until
+	// shareExpiry; credit is the unused part of it.
 	share, credit float64
 	shareExpiry   time.Time
 }
 
-// blocked reports whether the server took no connection lately.
+// blocked reports whether a connection to the server has recently failed.
 func (m *member) blocked(now time.Time) bool { return now.Before(m.blockedUntil) }
 
-// Pool is one service's servers as one node sees them.
+// Pool holds one service's servers as one node sees them.
 type Pool struct {
 	zone    string
-	penalty time.Duration // time that sending to another zone counts as
+	penalty time.Duration // time added to the estimate of a server in another zone
 	nodes   int           // nodes that share the servers
 	members map[site.ServerID]*member
-	// histories are the runs of servers lately, also of those that have left.
+	// histories holds the recent incarnations of servers, including those that have left.
 	histories   map[site.ServerName]*history
 	order       []*member
 	queue       []*Waiter
-	cachedTimes serviceTimes // zero: to be made anew
-	shares      quota.Shares // of requests for keys, until sharesUntil
-	// sharesUntil is when the shares end if nothing newer is told.
+	cachedTimes serviceTimes // zero: to be recomputed
+	shares      quota.Shares // shares of requests for keys, valid until sharesUntil
+	// sharesUntil is the expiry of the shares if no newer ones arrive.
 	sharesUntil time.Time
 	random      *rand.Rand
 }
 
-// New returns a pool without servers for a node in a zone. penalty is what
-// sending to another zone counts as, next to the time that a request takes.
+// New returns a pool without servers for a node in the given zone. penalty is added to the
+// expected time of a request at a server in another zone.
 func New(zone string, penalty time.Duration, random *rand.Rand) *Pool {
 	return &Pool{zone: zone, penalty: penalty, nodes: 1, members: map[site.ServerID]*member{}, histories: map[site.ServerName]*history{}, random: random}
 }
 
-// SetPenalty replaces the time that sending to another zone counts as.
+// SetPenalty replaces the time added for servers in another zone.
 func (p *Pool) SetPenalty(penalty time.Duration) { p.penalty = penalty }
 
-// assumedNodes share the servers while their number is not known.
+// assumedNodes is the number of nodes assumed to share the servers until it is known.
 const assumedNodes = 8
 
-// Update takes the registered servers and the number of nodes that share them,
-// 0 if it is not known.
+// Update sets the registered servers and the number of nodes that share them, 0 if it is not
+// known.
 func (p *Pool) Update(servers []site.Server, nodes int, now time.Time) {
 	p.nodes = nodes
 	if nodes <= 0 {
@@ -161,7 +166,7 @@
 	})
 }
 
-// removeUnlisted forgets all servers but those given.
+// removeUnlisted removes all servers except the given ones.
 func (p *Pool) removeUnlisted(servers []site.Server) {
 	kept := make(map[site.ServerID]bool, len(servers))
 	for _, server := range servers {
@@ -170,7 +175,7 @@
 	maps.DeleteFunc(p.members, func(id site.ServerID, _ *member) bool { return !kept[id] })
 }
 
-// Size returns the number of servers that may get requests.
+// Size returns the number of servers that are not draining.
 func (p *Pool) Size() int {
 	size := 0
 	for _, m := range p.order {
@@ -181,9 +186,8 @@
 	return size
 }
 
-// pick returns the server with room where a request is expected to end first. A
-// server of the own zone goes before others while it answers well within the
-// objective.
+// pick returns the server with capacity where a request is expected to end first. A server of
+// the own zone is preferred as long as it is expected to answer well within the target.
 func (p *Pool) pick(w *Waiter, now time.Time) *member {
 	if w.Only != "" {
 		if m := p.members[w.Only]; m != nil && p.canSend(m, w, now) {
@@ -222,8 +226,8 @@
 	return !isOverShare && !m.Draining && !m.blocked(now) && w.accepts(m.ID) && p.hasCapacity(m, now)
 }
 
-// untried returns the warm server of the own zone that was added last of those
-// that have not answered yet, or nil.
+// untried returns the most recently added warm server of the own zone that has not answered
+// yet, or nil.
 func (p *Pool) untried(w *Waiter, now time.Time) *member {
 	var newest *member
 	for _, m := range p.order {
@@ -235,8 +239,8 @@
 	return newest
 }
 
-// expectedTime returns the time in seconds after which a request sent now is
-// expectedTime to be answered, varied by noise.
+// expectedTime returns the time in seconds after which a request sent now is expected to be
+// answered, with random variation of estimateNoise.
 func (p *Pool) expectedTime(m *member, w *Waiter, now time.Time) float64 {
 	mean := p.serviceTime(m, now)
 	slots := float64(max(m.Slots, 1))
@@ -255,21 +259,20 @@
 	return expected * (1 + estimateNoise*(p.random.Float64()-0.5))
 }
 
-// Outcome is how a request ended at a server.
+// Outcome describes how a request ended at a server.
 type Outcome struct {
 	Took       time.Duration
 	Load       *site.Load // nil: not reported
-	Failed     bool       // no answer, or a failure of the server
-	NoRoom     bool       // the server refused for lack of room
-	Reset      bool       // the server reset the connection, as some do that are full
-	NotReached bool       // the server took no connection
-	// Abandoned tells that the node gave the request up, which says little of
-	// the server unless that was long after it should have answered.
+	Failed     bool       // no response, or a failure of the server
+	NoRoom     bool       // the server refused for lack of capacity
+	Reset      bool       // the server reset the connection, as some do when they are full
+	NotReached bool       // the server accepted no connection
+	// Abandoned reports that the node gave up on the request. This says little about the
+	// server unless the request was long overdue.
 	Abandoned bool
 }
 
-// Done takes the end of a request at a server, and returns the waiters that may
-// be sent now.
+// Done records the end of a request at a server and returns the waiters that may be sent now.
 func (p *Pool) Done(id site.ServerID, outcome Outcome, now time.Time) []Admission {
 	m := p.members[id]
 	if m == nil {
@@ -308,24 +311,24 @@
 	return p.Admit(now)
 }
 
-// Times for which a server that takes no connection is left alone.
+// Bounds of the time for which a server gets no requests after a failed connection.
 const (
 	minBlock = 500 * time.Millisecond
 	maxBlock = 2 * time.Second
-	// probeInterval is the least time between two connections to a slow server that
-	// are opened to see whether it can be reached.
+	// probeInterval is the minimum time between two probe connections to a slow server.
 	probeInterval = 400 * time.Millisecond
 )
 
-// block keeps requests from a server that took no connection, longer each time.
+// block stops requests to a server after a failed connection, for longer after each
+// consecutive failure.
 func (m *member) block(now time.Time) {
 	pause := min(minBlock<<min(m.failedConnects, 4), maxBlock)
 	m.failedConnects++
 	m.blockedUntil = now.Add(pause)
 }
 
-// Probe reports whether a connection to a slow server should be tried, and
-// whether the server took none lately.
+// Probe reports whether a connection to a slow server should be tried, and whether one
+// has recently failed.
 func (p *Pool) Probe(id site.ServerID, now time.Time) (mustProbe, isBlocked bool) {
 	m := p.members[id]
 	if m == nil || m.blocked(now) {
@@ -338,7 +341,7 @@
 	return true, false
 }
 
-// Probed takes whether a connection was taken.
+// Probed records whether a probe connection was accepted.
 func (p *Pool) Probed(id site.ServerID, reached bool, now time.Time) {
 	if m := p.members[id]; m != nil && !reached {
 		m.block(now)
--- a/gateway/pool/pool_test.go
+++ b/gateway/pool/pool_test.go
@@ -12,7 +12,7 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// High load on servers of unlike speed: random choice overloads the slow half.
+// High load on servers of different speed: random selection overloads the slow half.
 func TestServersOfDifferentSpeedUnderHighLoad(t *testing.T) {
 	g := gomega.NewWithT(t)
 	pooled, blind := compare(t, replay.Load{Nodes: 8, Servers: eight(), Rate: steady(320), Length: 20 * time.Second, Target: 300 * time.Millisecond, Patient: 2 * time.Second})
@@ -21,8 +21,8 @@
 	g.Expect(pooled.Overflow).To(gomega.BeZero())
 }
 
-// A burst to one and a half times the capacity: what is served should be served
-// in time, and the rest refused before its time is spent.
+// Burst to one and a half times the capacity: served requests should be served in time, and
+// the rest refused before their deadline.
 func TestBurstBeyondCapacity(t *testing.T) {
 	g := gomega.NewWithT(t)
 	burst := func(at time.Duration) float64 {
@@ -36,7 +36,7 @@
 	g.Expect(pooled.Overflow).To(gomega.BeNumerically("<", blind.Overflow/4))
 }
 
-// A third of the servers refuse half of what they get although they run.
+// Three of eight servers refuse half of their requests although they are running.
 func TestSheddingServersAreAvoided(t *testing.T) {
 	g := gomega.NewWithT(t)
 	servers := eight()
@@ -48,8 +48,8 @@
 	g.Expect(pooled.InTime).To(gomega.BeNumerically(">", blind.InTime*115/100))
 }
 
-// A third of the servers never answer half of what they get, although they run. The
-// node learns nothing but that its callers leave, and those requests are lost.
+// Three of eight servers never answer half of their requests, although they are running. The
+// node only observes that its callers leave, and those requests are lost.
 func TestHangingServersAreAvoided(t *testing.T) {
 	g := gomega.NewWithT(t)
 	servers := eight()
@@ -63,8 +63,8 @@
 	g.Expect(pooled.Hung).To(gomega.BeNumerically("<", blind.Hung/4))
 }
 
-// Servers of the own zone fail some requests, those of other zones none. What must
-// not run twice goes to the others, since a failure loses it.
+// Servers of the own zone fail some requests, those of other zones none. Requests that must
+// not run twice go to the other zones, because a failure loses them.
 func TestAtMostOnceRequestsAvoidFailingServers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	failures := func(once bool) int {
@@ -83,13 +83,13 @@
 		}
 		return failed
 	}
-	t.Logf("failed of 400: %d if they may run twice, %d if not", failures(false), failures(true))
+	t.Logf("failed of 400: %d if retries are allowed, %d if not", failures(false), failures(true))
 	g.Expect(failures(true)).To(gomega.BeNumerically("<", 15))
 	g.Expect(failures(true)).To(gomega.BeNumerically("<", failures(false)/2))
 }
 
-// One key becomes busier than its owner can be: the owner stays busy with
-// requests that are answered in time, and the others hear so at once.
+// The load of one key exceeds the capacity of its owner: the owner stays busy with requests
+// that are answered in time, and the rest is refused at once.
 func TestHotKeyExceedsOwnerCapacity(t *testing.T) {
 	g := gomega.NewWithT(t)
 	servers := eight()[:1]
@@ -100,8 +100,8 @@
 	g.Expect(pooled.Overflow).To(gomega.BeZero())
 }
 
-// The same at a site of many nodes: one request of each is already too much for
-// the owner, and every refusal costs a retry out of a budget that all share.
+// A hot key at a site of many nodes: one request from each node already exceeds the owner's
+// capacity, and every refusal costs a retry from a budget that all requests share.
 func TestHotKeyRequestedByManyNodes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	servers := []replay.Server{{Zone: "a", Slots: 6, Queue: 16, Work: 400 * time.Millisecond}}
@@ -114,9 +114,8 @@
 	g.Expect(pooled.Overflow).To(gomega.BeNumerically("<", blind.Overflow/4))
 }
 
-// Servers are added to a site of many nodes that is far from busy, and are slow at
-// first. Each node knows quicker ones; the new ones must get their share all the
-// same, soon after they are warm.
+// Servers are added to a lightly loaded site of many nodes, and are slow at first. Each node
+// knows faster servers; the new ones must still get their share soon after they are warm.
 func TestAddedServersReceiveRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const nodes, perNode = 29, 70 * time.Millisecond
@@ -129,12 +128,12 @@
 		pools = append(pools, pool.New("a", 0, rand.New(rand.NewPCG(uint64(i), 1))))
 		pools[i].Update(servers, nodes, start)
 	}
-	got := map[site.ServerID]int{}
+	counts := map[site.ServerID]int{}
 	ask := func(now time.Time) {
 		for _, p := range pools {
 			w := &pool.Waiter{Since: now, Target: now.Add(800 * time.Millisecond), Deadline: now.Add(5 * time.Second)}
 			admission, _ := p.Ask(w, now)
-			got[admission.Server.ID]++
+			counts[admission.Server.ID]++
 			p.Done(admission.Server.ID, pool.Outcome{Took: 100 * time.Millisecond, Load: &site.Load{Running: 1, Slots: 4}}, now.Add(100*time.Millisecond))
 		}
 	}
@@ -154,11 +153,11 @@
 		ask(now)
 	}
 	for i := 30; i < 70; i++ {
-		g.Expect(got[serverID(i)]).To(gomega.BeNumerically(">", 0), "%s", serverID(i))
+		g.Expect(counts[serverID(i)]).To(gomega.BeNumerically(">", 0), "%s", serverID(i))
 	}
 }
 
-// A server was slow for a while, and is not any more. It gets requests again.
+// A server that was slow for 5 s gets requests again after it has recovered.
 func TestPreviouslySlowServerIsRetried(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := pool.New("a", 0, rand.New(rand.NewPCG(1, 1)))
@@ -176,7 +175,7 @@
 		}
 		p.Done(admission.Server.ID, pool.Outcome{Took: took}, now.Add(took))
 	}
-	g.Expect(got).To(gomega.BeNumerically(">", 100), "of 600")
+	g.Expect(got).To(gomega.BeNumerically(">", 100), "requests of 600")
 }
 
 func TestOwnZoneIsPreferredWithinObjective(t *testing.T) {
--- a/gateway/pool/queue.go
+++ b/gateway/pool/queue.go
@@ -8,32 +8,32 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// Bounds of waiting.
+// Bounds of the queue.
 const (
 	// maxWaiting bounds the requests that wait for one service at a node.
 	maxWaiting = 400
-	// minRetryAfter and mostRetryAfter bound when a refused caller is asked to
-	// come back: not before a request or two could have ended, and not so late
-	// that it has no time left.
+	// minRetryAfter and maxRetryAfter bound the retry delay sent to a refused caller: not
+	// before one or two requests could have ended, and not so late that the caller has no
+	// time left.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 2 * time.Second
 )
 
-// Waiter is a request that wants a server.
+// Waiter is a request that needs a server.
 type Waiter struct {
 	Priority int             // 0 is the most urgent
-	Since    time.Time       // when it came
-	Target   time.Time       // by when an answer is worth most
-	Deadline time.Time       // by when an answer is worth anything
-	Only     site.ServerID   // the one server that may run it; empty: any
-	Not      []site.ServerID // runs of servers that have been tried
+	Since    time.Time       // arrival time
+	Target   time.Time       // time by which a response has its full value
+	Deadline time.Time       // time after which a response has no value
+	Only     site.ServerID   // the only server that may run it; empty: any
+	Not      []site.ServerID // incarnations of servers that have been tried
 	Once     bool            // it must not run twice, so that a failure of its server loses it
-	Passed   bool            // it has been counted for the share of its server
+	Passed   bool            // it has been charged to the share of its server
 }
 
-// accepts reports whether a run of a server may get the request. A new run of a
-// server that was tried counts as tried: it has just started, often because it
-// failed under the request, and the route bounds the servers that are tried.
+// accepts reports whether an incarnation of a server may get the request. A new incarnation
+// of a tried server is treated as tried: it has just started, often because it failed under
+// the request, and the route bounds the number of servers that are tried.
 func (w *Waiter) accepts(id site.ServerID) bool {
 	if w.Only != "" {
 		return w.Only == id
@@ -48,31 +48,31 @@
 	return failureCost
 }
 
-// Admission gives a waiter a place at a server.
+// Admission assigns a waiter a slot at a server.
 type Admission struct {
 	Waiter *Waiter
 	Server site.Server
 }
 
-// Refusal tells why a request does not wait, and when to come back.
+// Refusal describes why a request is not queued, and when the caller should retry.
 type Refusal struct {
 	Reason     Reason
 	RetryAfter time.Duration
-	Share      float64 // that the server has of the requests for its keys, for OverShare
+	Share      float64 // the server's share of the requests for its keys, for OverShare
 }
 
-// Reason says why a request is refused.
+// Reason is the cause of a refusal.
 type Reason string
 
 // Reasons of a refusal.
 const (
-	NoServer  Reason = "no server"                 // none may run it
-	TooLong   Reason = "wait longer than its time" // it would not be answered in time
+	NoServer  Reason = "no server"                 // no server may run it
+	TooLong   Reason = "wait longer than its time" // it would miss its deadline
 	QueueFull Reason = "queue full"
 	OverShare Reason = "wanted beyond what its server runs" // other requests for its keys are sent
 )
 
-// Ask gives a request a place at once, lets it wait, or refuses it.
+// Ask assigns a request a slot at once, queues it, or refuses it.
 func (p *Pool) Ask(w *Waiter, now time.Time) (admission *Admission, refusal *Refusal) {
 	if !p.hasServer(w, now) {
 		return nil, &Refusal{Reason: NoServer, RetryAfter: p.retryAfter(0)}
@@ -96,7 +96,7 @@
 	return nil, nil
 }
 
-// Leave takes a request that waits no longer out of the queue.
+// Leave removes a request from the queue.
 func (p *Pool) Leave(w *Waiter) {
 	p.queue = slices.DeleteFunc(p.queue, func(other *Waiter) bool { return other == w })
 }
@@ -113,7 +113,7 @@
 	return &Admission{Waiter: w, Server: m.Server}
 }
 
-// countAhead counts the waiters that go before a request to the same servers.
+// countAhead counts the waiters that precede a request for the same servers.
 func (p *Pool) countAhead(w *Waiter, now time.Time) int {
 	count := 0
 	for _, other := range p.queue {
@@ -124,17 +124,18 @@
 	return count
 }
 
-// expectedWait estimates for how long a request waits and runs when so many go
-// before it: this node's requests end at the rate of its limits by the times
-// that servers take, which include their own queues.
+// expectedWait estimates the waiting and service time of a request behind the given number of
+// waiters. This node's requests end at the rate given by its limits and the servers' service
+// times, which include the servers' own queues.
 func (p *Pool) expectedWait(w *Waiter, ahead int, now time.Time) time.Duration {
 	return p.throughputFor(w, now).wait(ahead)
 }
 
-// throughput is how fast this node's requests end at the servers that may run one.
+// throughput is the rate at which this node's requests end at the servers that may run a
+// given request.
 type throughput struct {
-	rate           float64 // requests a second
-	slowestSeconds float64 // seconds that one takes at the slowest of them
+	rate           float64 // requests per second
+	slowestSeconds float64 // service time at the slowest of the servers
 }
 
 func (p *Pool) throughputFor(w *Waiter, now time.Time) throughput {
@@ -165,8 +166,8 @@
 	return time.Duration((float64(ahead+1)/t.rate + t.slowestSeconds/2) * float64(time.Second))
 }
 
-// rate returns how many requests a second of this node end at a server where one
-// takes so many seconds.
+// rate returns how many requests per second of this node end at a server with the given
+// service time in seconds.
 func (m *member) rate(seconds float64) float64 {
 	if m.limit >= 1 {
 		return math.Floor(m.limit) / seconds
@@ -174,15 +175,15 @@
 	return 1 / (seconds + m.pauseDuration(seconds).Seconds())
 }
 
-// Evict takes the waiters out of the queue that would not be answered in time
-// any more, and returns them with when to come back. It answers a key that
-// becomes busy while requests wait: what comes later can still be answered by
-// its objective and goes first, and what is left behind should hear so at once.
+// Evict removes the waiters that can no longer be answered before their deadline, and returns
+// them with a retry delay. It covers a key that becomes hot while requests wait: later
+// requests can still be answered by their target and are sent first, and the remaining ones
+// should be refused at once.
 //
-// Waiters are looked at in the order in which they are sent, so that one that gives
-// its turn up counts for none behind it, and each is compared with others only by
-// the sort: it is done at the end of every request, and a look at every pair took
-// 2.1 ms with 400 waiters, most of a weak VM's processor at 50 requests a second.
+// Waiters are examined in the order in which they are sent, so that an evicted one does not
+// count against those behind it, and are compared with each other only by the sort. Evict
+// runs at the end of every request: comparing every pair took 2.1 ms with 400 waiters, most
+// of a weak VM's processor at 50 requests per second.
 func (p *Pool) Evict(now time.Time) []Eviction {
 	var evictions []Eviction
 	throughputs := map[site.ServerID]throughput{}
@@ -227,8 +228,8 @@
 	return order
 }
 
-// cachedThroughput returns the pace of a waiter's servers, which is the same for all that
-// may go to the same ones.
+// cachedThroughput returns the throughput of a waiter's servers, which is the same for all
+// waiters that may go to the same servers.
 func (p *Pool) cachedThroughput(cache map[site.ServerID]throughput, w *Waiter, now time.Time) throughput {
 	if w.Only == "" && len(w.Not) > 0 {
 		return p.throughputFor(w, now)
@@ -252,26 +253,27 @@
 	p.queue = slices.DeleteFunc(p.queue, func(w *Waiter) bool { return removed[w] })
 }
 
-// evictionWaitFactor is the share of the expected wait that must still fit the time
-// left: the estimate is rough, and a place given up is not had again.
+// evictionWaitFactor is the share of the expected wait that must still fit the time left. It
+// is below one because the estimate is rough and an evicted waiter cannot regain its
+// position.
 const evictionWaitFactor = 0.7
 
-// Eviction refuses a request that waited.
+// Eviction refuses a request that has waited.
 type Eviction struct {
 	Waiter  *Waiter
 	Refusal Refusal
 }
 
-// retryAfter returns when a refused caller should come back, spread so that
-// callers that were refused together return one after the other.
+// retryAfter returns the retry delay of a refused caller, randomized so that callers that
+// were refused together do not return together.
 func (p *Pool) retryAfter(wait time.Duration) time.Duration {
 	after := max(minRetryAfter, wait/2)
 	after += time.Duration(p.random.Int64N(int64(after)))
 	return min(after, maxRetryAfter)
 }
 
-// Admit returns the waiters that can be sent now. Those that can still be
-// answered by their target go first, then by priority and time of arrival.
+// Admit returns the waiters that can be sent now, ordered by priority, then by whether they
+// can still be answered by their target, then by arrival time.
 func (p *Pool) Admit(now time.Time) []Admission {
 	var admissions []Admission
 	for {
@@ -302,8 +304,8 @@
 	return compareWaiters(a, b, p.inTime(a, now), p.inTime(b, now)) < 0
 }
 
-// compareWaiters orders two waiters by when they are sent: the more urgent first,
-// of these what can still be answered by its target, then what came first.
+// compareWaiters orders two waiters by priority, then by whether they can still be answered
+// by their target, then by arrival time.
 func compareWaiters(a, b *Waiter, aInTime, bInTime bool) int {
 	switch {
 	case a.Priority != b.Priority:
@@ -316,8 +318,8 @@
 	return a.Since.Compare(b.Since)
 }
 
-// inTimeFactor is how many usual times must be left for a request to count as
-// in time: about four of five requests take less.
+// inTimeFactor is the number of mean service times that must be left for a request to be
+// treated as in time: about four of five requests take less.
 const inTimeFactor = 1.3
 
 // inTime reports whether a request sent now would be answered by its target.
@@ -329,7 +331,7 @@
 	return now.Add(time.Duration(inTimeFactor * mean * float64(time.Second))).Before(w.Target)
 }
 
-// Try gives a request a place only if there is one at once and nobody waits for it.
+// Try assigns a request a slot only if one is free at once and no request waits for it.
 func (p *Pool) Try(w *Waiter, now time.Time) (site.Server, bool) {
 	if slices.ContainsFunc(p.queue, func(other *Waiter) bool { return other.Only == w.Only }) {
 		return site.Server{}, false
@@ -341,7 +343,7 @@
 	return p.admit(w, m, now).Server, true
 }
 
-// TypicalTime returns how long a request usually takes.
+// TypicalTime returns the mean service time of a request.
 func (p *Pool) TypicalTime() time.Duration {
 	return time.Duration(p.times().mean * float64(time.Second))
 }
--- a/gateway/pool/replay_test.go
+++ b/gateway/pool/replay_test.go
@@ -10,7 +10,7 @@
 
 var start = replay.Start()
 
-// seed is that of every replay here.
+// seed is the random seed of every replay in this package.
 const seed = 7
 
 func serverID(i int) site.ServerID { return replay.ServerID(i) }
@@ -21,7 +21,7 @@
 
 func steady(rate float64) func(time.Duration) float64 { return replay.Steady(rate) }
 
-// compare runs a pattern with the pool and with requests sent blindly.
+// compare runs a load with the pool and with randomly chosen servers.
 func compare(t *testing.T, l replay.Load) (pooled, blind replay.Result) {
 	t.Helper()
 	pooled = run(l)
--- a/gateway/pool/restart.go
+++ b/gateway/pool/restart.go
@@ -7,35 +7,35 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// A server that has started again is on trial: it gets few requests until it has
-// answered some, since what it has is lost if it ends again. It answers crash
-// loops. What is learnt of an earlier run counts for nothing else.
+// A restarted server is on probation: it has a low limit until it has answered some requests,
+// because its requests in flight are lost if it ends again. This covers crash loops. Nothing
+// else observed of an earlier incarnation is used.
 const (
-	// restartWindow is the longest time between two starts that count as one series:
-	// a server that has run for longer has shown that it can.
+	// restartWindow is the longest time between two starts of the same series: a server that
+	// has run for longer is treated as stable.
 	restartWindow = 10 * time.Second
-	// minProbation is how long the trial is after one restart, as in a rolling upgrade;
-	// it doubles with each further one up to mostTrial.
+	// minProbation is the probation after one restart, as in a rolling upgrade. It doubles
+	// with each further restart up to maxProbation.
 	minProbation = time.Second
 	maxProbation = 16 * time.Second
-	// probationLimitFactor is the factor of the first limit for each restart of a series.
+	// probationLimitFactor multiplies the initial limit for each restart of a series.
 	probationLimitFactor = 0.5
-	// probationIncrease is the factor of the limit with each answer without a queue while
-	// the server is on trial, up to trialLimit.
+	// probationIncrease multiplies the limit on each response without a queue while the
+	// server is on probation, up to maxProbationLimit.
 	probationIncrease = 1.25
 	maxProbationLimit = 1.0
 )
 
-// history is what is remembered of the runs of a server.
+// history records the incarnations of a server.
 type history struct {
-	id       site.ServerID // of the latest run
-	startAt  time.Time     // when it was first seen
-	seenAt   time.Time     // when it was registered last
-	restarts int           // in the present series
+	id       site.ServerID // of the latest incarnation
+	startAt  time.Time     // when that incarnation was first seen
+	seenAt   time.Time     // when it was last registered
+	restarts int           // in the current series
 }
 
-// recordIncarnation takes that a run is registered, and returns how many restarts in a row led
-// to it if it is new.
+// recordIncarnation records a registered incarnation and returns the number of restarts in
+// the current series.
 func (p *Pool) recordIncarnation(id site.ServerID, now time.Time) int {
 	h := p.histories[id.Name()]
 	switch {
@@ -53,7 +53,8 @@
 	return h.restarts
 }
 
-// pruneHistories drops the histories of servers that left long ago.
+// pruneHistories drops the histories of servers that have not been registered for
+// restartWindow.
 func (p *Pool) pruneHistories(now time.Time) {
 	for name, h := range p.histories {
 		if now.Sub(h.seenAt) > restartWindow {
@@ -62,8 +63,9 @@
 	}
 }
 
-// startProbation lowers the first limit of a server after restarts in a row. The share
-// of all nodes counts: each of eight with one request fills four slots.
+// startProbation lowers the initial limit of a server after consecutive restarts. The limit
+// starts from the fair share among all nodes: one request from each of eight nodes exceeds
+// four slots.
 func (p *Pool) startProbation(m *member, restarts int, now time.Time) {
 	if restarts == 0 || restarts == 1 && p.mostOnProbation(now) {
 		return
@@ -72,8 +74,8 @@
 	m.probationUntil = now.Add(min(minProbation<<min(restarts-1, 10), maxProbation))
 }
 
-// mostOnProbation reports whether one more server on trial would make them more than
-// half. After the restart of a whole service requests have nowhere else to go.
+// mostOnProbation reports whether one more server on probation would make them more than
+// half. After the restart of a whole service, requests have no other server.
 func (p *Pool) mostOnProbation(now time.Time) bool {
 	count := 1
 	for _, m := range p.members {
@@ -84,5 +86,5 @@
 	return 2*count > len(p.members)+1
 }
 
-// onProbation reports whether a server has started again lately.
+// onProbation reports whether a server has recently restarted.
 func (m *member) onProbation(now time.Time) bool { return now.Before(m.probationUntil) }
--- a/gateway/pool/share.go
+++ b/gateway/pool/share.go
@@ -7,11 +7,10 @@
 	"github.com/burdockspindle/burdockspindle/gateway/quota"
 )
 
-// SetShares takes the shares of requests for servers' keys that this node may send, and
-// until when they hold if nothing newer is told. A
-// server that has one gets that part of what the node is asked for, whatever its limit:
-// the share rests on what all nodes together saw a second ago, the limit on what this
-// one saw long before.
+// SetShares sets the shares of requests for servers' keys that this node may send, and their
+// expiry if no newer ones arrive. A server with a share gets that fraction of the node's
+// demand for it, whatever its limit: the share is based on what all nodes together observed a
+// second ago, the limit on what this node observed long before.
 func (p *Pool) SetShares(shares quota.Shares, until time.Time) {
 	p.shares = shares
 	p.sharesUntil = until
@@ -23,7 +22,7 @@
 func (p *Pool) setShare(m *member) {
 	share, isShared := p.shares[m.ID]
 	if isShared && m.shareExpiry.IsZero() {
-		m.credit = p.random.Float64() // nodes do not begin with the same request
+		m.credit = p.random.Float64() // so that nodes do not all start with the same request
 	}
 	m.share, m.shareExpiry = share, time.Time{}
 	if isShared {
@@ -31,11 +30,11 @@
 	}
 }
 
-// hasShare reports whether a share of the requests for a server's keys may be sent.
+// hasShare reports whether the server has a share that has not expired.
 func (m *member) hasShare(now time.Time) bool { return now.Before(m.shareExpiry) }
 
-// refuseOverShare refuses a request that is not among those of its server's share. What waited
-// before the share was told is counted like what comes.
+// refuseOverShare refuses a request that exceeds its server's share. Requests that were
+// queued before the share arrived are charged to it like new ones.
 func (p *Pool) refuseOverShare(w *Waiter, now time.Time) *Refusal {
 	m := p.members[w.Only]
 	if m == nil || w.Passed || !m.hasShare(now) {
@@ -48,9 +47,9 @@
 	return nil
 }
 
-// spendCredit counts a request for the keys of a server with a share, and reports whether
-// it is one of those that may be sent. Those that can still be answered in time go first:
-// a request that comes back late is sent only from what these leave.
+// spendCredit charges a request to the share of its server and reports whether it may be
+// sent. Requests that can still be answered in time take precedence: late ones are sent only
+// when the credit has reached its bound.
 func (m *member) spendCredit(inTime bool) bool {
 	m.credit = math.Min(m.credit+m.share, maxCredit)
 	if m.credit < 1 || !inTime && m.credit < maxCredit {
@@ -60,15 +59,15 @@
 	return true
 }
 
-// maxCredit bounds what a node keeps of its share while few ask.
+// maxCredit bounds the unused part of a share that a node keeps while demand is low.
 const maxCredit = 2.0
 
-// shareRetryAfter returns when a caller comes back whose request a share did not let pass. At
-// that pace the server could take it, if nobody else came.
+// shareRetryAfter returns the retry delay of a request beyond the share: the interval at
+// which the server could take this node's requests if there were no others.
 func (p *Pool) shareRetryAfter(m *member, now time.Time) time.Duration {
 	interval := p.serviceTime(m, now) / float64(max(m.Slots, 1)) / max(m.share, minShare)
 	return p.retryAfter(time.Duration(interval * float64(time.Second)))
 }
 
-// minShare bounds the share for the estimate of a caller's return.
+// minShare is the lower bound of the share in the estimate of the retry delay.
 const minShare = 0.01
--- a/gateway/pool/share_test.go
+++ b/gateway/pool/share_test.go
@@ -13,7 +13,7 @@
 
 var shareStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// newSharedPool returns a pool of one server of which a share may be sent for ten seconds.
+// newSharedPool returns a pool of one server with a share that is valid for ten seconds.
 func newSharedPool(share float64) *Pool {
 	p := New("a", 0, rand.New(rand.NewPCG(1, 1)))
 	p.Update([]site.Server{{ID: "s", Slots: 4, Zone: "a"}}, 295, shareStart)
@@ -21,8 +21,8 @@
 	return p
 }
 
-// countAdmitted asks for a place many times, one after the other, and returns how often there
-// was one.
+// countAdmitted submits the given number of requests one after the other and returns how many
+// were admitted, or -1 if one was refused for another reason than the share.
 func countAdmitted(p *Pool, times int, target time.Duration, now time.Time) int {
 	count := 0
 	for range times {
@@ -42,10 +42,10 @@
 
 func TestNodeSendsItsShareAndRefusesTheRest(t *testing.T) {
 	g := gomega.NewWithT(t)
-	g.Expect(countAdmitted(newSharedPool(0.25), 400, time.Second, shareStart)).To(gomega.BeNumerically("~", 100, 1), "whatever it hears of the server's queue")
+	g.Expect(countAdmitted(newSharedPool(0.25), 400, time.Second, shareStart)).To(gomega.BeNumerically("~", 100, 1), "whatever queue the server reports")
 }
 
-// Shares that nobody has told again hold no longer: the node may not reach the lessor.
+// Shares that are not renewed expire, because the node may not reach the lessor.
 func TestSharesExpire(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := newSharedPool(0.01)
@@ -54,7 +54,7 @@
 	g.Expect(admission).NotTo(gomega.BeNil())
 }
 
-// Callers that come back late take no place of those who can be answered in time.
+// Late requests take no slot from those that can be answered in time.
 func TestRequestsWithinTargetTakePrecedence(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := newSharedPool(0.2)
@@ -65,18 +65,18 @@
 	}
 	g.Expect(inTime).To(gomega.BeNumerically("~", 80, 2))
 	g.Expect(late).To(gomega.BeNumerically("<", 3))
-	g.Expect(countAdmitted(newSharedPool(0.2), 200, 0, shareStart)).To(gomega.BeNumerically(">", 30), "alone most of the share is sent")
+	g.Expect(countAdmitted(newSharedPool(0.2), 200, 0, shareStart)).To(gomega.BeNumerically(">", 30), "late requests alone use most of the share")
 }
 
-// What waits when a share is told, because the node's own limit let nothing pass, is
-// counted like what comes. On 295 nodes such requests kept an owner's queue full for six
-// seconds after the share was told.
+// Requests that are queued when a share arrives, because the node's own limit admitted none,
+// are charged to the share like new ones. On 295 nodes such requests kept an owner's queue
+// full for six seconds after the share arrived.
 func TestWaitingRequestsCountAgainstNewShare(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := newSharedPool(1)
 	p.SetShares(nil, shareStart)
 	now := shareStart
-	for range 20 { // the server is full, and the limit falls
+	for range 20 { // the server is full, and the limit decreases
 		w := &Waiter{Only: "s", Since: now, Target: now.Add(time.Hour), Deadline: now.Add(time.Hour)}
 		if admission, _ := p.Ask(w, now); admission != nil {
 			p.Done("s", Outcome{NoRoom: true}, now)
@@ -85,6 +85,6 @@
 	g.Expect(p.queue).To(gomega.HaveLen(19))
 	p.SetShares(quota.Shares{"s": 0.1}, now.Add(10*time.Second))
 	g.Expect(p.Admit(now)).To(gomega.BeEmpty())
-	g.Expect(p.Evict(now)).To(gomega.HaveLen(17), "but for two, a tenth of those that wait")
+	g.Expect(p.Evict(now)).To(gomega.HaveLen(17), "all but two, a tenth of the waiting requests")
 	g.Expect(p.Admit(now)).To(gomega.HaveLen(2))
 }
--- a/gateway/pool/times.go
+++ b/gateway/pool/times.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// isHanging reports whether a server has requests and has answered none of this node
-// for much longer than they take.
+// isHanging reports whether a server has requests of this node and has answered none for much
+// longer than they usually take.
 func (p *Pool) isHanging(m *member, now time.Time) bool {
 	return m.inFlight() > 0 && p.isOverdue(m, now.Sub(m.unansweredSince), now)
 }
 
-// isOverdue reports whether a request without an answer for a time tells that the
-// server hangs.
+// isOverdue reports whether a request has waited for a response so long that its server is
+// treated as hanging.
 func (p *Pool) isOverdue(m *member, waited time.Duration, now time.Time) bool {
 	return waited.Seconds() > hangFactor*p.serviceTime(m, now)
 }
 
-// serviceTime returns how many seconds a request takes at a server. What is known of a
-// slow one loses its weight: it is not tried while others are quicker, and would
-// count as slow for ever.
+// serviceTime returns the expected service time at a server in seconds. The excess of a slow
+// server decays: it gets no requests while others are faster, and would be treated as slow
+// forever.
 func (p *Pool) serviceTime(m *member, now time.Time) float64 {
 	times := p.times()
 	switch {
@@ -32,16 +32,16 @@
 	return times.median + (m.meanSeconds-times.median)*decay(now.Sub(m.meanUpdatedAt), slowHalfLife)
 }
 
-// decay returns the weight of something of an age.
+// decay returns the weight of an observation of the given age.
 func decay(age, halfLife time.Duration) float64 {
 	return math.Exp2(-age.Seconds() / halfLife.Seconds())
 }
 
-// serviceTimes sums up the mean times of the servers, in seconds.
+// serviceTimes summarizes the mean service times of the servers, in seconds.
 type serviceTimes struct{ mean, median float64 }
 
-// times returns the times over the servers that have one. They are kept until a
-// time changes, since every choice among many servers asks for them.
+// times returns the mean and median over the servers with a known service time. They are
+// cached until a service time changes, because every selection among many servers uses them.
 func (p *Pool) times() serviceTimes {
 	if p.cachedTimes.mean > 0 {
 		return p.cachedTimes
--- a/gateway/pool/unanswered.go
+++ b/gateway/pool/unanswered.go
@@ -5,33 +5,34 @@
 	"time"
 )
 
-// A request whose answer is lost holds a place of the node's limit until its caller leaves.
-// It answers servers that run what they get while answers do not come back: a node with a
-// few places at the owner of a key then refused requests for seconds, although the owner
-// told free slots with each answer that came.
+// A request whose response is lost holds a slot of the node's limit until its caller leaves.
+// Servers may run requests while their responses are lost: a node with a few slots at the
+// owner of a key then refused requests for seconds, although the owner reported free slots
+// with each response that arrived.
 //
-// Such a request gives its place up, and goes on: its answer may still come. It must be
-// older than answers usually are, and the server must have answered one that was
-// sent after it and told room, so that it does not wait there. A server that answers
-// nothing any more proves nothing, and its places stay taken.
-
-// lostResponseFactor is after how many usual times such a request gives its place up. One in ten
-// takes longer and is still at work: it has a slot, and the server told that others are free.
+// Such a request releases its slot and continues, because its response may still arrive. It
+// must be older than usual service times, and the server must have answered a request that
+// was sent after it and reported free slots, which shows that it does not wait there. A
+// server that answers nothing any more gives no such evidence, and its slots stay taken.
+
+// lostResponseFactor is the number of usual service times after which such a request releases
+// its slot. One request in ten takes longer and is still running: it has a slot, and the
+// server reported that others are free.
 const lostResponseFactor = 2.0
 
-// recordSend notes that a request goes to the server now.
+// recordSend records that a request is sent to the server now.
 func (m *member) recordSend(now time.Time) { m.sentAt = append(m.sentAt, now) }
 
-// inFlight returns how many requests have not ended.
+// inFlight returns the number of requests that have not ended.
 func (m *member) inFlight() int { return len(m.sentAt) }
 
-// recordEnd takes that a request has ended that was under way for a while.
+// recordEnd removes the request that ended now after the given time in flight.
 func (m *member) recordEnd(took time.Duration, now time.Time) {
 	if len(m.sentAt) == 0 {
 		return
 	}
 	sent := now.Add(-took)
-	match := 0 // of those that were sent by then
+	match := 0 // index of the latest send by then
 	for i, at := range m.sentAt {
 		if !at.After(sent) {
 			match = i
@@ -40,15 +41,15 @@
 	m.sentAt = slices.Delete(m.sentAt, match, match+1)
 }
 
-// recordEmptyQueue takes an answer that told room: requests that were sent before it do not wait at
-// the server.
+// recordEmptyQueue records a response that reported free slots and no queue: requests that
+// were sent before the answered one do not wait at the server.
 func (m *member) recordEmptyQueue(took time.Duration, now time.Time) {
 	if sent := now.Add(-took); sent.After(m.queueEmptyAt) {
 		m.queueEmptyAt = sent
 	}
 }
 
-// takenSlots returns how many places of the limit are taken.
+// takenSlots returns the number of slots of the limit that are taken.
 func (m *member) takenSlots(serviceTime float64, now time.Time) int {
 	taken := 0
 	for _, at := range m.sentAt {
--- a/gateway/pool/unanswered_test.go
+++ b/gateway/pool/unanswered_test.go
@@ -10,7 +10,8 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// singleOwnerPool is a pool with the one owner of a key, which a node may send one request at a time.
+// singleOwnerPool is a pool with only the owner of a key, with a limit of one request at a
+// time.
 type singleOwnerPool struct {
 	*Pool
 	t   *testing.T
@@ -25,12 +26,12 @@
 	p.Update([]site.Server{{ID: "owner", Service: "s", Zone: "a", Slots: 4}}, 40, p.now)
 	for range 10 {
 		p.send()
-		p.answer(usualServiceTime, site.Load{Running: 4, Slots: 4}) // at work, so that the limit stays at one
+		p.answer(usualServiceTime, site.Load{Running: 4, Slots: 4}) // all slots busy, so that the limit stays at one
 	}
 	return p
 }
 
-// send asks for a place and reports whether there was one.
+// send submits a request and reports whether it was admitted.
 func (p *singleOwnerPool) send() bool {
 	p.t.Helper()
 	w := &Waiter{Since: p.now, Target: p.now.Add(time.Minute), Deadline: p.now.Add(time.Hour), Only: "owner"}
@@ -42,55 +43,54 @@
 	return admission != nil
 }
 
-// answer ends the request that was sent a while ago.
+// answer ends the request that was sent the given time ago.
 func (p *singleOwnerPool) answer(after time.Duration, load site.Load) {
 	p.now = p.now.Add(after)
 	p.Done("owner", Outcome{Took: after, Load: &load}, p.now)
 }
 
-// Servers on a day of lost answers run what they get and tell free slots, while a third of
-// the answers do not come: nodes refused requests for their keys for as long as the
-// callers of the lost ones stayed.
+// Servers run their requests and report free slots, while a third of the responses are lost:
+// nodes refused requests for the servers' keys until the callers of the lost responses left.
 func TestRequestWithLostResponseFreesItsSlot(t *testing.T) {
 	g := gomega.NewWithT(t)
-	o := newSingleOwnerPool(t)
-	o.members["owner"].limit = 2
-	g.Expect(o.send()).To(gomega.BeTrue(), "its answer will not come")
-	o.now = o.now.Add(time.Millisecond)
-	g.Expect(o.send()).To(gomega.BeTrue())
-	o.answer(usualServiceTime, site.Load{Running: 1, Slots: 4})
-	o.members["owner"].limit = 1
-	g.Expect(o.send()).To(gomega.BeFalse(), "the first may still be at work")
-	o.now = o.now.Add(3 * usualServiceTime)
-	g.Expect(o.send()).To(gomega.BeTrue(), "a later one was answered, and nothing waits there")
-	g.Expect(o.members["owner"].inFlight()).To(gomega.Equal(2), "the first goes on")
-	g.Expect(o.send()).To(gomega.BeFalse(), "the limit holds for the others")
+	p := newSingleOwnerPool(t)
+	p.members["owner"].limit = 2
+	g.Expect(p.send()).To(gomega.BeTrue(), "its response is lost")
+	p.now = p.now.Add(time.Millisecond)
+	g.Expect(p.send()).To(gomega.BeTrue())
+	p.answer(usualServiceTime, site.Load{Running: 1, Slots: 4})
+	p.members["owner"].limit = 1
+	g.Expect(p.send()).To(gomega.BeFalse(), "the first request may still be running")
+	p.now = p.now.Add(3 * usualServiceTime)
+	g.Expect(p.send()).To(gomega.BeTrue(), "a later request was answered, and the server has no queue")
+	g.Expect(p.members["owner"].inFlight()).To(gomega.Equal(2), "the first request continues")
+	g.Expect(p.send()).To(gomega.BeFalse(), "the limit applies to the other requests")
 }
 
 func TestSlotsStayTakenWithoutEvidenceOfLoss(t *testing.T) {
 	long := 20 * usualServiceTime
-	t.Run("nothing was answered since", func(t *testing.T) {
+	t.Run("no response since", func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		o := newSingleOwnerPool(t)
-		g.Expect(o.send()).To(gomega.BeTrue())
-		o.now = o.now.Add(long)
-		g.Expect(o.send()).To(gomega.BeFalse(), "it may stand still, and get all of them when it goes on")
+		p := newSingleOwnerPool(t)
+		g.Expect(p.send()).To(gomega.BeTrue())
+		p.now = p.now.Add(long)
+		g.Expect(p.send()).To(gomega.BeFalse(), "the server may be stalled and would get all requests when it continues")
 	})
-	t.Run("requests wait there", func(t *testing.T) {
+	t.Run("requests wait at the server", func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		o := newSingleOwnerPool(t)
-		o.members["owner"].limit = 2
-		g.Expect(o.send()).To(gomega.BeTrue())
-		o.now = o.now.Add(time.Millisecond)
-		g.Expect(o.send()).To(gomega.BeTrue())
-		o.answer(usualServiceTime, site.Load{Running: 4, Waiting: 3, Slots: 4})
-		o.members["owner"].limit = 1
-		o.now = o.now.Add(long)
-		g.Expect(o.send()).To(gomega.BeFalse(), "it may be among those that wait")
+		p := newSingleOwnerPool(t)
+		p.members["owner"].limit = 2
+		g.Expect(p.send()).To(gomega.BeTrue())
+		p.now = p.now.Add(time.Millisecond)
+		g.Expect(p.send()).To(gomega.BeTrue())
+		p.answer(usualServiceTime, site.Load{Running: 4, Waiting: 3, Slots: 4})
+		p.members["owner"].limit = 1
+		p.now = p.now.Add(long)
+		g.Expect(p.send()).To(gomega.BeFalse(), "the request may be in the server's queue")
 	})
 }
 
-// The end of a request frees its own place, whichever was sent first.
+// The end of a request frees its own slot, whichever was sent first.
 func TestEndOfRequestRemovesTheMatchingSend(t *testing.T) {
 	g := gomega.NewWithT(t)
 	start := time.Unix(1000, 0)
@@ -100,9 +100,9 @@
 	}
 	m.recordEnd(time.Second, start.Add(2*time.Second+time.Millisecond)) // the second
 	g.Expect(m.sentAt).To(gomega.Equal([]time.Time{start, start.Add(2 * time.Second)}))
-	m.recordEnd(0, start.Add(3*time.Second)) // given up before it was sent
+	m.recordEnd(0, start.Add(3*time.Second)) // abandoned before it was sent
 	g.Expect(m.sentAt).To(gomega.Equal([]time.Time{start}))
-	m.recordEnd(time.Hour, start.Add(3*time.Second)) // times that do not fit
+	m.recordEnd(time.Hour, start.Add(3*time.Second)) // no send matches the duration
 	m.recordEnd(time.Second, start.Add(3*time.Second))
 	g.Expect(m.inFlight()).To(gomega.BeZero())
 }
