--- a/modules/gateway/callers.go
+++ b/modules/gateway/callers.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// drainLook is how often connections are looked at while a node shuts down.
-	drainLook = 20 * time.Millisecond
-	// firstRequestTime is how long a new connection without a request is kept
+	// drainPollInterval is how often connections are looked at while a node shuts down.
+	drainPollInterval = 20 * time.Millisecond
+	// firstRequestTimeout is how long a new connection without a request is kept
 	// while a node shuts down: callers send theirs as soon as it is established.
-	firstRequestTime = time.Second
+	firstRequestTimeout = time.Second
 )
 
 // callerTimeouts are the limits of callers' connections, which may change while
@@ -48,9 +48,9 @@
 type phase uint8
 
 const (
-	waiting phase = iota // no byte of the next request was read
-	reading              // a part of its head was
-	serving              // it is being served
+	awaitingRequest phase = iota // no byte of the next request was read
+	readingHead                  // a part of its head was
+	serving                      // it is being served
 )
 
 // callerConn is a caller's connection.
@@ -58,13 +58,13 @@
 	net.Conn
 	owner *callerConns
 
-	mu      sync.Mutex
-	phase   phase
-	since   time.Time // of the phase
-	isFirst bool      // no request has come yet
-	early   bool      // a byte of the next request came while one was served
-	timer   *time.Timer
-	expired bool // the read deadline was set to end the connection
+	mu          sync.Mutex
+	phase       phase
+	phaseStart  time.Time // of the phase
+	awaitsFirst bool      // no request has come yet
+	pipelined   bool      // a byte of the next request came while one was served
+	timer       *time.Timer
+	expired     bool // the read deadline was set to end the connection
 }
 
 // callerListener hands out callers' connections.
@@ -83,11 +83,11 @@
 }
 
 // server returns a server of requests on callers' connections.
-func (o *callerConns) server(handler http.Handler) *http.Server {
+func (conns *callerConns) server(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:        handler,
 		MaxHeaderBytes: maxHeaderBytes,
-		ConnState:      o.connState,
+		ConnState:      conns.connState,
 		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
 			if c, isCaller := conn.(*callerConn); isCaller {
 				return router.WithCaller(ctx, c)
@@ -100,11 +100,11 @@
 // Left implements router.Caller.
 func (c *callerConn) Left() bool { return socket.Look(c.Conn) == socket.Ended }
 
-func (o *callerConns) add(conn net.Conn) *callerConn {
-	c := &callerConn{Conn: conn, owner: o, isFirst: true, since: time.Now()}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.open[c] = true
+func (conns *callerConns) add(conn net.Conn) *callerConn {
+	c := &callerConn{Conn: conn, owner: conns, awaitsFirst: true, phaseStart: time.Now()}
+	conns.mu.Lock()
+	defer conns.mu.Unlock()
+	conns.open[c] = true
 	return c
 }
 
@@ -112,67 +112,67 @@
 func (c *callerConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		c.sawBytes(len(p))
+		c.recordRead(len(p))
 	}
 	return n, err
 }
 
-// lookAhead is for how many bytes the server asks while it waits, beside a request,
+// peekSize is for how many bytes the server asks while it waits, beside a request,
 // for the caller to leave. It asks for more when it reads a body.
-const lookAhead = 1
+const peekSize = 1
 
-// sawBytes notes that bytes have come for a read of so many.
-func (c *callerConn) sawBytes(asked int) {
+// recordRead notes that bytes have come for a read of so many.
+func (c *callerConn) recordRead(bufferSize int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch c.phase {
-	case waiting:
-		c.enter(reading, c.owner.timeouts.head())
+	case awaitingRequest:
+		c.setPhase(readingHead, c.owner.timeouts.head())
 	case serving:
-		if asked == lookAhead {
-			c.early = true
+		if bufferSize == peekSize {
+			c.pipelined = true
 		}
 	}
 }
 
-// enter begins a phase that may last for a time; 0 for any time. The lock is
+// setPhase begins a phase that may last for a time; 0 for any time. The lock is
 // held.
-func (c *callerConn) enter(p phase, longest time.Duration) {
+func (c *callerConn) setPhase(p phase, timeout time.Duration) {
 	c.phase = p
-	c.since = time.Now()
+	c.phaseStart = time.Now()
 	if c.timer != nil {
 		c.timer.Stop()
 		c.timer = nil
 	}
-	if longest > 0 {
-		since := c.since
-		c.timer = time.AfterFunc(longest, func() { c.timeOut(since) })
+	if timeout > 0 {
+		since := c.phaseStart
+		c.timer = time.AfterFunc(timeout, func() { c.timeOut(since) })
 	}
 }
 
 // timeOut ends the connection unless its phase has changed meanwhile.
-func (c *callerConn) timeOut(since time.Time) {
+func (c *callerConn) timeOut(phaseStart time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.since.Equal(since) {
+	if !c.phaseStart.Equal(phaseStart) {
 		return
 	}
-	if c.phase == reading || socket.Look(c.Conn) != socket.Bytes {
-		c.end()
+	if c.phase == readingHead || socket.Look(c.Conn) != socket.Bytes {
+		c.expireRead()
 	}
 	// The server may have been about to set a deadline of its own: once more.
-	c.timer = time.AfterFunc(drainLook, func() { c.timeOut(since) })
+	c.timer = time.AfterFunc(drainPollInterval, func() { c.timeOut(phaseStart) })
 }
 
-// end makes the server's read fail, after which it closes the connection. The
+// expireRead makes the server's read fail, after which it closes the connection. The
 // lock is held.
-func (c *callerConn) end() {
+func (c *callerConn) expireRead() {
 	c.expired = true
 	_ = c.SetReadDeadline(time.Unix(1, 0)) // fails only on a closed connection
 }
 
 // connState is a server's ConnState hook.
-func (o *callerConns) connState(conn net.Conn, state http.ConnState) {
+func (conns *callerConns) connState(conn net.Conn, state http.ConnState) {
 	c, isCaller := conn.(*callerConn)
 	if !isCaller {
 		return
@@ -181,37 +181,37 @@
 	defer c.mu.Unlock()
 	switch state {
 	case http.StateActive:
-		c.isFirst = false
-		c.enter(serving, 0)
+		c.awaitsFirst = false
+		c.setPhase(serving, 0)
 		if c.expired {
 			c.expired = false
 			_ = c.SetReadDeadline(time.Time{}) // its head was read all the same
 		}
 	case http.StateIdle:
-		if c.early {
-			c.early = false
-			c.enter(reading, o.timeouts.head())
+		if c.pipelined {
+			c.pipelined = false
+			c.setPhase(readingHead, conns.timeouts.head())
 		} else {
-			c.enter(waiting, o.timeouts.idle())
+			c.setPhase(awaitingRequest, conns.timeouts.idle())
 		}
 	case http.StateClosed, http.StateHijacked:
-		c.enter(serving, 0)
-		o.remove(c)
+		c.setPhase(serving, 0)
+		conns.remove(c)
 	}
 }
 
-func (o *callerConns) remove(c *callerConn) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	delete(o.open, c)
+func (conns *callerConns) remove(c *callerConn) {
+	conns.mu.Lock()
+	defer conns.mu.Unlock()
+	delete(conns.open, c)
 }
 
 // drain ends connections as they become idle, until there are none or ctx ends.
-func (o *callerConns) drain(ctx context.Context) error {
-	ticker := time.NewTicker(drainLook)
+func (conns *callerConns) drain(ctx context.Context) error {
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for {
-		if o.endIdle(time.Now()) == 0 {
+		if conns.endIdle(time.Now()) == 0 {
 			return nil
 		}
 		select {
@@ -224,13 +224,13 @@
 
 // endIdle ends the connections that wait for a request and returns how many
 // connections are open.
-func (o *callerConns) endIdle(now time.Time) int {
-	o.mu.Lock()
-	open := make([]*callerConn, 0, len(o.open))
-	for c := range o.open {
+func (conns *callerConns) endIdle(now time.Time) int {
+	conns.mu.Lock()
+	open := make([]*callerConn, 0, len(conns.open))
+	for c := range conns.open {
 		open = append(open, c)
 	}
-	o.mu.Unlock()
+	conns.mu.Unlock()
 	for _, c := range open {
 		c.endIdle(now)
 	}
@@ -240,10 +240,10 @@
 func (c *callerConn) endIdle(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.phase != waiting || c.isFirst && now.Sub(c.since) < firstRequestTime {
+	if c.phase != awaitingRequest || c.awaitsFirst && now.Sub(c.phaseStart) < firstRequestTimeout {
 		return
 	}
 	if socket.Look(c.Conn) != socket.Bytes {
-		c.end()
+		c.expireRead()
 	}
 }
--- a/modules/gateway/callers_left_test.go
+++ b/modules/gateway/callers_left_test.go
@@ -23,11 +23,11 @@
 // only begun once the gate is open, and one after more than most reads never.
 type stalledConn struct {
 	net.Conn
-	gate  <-chan struct{}
-	most  int32
-	reads atomic.Int32
-	never chan struct{}
-	stop  sync.Once
+	gate        <-chan struct{}
+	maxReads    int32
+	reads       atomic.Int32
+	unblock     chan struct{}
+	unblockOnce sync.Once
 }
 
 func (c *stalledConn) SyscallConn() (syscall.RawConn, error) {
@@ -36,8 +36,8 @@
 
 func (c *stalledConn) Read(p []byte) (int, error) {
 	<-c.gate
-	if c.reads.Add(1) > c.most {
-		<-c.never
+	if c.reads.Add(1) > c.maxReads {
+		<-c.unblock
 		return 0, os.ErrDeadlineExceeded
 	}
 	return c.Conn.Read(p)
@@ -46,7 +46,7 @@
 // SetReadDeadline ends the read that never begins, as the deadline of a real one does.
 func (c *stalledConn) SetReadDeadline(deadline time.Time) error {
 	if !deadline.IsZero() {
-		c.stop.Do(func() { close(c.never) })
+		c.unblockOnce.Do(func() { close(c.unblock) })
 	}
 	return c.Conn.SetReadDeadline(deadline)
 }
@@ -55,7 +55,7 @@
 // connection at once. It read the first, sent the request on, read the second, and
 // gave the request up: "5.991 the caller leaves; 7.183 the request reaches the server"
 // of a node that had not read it for 1.6 s.
-func TestARequestWhoseCallerHasLeftIsNotSentOn(t *testing.T) {
+func TestRequestOfDepartedCallerIsNotForwarded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	server, requests := countingServer(t)
 	gate := make(chan struct{})
@@ -63,7 +63,7 @@
 	address := startFront(t, server, func(conn net.Conn) net.Conn {
 		// The request is one read. The next one would tell that the caller has left;
 		// it is not begun, as when the node does one thing after the other.
-		c := &stalledConn{Conn: conn, gate: gate, most: 1, never: make(chan struct{})}
+		c := &stalledConn{Conn: conn, gate: gate, maxReads: 1, unblock: make(chan struct{})}
 		here.Store(c)
 		return c
 	})
@@ -83,7 +83,7 @@
 
 // A caller that closes its half of the connection counts as one that has left. It
 // may still read: what it gets must not be an empty success that no server gave.
-func TestACallerThatLeavesGetsNoSuccessWithoutAServer(t *testing.T) {
+func TestHalfClosedCallerGetsNoSuccessWithoutServerResponse(t *testing.T) {
 	g := gomega.NewWithT(t)
 	running := make(chan struct{}, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -108,7 +108,7 @@
 
 // What has arrived and what has ended is told apart: a connection with bytes of a
 // next request is not one whose caller has left.
-func TestACallerWithAnotherRequestHasNotLeft(t *testing.T) {
+func TestCallerWithPipelinedRequestHasNotLeft(t *testing.T) {
 	g := gomega.NewWithT(t)
 	callers := newCallerConns(fixedTimeouts(time.Minute, time.Minute))
 	here, there := callerPair(t, callers)
--- a/modules/gateway/callers_stress_test.go
+++ b/modules/gateway/callers_stress_test.go
@@ -43,7 +43,7 @@
 
 // Whatever the pauses of a node and its limits of time, a request that a handler got
 // is answered on its connection, unless the caller has left.
-func TestEveryRequestThatWasReadIsAnswered(t *testing.T) {
+func TestEveryReadRequestIsAnswered(t *testing.T) {
 	const callersAtOnce, requests = 64, 40
 	g := gomega.NewWithT(t)
 	callers := newCallerConns(fixedTimeouts(2*time.Millisecond, time.Millisecond))
@@ -65,7 +65,7 @@
 	var answered atomic.Int32
 	var all sync.WaitGroup
 	for range callersAtOnce {
-		all.Go(func() { answered.Add(callAgainAndAgain(listener.Addr().String(), requests)) })
+		all.Go(func() { answered.Add(callRepeatedly(listener.Addr().String(), requests)) })
 	}
 	all.Wait()
 	g.Expect(leftEarly.Load()).To(gomega.BeZero(), "callers taken to have left")
@@ -74,10 +74,10 @@
 	g.Expect(callers.drain(context.Background())).To(gomega.Succeed())
 }
 
-// callAgainAndAgain sends requests on kept connections, with pauses about as long as
+// callRepeatedly sends requests on kept connections, with pauses about as long as
 // the node's limits, and returns how many were answered. A connection that ends gives
 // way to a new one.
-func callAgainAndAgain(address string, requests int) (answered int32) {
+func callRepeatedly(address string, requests int) (answered int32) {
 	var conn net.Conn
 	var reader *bufio.Reader
 	for range requests {
--- a/modules/gateway/callers_test.go
+++ b/modules/gateway/callers_test.go
@@ -42,14 +42,14 @@
 	return owner.add(accepted), there
 }
 
-// isEnded reports whether the node's next read fails.
-func isEnded(c *callerConn) bool {
+// isExpired reports whether the node's next read fails.
+func isExpired(c *callerConn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.expired
 }
 
-func TestIdleConnectionsAreEndedAfterTheTimeout(t *testing.T) {
+func TestIdleConnectionsExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		callers := newCallerConns(fixedTimeouts(time.Second, 15*time.Second))
@@ -60,34 +60,34 @@
 		time.Sleep(14 * time.Second)
 		callers.connState(here, http.StateActive)
 		time.Sleep(time.Minute)
-		g.Expect(isEnded(here)).To(gomega.BeFalse(), "a request was served")
+		g.Expect(isExpired(here)).To(gomega.BeFalse(), "a request was served")
 		callers.connState(here, http.StateIdle)
 		time.Sleep(14 * time.Second)
-		g.Expect(isEnded(here)).To(gomega.BeFalse())
+		g.Expect(isExpired(here)).To(gomega.BeFalse())
 		time.Sleep(2 * time.Second)
-		g.Expect(isEnded(here)).To(gomega.BeTrue())
+		g.Expect(isExpired(here)).To(gomega.BeTrue())
 		callers.connState(here, http.StateClosed)
 	})
 }
 
-func TestSlowHeadsAreEndedAfterTheirTimeout(t *testing.T) {
+func TestConnectionsWithSlowHeadsExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		callers := newCallerConns(fixedTimeouts(2*time.Second, time.Minute))
 		raw, _ := net.Pipe()
 		here := callers.add(raw)
-		here.sawBytes(100)
+		here.recordRead(100)
 		time.Sleep(time.Second)
-		g.Expect(isEnded(here)).To(gomega.BeFalse())
+		g.Expect(isExpired(here)).To(gomega.BeFalse())
 		time.Sleep(2 * time.Second)
-		g.Expect(isEnded(here)).To(gomega.BeTrue())
+		g.Expect(isExpired(here)).To(gomega.BeTrue())
 		callers.connState(here, http.StateClosed)
 	})
 }
 
 // A node that stood still for a moment finds the end of the idle time and a
 // request on the connection at once. The request is served.
-func TestAConnectionOnWhichARequestHasArrivedIsNotEnded(t *testing.T) {
+func TestConnectionWithArrivedRequestDoesNotExpire(t *testing.T) {
 	g := gomega.NewWithT(t)
 	callers := newCallerConns(fixedTimeouts(time.Minute, time.Minute))
 	here, there := callerPair(t, callers)
@@ -96,27 +96,27 @@
 	_, err := io.WriteString(there, "GET / HTTP/1.1\r\n")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Eventually(func() bool { return socket.Look(here.Conn) == socket.Bytes }).Should(gomega.BeTrue())
-	here.timeOut(here.since)
+	here.timeOut(here.phaseStart)
 	callers.endIdle(time.Now())
-	g.Expect(isEnded(here)).To(gomega.BeFalse(), "not read yet")
+	g.Expect(isExpired(here)).To(gomega.BeFalse(), "not read yet")
 
 	_, err = here.Read(make([]byte, 100))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	callers.endIdle(time.Now())
-	g.Expect(isEnded(here)).To(gomega.BeFalse(), "read, and not yet known to be a request")
+	g.Expect(isExpired(here)).To(gomega.BeFalse(), "read, and not yet known to be a request")
 	callers.connState(here, http.StateClosed)
 }
 
 // A request that was read in the moment in which its connection was ended is
 // served, and its caller is not taken to have left.
-func TestARequestReadWhileItsConnectionWasEndedIsServed(t *testing.T) {
+func TestRequestReadWhileConnectionExpiresIsServed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	callers := newCallerConns(fixedTimeouts(time.Minute, time.Minute))
 	here, there := callerPair(t, callers)
 	callers.connState(here, http.StateActive)
 	callers.connState(here, http.StateIdle)
 	callers.endIdle(time.Now())
-	g.Expect(isEnded(here)).To(gomega.BeTrue())
+	g.Expect(isExpired(here)).To(gomega.BeTrue())
 	callers.connState(here, http.StateActive)
 	_, err := io.WriteString(there, "x")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -125,7 +125,7 @@
 	callers.connState(here, http.StateClosed)
 }
 
-func TestADrainAnswersWhatHasArrivedAndEndsTheRest(t *testing.T) {
+func TestDrainAnswersArrivedRequestsAndClosesIdleConnections(t *testing.T) {
 	g := gomega.NewWithT(t)
 	callers := newCallerConns(fixedTimeouts(time.Minute, time.Minute))
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -174,7 +174,7 @@
 // beginning of the next request: the connection then had the 3 s of a head between
 // two requests, not the 15 s that the configuration gives it, and it was ended
 // without a look whether a request had arrived.
-func TestABodyIsNotTakenForTheNextRequest(t *testing.T) {
+func TestBodyIsNotTreatedAsNextRequest(t *testing.T) {
 	g := gomega.NewWithT(t)
 	callers := newCallerConns(fixedTimeouts(time.Minute, time.Minute))
 	server := callers.server(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -198,7 +198,7 @@
 	g.Expect(answer.Body.Close()).To(gomega.Succeed())
 	g.Expect(string(length)).To(gomega.Equal(strconv.Itoa(len(body))))
 	g.Eventually(func() []phase { return phases(callers) }, 10*time.Second).ShouldNot(gomega.ContainElement(serving))
-	g.Expect(phases(callers)).To(gomega.Equal([]phase{waiting}))
+	g.Expect(phases(callers)).To(gomega.Equal([]phase{awaitingRequest}))
 }
 
 // phases returns where the open connections stand.
--- a/modules/gateway/front.go
+++ b/modules/gateway/front.go
@@ -35,13 +35,13 @@
 const (
 	// exitReserve is left of the grace time for the end of the process.
 	exitReserve = 400 * time.Millisecond
-	// lastAnswers is left of that for requests that get their final answer only
+	// finalResponseReserve is left of that for requests that get their final answer only
 	// because the process ends.
-	lastAnswers = 250 * time.Millisecond
-	// lastRequests is how long after the listener has closed a node still takes
+	finalResponseReserve = 250 * time.Millisecond
+	// lateRequestWindow is how long after the listener has closed a node still takes
 	// requests on connections that were opened before. What comes later might not
 	// be answered within the grace time, and would be cut off with the process.
-	lastRequests = 500 * time.Millisecond
+	lateRequestWindow = 500 * time.Millisecond
 	// headerTimeout and idleTimeout end connections that send a request too slowly
 	// or nothing, while no configuration says otherwise.
 	headerTimeout = 10 * time.Second
@@ -62,14 +62,14 @@
 	router *router.Router
 	logger hclog.Logger
 
-	draining  atomic.Bool
-	wasReady  atomic.Bool
-	isCutOff  atomic.Bool // the node's zone is
-	cancel    context.CancelFunc
-	drainedAt time.Time
-	servers   []*http.Server
-	listener  net.Listener // for callers
-	callers   *callerConns
+	draining   atomic.Bool
+	wasReady   atomic.Bool
+	isIsolated atomic.Bool // the node's zone is
+	cancel     context.CancelFunc
+	drainedAt  time.Time
+	servers    []*http.Server
+	listener   net.Listener // for callers
+	callers    *callerConns
 }
 
 // ModuleInfo implements kernel.Module.
@@ -78,19 +78,19 @@
 }
 
 // Provision implements kernel.Provisioner.
-func (m *Front) Provision(ctx *kernel.Context) error {
+func (f *Front) Provision(ctx *kernel.Context) error {
 	var err error
-	if m.live, err = kernel.Use[*config.Live](ctx); err != nil {
+	if f.live, err = kernel.Use[*config.Live](ctx); err != nil {
 		return err
 	}
 	platform, err := kernel.Use[*driver.Driver](ctx)
 	if err != nil {
 		return err
 	}
-	if m.state, err = kernel.Use[*view.State](ctx); err != nil {
+	if f.state, err = kernel.Use[*view.State](ctx); err != nil {
 		return err
 	}
-	if m.feed, err = kernel.Use[*follow.Feed](ctx); err != nil {
+	if f.feed, err = kernel.Use[*follow.Feed](ctx); err != nil {
 		return err
 	}
 	client, err := kernel.Use[*upstream.Client](ctx)
@@ -101,14 +101,14 @@
 	if err != nil {
 		return err
 	}
-	m.logger = ctx.Logger
-	m.router = router.New(m.live.Settings().Zone, platform.Headers, terms(m.live.Settings()), m.state, client, reports, ctx.Logger)
-	m.live.Watch(func(s *config.Settings) { m.router.SetTerms(terms(s)) })
+	f.logger = ctx.Logger
+	f.router = router.New(f.live.Settings().Zone, platform.Headers, routerTerms(f.live.Settings()), f.state, client, reports, ctx.Logger)
+	f.live.Watch(func(s *config.Settings) { f.router.SetTerms(routerTerms(s)) })
 	return nil
 }
 
-// terms returns what the settings ask of the router.
-func terms(s *config.Settings) router.Terms {
+// routerTerms returns what the settings ask of the router.
+func routerTerms(s *config.Settings) router.Terms {
 	return router.Terms{
 		CrossZonePenalty: s.Place.CrossZonePenalty,
 		Retries:          budget.Terms{Ratio: s.Retries.Ratio, Slack: s.Retries.Slack, Window: s.Retries.Window},
@@ -116,42 +116,42 @@
 }
 
 // Start implements kernel.Starter.
-func (m *Front) Start(context.Context) error {
+func (f *Front) Start(context.Context) error {
 	ready := http.NewServeMux()
-	ready.HandleFunc("GET "+readyPath, m.serveReady)
+	ready.HandleFunc("GET "+readyPath, f.serveReady)
 	peers := http.NewServeMux()
-	peers.Handle(m.feed.Handler())
-	listen := m.live.Settings().Listen
-	if err := m.listen("ready", listen.Ready, ready); err != nil {
+	peers.Handle(f.feed.Handler())
+	listen := f.live.Settings().Listen
+	if err := f.listen("ready", listen.Ready, ready); err != nil {
 		return err
 	}
-	if err := m.listen("peer", listen.Peer, peers); err != nil {
+	if err := f.listen("peer", listen.Peer, peers); err != nil {
 		return err
 	}
 	if listen.Metrics != "" {
 		vars := http.NewServeMux()
 		vars.Handle("GET "+metricsPath, expvar.Handler())
-		if err := m.listen("metrics", listen.Metrics, vars); err != nil {
+		if err := f.listen("metrics", listen.Metrics, vars); err != nil {
 			return err
 		}
 	}
-	if err := m.listen(roleFront, listen.Front, m.router); err != nil {
+	if err := f.listen(roleFront, listen.Front, f.router); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	m.cancel = cancel
-	go m.watchIsolation(ctx)
+	f.cancel = cancel
+	go f.watchIsolation(ctx)
 	return nil
 }
 
 // callerTimeouts returns the configuration's limits of callers' connections.
-func (m *Front) callerTimeouts() callerTimeouts {
-	limit := func(of func(site.Limits) time.Duration, otherwise time.Duration) func() time.Duration {
+func (f *Front) callerTimeouts() callerTimeouts {
+	limit := func(field func(site.Limits) time.Duration, fallback time.Duration) func() time.Duration {
 		return func() time.Duration {
-			if known := m.state.Now().Config; known != nil && of(known.Limits) > 0 {
-				return of(known.Limits)
+			if known := f.state.Now().Config; known != nil && field(known.Limits) > 0 {
+				return field(known.Limits)
 			}
-			return otherwise
+			return fallback
 		}
 	}
 	return callerTimeouts{
@@ -160,70 +160,70 @@
 	}
 }
 
-func (m *Front) listen(role, address string, handler http.Handler) error {
+func (f *Front) listen(role, address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
 	server := &http.Server{Handler: handler, MaxHeaderBytes: maxHeaderBytes}
 	if role == roleFront {
-		m.callers = newCallerConns(m.callerTimeouts())
-		server = m.callers.server(handler)
-		listener = &callerListener{Listener: listener, owner: m.callers}
-		m.listener = listener
+		f.callers = newCallerConns(f.callerTimeouts())
+		server = f.callers.server(handler)
+		listener = &callerListener{Listener: listener, owner: f.callers}
+		f.listener = listener
 	} else {
 		server.ReadHeaderTimeout = headerTimeout
 		server.IdleTimeout = idleTimeout
 	}
-	m.servers = append(m.servers, server)
-	eventListening.Log(m.logger, "role", role, "address", address)
+	f.servers = append(f.servers, server)
+	eventListening.Log(f.logger, "role", role, "address", address)
 	go func() {
 		err := server.Serve(listener)
 		if !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
-			eventServeFailed.Log(m.logger, "role", role, "cause", err)
+			eventServeFailed.Log(f.logger, "role", role, "cause", err)
 		}
 	}()
 	return nil
 }
 
 // serveReady answers the balancer: the node takes callers once it can serve.
-func (m *Front) serveReady(w http.ResponseWriter, _ *http.Request) {
-	if m.draining.Load() || m.isCutOff.Load() || !m.state.Now().Complete() {
+func (f *Front) serveReady(w http.ResponseWriter, _ *http.Request) {
+	if f.draining.Load() || f.isIsolated.Load() || !f.state.Now().Complete() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if !m.wasReady.Swap(true) {
-		eventReady.Log(m.logger)
+	if !f.wasReady.Swap(true) {
+		eventReady.Log(f.logger)
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
 // Drain implements kernel.Drainer: the balancer is told, and callers' open
 // connections end with their next answer.
-func (m *Front) Drain(context.Context) error {
-	m.drainedAt = time.Now()
-	m.draining.Store(true)
-	m.router.SetDraining()
+func (f *Front) Drain(context.Context) error {
+	f.drainedAt = time.Now()
+	f.draining.Store(true)
+	f.router.SetDraining()
 	return nil
 }
 
 // Stop implements kernel.Stopper: it goes on serving until the balancer has
 // surely noticed, then finishes what runs within the grace time.
-func (m *Front) Stop(ctx context.Context) error {
-	timing := m.live.Settings().Timing
-	end := m.drainedAt.Add(timing.Grace - exitReserve)
-	refusing := time.AfterFunc(time.Until(m.drainedAt.Add(timing.Notice+lastRequests)), m.router.SetEnding)
+func (f *Front) Stop(ctx context.Context) error {
+	timing := f.live.Settings().Timing
+	end := f.drainedAt.Add(timing.Grace - exitReserve)
+	refusing := time.AfterFunc(time.Until(f.drainedAt.Add(timing.Notice+lateRequestWindow)), f.router.SetEnding)
 	defer refusing.Stop()
-	closing := time.AfterFunc(time.Until(end.Add(-lastAnswers)), m.router.Close)
+	closing := time.AfterFunc(time.Until(end.Add(-finalResponseReserve)), f.router.Close)
 	defer closing.Stop()
-	clock.Wait(ctx, timing.Notice-time.Since(m.drainedAt))
+	clock.Wait(ctx, timing.Notice-time.Since(f.drainedAt))
 	ctx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
-	m.cancel()
-	_ = m.listener.Close() // only connections that are open are served from here on
-	err := m.callers.drain(ctx)
-	eventFrontDrained.Log(m.logger, "error", err)
-	for _, server := range m.servers {
+	f.cancel()
+	_ = f.listener.Close() // only connections that are open are served from here on
+	err := f.callers.drain(ctx)
+	eventFrontDrained.Log(f.logger, "error", err)
+	for _, server := range f.servers {
 		_ = server.Close() // the process ends
 	}
 	return err
--- a/modules/gateway/isolation.go
+++ b/modules/gateway/isolation.go
@@ -19,40 +19,40 @@
 	eventRejoined = events.Define(2305, hclog.Info, "the zone is no longer cut off")
 )
 
-// isolationTimeout ends a try to reach a node of another zone.
-const isolationTimeout = 300 * time.Millisecond
+// isolationDialTimeout ends a try to reach a node of another zone.
+const isolationDialTimeout = 300 * time.Millisecond
 
 // watchIsolation looks whether the node's zone is cut off until ctx ends.
-func (m *Front) watchIsolation(ctx context.Context) {
+func (f *Front) watchIsolation(ctx context.Context) {
 	for clock.Wait(ctx, isolation.LookEvery) {
-		look := m.lookAround(ctx)
-		isCutOff := look.CutOff() && ctx.Err() == nil
-		if m.isCutOff.Swap(isCutOff) == isCutOff {
+		sample := f.checkIsolation(ctx)
+		isIsolated := sample.CutOff() && ctx.Err() == nil
+		if f.isIsolated.Swap(isIsolated) == isIsolated {
 			continue
 		}
-		if isCutOff {
-			eventIsolated.Log(m.logger, "contactAge", look.Contact, "tried", look.Tried)
+		if isIsolated {
+			eventIsolated.Log(f.logger, "contactAge", sample.Contact, "tried", sample.Tried)
 		} else {
-			eventRejoined.Log(m.logger, "contactAge", look.Contact, "tried", look.Tried, "reached", look.Reached)
+			eventRejoined.Log(f.logger, "contactAge", sample.Contact, "tried", sample.Tried, "reached", sample.Reached)
 		}
 	}
 }
 
-// lookAround returns what the node sees of the store and of other zones.
-func (m *Front) lookAround(ctx context.Context) isolation.Look {
-	var look isolation.Look
-	look.Contact, look.Known = m.feed.Contact.Age()
-	if !look.MustTry() {
-		return look
+// checkIsolation returns what the node sees of the store and of other zones.
+func (f *Front) checkIsolation(ctx context.Context) isolation.Look {
+	var sample isolation.Look
+	sample.Contact, sample.Known = f.feed.Contact.Age()
+	if !sample.MustTry() {
+		return sample
 	}
-	others := othersOf(m.feed.Self, m.state.Now().Members)
-	look.Tried = len(others)
-	look.Reached = countReached(ctx, others)
-	return look
+	others := sampleOtherZones(f.feed.Self, f.state.Now().Members)
+	sample.Tried = len(others)
+	sample.Reached = countReachable(ctx, others)
+	return sample
 }
 
-// othersOf returns a few nodes of other zones, at random.
-func othersOf(self view.Member, members []view.Member) []view.Member {
+// sampleOtherZones returns a few nodes of other zones, at random.
+func sampleOtherZones(self view.Member, members []view.Member) []view.Member {
 	var others []view.Member
 	for _, m := range members {
 		if m.Zone != self.Zone {
@@ -63,12 +63,12 @@
 	return others[:min(len(others), isolation.Tries)]
 }
 
-// countReached returns how many of some nodes take a connection.
-func countReached(ctx context.Context, nodes []view.Member) int {
+// countReachable returns how many of some nodes take a connection.
+func countReachable(ctx context.Context, nodes []view.Member) int {
 	reached := make(chan bool, len(nodes))
 	for _, node := range nodes {
 		go func() {
-			conn, err := upstream.Dialer(isolationTimeout).DialContext(ctx, "tcp", node.Address)
+			conn, err := upstream.Dialer(isolationDialTimeout).DialContext(ctx, "tcp", node.Address)
 			if err == nil {
 				_ = conn.Close() // it carries nothing
 			}
--- a/modules/gateway/isolation_test.go
+++ b/modules/gateway/isolation_test.go
@@ -17,9 +17,9 @@
 	"github.com/burdockspindle/burdockspindle/gateway/view"
 )
 
-// frontOf returns a node of zone a that knows the site and another node at an address in a
+// newFrontWithPeer returns a node of zone a that knows the site and another node at an address in a
 // zone, and whose latest contact with the store was a while ago.
-func frontOf(t *testing.T, address, zone string, contact time.Duration) *Front {
+func newFrontWithPeer(t *testing.T, address, zone string, contactAge time.Duration) *Front {
 	t.Helper()
 	g := gomega.NewWithT(t)
 	state := view.NewState()
@@ -28,7 +28,7 @@
 	self := view.Member{Node: "n1", Boot: "b1", Zone: "a", Address: "127.0.0.1:1"}
 	state.SetMembers([]view.Member{self, {Node: "n2", Boot: "b2", Zone: zone, Address: address}})
 	reached := new(follow.Contact)
-	reached.NoteTold(clock.Now().Add(-contact), 1)
+	reached.NoteTold(clock.Now().Add(-contactAge), 1)
 	feed := follow.NewFeed(self, state, reached, func() bool { return false })
 	return &Front{state: state, feed: feed, logger: hclog.NewNullLogger()}
 }
@@ -39,7 +39,7 @@
 	return answer.Code
 }
 
-func TestANodeWhoseZoneIsCutOffIsNotReady(t *testing.T) {
+func TestNodeInIsolatedZoneIsNotReady(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -63,8 +63,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			m := frontOf(t, row.address, row.zone, row.contact)
-			m.isCutOff.Store(m.lookAround(t.Context()).CutOff())
+			m := newFrontWithPeer(t, row.address, row.zone, row.contact)
+			m.isIsolated.Store(m.checkIsolation(t.Context()).CutOff())
 			g.Expect(readiness(m)).To(gomega.Equal(row.want))
 		})
 	}
--- a/modules/gateway/site.go
+++ b/modules/gateway/site.go
@@ -52,7 +52,7 @@
 }
 
 // Provision implements kernel.Provisioner.
-func (m *Site) Provision(ctx *kernel.Context) error {
+func (s *Site) Provision(ctx *kernel.Context) error {
 	live, err := kernel.Use[*config.Live](ctx)
 	if err != nil {
 		return err
@@ -62,68 +62,68 @@
 		return err
 	}
 	settings := live.Settings()
-	m.self = view.Member{Node: settings.Node, Boot: string(ctx.Identity.Boot), Zone: settings.Zone, Address: settings.Listen.Peer, Strength: settings.Resources.Strength()}
-	m.state = view.NewState()
-	m.client = upstream.NewClient(platform.Headers, settings.Zone)
-	m.reports = follow.NewReports()
-	m.build(settings, platform, ctx.Logger)
-	live.Watch(func(s *config.Settings) { m.follower.SetSeeds(s.Seeds) })
-	if err := kernel.Provide(ctx, m.state); err != nil {
+	s.self = view.Member{Node: settings.Node, Boot: string(ctx.Identity.Boot), Zone: settings.Zone, Address: settings.Listen.Peer, Strength: settings.Resources.Strength()}
+	s.state = view.NewState()
+	s.client = upstream.NewClient(platform.Headers, settings.Zone)
+	s.reports = follow.NewReports()
+	s.build(settings, platform, ctx.Logger)
+	live.Watch(func(updated *config.Settings) { s.follower.SetSeeds(updated.Seeds) })
+	if err := kernel.Provide(ctx, s.state); err != nil {
 		return err
 	}
-	if err := kernel.Provide(ctx, m.client); err != nil {
+	if err := kernel.Provide(ctx, s.client); err != nil {
 		return err
 	}
-	if err := kernel.Provide(ctx, m.feed); err != nil {
+	if err := kernel.Provide(ctx, s.feed); err != nil {
 		return err
 	}
-	return kernel.Provide(ctx, m.reports)
+	return kernel.Provide(ctx, s.reports)
 }
 
-func (m *Site) build(settings *config.Settings, platform *driver.Driver, logger hclog.Logger) {
+func (s *Site) build(settings *config.Settings, platform *driver.Driver, logger hclog.Logger) {
 	contact := new(follow.Contact)
 	counted := follow.Counted{Store: platform.Store}
-	m.reader = &follow.Reader{Store: counted, Codec: platform.Codec, State: m.state, Contact: contact, Logger: logger, StartedAt: clock.Now()}
-	m.follower = &follow.Follower{Self: m.self, State: m.state, Reader: m.reader, Reports: m.reports, Logger: logger}
-	m.follower.SetSeeds(settings.Seeds)
-	m.duty = duty.New()
-	m.feed = follow.NewFeed(m.self, m.state, contact, m.duty.IsLessor)
-	m.follower.Feed = m.feed
+	s.reader = &follow.Reader{Store: counted, Codec: platform.Codec, State: s.state, Contact: contact, Logger: logger, StartedAt: clock.Now()}
+	s.follower = &follow.Follower{Self: s.self, State: s.state, Reader: s.reader, Reports: s.reports, Logger: logger}
+	s.follower.SetSeeds(settings.Seeds)
+	s.duty = duty.New()
+	s.feed = follow.NewFeed(s.self, s.state, contact, s.duty.IsLessor)
+	s.follower.Feed = s.feed
 	timing := ranges.DefaultTiming()
 	timing.Hold = min(timing.Hold, settings.Timing.HoldMax)
-	m.duty.Member = m.self
-	m.duty.Self = ranges.Lessor{Node: m.self.Node, Boot: m.self.Boot, Address: m.self.Address}
-	m.duty.Timing = timing
-	m.duty.Store = counted
-	m.duty.Granter = platform.Granter(m.client)
-	m.duty.State = m.state
-	m.duty.Reader = m.reader
-	m.duty.Feed = m.feed
-	m.duty.Former = m.follower
-	m.duty.StartedAt = clock.Now()
-	m.duty.Reports = m.reports
-	m.duty.Logger = logger
+	s.duty.Member = s.self
+	s.duty.Self = ranges.Lessor{Node: s.self.Node, Boot: s.self.Boot, Address: s.self.Address}
+	s.duty.Timing = timing
+	s.duty.Store = counted
+	s.duty.Granter = platform.Granter(s.client)
+	s.duty.State = s.state
+	s.duty.Reader = s.reader
+	s.duty.Feed = s.feed
+	s.duty.Former = s.follower
+	s.duty.StartedAt = clock.Now()
+	s.duty.Reports = s.reports
+	s.duty.Logger = logger
 }
 
 // Start implements kernel.Starter.
-func (m *Site) Start(context.Context) error {
+func (s *Site) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
-	m.cancel = cancel
-	for _, run := range []func(context.Context){m.client.Run, m.keepConnections, m.reader.RunConfigurations, m.reader.RunServers, m.follower.Run, m.duty.Run} {
-		m.running.Go(func() { run(ctx) })
+	s.cancel = cancel
+	for _, run := range []func(context.Context){s.client.Run, s.closeStaleConnections, s.reader.RunConfigurations, s.reader.RunServers, s.follower.Run, s.duty.Run} {
+		s.running.Go(func() { run(ctx) })
 	}
 	return nil
 }
 
-// keepConnections has connections to runs of servers that are no longer registered
+// closeStaleConnections has connections to runs of servers that are no longer registered
 // closed, until ctx ends.
-func (m *Site) keepConnections(ctx context.Context) {
+func (s *Site) closeStaleConnections(ctx context.Context) {
 	var seen store.Offset
 	for ctx.Err() == nil {
-		changed := m.state.Changed()
-		if servers := m.state.Now().Servers; servers.Offset > seen {
+		changed := s.state.Changed()
+		if servers := s.state.Now().Servers; servers.Offset > seen {
 			seen = servers.Offset
-			m.client.KeepOnly(servers.Servers)
+			s.client.KeepOnly(servers.Servers)
 		}
 		select {
 		case <-changed:
@@ -133,19 +133,19 @@
 }
 
 // Drain implements kernel.Drainer: the lessor's lease is given up.
-func (m *Site) Drain(ctx context.Context) error {
+func (s *Site) Drain(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, resignTimeout)
 	defer cancel()
-	m.duty.Resign(ctx)
+	s.duty.Resign(ctx)
 	return nil
 }
 
 // Stop implements kernel.Stopper.
-func (m *Site) Stop(context.Context) error {
-	m.cancel()
-	m.running.Wait()
+func (s *Site) Stop(context.Context) error {
+	s.cancel()
+	s.running.Wait()
 	return nil
 }
 
 // Dump implements kernel.Dumper.
-func (m *Site) Dump() any { return m.duty.Dump() }
+func (s *Site) Dump() any { return s.duty.Dump() }
