--- a/modules/gateway/callers.go
+++ b/modules/gateway/callers.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	// drainPollInterval is how often connections are looked at while a node shuts down.
+	// drainPollInterval is the interval at which connections are checked during a shutdown.
 	drainPollInterval = 20 * time.Millisecond
-	// firstRequestTimeout is how long a new connection without a request is kept
-	// while a node shuts down: callers send theirs as soon as it is established.
+	// firstRequestTimeout is how long a new connection without a request is kept open during
+	// a shutdown: callers send their first request as soon as the connection is established.
 	firstRequestTimeout = time.Second
 )
 
-// callerTimeouts are the limits of callers' connections, which may change while
-// the node runs.
+// callerTimeouts holds the timeouts of callers' connections, which may change while the node
+// runs.
 type callerTimeouts struct {
 	head func() time.Duration // from the first byte of a request to the end of its head
 	idle func() time.Duration // between two requests
 }
 
-// callerConns ends callers' connections that are idle or slow to send a head for
-// longer than the configuration allows, and all of them at a shutdown.
+// callerConns closes callers' connections that are idle or slow to send a head for longer
+// than the configuration allows, and all connections at a shutdown.
 //
-// A connection is only ended while no byte of a request has arrived on it, and
-// by its read deadline: a node that was slow for a moment finds the request and
-// the end of the idle time at once, and closing the connection then would leave
-// a request that was read without an answer.
+// A connection is ended only while no byte of a request has arrived on it, and by expiring
+// its read deadline. A node that was stalled for a moment finds the request and the end of
+// the idle timeout at once, and closing the connection then would leave a request that was
+// read without an answer.
 type callerConns struct {
 	timeouts callerTimeouts
 
@@ -44,13 +44,13 @@
 	return &callerConns{timeouts: timeouts, open: map[*callerConn]bool{}}
 }
 
-// phase is where a connection stands between two requests.
+// phase is the state of a connection within the cycle of requests.
 type phase uint8
 
 const (
-	awaitingRequest phase = iota // no byte of the next request was read
-	readingHead                  // a part of its head was
-	serving                      // it is being served
+	awaitingRequest phase = iota // no byte of the next request has been read
+	readingHead                  // a part of the head has been read
+	serving                      // the request is being served
 )
 
 // callerConn is a caller's connection.
@@ -60,14 +60,14 @@
 
 	mu          sync.Mutex
 	phase       phase
-	phaseStart  time.Time // of the phase
-	awaitsFirst bool      // no request has come yet
-	pipelined   bool      // a byte of the next request came while one was served
+	phaseStart  time.Time // start time of the phase
+	awaitsFirst bool      // no request has arrived yet
+	pipelined   bool      // a byte of the next request arrived while one was served
 	timer       *time.Timer
-	expired     bool // the read deadline was set to end the connection
+	expired     bool // the read deadline has been set to end the connection
 }
 
-// callerListener hands out callers' connections.
+// callerListener accepts callers' connections and adds them to callerConns.
 type callerListener struct {
 	net.Listener
 	owner *callerConns
@@ -82,7 +82,7 @@
 	return l.owner.add(conn), nil
 }
 
-// server returns a server of requests on callers' connections.
+// server returns an HTTP server for requests on callers' connections.
 func (conns *callerConns) server(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:        handler,
@@ -117,11 +117,12 @@
 	return n, err
 }
 
-// peekSize is for how many bytes the server asks while it waits, beside a request,
-// for the caller to leave. It asks for more when it reads a body.
+// peekSize is the buffer size of the read by which the HTTP server detects, while it serves a
+// request, that the caller has left. Reads of a body use larger buffers.
 const peekSize = 1
 
-// recordRead notes that bytes have come for a read of so many.
+// recordRead updates the phase after bytes have arrived for a read with the given buffer
+// size.
 func (c *callerConn) recordRead(bufferSize int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,8 +136,7 @@
 	}
 }
 
-// setPhase begins a phase that may last for a time; 0 for any time. The lock is
-// held.
+// setPhase begins a phase with the given timeout, 0 for none. The caller holds c.mu.
 func (c *callerConn) setPhase(p phase, timeout time.Duration) {
 	c.phase = p
 	c.phaseStart = time.Now()
@@ -145,12 +145,12 @@
 		c.timer = nil
 	}
 	if timeout > 0 {
-		since := c.phaseStart
-		c.timer = time.AfterFunc(timeout, func() { c.timeOut(since) })
+		phaseStart := c.phaseStart
+		c.timer = time.AfterFunc(timeout, func() { c.timeOut(phaseStart) })
 	}
 }
 
-// timeOut ends the connection unless its phase has changed meanwhile.
+// timeOut ends the connection unless its phase has changed since the timer was set.
 func (c *callerConn) timeOut(phaseStart time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -160,18 +160,19 @@
 	if c.phase == readingHead || socket.Look(c.Conn) != socket.Bytes {
 		c.expireRead()
 	}
-	// The server may have been about to set a deadline of its own: once more.
+	// The HTTP server may set a read deadline of its own concurrently and thereby undo the
+	// expiry, so the check is repeated.
 	c.timer = time.AfterFunc(drainPollInterval, func() { c.timeOut(phaseStart) })
 }
 
-// expireRead makes the server's read fail, after which it closes the connection. The
-// lock is held.
+// expireRead makes the server's read fail, after which the server closes the connection. The
+// caller holds c.mu.
 func (c *callerConn) expireRead() {
 	c.expired = true
 	_ = c.SetReadDeadline(time.Unix(1, 0)) // fails only on a closed connection
 }
 
-// connState is a server's ConnState hook.
+// connState is the ConnState hook of the HTTP server.
 func (conns *callerConns) connState(conn net.Conn, state http.ConnState) {
 	c, isCaller := conn.(*callerConn)
 	if !isCaller {
@@ -185,7 +186,7 @@
 		c.setPhase(serving, 0)
 		if c.expired {
 			c.expired = false
-			_ = c.SetReadDeadline(time.Time{}) // its head was read all the same
+			_ = c.SetReadDeadline(time.Time{}) // the head was read in spite of the expiry
 		}
 	case http.StateIdle:
 		if c.pipelined {
@@ -206,7 +207,7 @@
 	delete(conns.open, c)
 }
 
-// drain ends connections as they become idle, until there are none or ctx ends.
+// drain ends connections as they become idle, until none is open or ctx ends.
 func (conns *callerConns) drain(ctx context.Context) error {
 	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
@@ -222,8 +223,8 @@
 	}
 }
 
-// endIdle ends the connections that wait for a request and returns how many
-// connections are open.
+// endIdle ends the connections that wait for a request and returns the number of open
+// connections.
 func (conns *callerConns) endIdle(now time.Time) int {
 	conns.mu.Lock()
 	open := make([]*callerConn, 0, len(conns.open))
--- a/modules/gateway/callers_left_test.go
+++ b/modules/gateway/callers_left_test.go
@@ -19,8 +19,8 @@
 	"github.com/burdockspindle/burdockspindle/gateway/socket"
 )
 
-// stalledConn is a caller's connection at a node that stands still: a read is
-// only begun once the gate is open, and one after more than most reads never.
+// stalledConn is a caller's connection at a stalled node: a read starts only once gate is
+// closed, and reads beyond maxReads block until a read deadline is set.
 type stalledConn struct {
 	net.Conn
 	gate        <-chan struct{}
@@ -43,7 +43,7 @@
 	return c.Conn.Read(p)
 }
 
-// SetReadDeadline ends the read that never begins, as the deadline of a real one does.
+// SetReadDeadline ends a blocked read, as the deadline of a real connection does.
 func (c *stalledConn) SetReadDeadline(deadline time.Time) error {
 	if !deadline.IsZero() {
 		c.unblockOnce.Do(func() { close(c.unblock) })
@@ -51,20 +51,20 @@
 	return c.Conn.SetReadDeadline(deadline)
 }
 
-// A node that stands still for a moment finds a request and the end of its
-// connection at once. It read the first, sent the request on, read the second, and
-// gave the request up: "5.991 the caller leaves; 7.183 the request reaches the server"
-// of a node that had not read it for 1.6 s.
+// A stalled node finds a request and the end of its connection at once. It read the request,
+// sent it on, and only then read the end of the connection and gave up on the request: at a
+// node that had not read for 1.6 s, a request whose caller left at 5.991 s reached the server
+// at 7.183 s.
 func TestRequestOfDepartedCallerIsNotForwarded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	server, requests := countingServer(t)
 	gate := make(chan struct{})
-	var here atomic.Pointer[stalledConn]
+	var accepted atomic.Pointer[stalledConn]
 	address := startFront(t, server, func(conn net.Conn) net.Conn {
-		// The request is one read. The next one would tell that the caller has left;
-		// it is not begun, as when the node does one thing after the other.
+		// The request takes one read. The next read would show that the caller has left; it
+		// blocks, as on a node that processes events one by one.
 		c := &stalledConn{Conn: conn, gate: gate, maxReads: 1, unblock: make(chan struct{})}
-		here.Store(c)
+		accepted.Store(c)
 		return c
 	})
 	caller, err := net.Dial("tcp", address)
@@ -73,16 +73,16 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(caller.(*net.TCPConn).CloseWrite()).To(gomega.Succeed())
 	defer func() { _ = caller.Close() }()
-	g.Eventually(here.Load, 10*time.Second).ShouldNot(gomega.BeNil())
+	g.Eventually(accepted.Load, 10*time.Second).ShouldNot(gomega.BeNil())
 	g.Consistently(func() int32 { return requests.Load() }, 50*time.Millisecond).Should(gomega.BeZero())
 	close(gate)
 	_, err = io.ReadAll(caller) // until the node closes the connection
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(requests.Load()).To(gomega.BeZero(), "requests sent on for a caller that had left")
+	g.Expect(requests.Load()).To(gomega.BeZero(), "requests forwarded for a caller that had left")
 }
 
-// A caller that closes its half of the connection counts as one that has left. It
-// may still read: what it gets must not be an empty success that no server gave.
+// A caller that closes its half of the connection is treated as having left. It may still
+// read, and must not get an empty success response that no server sent.
 func TestHalfClosedCallerGetsNoSuccessWithoutServerResponse(t *testing.T) {
 	g := gomega.NewWithT(t)
 	running := make(chan struct{}, 1)
@@ -106,19 +106,19 @@
 	}
 }
 
-// What has arrived and what has ended is told apart: a connection with bytes of a
-// next request is not one whose caller has left.
+// Arrived bytes and the end of the connection are distinguished: the caller of a connection
+// with bytes of a next request has not left.
 func TestCallerWithPipelinedRequestHasNotLeft(t *testing.T) {
 	g := gomega.NewWithT(t)
 	callers := newCallerConns(fixedTimeouts(time.Minute, time.Minute))
-	here, there := callerPair(t, callers)
-	g.Expect(here.Left()).To(gomega.BeFalse())
-	_, err := io.WriteString(there, "GET")
+	nodeEnd, callerEnd := newCallerPair(t, callers)
+	g.Expect(nodeEnd.Left()).To(gomega.BeFalse())
+	_, err := io.WriteString(callerEnd, "GET")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Eventually(func() socket.State { return socket.Look(here.Conn) }, 10*time.Second).Should(gomega.Equal(socket.Bytes))
-	g.Expect(here.Left()).To(gomega.BeFalse())
-	_, err = here.Read(make([]byte, 10))
+	g.Eventually(func() socket.State { return socket.Look(nodeEnd.Conn) }, 10*time.Second).Should(gomega.Equal(socket.Bytes))
+	g.Expect(nodeEnd.Left()).To(gomega.BeFalse())
+	_, err = nodeEnd.Read(make([]byte, 10))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(there.Close()).To(gomega.Succeed())
-	g.Eventually(here.Left, 10*time.Second).Should(gomega.BeTrue())
+	g.Expect(callerEnd.Close()).To(gomega.Succeed())
+	g.Eventually(nodeEnd.Left, 10*time.Second).Should(gomega.BeTrue())
 }
--- a/modules/gateway/callers_stress_test.go
+++ b/modules/gateway/callers_stress_test.go
@@ -18,8 +18,7 @@
 	"github.com/onsi/gomega"
 )
 
-// pausedConn is a connection at a node that stands still for a moment before and
-// after it reads.
+// pausedConn is a connection at a node that stalls for a moment before and after each read.
 type pausedConn struct{ net.Conn }
 
 func (c *pausedConn) SyscallConn() (syscall.RawConn, error) {
@@ -41,8 +40,8 @@
 	time.Sleep(time.Duration(rand.Int64N(int64(3 * time.Millisecond))))
 }
 
-// Whatever the pauses of a node and its limits of time, a request that a handler got
-// is answered on its connection, unless the caller has left.
+// Whatever the pauses and timeouts of a node, a request that a handler received is answered
+// on its connection, unless the caller has left.
 func TestEveryReadRequestIsAnswered(t *testing.T) {
 	const callersAtOnce, requests = 64, 40
 	g := gomega.NewWithT(t)
@@ -68,15 +67,15 @@
 		all.Go(func() { answered.Add(callRepeatedly(listener.Addr().String(), requests)) })
 	}
 	all.Wait()
-	g.Expect(leftEarly.Load()).To(gomega.BeZero(), "callers taken to have left")
-	g.Expect(answered.Load()).To(gomega.Equal(served.Load()), "requests that were read and those that were answered")
+	g.Expect(leftEarly.Load()).To(gomega.BeZero(), "callers treated as having left")
+	g.Expect(answered.Load()).To(gomega.Equal(served.Load()), "answered requests equal served requests")
 	_ = listener.Close()
 	g.Expect(callers.drain(context.Background())).To(gomega.Succeed())
 }
 
-// callRepeatedly sends requests on kept connections, with pauses about as long as
-// the node's limits, and returns how many were answered. A connection that ends gives
-// way to a new one.
+// callRepeatedly sends requests on keep-alive connections, with pauses about as long as the
+// node's timeouts, and returns how many were answered. A connection that ends is replaced by
+// a new one.
 func callRepeatedly(address string, requests int) (answered int32) {
 	var conn net.Conn
 	var reader *bufio.Reader
--- a/modules/gateway/callers_test.go
+++ b/modules/gateway/callers_test.go
@@ -21,15 +21,14 @@
 	return callerTimeouts{head: func() time.Duration { return head }, idle: func() time.Duration { return idle }}
 }
 
-// callerPair returns a caller's connection as the node sees it, and the caller's
-// end.
-func callerPair(t *testing.T, owner *callerConns) (here *callerConn, there net.Conn) {
+// newCallerPair returns the node's and the caller's ends of a connection.
+func newCallerPair(t *testing.T, owner *callerConns) (nodeEnd *callerConn, callerEnd net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	there, err = net.Dial("tcp", listener.Addr().String())
+	callerEnd, err = net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,11 +37,11 @@
 		t.Fatal(err)
 	}
 	_ = listener.Close()
-	t.Cleanup(func() { _ = there.Close(); _ = accepted.Close() })
-	return owner.add(accepted), there
+	t.Cleanup(func() { _ = callerEnd.Close(); _ = accepted.Close() })
+	return owner.add(accepted), callerEnd
 }
 
-// isExpired reports whether the node's next read fails.
+// isExpired reports whether the read deadline has been set to end the connection.
 func isExpired(c *callerConn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,19 +53,19 @@
 		g := gomega.NewWithT(t)
 		callers := newCallerConns(fixedTimeouts(time.Second, 15*time.Second))
 		raw, _ := net.Pipe()
-		here := callers.add(raw)
-		callers.connState(here, http.StateActive)
-		callers.connState(here, http.StateIdle)
+		nodeEnd := callers.add(raw)
+		callers.connState(nodeEnd, http.StateActive)
+		callers.connState(nodeEnd, http.StateIdle)
 		time.Sleep(14 * time.Second)
-		callers.connState(here, http.StateActive)
+		callers.connState(nodeEnd, http.StateActive)
 		time.Sleep(time.Minute)
-		g.Expect(isExpired(here)).To(gomega.BeFalse(), "a request was served")
-		callers.connState(here, http.StateIdle)
+		g.Expect(isExpired(nodeEnd)).To(gomega.BeFalse(), "a request was served")
+		callers.connState(nodeEnd, http.StateIdle)
 		time.Sleep(14 * time.Second)
-		g.Expect(isExpired(here)).To(gomega.BeFalse())
+		g.Expect(isExpired(nodeEnd)).To(gomega.BeFalse())
 		time.Sleep(2 * time.Second)
-		g.Expect(isExpired(here)).To(gomega.BeTrue())
-		callers.connState(here, http.StateClosed)
+		g.Expect(isExpired(nodeEnd)).To(gomega.BeTrue())
+		callers.connState(nodeEnd, http.StateClosed)
 	})
 }
 
@@ -75,54 +74,54 @@
 		g := gomega.NewWithT(t)
 		callers := newCallerConns(fixedTimeouts(2*time.Second, time.Minute))
 		raw, _ := net.Pipe()
-		here := callers.add(raw)
-		here.recordRead(100)
+		nodeEnd := callers.add(raw)
+		nodeEnd.recordRead(100)
 		time.Sleep(time.Second)
-		g.Expect(isExpired(here)).To(gomega.BeFalse())
+		g.Expect(isExpired(nodeEnd)).To(gomega.BeFalse())
 		time.Sleep(2 * time.Second)
-		g.Expect(isExpired(here)).To(gomega.BeTrue())
-		callers.connState(here, http.StateClosed)
+		g.Expect(isExpired(nodeEnd)).To(gomega.BeTrue())
+		callers.connState(nodeEnd, http.StateClosed)
 	})
 }
 
-// A node that stood still for a moment finds the end of the idle time and a
-// request on the connection at once. The request is served.
+// A stalled node finds the end of the idle timeout and a request on the connection at once.
+// The request is served.
 func TestConnectionWithArrivedRequestDoesNotExpire(t *testing.T) {
 	g := gomega.NewWithT(t)
 	callers := newCallerConns(fixedTimeouts(time.Minute, time.Minute))
-	here, there := callerPair(t, callers)
-	callers.connState(here, http.StateActive)
-	callers.connState(here, http.StateIdle)
-	_, err := io.WriteString(there, "GET / HTTP/1.1\r\n")
+	nodeEnd, callerEnd := newCallerPair(t, callers)
+	callers.connState(nodeEnd, http.StateActive)
+	callers.connState(nodeEnd, http.StateIdle)
+	_, err := io.WriteString(callerEnd, "GET / HTTP/1.1\r\n")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Eventually(func() bool { return socket.Look(here.Conn) == socket.Bytes }).Should(gomega.BeTrue())
-	here.timeOut(here.phaseStart)
+	g.Eventually(func() bool { return socket.Look(nodeEnd.Conn) == socket.Bytes }).Should(gomega.BeTrue())
+	nodeEnd.timeOut(nodeEnd.phaseStart)
 	callers.endIdle(time.Now())
-	g.Expect(isExpired(here)).To(gomega.BeFalse(), "not read yet")
+	g.Expect(isExpired(nodeEnd)).To(gomega.BeFalse(), "not read yet")
 
-	_, err = here.Read(make([]byte, 100))
+	_, err = nodeEnd.Read(make([]byte, 100))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	callers.endIdle(time.Now())
-	g.Expect(isExpired(here)).To(gomega.BeFalse(), "read, and not yet known to be a request")
-	callers.connState(here, http.StateClosed)
+	g.Expect(isExpired(nodeEnd)).To(gomega.BeFalse(), "read, but not yet recognized as a request")
+	callers.connState(nodeEnd, http.StateClosed)
 }
 
-// A request that was read in the moment in which its connection was ended is
-// served, and its caller is not taken to have left.
+// A request that is read while its connection expires is served, and its caller is not
+// treated as having left.
 func TestRequestReadWhileConnectionExpiresIsServed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	callers := newCallerConns(fixedTimeouts(time.Minute, time.Minute))
-	here, there := callerPair(t, callers)
-	callers.connState(here, http.StateActive)
-	callers.connState(here, http.StateIdle)
+	nodeEnd, callerEnd := newCallerPair(t, callers)
+	callers.connState(nodeEnd, http.StateActive)
+	callers.connState(nodeEnd, http.StateIdle)
 	callers.endIdle(time.Now())
-	g.Expect(isExpired(here)).To(gomega.BeTrue())
-	callers.connState(here, http.StateActive)
-	_, err := io.WriteString(there, "x")
+	g.Expect(isExpired(nodeEnd)).To(gomega.BeTrue())
+	callers.connState(nodeEnd, http.StateActive)
+	_, err := io.WriteString(callerEnd, "x")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	_, err = here.Read(make([]byte, 1))
-	g.Expect(err).NotTo(gomega.HaveOccurred(), "the deadline is lifted")
-	callers.connState(here, http.StateClosed)
+	_, err = nodeEnd.Read(make([]byte, 1))
+	g.Expect(err).NotTo(gomega.HaveOccurred(), "the deadline is cleared")
+	callers.connState(nodeEnd, http.StateClosed)
 }
 
 func TestDrainAnswersArrivedRequestsAndClosesIdleConnections(t *testing.T) {
@@ -156,7 +155,7 @@
 	slow, slowReader := connect("/slow")
 	defer func() { _ = slow.Close() }()
 	<-started
-	g.Eventually(func() int { return callers.endIdle(time.Time{}) }, 10*time.Second).Should(gomega.Equal(1), "the idle one is ended")
+	g.Eventually(func() int { return callers.endIdle(time.Time{}) }, 10*time.Second).Should(gomega.Equal(1), "the idle connection is ended")
 	_, err = idleReader.ReadByte()
 	g.Expect(err).To(gomega.Equal(io.EOF))
 
@@ -170,10 +169,10 @@
 	g.Expect(<-drained).To(gomega.Succeed())
 }
 
-// The bytes of a request's body came while it was served, and were taken for the
-// beginning of the next request: the connection then had the 3 s of a head between
-// two requests, not the 15 s that the configuration gives it, and it was ended
-// without a look whether a request had arrived.
+// Bytes of a request's body that arrived while it was served were treated as the beginning of
+// the next request: the connection then had the 3 s of the head timeout between two requests,
+// not the 15 s of the configured idle timeout, and was ended without a check whether a
+// request had arrived.
 func TestBodyIsNotTreatedAsNextRequest(t *testing.T) {
 	g := gomega.NewWithT(t)
 	callers := newCallerConns(fixedTimeouts(time.Minute, time.Minute))
@@ -201,7 +200,7 @@
 	g.Expect(phases(callers)).To(gomega.Equal([]phase{awaitingRequest}))
 }
 
-// phases returns where the open connections stand.
+// phases returns the phases of the open connections.
 func phases(callers *callerConns) []phase {
 	callers.mu.Lock()
 	defer callers.mu.Unlock()
--- a/modules/gateway/front.go
+++ b/modules/gateway/front.go
@@ -31,26 +31,26 @@
 	eventFrontDrained = events.Define(2303, hclog.Info, "callers' connections are closed")
 )
 
-// Timing of a shutdown and bounds of listeners.
+// Timing of a shutdown and limits of listeners.
 const (
-	// exitReserve is left of the grace time for the end of the process.
+	// exitReserve is the part of the grace time kept for the exit of the process.
 	exitReserve = 400 * time.Millisecond
-	// finalResponseReserve is left of that for requests that get their final answer only
-	// because the process ends.
+	// finalResponseReserve is the part of the remaining grace time kept for requests that get
+	// their final response only because the process exits.
 	finalResponseReserve = 250 * time.Millisecond
-	// lateRequestWindow is how long after the listener has closed a node still takes
-	// requests on connections that were opened before. What comes later might not
-	// be answered within the grace time, and would be cut off with the process.
+	// lateRequestWindow is the time after the listener has closed in which requests on open
+	// connections are still accepted. Later requests might not be answered within the grace
+	// time and would be aborted by the exit of the process.
 	lateRequestWindow = 500 * time.Millisecond
-	// headerTimeout and idleTimeout end connections that send a request too slowly
-	// or nothing, while no configuration says otherwise.
+	// headerTimeout and idleTimeout end connections that send a request too slowly or none,
+	// unless the configuration sets other timeouts.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 75 * time.Second
-	// maxHeaderBytes bounds the head of a request.
+	// maxHeaderBytes is the maximum size of the head of a request.
 	maxHeaderBytes = 64 << 10
 	readyPath      = "/-/readyz"
 	metricsPath    = "/debug/vars"
-	// roleFront is the listener for callers.
+	// roleFront is the role of the listener for callers.
 	roleFront = "front"
 )
 
@@ -64,7 +64,7 @@
 
 	draining   atomic.Bool
 	wasReady   atomic.Bool
-	isIsolated atomic.Bool // the node's zone is
+	isIsolated atomic.Bool // the node's zone is isolated
 	cancel     context.CancelFunc
 	drainedAt  time.Time
 	servers    []*http.Server
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// routerTerms returns what the settings ask of the router.
+// routerTerms returns the router's part of the settings.
 func routerTerms(s *config.Settings) router.Terms {
 	return router.Terms{
 		CrossZonePenalty: s.Place.CrossZonePenalty,
@@ -144,7 +144,8 @@
 	return nil
 }
 
-// callerTimeouts returns the configuration's limits of callers' connections.
+// callerTimeouts returns the timeouts of callers' connections: those of the current
+// configuration, or the defaults.
 func (f *Front) callerTimeouts() callerTimeouts {
 	limit := func(field func(site.Limits) time.Duration, fallback time.Duration) func() time.Duration {
 		return func() time.Duration {
@@ -186,7 +187,8 @@
 	return nil
 }
 
-// serveReady answers the balancer: the node takes callers once it can serve.
+// serveReady answers the balancer's readiness check: the node is ready when its view is
+// complete and it is neither draining nor isolated.
 func (f *Front) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if f.draining.Load() || f.isIsolated.Load() || !f.state.Now().Complete() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -198,8 +200,8 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Drain implements kernel.Drainer: the balancer is told, and callers' open
-// connections end with their next answer.
+// Drain implements kernel.Drainer: the readiness check fails from now on, and callers' open
+// connections end with their next response.
 func (f *Front) Drain(context.Context) error {
 	f.drainedAt = time.Now()
 	f.draining.Store(true)
@@ -207,8 +209,8 @@
 	return nil
 }
 
-// Stop implements kernel.Stopper: it goes on serving until the balancer has
-// surely noticed, then finishes what runs within the grace time.
+// Stop implements kernel.Stopper: the node continues to serve until the balancer has noticed
+// the failed readiness check, then finishes the requests in flight within the grace time.
 func (f *Front) Stop(ctx context.Context) error {
 	timing := f.live.Settings().Timing
 	end := f.drainedAt.Add(timing.Grace - exitReserve)
@@ -220,11 +222,11 @@
 	ctx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
 	f.cancel()
-	_ = f.listener.Close() // only connections that are open are served from here on
+	_ = f.listener.Close() // from here on only open connections are served
 	err := f.callers.drain(ctx)
 	eventFrontDrained.Log(f.logger, "error", err)
 	for _, server := range f.servers {
-		_ = server.Close() // the process ends
+		_ = server.Close() // the process exits
 	}
 	return err
 }
--- a/modules/gateway/front_test.go
+++ b/modules/gateway/front_test.go
@@ -21,21 +21,21 @@
 	"github.com/burdockspindle/burdockspindle/gateway/view"
 )
 
-// countingServer is a backend server that counts its requests.
+// countingServer starts a backend server that counts its requests.
 func countingServer(t testing.TB) (address string, requests *atomic.Int32) {
 	t.Helper()
 	requests = new(atomic.Int32)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		requests.Add(1)
 		w.Header().Set("Request-Id", r.Header.Get("Request-Id"))
-		_, _ = io.WriteString(w, "whole") // the caller's end tells
+		_, _ = io.WriteString(w, "whole") // the caller detects a failed write
 	}))
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://"), requests
 }
 
-// startFront serves callers on loopback, with one backend server, and wraps
-// every connection of a caller.
+// startFront serves callers on the loopback interface with one backend server. wrap is
+// applied to every caller connection.
 func startFront(t testing.TB, server string, wrap func(net.Conn) net.Conn) (address string) {
 	t.Helper()
 	return startFrontWithLog(t, server, wrap, hclog.NewNullLogger())
--- a/modules/gateway/isolation.go
+++ b/modules/gateway/isolation.go
@@ -15,14 +15,14 @@
 )
 
 var (
-	eventIsolated = events.Define(2304, hclog.Warn, "the zone is cut off: callers are to go elsewhere")
-	eventRejoined = events.Define(2305, hclog.Info, "the zone is no longer cut off")
+	eventIsolated = events.Define(2304, hclog.Warn, "zone is isolated; reporting not ready to the balancer")
+	eventRejoined = events.Define(2305, hclog.Info, "zone is no longer isolated")
 )
 
-// isolationDialTimeout ends a try to reach a node of another zone.
+// isolationDialTimeout bounds an attempt to connect to a node of another zone.
 const isolationDialTimeout = 300 * time.Millisecond
 
-// watchIsolation looks whether the node's zone is cut off until ctx ends.
+// watchIsolation checks periodically whether the node's zone is isolated until ctx ends.
 func (f *Front) watchIsolation(ctx context.Context) {
 	for clock.Wait(ctx, isolation.LookEvery) {
 		sample := f.checkIsolation(ctx)
@@ -38,7 +38,8 @@
 	}
 }
 
-// checkIsolation returns what the node sees of the store and of other zones.
+// checkIsolation returns the age of the node's contact with the store and, if that is too
+// old, how many nodes of other zones it reaches.
 func (f *Front) checkIsolation(ctx context.Context) isolation.Look {
 	var sample isolation.Look
 	sample.Contact, sample.Known = f.feed.Contact.Age()
@@ -51,7 +52,7 @@
 	return sample
 }
 
-// sampleOtherZones returns a few nodes of other zones, at random.
+// sampleOtherZones returns up to isolation.Tries random nodes of other zones.
 func sampleOtherZones(self view.Member, members []view.Member) []view.Member {
 	var others []view.Member
 	for _, m := range members {
@@ -63,14 +64,14 @@
 	return others[:min(len(others), isolation.Tries)]
 }
 
-// countReachable returns how many of some nodes take a connection.
+// countReachable returns how many of the nodes accept a connection.
 func countReachable(ctx context.Context, nodes []view.Member) int {
 	reached := make(chan bool, len(nodes))
 	for _, node := range nodes {
 		go func() {
 			conn, err := upstream.Dialer(isolationDialTimeout).DialContext(ctx, "tcp", node.Address)
 			if err == nil {
-				_ = conn.Close() // it carries nothing
+				_ = conn.Close() // no data was sent
 			}
 			reached <- err == nil
 		}()
--- a/modules/gateway/isolation_test.go
+++ b/modules/gateway/isolation_test.go
@@ -17,8 +17,8 @@
 	"github.com/burdockspindle/burdockspindle/gateway/view"
 )
 
-// newFrontWithPeer returns a node of zone a that knows the site and another node at an address in a
-// zone, and whose latest contact with the store was a while ago.
+// newFrontWithPeer returns a node of zone a that has the view of the site, with one other
+// node at the given address and zone, and the given age of the latest contact with the store.
 func newFrontWithPeer(t *testing.T, address, zone string, contactAge time.Duration) *Front {
 	t.Helper()
 	g := gomega.NewWithT(t)
@@ -27,13 +27,13 @@
 	g.Expect(state.MergeServers(view.Servers{Offset: 1})).To(gomega.BeTrue())
 	self := view.Member{Node: "n1", Boot: "b1", Zone: "a", Address: "127.0.0.1:1"}
 	state.SetMembers([]view.Member{self, {Node: "n2", Boot: "b2", Zone: zone, Address: address}})
-	reached := new(follow.Contact)
-	reached.NoteTold(clock.Now().Add(-contactAge), 1)
-	feed := follow.NewFeed(self, state, reached, func() bool { return false })
+	contact := new(follow.Contact)
+	contact.NoteTold(clock.Now().Add(-contactAge), 1)
+	feed := follow.NewFeed(self, state, contact, func() bool { return false })
 	return &Front{state: state, feed: feed, logger: hclog.NewNullLogger()}
 }
 
-func readiness(m *Front) int {
+func readinessStatus(m *Front) int {
 	answer := httptest.NewRecorder()
 	m.serveReady(answer, httptest.NewRequest(http.MethodGet, readyPath, nil))
 	return answer.Code
@@ -45,27 +45,27 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = listener.Close() }()
-	gone, err := net.Listen("tcp", "127.0.0.1:0")
+	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = gone.Close()
+	_ = closed.Close()
 	const old = isolation.LookAfter + time.Second
 	for name, row := range map[string]struct {
 		address, zone string
 		contact       time.Duration
 		want          int
 	}{
-		"neither the store nor the other zone": {gone.Addr().String(), "b", old, http.StatusServiceUnavailable},
-		"the other zone is reached":            {listener.Addr().String(), "b", old, http.StatusOK},
-		"the store was reached just now":       {gone.Addr().String(), "b", 0, http.StatusOK},
-		"all nodes are in the node's own zone": {gone.Addr().String(), "a", old, http.StatusOK},
+		"neither the store nor the other zone is reached": {closed.Addr().String(), "b", old, http.StatusServiceUnavailable},
+		"the other zone is reached":                       {listener.Addr().String(), "b", old, http.StatusOK},
+		"the store was reached just now":                  {closed.Addr().String(), "b", 0, http.StatusOK},
+		"all nodes are in the node's own zone":            {closed.Addr().String(), "a", old, http.StatusOK},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			m := newFrontWithPeer(t, row.address, row.zone, row.contact)
 			m.isIsolated.Store(m.checkIsolation(t.Context()).CutOff())
-			g.Expect(readiness(m)).To(gomega.Equal(row.want))
+			g.Expect(readinessStatus(m)).To(gomega.Equal(row.want))
 		})
 	}
 }
--- a/modules/gateway/log_cost_test.go
+++ b/modules/gateway/log_cost_test.go
@@ -15,11 +15,11 @@
 	"github.com/burdockspindle/burdockspindle/gateway/logsink"
 )
 
-// BenchmarkRequestWithLines measures the processor time of a whole request, of
-// the caller's side and the server's too, with its lines written and without. Lines
-// are bounded, so requests come at the rate of a busy node. On twelve cores that are
-// mostly idle an answered request takes 598 us without lines and 528 with them, which
-// is noise, and a refused one 362 and 508: 40 lines a second wake threads that sleep.
+// BenchmarkRequestWithLines measures the processor time of a whole request, including the
+// caller and the server, with and without its log lines. Log lines are rate-limited, so
+// requests are sent at the rate of a busy node. On twelve mostly idle cores, an answered
+// request takes 598 us without lines and 528 us with them, which is noise, and a refused one
+// 362 us and 508 us, because 40 lines per second wake sleeping threads.
 func BenchmarkRequestWithLines(b *testing.B) {
 	for _, c := range []struct{ name, host string }{{"answered", "h"}, {"refused", "unknown"}} {
 		for _, lines := range []bool{false, true} {
@@ -28,8 +28,8 @@
 	}
 }
 
-// requestEvery is the pause between two requests: 100 a second.
-const requestEvery = 10 * time.Millisecond
+// requestInterval is the interval between two requests: 100 per second.
+const requestInterval = 10 * time.Millisecond
 
 func benchmarkRequests(b *testing.B, host string, lines bool) {
 	logger := hclog.NewNullLogger()
@@ -59,12 +59,12 @@
 			b.Fatal(err)
 		}
 		_ = answer.Body.Close()
-		time.Sleep(requestEvery)
+		time.Sleep(requestInterval)
 	}
 	b.ReportMetric(float64((processorTime(b)-before).Microseconds())/float64(b.N), "cpu-us/op")
 }
 
-// processorTime returns what this process has used.
+// processorTime returns the processor time used by this process.
 func processorTime(b *testing.B) time.Duration {
 	b.Helper()
 	var usage syscall.Rusage
--- a/modules/gateway/site.go
+++ b/modules/gateway/site.go
@@ -1,6 +1,6 @@
-// Package gateway holds the modules of a gateway node: gateway.site keeps the
-// node's view of the site and performs the lessor's duty, gateway.front takes
-// the requests of callers.
+// Package gateway provides the modules of a gateway node: gateway.site maintains the node's
+// view of the site and performs the lessor's duties, gateway.front serves the requests of
+// callers.
 package gateway
 
 import (
@@ -22,8 +22,7 @@
 	"github.com/burdockspindle/burdockspindle/kernel"
 )
 
-// resignTimeout bounds how long a node that shuts down tries to give up the
-// lessor's lease.
+// resignTimeout bounds the attempt to resign the lessor's lease during a shutdown.
 const resignTimeout = time.Second
 
 func init() {
@@ -115,8 +114,8 @@
 	return nil
 }
 
-// closeStaleConnections has connections to runs of servers that are no longer registered
-// closed, until ctx ends.
+// closeStaleConnections closes connections to incarnations of servers that are no longer
+// registered, until ctx ends.
 func (s *Site) closeStaleConnections(ctx context.Context) {
 	var seen store.Offset
 	for ctx.Err() == nil {
@@ -132,7 +131,7 @@
 	}
 }
 
-// Drain implements kernel.Drainer: the lessor's lease is given up.
+// Drain implements kernel.Drainer: it resigns the lessor's lease.
 func (s *Site) Drain(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, resignTimeout)
 	defer cancel()
