--- a/gateway/pool/evict_test.go
+++ b/gateway/pool/evict_test.go
@@ -25,12 +25,12 @@
 	}
 	ask(0, time.Minute) // runs
 	behind := ask(2, 1200*time.Millisecond)
-	hopeless := ask(1, 1100*time.Millisecond)
+	overdue := ask(1, 1100*time.Millisecond)
 	evicted := map[*pool.Waiter]bool{}
 	for _, e := range p.Evict(start.Add(time.Second)) {
 		evicted[e.Waiter] = true
 	}
-	g.Expect(evicted).To(gomega.HaveKey(hopeless), "100 ms are left, a request takes 150 ms")
+	g.Expect(evicted).To(gomega.HaveKey(overdue), "100 ms are left, a request takes 150 ms")
 	g.Expect(evicted).NotTo(gomega.HaveKey(behind), "200 ms are left")
 }
 
--- a/gateway/pool/pool.go
+++ b/gateway/pool/pool.go
@@ -77,7 +77,9 @@
 	site.Server
 	sentAt       []time.Time // send times of the requests in flight, oldest first
 	queueEmptyAt time.Time   // send time of the latest request whose response reported free slots
-	limit        float64     // concurrent requests of this node, or the duty cycle of one request if below one
+	// limit is the number of concurrent requests of this node, or the duty cycle of one
+	// request if below one.
+	limit float64
 	// pausedUntil is the end of the pause during which a limit below one admits no request.
 	pausedUntil    time.Time
 	meanSeconds    float64 // mean service time; 0: not known
