--- a/gateway/pool/bench_test.go
+++ b/gateway/pool/bench_test.go
@@ -9,9 +9,9 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// queuedPool returns a pool of twelve servers without room, with requests that
-// wait for one of them each, and the time.
-func queuedPool(b *testing.B, waiting int) (*Pool, time.Time) {
+// newQueuedPool returns a pool of twelve servers without capacity, with the given number of
+// requests waiting, each for one of the servers, and the time.
+func newQueuedPool(b *testing.B, waiting int) (*Pool, time.Time) {
 	b.Helper()
 	now := time.Unix(1000, 0)
 	p := New("a", 0, rand.New(rand.NewPCG(1, 1)))
@@ -30,11 +30,11 @@
 	return p, now
 }
 
-// BenchmarkDone measures what the end of a request costs while others wait.
+// BenchmarkDone measures the cost of the end of a request while others wait.
 func BenchmarkDone(b *testing.B) {
 	for _, waiting := range []int{20, 100, 400} {
 		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
-			p, now := queuedPool(b, waiting)
+			p, now := newQueuedPool(b, waiting)
 			for b.Loop() {
 				m := p.order[0]
 				w := &Waiter{Priority: 1, Since: now, Target: now.Add(time.Minute), Deadline: now.Add(time.Hour), Only: m.ID}
--- a/gateway/pool/evict_test.go
+++ b/gateway/pool/evict_test.go
@@ -11,9 +11,9 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// A more urgent request that cannot be answered any more gives its turn up; the one
-// behind it can then be answered, and stays.
-func TestWhoGivesItsTurnUpCountsForNoneBehindIt(t *testing.T) {
+// A more urgent request that can no longer be answered in time is evicted. The request behind
+// it can then be answered and stays in the queue.
+func TestEvictedWaiterDoesNotCountAgainstLaterOnes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := pool.New("a", 0, rand.New(rand.NewPCG(1, 1)))
 	p.Update([]site.Server{{ID: "s", Service: "s", Zone: "a", Slots: 1}}, 12, start)
@@ -25,18 +25,18 @@
 	}
 	ask(0, time.Minute) // runs
 	behind := ask(2, 1200*time.Millisecond)
-	hopeless := ask(1, 1100*time.Millisecond)
+	overdue := ask(1, 1100*time.Millisecond)
 	evicted := map[*pool.Waiter]bool{}
 	for _, e := range p.Evict(start.Add(time.Second)) {
 		evicted[e.Waiter] = true
 	}
-	g.Expect(evicted).To(gomega.HaveKey(hopeless), "100 ms left, a request takes 150")
-	g.Expect(evicted).NotTo(gomega.HaveKey(behind), "200 ms left")
+	g.Expect(evicted).To(gomega.HaveKey(overdue), "100 ms are left, a request takes 150 ms")
+	g.Expect(evicted).NotTo(gomega.HaveKey(behind), "200 ms are left")
 }
 
-// The only server takes no connection while a request waits for it. The request is
-// sent when the server is tried again, and not left until its time is over.
-func TestWhoWaitsForABlockedServerIsWokenWhenItIsTriedAgain(t *testing.T) {
+// A request waits for its only server, to which a connection has failed. It is sent when the
+// server is retried, before its deadline.
+func TestWaiterIsAdmittedWhenBlockedServerIsRetried(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := pool.New("a", 0, rand.New(rand.NewPCG(1, 1)))
 	p.Update([]site.Server{{ID: "s", Service: "s", Zone: "a", Slots: 1}}, 12, start)
@@ -47,7 +47,7 @@
 		return admission
 	}
 	g.Expect(ask()).NotTo(gomega.BeNil())
-	g.Expect(ask()).To(gomega.BeNil(), "it waits")
+	g.Expect(ask()).To(gomega.BeNil(), "the request is queued")
 	g.Expect(p.Done("s", pool.Outcome{Failed: true, NotReached: true}, start)).To(gomega.BeEmpty())
 	at, waits := p.NextRoom(start)
 	g.Expect(waits).To(gomega.BeTrue())
--- a/gateway/pool/queue.go
+++ b/gateway/pool/queue.go
@@ -8,32 +8,32 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// Bounds of waiting.
+// Bounds of the queue.
 const (
-	// mostWaiting bounds the requests that wait for one service at a node.
-	mostWaiting = 400
-	// leastRetryAfter and mostRetryAfter bound when a refused caller is asked to
-	// come back: not before a request or two could have ended, and not so late
-	// that it has no time left.
-	leastRetryAfter = 100 * time.Millisecond
-	mostRetryAfter  = 2 * time.Second
+	// maxWaiting bounds the requests that wait for one service at a node.
+	maxWaiting = 400
+	// minRetryAfter and maxRetryAfter bound the retry delay sent to a refused caller: not
+	// before one or two requests could have ended, and not so late that the caller has no
+	// time left.
+	minRetryAfter = 100 * time.Millisecond
+	maxRetryAfter = 2 * time.Second
 )
 
-// Waiter is a request that wants a server.
+// Waiter is a request that needs a server.
 type Waiter struct {
 	Priority int             // 0 is the most urgent
-	Since    time.Time       // when it came
-	Target   time.Time       // by when an answer is worth most
-	Deadline time.Time       // by when an answer is worth anything
-	Only     site.ServerID   // the one server that may run it; empty: any
-	Not      []site.ServerID // runs of servers that have been tried
+	Since    time.Time       // arrival time
+	Target   time.Time       // time by which a response has its full value
+	Deadline time.Time       // time after which a response has no value
+	Only     site.ServerID   // the only server that may run it; empty: any
+	Not      []site.ServerID // incarnations of servers that have been tried
 	Once     bool            // it must not run twice, so that a failure of its server loses it
-	Passed   bool            // it has been counted for the share of its server
+	Passed   bool            // it has been charged to the share of its server
 }
 
-// accepts reports whether a run of a server may get the request. A new run of a
-// server that was tried counts as tried: it has just started, often because it
-// failed under the request, and the route bounds the servers that are tried.
+// accepts reports whether an incarnation of a server may get the request. A new incarnation
+// of a tried server is treated as tried: it has just started, often because it failed under
+// the request, and the route bounds the number of servers that are tried.
 func (w *Waiter) accepts(id site.ServerID) bool {
 	if w.Only != "" {
 		return w.Only == id
@@ -43,41 +43,41 @@
 
 func (w *Waiter) failureCost() time.Duration {
 	if w.Once {
-		return onceCost
+		return atMostOnceFailureCost
 	}
 	return failureCost
 }
 
-// Admission gives a waiter a place at a server.
+// Admission assigns a waiter a slot at a server.
 type Admission struct {
 	Waiter *Waiter
 	Server site.Server
 }
 
-// Refusal tells why a request does not wait, and when to come back.
+// Refusal describes why a request is not queued, and when the caller should retry.
 type Refusal struct {
 	Reason     Reason
 	RetryAfter time.Duration
-	Share      float64 // that the server has of the requests for its keys, for OverShare
+	Share      float64 // the server's share of the requests for its keys, for OverShare
 }
 
-// Reason says why a request is refused.
+// Reason is the cause of a refusal.
 type Reason string
 
 // Reasons of a refusal.
 const (
-	NoServer  Reason = "no server"                 // none may run it
-	TooLong   Reason = "wait longer than its time" // it would not be answered in time
+	NoServer  Reason = "no server"                 // no server may run it
+	TooLong   Reason = "wait longer than its time" // it would miss its deadline
 	QueueFull Reason = "queue full"
 	OverShare Reason = "wanted beyond what its server runs" // other requests for its keys are sent
 )
 
-// Ask gives a request a place at once, lets it wait, or refuses it.
+// Ask assigns a request a slot at once, queues it, or refuses it.
 func (p *Pool) Ask(w *Waiter, now time.Time) (admission *Admission, refusal *Refusal) {
 	if !p.hasServer(w, now) {
 		return nil, &Refusal{Reason: NoServer, RetryAfter: p.retryAfter(0)}
 	}
-	if refusal := p.overShare(w, now); refusal != nil {
+	if refusal := p.refuseOverShare(w, now); refusal != nil {
 		return nil, refusal
 	}
 	if len(p.queue) == 0 || w.Only != "" {
@@ -85,18 +85,18 @@
 			return p.admit(w, m, now), nil
 		}
 	}
-	wait := p.expectedWait(w, p.ahead(w, now), now)
+	wait := p.expectedWait(w, p.countAhead(w, now), now)
 	if now.Add(wait).After(w.Deadline) {
 		return nil, &Refusal{Reason: TooLong, RetryAfter: p.retryAfter(wait)}
 	}
-	if len(p.queue) >= mostWaiting {
+	if len(p.queue) >= maxWaiting {
 		return nil, &Refusal{Reason: QueueFull, RetryAfter: p.retryAfter(wait)}
 	}
 	p.queue = append(p.queue, w)
 	return nil, nil
 }
 
-// Leave takes a request that waits no longer out of the queue.
+// Leave removes a request from the queue.
 func (p *Pool) Leave(w *Waiter) {
 	p.queue = slices.DeleteFunc(p.queue, func(other *Waiter) bool { return other == w })
 }
@@ -107,171 +107,173 @@
 
 func (p *Pool) admit(w *Waiter, m *member, now time.Time) *Admission {
 	if m.inFlight() == 0 {
-		m.silentSince = now
+		m.unansweredSince = now
 	}
-	m.send(now)
+	m.recordSend(now)
 	return &Admission{Waiter: w, Server: m.Server}
 }
 
-// ahead counts the waiters that go before a request to the same servers.
-func (p *Pool) ahead(w *Waiter, now time.Time) int {
+// countAhead counts the waiters that precede a request for the same servers.
+func (p *Pool) countAhead(w *Waiter, now time.Time) int {
 	count := 0
 	for _, other := range p.queue {
-		if other != w && (w.Only == "" || other.Only == w.Only) && !p.before(w, other, now) {
+		if other != w && (w.Only == "" || other.Only == w.Only) && !p.precedes(w, other, now) {
 			count++
 		}
 	}
 	return count
 }
 
-// expectedWait estimates for how long a request waits and runs when so many go
-// before it: this node's requests end at the rate of its limits by the times
-// that servers take, which include their own queues.
+// expectedWait estimates the waiting and service time of a request behind the given number of
+// waiters. This node's requests end at the rate given by its limits and the servers' service
+// times, which include the servers' own queues.
 func (p *Pool) expectedWait(w *Waiter, ahead int, now time.Time) time.Duration {
-	return p.paceFor(w, now).wait(ahead)
+	return p.throughputFor(w, now).wait(ahead)
 }
 
-// pace is how fast this node's requests end at the servers that may run one.
-type pace struct {
-	rate    float64 // requests a second
-	slowest float64 // seconds that one takes at the slowest of them
+// throughput is the rate at which this node's requests end at the servers that may run a
+// given request.
+type throughput struct {
+	rate           float64 // requests per second
+	slowestSeconds float64 // service time at the slowest of the servers
 }
 
-func (p *Pool) paceFor(w *Waiter, now time.Time) pace {
+func (p *Pool) throughputFor(w *Waiter, now time.Time) throughput {
 	if w.Only != "" {
 		m := p.members[w.Only]
 		if m == nil || m.Draining {
-			return pace{}
+			return throughput{}
 		}
-		taken := p.usual(m, now)
-		return pace{rate: m.rate(taken), slowest: taken}
+		seconds := p.serviceTime(m, now)
+		return throughput{rate: m.rate(seconds), slowestSeconds: seconds}
 	}
-	var all pace
+	var total throughput
 	for _, m := range p.order {
 		if m.Draining || !w.accepts(m.ID) {
 			continue
 		}
-		taken := p.usual(m, now)
-		all.rate += m.rate(taken)
-		all.slowest = max(all.slowest, taken)
+		seconds := p.serviceTime(m, now)
+		total.rate += m.rate(seconds)
+		total.slowestSeconds = max(total.slowestSeconds, seconds)
 	}
-	return all
+	return total
 }
 
-func (c pace) wait(ahead int) time.Duration {
-	if c.rate == 0 {
-		return mostRetryAfter
+func (t throughput) wait(ahead int) time.Duration {
+	if t.rate == 0 {
+		return maxRetryAfter
 	}
-	return time.Duration((float64(ahead+1)/c.rate + c.slowest/2) * float64(time.Second))
+	return time.Duration((float64(ahead+1)/t.rate + t.slowestSeconds/2) * float64(time.Second))
 }
 
-// rate returns how many requests a second of this node end at a server where one
-// takes so many seconds.
-func (m *member) rate(taken float64) float64 {
+// rate returns how many requests per second of this node end at a server with the given
+// service time in seconds.
+func (m *member) rate(seconds float64) float64 {
 	if m.limit >= 1 {
-		return math.Floor(m.limit) / taken
+		return math.Floor(m.limit) / seconds
 	}
-	return 1 / (taken + m.pauseAfter(taken).Seconds())
+	return 1 / (seconds + m.pauseDuration(seconds).Seconds())
 }
 
-// Evict takes the waiters out of the queue that would not be answered in time
-// any more, and returns them with when to come back. It answers a key that
-// becomes busy while requests wait: what comes later can still be answered by
-// its objective and goes first, and what is left behind should hear so at once.
+// Evict removes the waiters that can no longer be answered before their deadline, and returns
+// them with a retry delay. It covers a key that becomes hot while requests wait: later
+// requests can still be answered by their target and are sent first, and the remaining ones
+// should be refused at once.
 //
-// Waiters are looked at in the order in which they are sent, so that one that gives
-// its turn up counts for none behind it, and each is compared with others only by
-// the sort: it is done at the end of every request, and a look at every pair took
-// 2.1 ms with 400 waiters, most of a weak VM's processor at 50 requests a second.
+// Waiters are examined in the order in which they are sent, so that an evicted one does not
+// count against those behind it, and are compared with each other only by the sort. Evict
+// runs at the end of every request: comparing every pair took 2.1 ms with 400 waiters, most
+// of a weak VM's processor at 50 requests per second.
 func (p *Pool) Evict(now time.Time) []Eviction {
 	var evictions []Eviction
-	paces := map[site.ServerID]pace{}
+	throughputs := map[site.ServerID]throughput{}
 	ahead := map[site.ServerID]int{} // waiters kept so far, by their only server
 	kept := 0
-	for _, w := range p.byTurn(now) {
-		if refusal := p.overShare(w, now); refusal != nil {
+	for _, w := range p.inSendOrder(now) {
+		if refusal := p.refuseOverShare(w, now); refusal != nil {
 			evictions = append(evictions, Eviction{Waiter: w, Refusal: *refusal})
 			continue
 		}
-		before := kept
+		waitersAhead := kept
 		if w.Only != "" {
-			before = ahead[w.Only]
+			waitersAhead = ahead[w.Only]
 		}
-		wait := p.paceOnce(paces, w, now).wait(before)
-		if !now.Add(time.Duration(evictShare * float64(wait))).After(w.Deadline) {
+		wait := p.cachedThroughput(throughputs, w, now).wait(waitersAhead)
+		if !now.Add(time.Duration(evictionWaitFactor * float64(wait))).After(w.Deadline) {
 			kept++
 			ahead[w.Only]++
 			continue
 		}
 		evictions = append(evictions, Eviction{Waiter: w, Refusal: Refusal{Reason: TooLong, RetryAfter: p.retryAfter(wait)}})
 	}
-	p.leaveAll(evictions)
+	p.removeAll(evictions)
 	return evictions
 }
 
-// byTurn returns the waiters in the order in which they are sent.
-func (p *Pool) byTurn(now time.Time) []*Waiter {
-	type turn struct {
+// inSendOrder returns the waiters in the order in which they are sent.
+func (p *Pool) inSendOrder(now time.Time) []*Waiter {
+	type queued struct {
 		*Waiter
 		inTime bool
 	}
-	turns := make([]turn, 0, len(p.queue))
+	entries := make([]queued, 0, len(p.queue))
 	for _, w := range p.queue {
-		turns = append(turns, turn{w, p.inTime(w, now)})
+		entries = append(entries, queued{w, p.inTime(w, now)})
 	}
-	slices.SortStableFunc(turns, func(a, b turn) int { return compareTurns(a.Waiter, b.Waiter, a.inTime, b.inTime) })
-	order := make([]*Waiter, 0, len(turns))
-	for _, t := range turns {
+	slices.SortStableFunc(entries, func(a, b queued) int { return compareWaiters(a.Waiter, b.Waiter, a.inTime, b.inTime) })
+	order := make([]*Waiter, 0, len(entries))
+	for _, t := range entries {
 		order = append(order, t.Waiter)
 	}
 	return order
 }
 
-// paceOnce returns the pace of a waiter's servers, which is the same for all that
-// may go to the same ones.
-func (p *Pool) paceOnce(known map[site.ServerID]pace, w *Waiter, now time.Time) pace {
+// cachedThroughput returns the throughput of a waiter's servers, which is the same for all
+// waiters that may go to the same servers.
+func (p *Pool) cachedThroughput(cache map[site.ServerID]throughput, w *Waiter, now time.Time) throughput {
 	if w.Only == "" && len(w.Not) > 0 {
-		return p.paceFor(w, now)
+		return p.throughputFor(w, now)
 	}
-	c, exists := known[w.Only]
+	t, exists := cache[w.Only]
 	if !exists {
-		c = p.paceFor(w, now)
-		known[w.Only] = c
+		t = p.throughputFor(w, now)
+		cache[w.Only] = t
 	}
-	return c
+	return t
 }
 
-func (p *Pool) leaveAll(evictions []Eviction) {
+func (p *Pool) removeAll(evictions []Eviction) {
 	if len(evictions) == 0 {
 		return
 	}
-	left := make(map[*Waiter]bool, len(evictions))
+	removed := make(map[*Waiter]bool, len(evictions))
 	for _, e := range evictions {
-		left[e.Waiter] = true
+		removed[e.Waiter] = true
 	}
-	p.queue = slices.DeleteFunc(p.queue, func(w *Waiter) bool { return left[w] })
+	p.queue = slices.DeleteFunc(p.queue, func(w *Waiter) bool { return removed[w] })
 }
 
-// evictShare is the share of the expected wait that must still fit the time
-// left: the estimate is rough, and a place given up is not had again.
-const evictShare = 0.7
+// evictionWaitFactor is the share of the expected wait that must still fit the time left. It
+// is below one because the estimate is rough and an evicted waiter cannot regain its
+// position.
+const evictionWaitFactor = 0.7
 
-// Eviction refuses a request that waited.
+// Eviction refuses a request that has waited.
 type Eviction struct {
 	Waiter  *Waiter
 	Refusal Refusal
 }
 
-// retryAfter returns when a refused caller should come back, spread so that
-// callers that were refused together return one after the other.
+// retryAfter returns the retry delay of a refused caller, randomized so that callers that
+// were refused together do not return together.
 func (p *Pool) retryAfter(wait time.Duration) time.Duration {
-	after := max(leastRetryAfter, wait/2)
+	after := max(minRetryAfter, wait/2)
 	after += time.Duration(p.random.Int64N(int64(after)))
-	return min(after, mostRetryAfter)
+	return min(after, maxRetryAfter)
 }
 
-// Admit returns the waiters that can be sent now. Those that can still be
-// answered by their target go first, then by priority and time of arrival.
+// Admit returns the waiters that can be sent now, ordered by priority, then by whether they
+// can still be answered by their target, then by arrival time.
 func (p *Pool) Admit(now time.Time) []Admission {
 	var admissions []Admission
 	for {
@@ -288,7 +290,7 @@
 	var first *Waiter
 	var server *member
 	for _, w := range p.queue {
-		if first != nil && !p.before(w, first, now) {
+		if first != nil && !p.precedes(w, first, now) {
 			continue
 		}
 		if m := p.pick(w, now); m != nil {
@@ -298,13 +300,13 @@
 	return first, server
 }
 
-func (p *Pool) before(a, b *Waiter, now time.Time) bool {
-	return compareTurns(a, b, p.inTime(a, now), p.inTime(b, now)) < 0
+func (p *Pool) precedes(a, b *Waiter, now time.Time) bool {
+	return compareWaiters(a, b, p.inTime(a, now), p.inTime(b, now)) < 0
 }
 
-// compareTurns orders two waiters by when they are sent: the more urgent first,
-// of these what can still be answered by its target, then what came first.
-func compareTurns(a, b *Waiter, aInTime, bInTime bool) int {
+// compareWaiters orders two waiters by priority, then by whether they can still be answered
+// by their target, then by arrival time.
+func compareWaiters(a, b *Waiter, aInTime, bInTime bool) int {
 	switch {
 	case a.Priority != b.Priority:
 		return a.Priority - b.Priority
@@ -316,20 +318,20 @@
 	return a.Since.Compare(b.Since)
 }
 
-// inTimeFactor is how many usual times must be left for a request to count as
-// in time: about four of five requests take less.
+// inTimeFactor is the number of mean service times that must be left for a request to be
+// treated as in time: about four of five requests take less.
 const inTimeFactor = 1.3
 
 // inTime reports whether a request sent now would be answered by its target.
 func (p *Pool) inTime(w *Waiter, now time.Time) bool {
 	mean := p.times().mean
-	if m := p.members[w.Only]; m != nil && m.mean > 0 {
-		mean = m.mean
+	if m := p.members[w.Only]; m != nil && m.meanSeconds > 0 {
+		mean = m.meanSeconds
 	}
 	return now.Add(time.Duration(inTimeFactor * mean * float64(time.Second))).Before(w.Target)
 }
 
-// Try gives a request a place only if there is one at once and nobody waits for it.
+// Try assigns a request a slot only if one is free at once and no request waits for it.
 func (p *Pool) Try(w *Waiter, now time.Time) (site.Server, bool) {
 	if slices.ContainsFunc(p.queue, func(other *Waiter) bool { return other.Only == w.Only }) {
 		return site.Server{}, false
@@ -341,7 +343,7 @@
 	return p.admit(w, m, now).Server, true
 }
 
-// TypicalTime returns how long a request usually takes.
+// TypicalTime returns the mean service time of a request.
 func (p *Pool) TypicalTime() time.Duration {
 	return time.Duration(p.times().mean * float64(time.Second))
 }
