--- a/lessor/activate.go
+++ b/lessor/activate.go
@@ -14,9 +14,9 @@
 	fence  topo.Fence // of the assignment in force; the standby serves under fence.Standby()
 	server topo.ServerID
 	boot   topo.BootID // the only run that may be granted it
-	// told is the first heartbeat round that told the standby lessor.
-	told    uint64
-	granted bool // the standby lessor knows, so it may be granted
+	// reportedRound is the first heartbeat round that told the standby lessor.
+	reportedRound uint64
+	granted       bool // the standby lessor knows, so it may be granted
 }
 
 // activatedOn lists the activations on a server in a fixed order.
@@ -70,7 +70,7 @@
 	if s.boot() == "" {
 		return false
 	}
-	return m.rules.noKnownRun || (m.contact.set && s.heardSince <= m.contact.at)
+	return m.rules.noKnownBoot || (m.contact.set && s.bootSeenAt <= m.contact.at)
 }
 
 // BeginActivate begins the activation of a shard's standby server. It takes
@@ -81,25 +81,25 @@
 		return false
 	}
 	m.activated[id] = &activation{
-		fence:  shard.Fence,
-		server: shard.Standby,
-		boot:   m.servers[shard.Standby].boot(),
-		told:   m.beats.round + 1,
+		fence:         shard.Fence,
+		server:        shard.Standby,
+		boot:          m.servers[shard.Standby].boot(),
+		reportedRound: m.heartbeats.round + 1,
 	}
 	delete(m.moves, id)
 	return true
 }
 
-// grantTold lets activations be granted that the standby lessor was told of in
+// grantReported lets activations be granted that the standby lessor was told of in
 // a round that it has answered with its promise.
-func (m *Member) grantTold(round uint64) {
+func (m *Member) grantReported(round uint64) {
 	if !m.right.disconnected() {
 		return
 	}
 	for _, a := range m.activated {
-		if a.told > 0 && a.told <= round && !a.granted {
+		if a.reportedRound > 0 && a.reportedRound <= round && !a.granted {
 			a.granted = true
-			m.server(a.server).nextAt = 0
+			m.server(a.server).notBefore = 0
 		}
 	}
 }
--- a/lessor/asked.go
+++ b/lessor/askedstandbys.go
@@ -14,8 +14,8 @@
 	Term topo.Term
 }
 
-// askedMost bounds the standby lessors that a run remembers to have asked.
-const askedMost = 16
+// maxAskedStandbys bounds the standby lessors that a run remembers to have asked.
+const maxAskedStandbys = 16
 
 // askedStandbys are those that this run has asked, but for those that have acknowledged
 // connected mode since, the latest last. It is never changed in place.
@@ -34,7 +34,7 @@
 		}
 	}
 	next = append(next, standby)
-	if len(next) > askedMost {
+	if len(next) > maxAskedStandbys {
 		return askedStandbys{list: next[1:], isPartial: true}
 	}
 	return askedStandbys{list: next, isPartial: a.isPartial}
@@ -42,11 +42,11 @@
 
 // without drops a standby lessor that has acknowledged connected mode.
 func (a askedStandbys) without(standby Run) askedStandbys {
-	isIt := func(asked AskedStandby) bool { return asked.Run == standby }
-	if !slices.ContainsFunc(a.list, isIt) {
+	matches := func(asked AskedStandby) bool { return asked.Run == standby }
+	if !slices.ContainsFunc(a.list, matches) {
 		return a
 	}
-	return askedStandbys{list: slices.DeleteFunc(slices.Clone(a.list), isIt), isPartial: a.isPartial}
+	return askedStandbys{list: slices.DeleteFunc(slices.Clone(a.list), matches), isPartial: a.isPartial}
 }
 
 // wasAsked reports whether a standby lessor was asked in a term since an offset.
--- a/lessor/asked_test.go
+++ b/lessor/askedstandbys_test.go
@@ -9,9 +9,9 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// TestAskedStandbysKeepTheLatestTerm: each standby lessor stands once, and those of terms
+// TestAskedStandbysKeepLatestTerm: each standby lessor stands once, and those of terms
 // before the settled one are dropped.
-func TestAskedStandbysKeepTheLatestTerm(t *testing.T) {
+func TestAskedStandbysKeepLatestTerm(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ask := func(node topo.NodeID, term topo.Offset) AskedStandby {
 		return AskedStandby{Run: Run{Node: node, Boot: "1"}, Term: topo.MakeTerm(term, 0)}
@@ -25,18 +25,18 @@
 	g.Expect(a.list).To(gomega.HaveLen(2), "not changed in place")
 }
 
-// TestAskedStandbysTellThatSomeWereDropped: a list that is full no longer counts as whole,
+// TestAskedStandbysReportPartialList: a list that is full no longer counts as whole,
 // or a standby lessor that was dropped would pass for one that was never asked.
-func TestAskedStandbysTellThatSomeWereDropped(t *testing.T) {
+func TestAskedStandbysReportPartialList(t *testing.T) {
 	g := gomega.NewWithT(t)
 	m := NewMember(Config{Node: "a", Boot: "1"})
-	for i := range askedMost + 1 {
-		g.Expect(m.asked.isPartial).To(gomega.BeFalse())
+	for i := range maxAskedStandbys + 1 {
+		g.Expect(m.askedStandbys.isPartial).To(gomega.BeFalse())
 		run := Run{Node: topo.NodeID(fmt.Sprint("n", i)), Boot: "1"}
-		m.asked = m.asked.with(AskedStandby{Run: run, Term: topo.MakeTerm(topo.Offset(i+1), 0)}, topo.Term{})
+		m.askedStandbys = m.askedStandbys.with(AskedStandby{Run: run, Term: topo.MakeTerm(topo.Offset(i+1), 0)}, topo.Term{})
 	}
-	g.Expect(m.asked.list).To(gomega.HaveLen(askedMost))
+	g.Expect(m.askedStandbys.list).To(gomega.HaveLen(maxAskedStandbys))
 	reply := m.HeartbeatReceived(0, Heartbeat{})
 	g.Expect(reply.TellsStandbys).To(gomega.BeFalse())
-	g.Expect(reply.AskedStandbys).To(gomega.HaveLen(askedMost))
+	g.Expect(reply.AskedStandbys).To(gomega.HaveLen(maxAskedStandbys))
 }
--- a/lessor/awaited.go
+++ b/lessor/awaited.go
@@ -29,7 +29,7 @@
 		awaited.Left = max(awaited.Left, end.at-now)
 	}
 	for _, run := range m.takeover.former.needed(m.rules) {
-		if _, said := m.takeover.former.word(runOf(run)); !said {
+		if _, said := m.takeover.former.reply(runOf(run)); !said {
 			awaited.Silent = append(awaited.Silent, runOf(run))
 		}
 	}
--- a/lessor/claim.go
+++ b/lessor/claim.go
@@ -9,17 +9,17 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// standbyPatience is how many times SuspectAfter a standby lessor may be silent
+// standbyTimeoutFactor is how many times SuspectAfter a standby lessor may be silent
 // before its lessor names another one.
-const standbyPatience = 5
+const standbyTimeoutFactor = 5
 
-// maxPatienceDoublings bounds how patience grows while each standby lessor that
+// maxTimeoutDoublings bounds how patience grows while each standby lessor that
 // is named stays silent.
-const maxPatienceDoublings = 5
+const maxTimeoutDoublings = 5
 
 // claimDue reports whether this member should claim the group's next term now.
 func (m *Member) claimDue(now time.Duration) bool {
-	if m.claim.inFlight || (m.claim.again.set && now < m.claim.again.at) {
+	if m.claim.inFlight || (m.claim.retryAt.set && now < m.claim.retryAt.at) {
 		return false
 	}
 	if !m.observed || !m.contact.fresher(now, m.cfg.Lease.TTL) {
@@ -44,53 +44,53 @@
 	if m.right.mode == ModeDisconnected {
 		return silence >= m.cfg.SuspectAfter
 	}
-	patience := standbyPatience * m.cfg.SuspectAfter << min(m.claim.repeated, maxPatienceDoublings)
-	lost := m.standbyRun().Node == "" || m.facts.StandbyGone || silence >= patience
+	timeout := standbyTimeoutFactor * m.cfg.SuspectAfter << min(m.claim.standbyChanges, maxTimeoutDoublings)
+	lost := m.standbyRun().Node == "" || m.facts.StandbyGone || silence >= timeout
 	return (lost || m.returnDue(now)) && m.chooseStandby().Node != ""
 }
 
 // standbySilence is how long the standby lessor has promised nothing.
 func (m *Member) standbySilence(now time.Duration) time.Duration {
-	return now - max(m.seen.at, m.beats.answered.at)
+	return now - max(m.termSeen.at, m.heartbeats.answered.at)
 }
 
 // takeoverDue reports whether the standby lessor should take over: it was asked
 // to, or the lessor's run has ended or is silent, also on a new connection.
 func (m *Member) takeoverDue(now time.Duration) bool {
-	if m.standing.resigns || m.facts.LessorGone {
+	if m.standbyState.lessorResigning || m.facts.LessorGone {
 		return true
 	}
-	silence := now - m.standing.heard.at
+	silence := now - m.standbyState.lastHeartbeat.at
 	if silence < m.suspectAfter(now) {
 		return false
 	}
-	return m.watch.failed(m.facts.Group.Lessor) || silence >= standbyPatience*m.cfg.SuspectAfter
+	return m.watch.failed(m.facts.Group.Lessor) || silence >= standbyTimeoutFactor*m.cfg.SuspectAfter
 }
 
-// goOnDue reports whether the standby lessor should take over without the log.
-func (m *Member) goOnDue(now time.Duration) bool {
-	if m.draining || !m.mayGoOn() || m.contact.fresher(now, m.cfg.Lease.TTL) {
+// offLogTakeoverDue reports whether the standby lessor should take over without the log.
+func (m *Member) offLogTakeoverDue(now time.Duration) bool {
+	if m.draining || !m.mayTakeOverOffLog() || m.contact.fresher(now, m.cfg.Lease.TTL) {
 		return false
 	}
 	return m.takeoverDue(now)
 }
 
-// mayGoOn reports whether this standby lessor may take over without the log:
+// mayTakeOverOffLog reports whether this standby lessor may take over without the log:
 // the lessor goes by its promise alone, and was settled.
-func (m *Member) mayGoOn() bool {
-	if m.role != RoleStandby || !m.standing.settled {
+func (m *Member) mayTakeOverOffLog() bool {
+	if m.role != RoleStandby || !m.standbyState.settled {
 		return false
 	}
-	return m.standing.mode == ModeDisconnected || m.rules.noModes
+	return m.standbyState.mode == ModeDisconnected || m.rules.noModes
 }
 
 // BeginGoOn makes the standby lessor the lessor under the term that the group's
 // record allocated for it. It gives no promise from now on.
 func (m *Member) BeginGoOn(now time.Duration) bool {
-	if !m.mayGoOn() {
+	if !m.mayTakeOverOffLog() {
 		return false
 	}
-	next := m.goOn(now)
+	next := m.offLogTakeover(now)
 	pending := m.claim
 	m.resetLessor()
 	m.takeover = next
@@ -98,7 +98,7 @@
 	m.role = RoleLessor
 	m.offLog = true
 	m.term = m.facts.Group.Term.Standby()
-	m.standing = standing{}
+	m.standbyState = standbyState{}
 	m.settling = true
 	m.advance(now)
 	return true
@@ -111,13 +111,13 @@
 	if !needed {
 		return false
 	}
-	if m.place < 0 {
+	if m.turnIndex < 0 {
 		return false
 	}
 	if m.isOutsider() && m.watch.notBefore.set && now < m.watch.notBefore.at {
 		return false
 	}
-	return now-since >= time.Duration(m.place)*m.cfg.StandInAfter
+	return now-since >= time.Duration(m.turnIndex)*m.cfg.StandInAfter
 }
 
 // leaderlessSince returns since when the group has had neither a lessor nor a
@@ -125,23 +125,23 @@
 func (m *Member) leaderlessSince(now time.Duration) (time.Duration, bool) {
 	group := m.facts.Group
 	if group.Term.IsZero() {
-		return m.seen.at, true
+		return m.termSeen.at, true
 	}
-	lessor, lessorSilent := m.endedSince(now, group.Lessor, m.lessorGone)
-	standby, standbySilent := m.endedSince(now, group.Standby, m.standbyGone)
-	return max(lessor, standby), lessorSilent && standbySilent
+	lessor, lessorEnded := m.endedSince(now, group.Lessor, m.lessorGone)
+	standby, standbyEnded := m.endedSince(now, group.Standby, m.standbyGone)
+	return max(lessor, standby), lessorEnded && standbyEnded
 }
 
 // endedSince tells since when a node named by the group has given no sign of
 // life, or is known to have ended.
 func (m *Member) endedSince(now time.Duration, id topo.NodeID, gone moment) (time.Duration, bool) {
 	if id == "" {
-		return m.seen.at, true
+		return m.termSeen.at, true
 	}
 	if gone.set {
 		return gone.at, true
 	}
-	since, silent := m.watch.silentSince(id, m.cfg.HeartbeatEvery)
+	since, silent := m.watch.unresponsiveSince(id, m.cfg.HeartbeatEvery)
 	suspectAfter := m.suspectAfter(now)
 	if !silent || now-since < suspectAfter {
 		return 0, false
@@ -160,12 +160,12 @@
 	m.claim.inFlight = true
 	m.claim.expected = m.facts.Group.Term
 	if m.returnDue(now) {
-		m.claim.returned = momentAt(now)
+		m.claim.returnedAt = momentAt(now)
 	}
 	if m.role == RoleLessor && !m.offLog {
-		m.claim.repeated++
+		m.claim.standbyChanges++
 		if m.standbySilence(now) >= m.cfg.SuspectAfter {
-			m.noteSilent(m.facts.Group.Standby)
+			m.recordUnresponsive(m.facts.Group.Standby)
 		}
 	}
 	claim := Claim{Expected: m.facts.Group.Term, Standby: m.chooseStandby()}
@@ -184,8 +184,8 @@
 		return // the state has shown it already
 	}
 	m.claim.inFlight = false
-	m.claim.awaited = m.claim.awaited || accepted
-	m.claim.again = momentAt(now + m.cfg.RetryAfter)
+	m.claim.maybeWritten = m.claim.maybeWritten || accepted
+	m.claim.retryAt = momentAt(now + m.cfg.RetryAfter)
 }
 
 // ClaimFailed tells that the claim was not appended or, if unknown, may have
@@ -195,8 +195,8 @@
 		return
 	}
 	m.claim.inFlight = false
-	m.claim.awaited = m.claim.awaited || unknown
-	m.claim.again = momentAt(now + m.cfg.RetryAfter)
+	m.claim.maybeWritten = m.claim.maybeWritten || unknown
+	m.claim.retryAt = momentAt(now + m.cfg.RetryAfter)
 }
 
 // chooseStandby returns the standby lessor to name: the next in turn among those
@@ -219,7 +219,7 @@
 		return Run{}
 	}
 	m.order(list)
-	rank := func(n state.Node) int { return m.silentRuns.rank(runOfNode(n)) }
+	rank := func(n state.Node) int { return m.unresponsive.rank(runOfNode(n)) }
 	best := slices.MinFunc(list, func(a, b state.Node) int { return cmp.Compare(rank(a), rank(b)) })
 	return Run{Node: best.ID, Boot: best.Boot}
 }
@@ -234,7 +234,7 @@
 			continue
 		}
 		s, known := m.servers[id]
-		if !known || !s.suspected() || !s.heard.set {
+		if !known || !s.suspected() || !s.lastReply.set {
 			return false
 		}
 		silent++
--- a/lessor/collect.go
+++ b/lessor/collect.go
@@ -41,7 +41,7 @@
 // shardOrder lists the group's shards in a fixed order. The list, which must not
 // be changed, is made once for the facts.
 func (m *Member) shardOrder() []topo.ShardID {
-	if m.orderOf == m.facts {
+	if m.shardsFrom == m.facts {
 		return m.shards
 	}
 	order := make([]topo.ShardID, 0, len(m.facts.Shards))
@@ -49,7 +49,7 @@
 		order = append(order, id)
 	}
 	slices.SortFunc(order, compareShards)
-	m.shards, m.orderOf = order, m.facts
+	m.shards, m.shardsFrom = order, m.facts
 	return order
 }
 
@@ -107,7 +107,7 @@
 	if !known || s.boot() == "" || shard.OwnerBoot == "" {
 		return ""
 	}
-	if s.boot() != shard.OwnerBoot && now >= s.earlier {
+	if s.boot() != shard.OwnerBoot && now >= s.earlierLeasesEnd {
 		return reasonRestarted
 	}
 	return ""
@@ -121,9 +121,9 @@
 	return policy.ChecksFencing || policy.AcceptUnfenced || m.confirmedLost(id)
 }
 
-// silent reports whether a server has not answered this lessor, or no longer
+// unresponsiveServer reports whether a server has not answered this lessor, or no longer
 // does.
-func (m *Member) silent(id topo.ServerID) bool {
+func (m *Member) unresponsiveServer(id topo.ServerID) bool {
 	s, known := m.servers[id]
 	return !known || s.boot() == "" || s.suspected()
 }
@@ -140,7 +140,7 @@
 	if !exists || m.confirmedLost(id) {
 		return true
 	}
-	return now >= s.earlier && (s.lapsed(now) || s.handedBack(shard))
+	return now >= s.earlierLeasesEnd && (s.expired(now) || s.released(shard))
 }
 
 // changeNeeded gives a shard of an earlier term a new fence. Neither of the two
@@ -148,11 +148,11 @@
 // one of them reported must have ended, unless that one goes on.
 func (m *Member) changeNeeded(now time.Duration, shard Shard, n need, place *placement) (Assign, string) {
 	to := place.owner(shard.Shard.Service, n.to)
-	if to == "" || (to != n.to && m.silent(n.to) && !m.mayReplaceServer(shard.Policy, n.to)) {
+	if to == "" || (to != n.to && m.unresponsiveServer(n.to) && !m.mayReplaceServer(shard.Policy, n.to)) {
 		return Assign{}, ""
 	}
 	for _, id := range []topo.ServerID{shard.Owner, shard.Standby} {
-		if id != "" && id != to && !m.serverFree(now, id, shard.Shard) && !m.saysInactive(id, shard) {
+		if id != "" && id != to && !m.serverFree(now, id, shard.Shard) && !m.reportsInactive(id, shard) {
 			return Assign{}, ""
 		}
 	}
@@ -161,10 +161,10 @@
 	return a, reasonTakeover
 }
 
-// saysInactive reports whether a shard's standby server has said that its present run
+// reportsInactive reports whether a shard's standby server has said that its present run
 // was not activated, so that it holds nothing of the shard; and it takes nothing from
 // earlier lessors any longer.
-func (m *Member) saysInactive(id topo.ServerID, shard Shard) bool {
+func (m *Member) reportsInactive(id topo.ServerID, shard Shard) bool {
 	return id == shard.Standby && m.answersFor(id, shard.Policy) && !m.reportsActive(shard)
 }
 
--- a/lessor/config.go
+++ b/lessor/config.go
@@ -31,19 +31,19 @@
 // a server is suspected.
 const suspectFailures = 2
 
-// soonPerRenewal is the part of the renewal interval after which a renewal that
+// promptRenewalsPerInterval is the part of the renewal interval after which a renewal that
 // has news for its server follows the one before.
-const soonPerRenewal = 25
+const promptRenewalsPerInterval = 25
 
 // maxAssignments bounds one record.
 const maxAssignments = 512
 
-// maxOwnMoves bounds the shards of the group that are moved at once because
+// maxAutomaticMoves bounds the shards of the group that are moved at once because
 // their servers drain or their service retires.
-const maxOwnMoves = 128
+const maxAutomaticMoves = 128
 
-// lapse is the wait for something that lasts d on another process's clock.
-func (c Config) lapse(d time.Duration) time.Duration {
+// expiryWait is the wait for something that lasts d on another process's clock.
+func (c Config) expiryWait(d time.Duration) time.Duration {
 	extra := (d/1_000_000 + 1) * time.Duration(c.Lease.DriftPPM)
 	return d + extra + c.Lease.Margin
 }
--- a/lessor/delay_test.go
+++ b/lessor/delay_test.go
@@ -10,7 +10,7 @@
 // On a machine that is short of processor time nodes heard answers late, took each other for
 // lost and claimed a group in turn, each before the one before had settled: a lost server's
 // keys were not served for as long as that went on.
-func TestANodeThatIsLateItselfSuspectsLater(t *testing.T) {
+func TestSchedulingDelayExtendsSuspicion(t *testing.T) {
 	for name, row := range map[string]struct {
 		delay, since time.Duration // by how much it was late, and how long before the loss
 		counts       time.Duration
@@ -18,18 +18,18 @@
 		"late now":             {800 * time.Millisecond, 0, 800 * time.Millisecond},
 		"late a moment ago":    {800 * time.Millisecond, delayWindow, 800 * time.Millisecond},
 		"no longer late":       {800 * time.Millisecond, 2 * delayWindow, 0},
-		"at most a while":      {time.Minute, 0, delayPerLease * restConfig("a", "z0").Lease.TTL},
+		"at most a while":      {time.Minute, 0, maxDelayLeases * testConfig("a", "z0").Lease.TTL},
 		"on time, as it seems": {-time.Second, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				w := newWatching(t, 0)
-				w.lost = 10*time.Second + time.Duration(rapid.IntRange(0, 100_000).Draw(t, "lost"))*time.Microsecond
+				w := newWatcherHarness(t, 0)
+				w.lostAt = 10*time.Second + time.Duration(rapid.IntRange(0, 100_000).Draw(t, "lost"))*time.Microsecond
 				for !w.step() {
-					if w.now < w.lost-row.since {
+					if w.now < w.lostAt-row.since {
 						w.m.NoteDelay(w.now, row.delay)
 					}
-					if w.now > w.lost+10*time.Second {
+					if w.now > w.lostAt+10*time.Second {
 						t.Fatal("never claimed")
 					}
 				}
@@ -39,8 +39,8 @@
 					from = w.m.cfg.SuspectAfter + row.counts - 2*w.m.cfg.HeartbeatEvery
 					to = w.m.cfg.SuspectAfter + row.counts + probeTimeout
 				}
-				after := w.now - w.lost
-				if after < from-leastPause || after > to+leastPause {
+				after := w.now - w.lostAt
+				if after < from-minPause || after > to+minPause {
 					t.Fatalf("claimed %v after the loss, not within %v to %v", after, from, to)
 				}
 			})
--- a/lessor/dump.go
+++ b/lessor/dump.go
@@ -34,7 +34,7 @@
 	Activated    []string      `json:"activated,omitempty"`
 	Moves        int           `json:"moves"`
 	Servers      []ServerDump  `json:"servers,omitempty"`
-	Standing     StandingDump  `json:"standing,omitempty"`
+	Standing     StandbyDump   `json:"standing,omitempty"`
 	Watched      []topo.NodeID `json:"watched,omitempty"`
 	Unsettled    []string      `json:"unsettled,omitempty"`
 	Needs        []string      `json:"needs,omitempty"`
@@ -75,8 +75,8 @@
 	HighestTerm string `json:"highestTerm"`
 }
 
-// StandingDump describes what a standby lessor remembers.
-type StandingDump struct {
+// StandbyDump describes what a standby lessor remembers.
+type StandbyDump struct {
 	Mode        string `json:"mode"`
 	ModeRound   uint64 `json:"modeRound"`
 	Settled     bool   `json:"settled"`
@@ -99,7 +99,7 @@
 		Basis:       m.takeover.basis.String(),
 		Settled:     m.termSettled(),
 		SettledTerm: m.settledTerm.String(),
-		TermAge:     m.seen.age(now),
+		TermAge:     m.termSeen.age(now),
 		ContactAge:  m.contact.age(now),
 		PromiseAge:  m.right.promise.age(now),
 		Claiming:    m.claim.pending(),
@@ -110,8 +110,8 @@
 		Needs:       texts(slices.SortedFunc(maps.Keys(m.needs), compareShards)),
 		Applied:     m.facts.Applied,
 		Standby:     m.facts.Group.Standby,
-		Place:       m.place,
-		OwnDelay:    m.delay.recent(now).String(),
+		Place:       m.turnIndex,
+		OwnDelay:    m.schedulingDelay.recent(now).String(),
 	}
 	if m.role == RoleLessor {
 		d.Unsettled = texts(m.unsettled())
@@ -120,7 +120,7 @@
 		d.Servers = m.dumpServers(now)
 	}
 	if m.role == RoleStandby {
-		d.Standing = m.standing.dump(now)
+		d.Standing = m.standbyState.dump(now)
 	}
 	return d
 }
@@ -149,11 +149,11 @@
 			StoodBy:   r.StoodBy.String(),
 			AnswerAge: moment{}.age(now),
 		}
-		if w, said := f.word(runOf(r)); said {
+		if w, said := f.reply(runOf(r)); said {
 			d.AnswerAge = momentAt(w.at).age(now)
 			d.SettledTerm = w.settled.String()
 			d.DisconnectedTerm = w.disconnected.String()
-			for _, a := range w.asked {
+			for _, a := range w.askedStandbys {
 				d.Asked = append(d.Asked, string(a.Run.Node)+"/"+string(a.Run.Boot)+" in "+a.Term.String())
 			}
 		}
@@ -184,13 +184,13 @@
 	return list
 }
 
-func (s *standing) dump(now time.Duration) StandingDump {
-	return StandingDump{
+func (s *standbyState) dump(now time.Duration) StandbyDump {
+	return StandbyDump{
 		Mode:        s.mode.String(),
-		ModeRound:   s.round,
+		ModeRound:   s.modeRound,
 		Settled:     s.settled,
-		HeardAge:    s.heard.age(now),
-		PromiseLeft: max(0, s.promised.at-now).String(),
+		HeardAge:    s.lastHeartbeat.age(now),
+		PromiseLeft: max(0, s.promisedUntil.at-now).String(),
 		Activated:   len(s.activated),
 	}
 }
--- a/lessor/former.go
+++ b/lessor/former.go
@@ -23,12 +23,12 @@
 	// it has ended.
 	settled    topo.Offset
 	superseded supersessions
-	said       []word
-	asked      moment // latest question
+	replies    []stopReply
+	askedAt    moment // latest question
 }
 
-// word is what one run said, or this run knows of itself.
-type word struct {
+// stopReply is what one run said, or this run knows of itself.
+type stopReply struct {
 	run Run
 	// at is when the word arrived; the run had stopped by then.
 	at time.Duration
@@ -37,19 +37,19 @@
 	// disconnected is the latest term in which the run, as the lessor, asked for
 	// disconnected mode, if it tells.
 	disconnected topo.Term
-	tellsMode    bool
-	// asked are the standby lessors that the run asked for it, if it tells.
-	asked         []AskedStandby
-	tellsStandbys bool
+	reportsMode  bool
+	// askedStandbys are the standby lessors that the run asked for it, if it tells.
+	askedStandbys   []AskedStandby
+	reportsStandbys bool
 }
 
 // mayHaveAsked reports whether the run may have asked a standby lessor for disconnected
 // mode in a term since an offset.
-func (w word) mayHaveAsked(standby Run, since topo.Offset) bool {
-	if w.tellsStandbys {
-		return wasAsked(w.asked, standby, since)
+func (w stopReply) mayHaveAsked(standby Run, since topo.Offset) bool {
+	if w.reportsStandbys {
+		return wasAsked(w.askedStandbys, standby, since)
 	}
-	return !w.tellsMode || w.disconnected.Offset >= since
+	return !w.reportsMode || w.disconnected.Offset >= since
 }
 
 // formerOf returns the lessors of the group's earlier terms. What this run itself
@@ -60,62 +60,62 @@
 	if group.Former != nil {
 		f.runs, f.since = group.Former.Runs, group.Former.Since
 	}
-	f.note(word{
-		run:           m.self(),
-		at:            now,
-		settled:       m.settledTerm,
-		disconnected:  m.disconnectedTerm,
-		tellsMode:     true,
-		asked:         m.asked.list,
-		tellsStandbys: !m.asked.isPartial,
+	f.record(stopReply{
+		run:             m.self(),
+		at:              now,
+		settled:         m.settledTerm,
+		disconnected:    m.disconnectedTerm,
+		reportsMode:     true,
+		askedStandbys:   m.askedStandbys.list,
+		reportsStandbys: !m.askedStandbys.isPartial,
 	})
 	return f
 }
 
 func runOf(r state.FormerRun) Run { return Run{Node: r.Node, Boot: r.Boot} }
 
-// formerSaid takes the reply of a node that may be a former lessor.
-func (m *Member) formerSaid(now time.Duration, reply HeartbeatReply) {
+// recordFormerReply takes the reply of a node that may be a former lessor.
+func (m *Member) recordFormerReply(now time.Duration, reply HeartbeatReply) {
 	if reply.HighestTerm.Less(m.term) && !m.rules.noSeenTerm {
 		return
 	}
-	w := word{
-		run:           reply.From,
-		at:            now,
-		settled:       reply.SettledTerm,
-		disconnected:  reply.DisconnectedTerm,
-		tellsMode:     reply.TellsMode,
-		asked:         reply.AskedStandbys,
-		tellsStandbys: reply.TellsStandbys,
+	w := stopReply{
+		run:             reply.From,
+		at:              now,
+		settled:         reply.SettledTerm,
+		disconnected:    reply.DisconnectedTerm,
+		reportsMode:     reply.TellsMode,
+		askedStandbys:   reply.AskedStandbys,
+		reportsStandbys: reply.TellsStandbys,
 	}
 	if !w.settled.Less(m.term) {
 		w.settled = topo.Term{} // it has taken this node's term
 	}
-	m.takeover.former.note(w)
+	m.takeover.former.record(w)
 }
 
-// note keeps the first word of each run that is asked for one.
-func (f *former) note(w word) {
+// record keeps the first word of each run that is asked for one.
+func (f *former) record(w stopReply) {
 	listed := func(r state.FormerRun) bool { return runOf(r) == w.run }
-	if _, known := f.word(w.run); known || !slices.ContainsFunc(f.runs, listed) {
+	if _, known := f.reply(w.run); known || !slices.ContainsFunc(f.runs, listed) {
 		return
 	}
-	f.said = append(slices.Clip(f.said), w)
+	f.replies = append(slices.Clip(f.replies), w)
 	f.settled = max(f.settled, w.settled.Offset)
 }
 
-func (f *former) word(run Run) (word, bool) {
-	i := slices.IndexFunc(f.said, func(w word) bool { return w.run == run })
+func (f *former) reply(run Run) (stopReply, bool) {
+	i := slices.IndexFunc(f.replies, func(w stopReply) bool { return w.run == run })
 	if i < 0 {
-		return word{}, false
+		return stopReply{}, false
 	}
-	return f.said[i], true
+	return f.replies[i], true
 }
 
 // needed lists the runs whose words are needed: all since the latest settled term.
 func (f *former) needed(r rules) []state.FormerRun {
 	settled := f.settled
-	if r.noSettledWord && len(f.runs) > 0 {
+	if r.noSettledReply && len(f.runs) > 0 {
 		settled = f.runs[0].Latest().Offset
 	}
 	count := 0
@@ -129,33 +129,33 @@
 // the list.
 func (f *former) complete(r rules) bool { return f.settled >= f.since || r.noComplete }
 
-// silence is how long a former run that says nothing may go on.
-type silence struct {
-	unseen limit         // after its term was superseded, if others may support it
-	alone  time.Duration // on what it has of the log, or of a standby lessor's promise
+// stopBounds is how long a former run that says nothing may go on.
+type stopBounds struct {
+	sinceSuperseded limit         // after its term was superseded, if others may support it
+	sinceSupport    time.Duration // on what it has of the log, or of a standby lessor's promise
 }
 
 // rightEnd returns when the right of all former lessors to renew leases has surely
 // ended, by their own words or after their silence; never if one of them may go on
 // without limit.
-func (f *former) rightEnd(s silence, r rules) moment {
+func (f *former) rightEnd(s stopBounds, r rules) moment {
 	if f.since == 0 {
 		return moment{} // not known
 	}
 	end := momentAt(0)
 	complete := f.complete(r)
 	if !complete {
-		end = s.unseen.endAfter(f.superseded.unlisted)
+		end = s.sinceSuperseded.endAfter(f.superseded.unlisted)
 	}
 	said, missing := f.split(f.needed(r), r)
 	for _, w := range said {
 		end = end.latest(momentAt(w.at))
 	}
-	alone := complete && (len(missing) == 1 || r.noLone)
+	alone := complete && (len(missing) == 1 || r.noSingleMissing)
 	for _, run := range missing {
-		one := s.unseen.endAfter(f.superseded.at(run))
+		one := s.sinceSuperseded.endAfter(f.superseded.at(run))
 		if alone {
-			one = one.earlier(f.silentEnd(run, said, s, r))
+			one = one.earlier(f.unresponsiveEnd(run, said, s, r))
 		}
 		end = end.latest(one)
 	}
@@ -163,13 +163,13 @@
 }
 
 // split returns the words of the runs that are needed, and the runs without one.
-func (f *former) split(needed []state.FormerRun, r rules) (said []word, missing []state.FormerRun) {
+func (f *former) split(needed []state.FormerRun, r rules) (said []stopReply, missing []state.FormerRun) {
 	for _, run := range needed {
-		w, known := f.word(runOf(run))
+		w, known := f.reply(runOf(run))
 		switch {
 		case known:
 			said = append(said, w)
-		case r.noStandbyWord && run.Led.Offset < f.settled:
+		case r.noStandbyReply && run.Led.Offset < f.settled:
 		default:
 			missing = append(missing, run)
 		}
@@ -177,11 +177,11 @@
 	return said, missing
 }
 
-// silentEnd returns when the right of the only run without a word has ended, as far
+// unresponsiveEnd returns when the right of the only run without a word has ended, as far
 // as the others' words bound it. If no lessor asked it for disconnected mode, it has not
 // gone on as the standby lessor; and as the lessor it gets no promise any more.
-func (f *former) silentEnd(run state.FormerRun, said []word, s silence, r rules) moment {
-	if run.StoodBy.Offset >= f.settled && f.mayHaveBeenAsked(run, r) && !r.noConnected && !r.noLone {
+func (f *former) unresponsiveEnd(run state.FormerRun, said []stopReply, s stopBounds, r rules) moment {
+	if run.StoodBy.Offset >= f.settled && f.mayHaveBeenAsked(run, r) && !r.noConnected && !r.noSingleMissing {
 		return moment{}
 	}
 	if run.Led.Offset < f.settled {
@@ -194,7 +194,7 @@
 	if r.noPromise {
 		return momentAt(supported)
 	}
-	return momentAt(supported + s.alone)
+	return momentAt(supported + s.sinceSupport)
 }
 
 // mayHaveBeenAsked reports whether a lessor since the latest settled term may have asked
@@ -204,7 +204,7 @@
 		if run.Led.Offset < f.settled || run == standby {
 			return false
 		}
-		w, said := f.word(runOf(run))
+		w, said := f.reply(runOf(run))
 		return !said || w.mayHaveAsked(runOf(standby), f.settled)
 	})
 }
@@ -219,17 +219,17 @@
 		if run.Led.Offset < f.settled {
 			return false
 		}
-		w, said := f.word(runOf(run))
-		return !said || !w.tellsMode || w.disconnected.Offset >= f.settled
+		w, said := f.reply(runOf(run))
+		return !said || !w.reportsMode || w.disconnected.Offset >= f.settled
 	})
 }
 
-// asks lists the nodes whose words are missing.
-func (f *former) asks(self Run) []topo.NodeID {
+// nodesToAsk lists the nodes whose words are missing.
+func (f *former) nodesToAsk(self Run) []topo.NodeID {
 	var nodes []topo.NodeID
 	for _, needed := range f.needed(rules{}) {
 		run := runOf(needed)
-		_, said := f.word(run)
+		_, said := f.reply(run)
 		if run != self && !said && !slices.Contains(nodes, run.Node) {
 			nodes = append(nodes, run.Node)
 		}
--- a/lessor/former_test.go
+++ b/lessor/former_test.go
@@ -22,137 +22,137 @@
 	}
 }
 
-// TestFormerWordsReachBackToASettledTerm: words end a wait when every run since a
+// TestRepliesSinceSettledTermEndWait: words end a wait when every run since a
 // settled term has given one; TestWordsBoundOneSilentRun has those that need not.
-func TestFormerWordsReachBackToASettledTerm(t *testing.T) {
-	says := func(node topo.NodeID, at time.Duration, settled topo.Offset) word {
-		return word{run: Run{Node: node, Boot: topo.BootID(node) + "-1"}, at: at, settled: topo.MakeTerm(settled, 0)}
+func TestRepliesSinceSettledTermEndWait(t *testing.T) {
+	stopped := func(node topo.NodeID, at time.Duration, settled topo.Offset) stopReply {
+		return stopReply{run: Run{Node: node, Boot: topo.BootID(node) + "-1"}, at: at, settled: topo.MakeTerm(settled, 0)}
 	}
-	restarted := word{run: Run{Node: "s", Boot: "s-2"}, at: 6}
+	restarted := stopReply{run: Run{Node: "s", Boot: "s-2"}, at: 6}
 	const fromFirst, fromLatest, known = 10, 30, 5
 	rows := []struct {
 		name    string
 		since   topo.Offset // no run is missing since
 		settled topo.Offset // by the log
-		words   []word
+		replies []stopReply
 		ended   moment
 		asks    []topo.NodeID
 	}{
 		{"nobody", fromFirst, known, nil, moment{}, []topo.NodeID{"b", "d", "c", "l", "s"}},
-		{"the latest pair, settled", fromFirst, known, []word{says("b", 1, 30), says("d", 2, 0)}, momentAt(2), nil},
-		{"the latest lessor alone", fromFirst, known, []word{says("b", 1, 30)}, moment{}, []topo.NodeID{"d"}},
-		{"the latest pair, unsettled", fromFirst, known, []word{says("b", 1, 0), says("d", 2, 0)}, moment{}, []topo.NodeID{"c", "l", "s"}},
+		{"the latest pair, settled", fromFirst, known, []stopReply{stopped("b", 1, 30), stopped("d", 2, 0)}, momentAt(2), nil},
+		{"the latest lessor alone", fromFirst, known, []stopReply{stopped("b", 1, 30)}, moment{}, []topo.NodeID{"d"}},
+		{"the latest pair, unsettled", fromFirst, known, []stopReply{stopped("b", 1, 0), stopped("d", 2, 0)}, moment{}, []topo.NodeID{"c", "l", "s"}},
 		{"a gap of a lessor that the others bound", fromFirst, known,
-			[]word{says("b", 1, 0), says("d", 2, 0), says("l", 3, 10), says("s", 4, 0)}, momentAt(4 + time.Second), []topo.NodeID{"c"}},
-		{"a wider gap", fromFirst, known, []word{says("b", 1, 0), says("d", 2, 0), says("l", 3, 10)}, moment{}, []topo.NodeID{"c", "s"}},
+			[]stopReply{stopped("b", 1, 0), stopped("d", 2, 0), stopped("l", 3, 10), stopped("s", 4, 0)}, momentAt(4 + time.Second), []topo.NodeID{"c"}},
+		{"a wider gap", fromFirst, known, []stopReply{stopped("b", 1, 0), stopped("d", 2, 0), stopped("l", 3, 10)}, moment{}, []topo.NodeID{"c", "s"}},
 		{"all, without one that was settled, incomplete", fromFirst, known,
-			[]word{says("b", 1, 0), says("d", 2, 0), says("c", 3, 0), says("l", 4, 0), says("s", 5, 0)}, moment{}, nil},
+			[]stopReply{stopped("b", 1, 0), stopped("d", 2, 0), stopped("c", 3, 0), stopped("l", 4, 0), stopped("s", 5, 0)}, moment{}, nil},
 		{"all, without one that was settled, since the first term", fromFirst, fromFirst,
-			[]word{says("b", 1, 0), says("d", 2, 0), says("c", 3, 0), says("l", 4, 0), says("s", 5, 0)}, momentAt(5), nil},
+			[]stopReply{stopped("b", 1, 0), stopped("d", 2, 0), stopped("c", 3, 0), stopped("l", 4, 0), stopped("s", 5, 0)}, momentAt(5), nil},
 		{"all, the first one settled", fromFirst, known,
-			[]word{says("b", 1, 0), says("d", 2, 0), says("c", 9, 0), says("l", 4, 10), says("s", 5, 0)}, momentAt(9), nil},
-		{"settled in a term that is not listed", fromFirst, known, []word{says("b", 1, 7), says("d", 2, 0)}, moment{},
+			[]stopReply{stopped("b", 1, 0), stopped("d", 2, 0), stopped("c", 9, 0), stopped("l", 4, 10), stopped("s", 5, 0)}, momentAt(9), nil},
+		{"settled in a term that is not listed", fromFirst, known, []stopReply{stopped("b", 1, 7), stopped("d", 2, 0)}, moment{},
 			[]topo.NodeID{"c", "l", "s"}},
 		{"another run of a standby lessor", fromFirst, known,
-			[]word{says("b", 1, 0), says("d", 2, 0), says("c", 3, 0), says("l", 4, 10), restarted}, moment{}, []topo.NodeID{"s"}},
+			[]stopReply{stopped("b", 1, 0), stopped("d", 2, 0), stopped("c", 3, 0), stopped("l", 4, 10), restarted}, moment{}, []topo.NodeID{"s"}},
 		{"a settled term before those that are listed whole", fromLatest, known,
-			[]word{says("b", 1, 20), says("d", 2, 0), says("c", 3, 0)}, moment{}, nil},
-		{"settled by the log", fromFirst, 30, []word{says("b", 1, 0), says("d", 2, 0)}, momentAt(2), nil},
+			[]stopReply{stopped("b", 1, 20), stopped("d", 2, 0), stopped("c", 3, 0)}, moment{}, nil},
+		{"settled by the log", fromFirst, 30, []stopReply{stopped("b", 1, 0), stopped("d", 2, 0)}, momentAt(2), nil},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			f := former{runs: threeTerms, since: row.since, settled: row.settled}
-			for _, w := range row.words {
-				f.note(w)
+			for _, w := range row.replies {
+				f.record(w)
 			}
-			g.Expect(f.rightEnd(silence{unseen: limit{forever: true}, alone: time.Second}, rules{})).To(gomega.Equal(row.ended))
-			g.Expect(f.asks(Run{Node: "a", Boot: "a-1"})).To(gomega.Equal(row.asks))
+			g.Expect(f.rightEnd(stopBounds{sinceSuperseded: limit{forever: true}, sinceSupport: time.Second}, rules{})).To(gomega.Equal(row.ended))
+			g.Expect(f.nodesToAsk(Run{Node: "a", Boot: "a-1"})).To(gomega.Equal(row.asks))
 		})
 	}
 }
 
-// TestFirstWordOfARunStands: what a run says later, when it may have become the
+// TestFirstReplyOfIncarnationIsKept: what a run says later, when it may have become the
 // lessor of a later term, changes nothing of when it had stopped.
-func TestFirstWordOfARunStands(t *testing.T) {
+func TestFirstReplyOfIncarnationIsKept(t *testing.T) {
 	g := gomega.NewWithT(t)
 	lessor := Run{Node: "l", Boot: "l-1"}
 	f := former{runs: []state.FormerRun{formerRun("l", 10, 0)}, since: 10, settled: 10}
-	f.note(word{run: lessor, at: 1, settled: topo.MakeTerm(10, 0)})
+	f.record(stopReply{run: lessor, at: 1, settled: topo.MakeTerm(10, 0)})
 	copied := f
-	f.note(word{run: lessor, at: 5})
-	f.note(word{run: Run{Node: "x", Boot: "1"}, at: 5})
+	f.record(stopReply{run: lessor, at: 5})
+	f.record(stopReply{run: Run{Node: "x", Boot: "1"}, at: 5})
 	g.Expect(f).To(gomega.Equal(copied))
-	g.Expect(f.rightEnd(silence{unseen: limit{forever: true}, alone: time.Second}, rules{})).To(gomega.Equal(momentAt(1)))
+	g.Expect(f.rightEnd(stopBounds{sinceSuperseded: limit{forever: true}, sinceSupport: time.Second}, rules{})).To(gomega.Equal(momentAt(1)))
 }
 
 // A run that has become the lessor of a later term and settled says nothing of the
 // terms before the one that asks.
-func TestSettledWordOfALaterTermIsNotTaken(t *testing.T) {
+func TestSettledReplyOfLaterTermIsIgnored(t *testing.T) {
 	g := gomega.NewWithT(t)
 	m := NewMember(Config{Node: "a", Boot: "a-1", Group: searchGroup})
 	m.term = topo.MakeTerm(40, 0)
 	m.takeover.former = former{runs: threeTerms, since: 10, settled: 10}
-	m.formerSaid(1, HeartbeatReply{
+	m.recordFormerReply(1, HeartbeatReply{
 		From: Run{Node: "b", Boot: "b-1"}, HighestTerm: topo.MakeTerm(50, 0), SettledTerm: topo.MakeTerm(50, 0),
 	})
 	g.Expect(m.takeover.former.settled).To(gomega.Equal(topo.Offset(10)))
-	g.Expect(m.takeover.former.said).To(gomega.HaveLen(1))
+	g.Expect(m.takeover.former.replies).To(gomega.HaveLen(1))
 }
 
-// TestWordsBoundOneSilentRun: where one run alone says nothing, what it can still do
+// TestRepliesBoundOneUnresponsiveIncarnation: where one run alone says nothing, what it can still do
 // ends with what the others, and the log, have given it.
-func TestWordsBoundOneSilentRun(t *testing.T) {
+func TestRepliesBoundOneUnresponsiveIncarnation(t *testing.T) {
 	// The term 10 was l's, with the standby lessor s; c claimed 20, with d.
 	twoTerms := []state.FormerRun{
 		formerRun("c", 20, 0), formerRun("d", 0, 20), formerRun("l", 10, 0), formerRun("s", 0, 10),
 	}
-	says := func(node topo.NodeID, at time.Duration) word {
-		return word{run: Run{Node: node, Boot: topo.BootID(node) + "-1"}, at: at, tellsMode: true}
+	stopped := func(node topo.NodeID, at time.Duration) stopReply {
+		return stopReply{run: Run{Node: node, Boot: topo.BootID(node) + "-1"}, at: at, reportsMode: true}
 	}
-	disconnected := says("l", 3)
+	disconnected := stopped("l", 3)
 	disconnected.disconnected = topo.MakeTerm(10, 0)
-	earlier := says("l", 3)
+	earlier := stopped("l", 3)
 	earlier.disconnected = topo.MakeTerm(5, 0)
-	asked := func(node topo.NodeID, term topo.Offset) word {
+	asked := func(node topo.NodeID, term topo.Offset) stopReply {
 		w := disconnected
-		w.tellsStandbys = true
-		w.asked = []AskedStandby{{Run: Run{Node: node, Boot: topo.BootID(node) + "-1"}, Term: topo.MakeTerm(term, 0)}}
+		w.reportsStandbys = true
+		w.askedStandbys = []AskedStandby{{Run: Run{Node: node, Boot: topo.BootID(node) + "-1"}, Term: topo.MakeTerm(term, 0)}}
 		return w
 	}
-	oldRelease := word{run: Run{Node: "l", Boot: "l-1"}, at: 3}
-	const superseded, unseen, alone = 1, 100, 10
-	waits := silence{unseen: limit{lasts: unseen}, alone: alone}
+	oldRelease := stopReply{run: Run{Node: "l", Boot: "l-1"}, at: 3}
+	const superseded, sinceSuperseded, sinceSupport = 1, 100, 10
+	stop := stopBounds{sinceSuperseded: limit{duration: sinceSuperseded}, sinceSupport: sinceSupport}
 	rows := []struct {
-		name  string
-		since topo.Offset
-		words []word
-		ended moment
+		name    string
+		since   topo.Offset
+		replies []stopReply
+		ended   moment
 	}{
-		{"the lessor, whose standby lessor has spoken", 10, []word{says("c", 2), says("d", 2), says("s", 4)}, momentAt(4 + alone)},
-		{"a standby lessor of connected mode", 10, []word{says("c", 2), says("d", 2), says("l", 3)}, momentAt(3)},
-		{"a standby lessor of disconnected mode", 10, []word{says("c", 2), says("d", 2), disconnected}, momentAt(superseded + unseen)},
-		{"a standby lessor, disconnected mode before", 10, []word{says("c", 2), says("d", 2), earlier}, momentAt(3)},
-		{"a standby lessor that was asked", 10, []word{says("c", 2), says("d", 2), asked("s", 10)}, momentAt(superseded + unseen)},
-		{"a standby lessor that was asked before", 10, []word{says("c", 2), says("d", 2), asked("s", 5)}, momentAt(3)},
-		{"a standby lessor, another was asked", 10, []word{says("c", 2), says("d", 2), asked("d", 10)}, momentAt(3)},
-		{"a standby lessor, mode not told", 10, []word{says("c", 2), says("d", 2), oldRelease}, momentAt(superseded + unseen)},
-		{"both of a pair", 10, []word{says("c", 2), says("d", 2)}, momentAt(superseded + unseen)},
-		{"the lessor, and runs that are not listed", 11, []word{says("c", 2), says("d", 2), says("s", 4)}, momentAt(superseded + unseen)},
+		{"the lessor, whose standby lessor has spoken", 10, []stopReply{stopped("c", 2), stopped("d", 2), stopped("s", 4)}, momentAt(4 + sinceSupport)},
+		{"a standby lessor of connected mode", 10, []stopReply{stopped("c", 2), stopped("d", 2), stopped("l", 3)}, momentAt(3)},
+		{"a standby lessor of disconnected mode", 10, []stopReply{stopped("c", 2), stopped("d", 2), disconnected}, momentAt(superseded + sinceSuperseded)},
+		{"a standby lessor, disconnected mode before", 10, []stopReply{stopped("c", 2), stopped("d", 2), earlier}, momentAt(3)},
+		{"a standby lessor that was asked", 10, []stopReply{stopped("c", 2), stopped("d", 2), asked("s", 10)}, momentAt(superseded + sinceSuperseded)},
+		{"a standby lessor that was asked before", 10, []stopReply{stopped("c", 2), stopped("d", 2), asked("s", 5)}, momentAt(3)},
+		{"a standby lessor, another was asked", 10, []stopReply{stopped("c", 2), stopped("d", 2), asked("d", 10)}, momentAt(3)},
+		{"a standby lessor, mode not told", 10, []stopReply{stopped("c", 2), stopped("d", 2), oldRelease}, momentAt(superseded + sinceSuperseded)},
+		{"both of a pair", 10, []stopReply{stopped("c", 2), stopped("d", 2)}, momentAt(superseded + sinceSuperseded)},
+		{"the lessor, and runs that are not listed", 11, []stopReply{stopped("c", 2), stopped("d", 2), stopped("s", 4)}, momentAt(superseded + sinceSuperseded)},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			f := former{runs: twoTerms, since: row.since, settled: 10}
 			f.superseded.unlisted = superseded
-			f.superseded.seen = map[lastPart]time.Duration{}
+			f.superseded.seen = map[roleInTerm]time.Duration{}
 			for _, run := range twoTerms {
-				f.superseded.seen[lastPart{runOf(run), run.Latest()}] = superseded
+				f.superseded.seen[roleInTerm{runOf(run), run.Latest()}] = superseded
 			}
-			for _, w := range row.words {
-				f.note(w)
+			for _, w := range row.replies {
+				f.record(w)
 			}
-			g.Expect(f.rightEnd(waits, rules{})).To(gomega.Equal(row.ended))
+			g.Expect(f.rightEnd(stop, rules{})).To(gomega.Equal(row.ended))
 		})
 	}
 }
--- a/lessor/giveback.go
+++ b/lessor/groupreturn.go
@@ -11,19 +11,19 @@
 // group's zone were silent, gives it back through a standby lessor of that zone:
 // it names one once one answers, and then asks it to take over.
 
-// givesBack reports whether a lessor of another zone should hand the group to
+// shouldReturnGroup reports whether a lessor of another zone should hand the group to
 // the standby lessor of the group's own zone.
-func (m *Member) givesBack(now time.Duration) bool {
+func (m *Member) shouldReturnGroup(now time.Duration) bool {
 	return m.isOutsider() && m.termSettled() && m.standbyInside() && m.right.promise.fresher(now, m.cfg.Lease.TTL)
 }
 
 // returnDue reports whether a lessor of another zone should name a standby lessor
 // of the group's own zone, since a node of it answers again.
 func (m *Member) returnDue(now time.Duration) bool {
-	if !m.awaitsReturn() || m.claim.returned.fresher(now, outsiderPause) {
+	if !m.awaitsReturn() || m.claim.returnedAt.fresher(now, outsiderPause) {
 		return false
 	}
-	return slices.ContainsFunc(m.nodesInside(), func(n state.Node) bool { return m.silentRuns.rank(runOfNode(n)) == 0 })
+	return slices.ContainsFunc(m.nodesInside(), func(n state.Node) bool { return m.unresponsive.rank(runOfNode(n)) == 0 })
 }
 
 // planReturn asks the zone's silent nodes for signs of life.
@@ -32,7 +32,7 @@
 		return actions
 	}
 	for _, n := range m.nodesInside() {
-		if m.silentRuns.rank(runOfNode(n)) > 0 {
+		if m.unresponsive.rank(runOfNode(n)) > 0 {
 			actions = m.planProbe(now, n.ID, m.cfg.StandInAfter, actions)
 		}
 	}
--- a/lessor/heartbeat.go
+++ b/lessor/heartbeat.go
@@ -32,7 +32,7 @@
 	if m.role != RoleLessor || m.offLog || m.standbyRun().Node == "" {
 		return Heartbeat{}, false
 	}
-	m.beats.last = momentAt(now)
+	m.heartbeats.last = momentAt(now)
 	return m.nextHeartbeat(now), true
 }
 
@@ -43,24 +43,24 @@
 	if m.role != RoleLessor || m.offLog {
 		return Heartbeat{}, false
 	}
-	m.takeover.former.asked = momentAt(now)
+	m.takeover.former.askedAt = momentAt(now)
 	return m.nextHeartbeat(now), true
 }
 
 func (m *Member) nextHeartbeat(now time.Duration) Heartbeat {
 	m.advance(now)
-	m.beats.round++
-	m.beats.sent[m.beats.round] = now
-	delete(m.beats.sent, m.beats.round-maxHeartbeats)
+	m.heartbeats.round++
+	m.heartbeats.sent[m.heartbeats.round] = now
+	delete(m.heartbeats.sent, m.heartbeats.round-maxHeartbeats)
 	return Heartbeat{
 		From:      m.self(),
 		Term:      m.term,
-		Round:     m.beats.round,
+		Round:     m.heartbeats.round,
 		Mode:      m.right.asked,
 		ModeRound: m.right.round,
 		Applied:   m.facts.Applied,
 		Settled:   m.termSettled(),
-		Resigning: m.draining || m.givesBack(now) || (m.cutOff(now) && m.beats.reaches),
+		Resigning: m.draining || m.shouldReturnGroup(now) || (m.cutOff(now) && m.heartbeats.reaches),
 		Activated: slices.SortedFunc(maps.Keys(m.activated), compareShards),
 		Undecided: m.undecided(),
 		CutOff:    m.cutOff(now),
@@ -69,32 +69,32 @@
 
 // HeartbeatAnswered takes the standby lessor's reply.
 func (m *Member) HeartbeatAnswered(now time.Duration, reply HeartbeatReply) {
-	sent, known := m.beats.sent[reply.Round]
+	sent, known := m.heartbeats.sent[reply.Round]
 	if m.role != RoleLessor || !known || reply.Term != m.term {
 		return
 	}
-	delete(m.beats.sent, reply.Round)
-	m.silentRuns = m.silentRuns.without(reply.From)
-	m.formerSaid(now, reply)
+	delete(m.heartbeats.sent, reply.Round)
+	m.unresponsive = m.unresponsive.without(reply.From)
+	m.recordFormerReply(now, reply)
 	m.advance(now)
 	if reply.From != m.standbyRun() {
 		return
 	}
-	m.beats.reaches = reply.Reaches
-	m.beats.peerAt = max(m.beats.peerAt, reply.Applied)
-	if m.beats.highest.Less(reply.HighestTerm) {
-		m.beats.highest = reply.HighestTerm
+	m.heartbeats.reaches = reply.Reaches
+	m.heartbeats.peerAt = max(m.heartbeats.peerAt, reply.Applied)
+	if m.heartbeats.highest.Less(reply.HighestTerm) {
+		m.heartbeats.highest = reply.HighestTerm
 	}
 	if !reply.Promised {
 		return
 	}
-	m.beats.answered = m.beats.answered.later(momentAt(now))
-	m.claim.repeated = 0
+	m.heartbeats.answered = m.heartbeats.answered.later(momentAt(now))
+	m.claim.standbyChanges = 0
 	m.right.answered(reply, sent)
 	if m.right.acked && m.right.mode == ModeConnected {
-		m.asked = m.asked.without(reply.From)
+		m.askedStandbys = m.askedStandbys.without(reply.From)
 	}
-	m.grantTold(reply.Round)
+	m.grantReported(reply.Round)
 	m.advance(now)
 }
 
@@ -107,10 +107,10 @@
 	m.right.ask(to)
 	if to == ModeDisconnected {
 		m.disconnectedTerm = m.term
-		m.asked = m.asked.with(AskedStandby{Run: m.standbyRun(), Term: m.term}, m.settledTerm)
+		m.askedStandbys = m.askedStandbys.with(AskedStandby{Run: m.standbyRun(), Term: m.term}, m.settledTerm)
 	}
-	if to == ModeConnected && m.rules.noLeft {
-		m.asked = m.asked.without(m.standbyRun())
+	if to == ModeConnected && m.rules.noLeaveAck {
+		m.askedStandbys = m.askedStandbys.without(m.standbyRun())
 	}
 	return true
 }
--- a/lessor/rest.go
+++ b/lessor/idle.go
@@ -7,14 +7,14 @@
 // when the group may have neither a lessor nor a standby lessor: claims wait
 // for the member's turn and for log contact, which time alone brings.
 func (m *Member) Rests() bool {
-	if !m.observed || m.role != RoleNone || m.watches || m.claim.pending() {
+	if !m.observed || m.role != RoleNone || m.isWatcher || m.claim.pending() {
 		return false
 	}
-	return !m.facts.Group.Term.IsZero() && !m.lessorGone.set && !m.watch.doubts()
+	return !m.facts.Group.Term.IsZero() && !m.lessorGone.set && !m.watch.hasFailures()
 }
 
-// doubts reports whether the latest probe of any node failed.
-func (w *watch) doubts() bool {
+// hasFailures reports whether the latest probe of any node failed.
+func (w *watch) hasFailures() bool {
 	for id := range w.nodes {
 		if w.failed(id) {
 			return true
--- a/lessor/rest_test.go
+++ b/lessor/idle_test.go
@@ -15,11 +15,11 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-const restBoot = "boot"
+const testBoot = "boot"
 
-func restConfig(node topo.NodeID, zone topo.Zone) Config {
+func testConfig(node topo.NodeID, zone topo.Zone) Config {
 	return Config{
-		Node: node, Boot: restBoot, Zone: zone, Group: "z0/0",
+		Node: node, Boot: testBoot, Zone: zone, Group: "z0/0",
 		Lease:          lease.Timing{TTL: time.Second, Margin: 50 * time.Millisecond, DriftPPM: 200},
 		RenewEvery:     250 * time.Millisecond,
 		HeartbeatEvery: 100 * time.Millisecond,
@@ -29,8 +29,8 @@
 	}
 }
 
-func restNode(i int) state.Node {
-	return state.Node{ID: topo.NodeID(fmt.Sprintf("n%d", i)), Boot: restBoot, Zone: topo.Zone(fmt.Sprintf("z%d", i%2))}
+func testNode(i int) state.Node {
+	return state.Node{ID: topo.NodeID(fmt.Sprintf("n%d", i)), Boot: testBoot, Zone: topo.Zone(fmt.Sprintf("z%d", i%2))}
 }
 
 // drawFacts draws what a node may be told of a group without a part in it.
@@ -38,13 +38,13 @@
 	facts := &Facts{Group: state.Group{ID: "z0/0"}}
 	count := rapid.IntRange(1, 10).Draw(t, "nodes")
 	for i := range count {
-		facts.Nodes = append(facts.Nodes, restNode(i))
+		facts.Nodes = append(facts.Nodes, testNode(i))
 	}
 	if rapid.Bool().Draw(t, "claimed") {
 		facts.Group.Term = topo.MakeTerm(topo.Offset(term), 0)
-		facts.Group.Lessor, facts.Group.LessorBoot = topo.NodeID(fmt.Sprintf("n%d", rapid.IntRange(1, 11).Draw(t, "lessor"))), restBoot
+		facts.Group.Lessor, facts.Group.LessorBoot = topo.NodeID(fmt.Sprintf("n%d", rapid.IntRange(1, 11).Draw(t, "lessor"))), testBoot
 		if rapid.Bool().Draw(t, "standby named") {
-			facts.Group.Standby, facts.Group.StandbyBoot = topo.NodeID(fmt.Sprintf("n%d", rapid.IntRange(1, 11).Draw(t, "standby"))), restBoot
+			facts.Group.Standby, facts.Group.StandbyBoot = topo.NodeID(fmt.Sprintf("n%d", rapid.IntRange(1, 11).Draw(t, "standby"))), testBoot
 		}
 		facts.LessorGone = rapid.Bool().Draw(t, "lessor gone")
 		facts.StandbyGone = rapid.Bool().Draw(t, "standby gone")
@@ -52,14 +52,14 @@
 	return facts
 }
 
-// TestAMemberAtRestHasNothingDue lets members see states, probe nodes that
+// TestIdleMemberHasNothingDue lets members see states, probe nodes that
 // answer or do not, and claim; whenever one says that it rests, nothing comes
 // due however long it waits.
-func TestAMemberAtRestHasNothingDue(t *testing.T) {
-	rested := 0
+func TestIdleMemberHasNothingDue(t *testing.T) {
+	idle := 0
 	rapid.Check(t, func(t *rapid.T) {
-		self := restNode(rapid.IntRange(0, 9).Draw(t, "self"))
-		m := NewMember(restConfig(self.ID, self.Zone))
+		self := testNode(rapid.IntRange(0, 9).Draw(t, "self"))
+		m := NewMember(testConfig(self.ID, self.Zone))
 		now := time.Second
 		for step := range rapid.IntRange(1, 6).Draw(t, "states") {
 			m.Observe(now, now, true, drawFacts(t, uint64(step+1)))
@@ -67,13 +67,13 @@
 				now += 100 * time.Millisecond
 				m.Observe(now, now, true, m.facts)
 				for _, action := range m.Plan(now) {
-					drawEnd(t, m, now, action)
+					drawResult(t, m, now, action)
 				}
 			}
 			if !m.Rests() {
 				continue
 			}
-			rested++
+			idle++
 			for _, wait := range []time.Duration{time.Millisecond, time.Second, time.Hour} {
 				now += wait
 				m.Observe(now, now, true, m.facts)
@@ -83,17 +83,17 @@
 			}
 		}
 	})
-	if rested == 0 {
+	if idle == 0 {
 		t.Fatal("no member ever rested")
 	}
 }
 
-func drawEnd(t *rapid.T, m *Member, now time.Duration, action Action) {
+func drawResult(t *rapid.T, m *Member, now time.Duration, action Action) {
 	switch a := action.(type) {
 	case Probe:
 		m.BeginProbe(now, a.Node)
 		if rapid.Bool().Draw(t, "answers") {
-			m.ProbeAnswered(now, Run{Node: a.Node, Boot: restBoot})
+			m.ProbeAnswered(now, Run{Node: a.Node, Boot: testBoot})
 		} else {
 			m.ProbeFailed(a.Node)
 		}
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestFactsAreCurrentUntilTheGroupOrTheNodesChange(t *testing.T) {
+func TestFactsAreCurrentUntilGroupOrNodesChange(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := state.New()
 	offset := topo.Offset(0)
@@ -115,14 +115,14 @@
 		return s.View()
 	}
 	join := func(i int, boot string) *bspb.Record {
-		n := restNode(i)
+		n := testNode(i)
 		return &bspb.Record{Body: &bspb.Record_JoinNode{JoinNode: &bspb.JoinNode{Node: string(n.ID), Boot: boot, Zone: string(n.Zone), Region: "r", PeerAddress: "10.0.0.1:7300"}}}
 	}
 	claim := func(group, node, standby string) *bspb.Record {
-		return &bspb.Record{Body: &bspb.Record_ClaimTerm{ClaimTerm: &bspb.ClaimTerm{Group: group, Node: node, Boot: restBoot, Standby: standby, StandbyBoot: restBoot}}}
+		return &bspb.Record{Body: &bspb.Record_ClaimTerm{ClaimTerm: &bspb.ClaimTerm{Group: group, Node: node, Boot: testBoot, Standby: standby, StandbyBoot: testBoot}}}
 	}
-	apply(join(0, restBoot))
-	view := apply(join(1, restBoot))
+	apply(join(0, testBoot))
+	view := apply(join(1, testBoot))
 	nodes := NodesOf(view, nil)
 	facts := FactsOf(view, nodes, "z0/0", false)
 	g.Expect(facts.Current(view, nodes)).To(gomega.BeTrue())
@@ -135,7 +135,7 @@
 	g.Expect(facts.Current(view, NodesOf(view, nodes))).To(gomega.BeFalse())
 	facts = FactsOf(view, nodes, "z0/0", false)
 
-	view = apply(join(2, restBoot)) // a node more
+	view = apply(join(2, testBoot)) // a node more
 	g.Expect(facts.Current(view, NodesOf(view, nodes))).To(gomega.BeFalse())
 	nodes = NodesOf(view, nodes)
 	facts = FactsOf(view, nodes, "z0/0", false)
@@ -146,25 +146,25 @@
 	g.Expect(facts.Current(view, nodes)).To(gomega.BeFalse(), "the lessor's run has ended")
 }
 
-// TestOutsidersDoNotWaitForEachNodeOfALargeZone: how long nodes of other zones
+// TestOutsiderTurnIsBoundedInLargeZone: how long nodes of other zones
 // wait with a claim does not grow with the group's zone.
-func TestOutsidersDoNotWaitForEachNodeOfALargeZone(t *testing.T) {
+func TestOutsiderTurnIsBoundedInLargeZone(t *testing.T) {
 	for _, c := range []struct{ inside, first int }{{1, 1}, {3, 3}, {4, 4}, {132, 4}} {
 		g := gomega.NewWithT(t)
 		facts := &Facts{Group: state.Group{ID: "z0/0"}}
 		for i := range c.inside {
-			facts.Nodes = append(facts.Nodes, state.Node{ID: topo.NodeID(fmt.Sprint("in", i)), Boot: restBoot, Zone: "z0"})
+			facts.Nodes = append(facts.Nodes, state.Node{ID: topo.NodeID(fmt.Sprint("in", i)), Boot: testBoot, Zone: "z0"})
 		}
 		outsiders := []topo.NodeID{"out0", "out1", "out2"}
 		for _, id := range outsiders {
-			facts.Nodes = append(facts.Nodes, state.Node{ID: id, Boot: restBoot, Zone: "z1"})
+			facts.Nodes = append(facts.Nodes, state.Node{ID: id, Boot: testBoot, Zone: "z1"})
 		}
-		var places []int
+		var turns []int
 		for _, id := range outsiders {
-			m := NewMember(restConfig(id, "z1"))
+			m := NewMember(testConfig(id, "z1"))
 			m.Observe(time.Second, time.Second, true, facts)
-			places = append(places, m.place)
+			turns = append(turns, m.turnIndex)
 		}
-		g.Expect(places).To(gomega.ConsistOf(c.first, c.first+1, c.first+2), "%d nodes inside", c.inside)
+		g.Expect(turns).To(gomega.ConsistOf(c.first, c.first+1, c.first+2), "%d nodes inside", c.inside)
 	}
 }
--- a/lessor/member.go
+++ b/lessor/member.go
@@ -36,15 +36,15 @@
 	cfg   Config
 	rules rules
 
-	facts    *Facts
-	shards   []topo.ShardID // see shardOrder
-	orderOf  *Facts         // whose shards these are
-	place    int            // among the candidates for the next lessor; below 0 if not one
-	watches  bool           // one of the few that watch lessor and standby lessor
-	observed bool
-	contact  moment // when the latest log read began that proved Facts up to date
-	logFails moment // since when log reads fail
-	seen     moment // when the term in force was first seen
+	facts           *Facts
+	shards          []topo.ShardID // see shardOrder
+	shardsFrom      *Facts         // whose shards these are
+	turnIndex       int            // among the candidates for the next lessor; below 0 if not one
+	isWatcher       bool           // one of the few that watch lessor and standby lessor
+	observed        bool
+	contact         moment // when the latest log read began that proved Facts up to date
+	logFailingSince moment // since when log reads fail
+	termSeen        moment // when the term in force was first seen
 	// superseded tells since when the former runs' terms are known to have ended.
 	superseded supersessions
 	// lessorGone and standbyGone are when the facts first said so in this term.
@@ -60,42 +60,42 @@
 	// disconnectedTerm is the latest in which this run, as the lessor, asked for
 	// disconnected mode, or had standby servers activated from such a term.
 	disconnectedTerm topo.Term
-	asked            askedStandbys
+	askedStandbys    askedStandbys
 	draining         bool // this process is leaving
 
-	standing   standing
-	claim      claimState
-	watch      watch
-	silentRuns silentRuns
-	delay      ownDelay
+	standbyState    standbyState
+	claim           claimState
+	watch           watch
+	unresponsive    unresponsiveRuns
+	schedulingDelay schedulingDelay
 
 	// What follows is a lessor's.
-	right     right
-	beats     heartbeats
-	takeover  takeover
-	settling  bool // some shards may not be settled
-	servers   map[topo.ServerID]*server
-	settled   map[topo.ShardID]topo.Fence
-	needs     map[topo.ShardID]need
-	activated map[topo.ShardID]*activation
-	moves     map[topo.ShardID]*move
-	submit    submission
-	announced moment // latest announcement
+	right      right
+	heartbeats heartbeats
+	takeover   takeover
+	settling   bool // some shards may not be settled
+	servers    map[topo.ServerID]*server
+	settled    map[topo.ShardID]topo.Fence
+	needs      map[topo.ShardID]need
+	activated  map[topo.ShardID]*activation
+	moves      map[topo.ShardID]*move
+	submit     submission
+	announced  moment // latest announcement
 }
 
 // claimState is a claim of this run whose record has not been seen.
 type claimState struct {
-	number   uint64
-	inFlight bool // the driver is working on it
-	awaited  bool // its record was, or may have been, written
-	expected topo.Term
-	again    moment // not before
-	repeated int    // claims in a row by which a lessor named another standby lessor
-	returned moment // latest one that named a standby lessor of the group's zone again
+	number         uint64
+	inFlight       bool // the driver is working on it
+	maybeWritten   bool // its record was, or may have been, written
+	expected       topo.Term
+	retryAt        moment // not before
+	standbyChanges int    // claims in a row by which a lessor named another standby lessor
+	returnedAt     moment // latest one that named a standby lessor of the group's zone again
 }
 
 // pending reports whether a claim may take effect.
-func (c claimState) pending() bool { return c.inFlight || c.awaited }
+func (c claimState) pending() bool { return c.inFlight || c.maybeWritten }
 
 // NewMember returns a member that has observed nothing.
 func NewMember(cfg Config) *Member {
@@ -107,14 +107,14 @@
 
 func (m *Member) resetLessor() {
 	m.right = right{}
-	m.beats = heartbeats{round: m.beats.round, sent: map[uint64]time.Duration{}}
+	m.heartbeats = heartbeats{round: m.heartbeats.round, sent: map[uint64]time.Duration{}}
 	m.takeover = takeover{}
 	m.servers = map[topo.ServerID]*server{}
 	m.settled = map[topo.ShardID]topo.Fence{}
 	m.needs = map[topo.ShardID]need{}
 	m.activated = map[topo.ShardID]*activation{}
 	m.moves = map[topo.ShardID]*move{}
-	m.submit = submission{number: m.submit.number, undecided: map[topo.ShardID]doubt{}}
+	m.submit = submission{number: m.submit.number, undecided: map[topo.ShardID]undecidedShard{}}
 	m.announced = moment{}
 }
 
@@ -160,13 +160,13 @@
 		m.observed = true
 		m.termChanged(now, old.Group)
 	}
-	m.noteGone(now)
+	m.recordGone(now)
 	if turns {
-		m.place, m.watches = m.turn()
+		m.turnIndex, m.isWatcher = m.turn()
 	}
-	m.forgetPast()
+	m.dropSuperseded()
 	if m.role == RoleLessor {
-		m.hurryNew(old)
+		m.expediteNewFences(old)
 	}
 	m.advance(now)
 }
@@ -176,13 +176,13 @@
 func (m *Member) LogFailing(now time.Duration, failing bool) {
 	switch {
 	case !failing:
-		m.logFails = moment{}
-	case !m.logFails.set:
-		m.logFails = momentAt(now)
+		m.logFailingSince = moment{}
+	case !m.logFailingSince.set:
+		m.logFailingSince = momentAt(now)
 	}
 }
 
-func (m *Member) noteGone(now time.Duration) {
+func (m *Member) recordGone(now time.Duration) {
 	if m.facts.LessorGone && !m.lessorGone.set {
 		m.lessorGone = momentAt(now)
 	}
@@ -195,10 +195,10 @@
 func (m *Member) termChanged(now time.Duration, before state.Group) {
 	supersededAt := now
 	if m.rules.noSupersession {
-		supersededAt = m.seen.at
+		supersededAt = m.termSeen.at
 	}
 	m.superseded = m.superseded.next(supersededAt, m.facts.Group)
-	m.seen = momentAt(now)
+	m.termSeen = momentAt(now)
 	m.lessorGone, m.standbyGone = moment{}, moment{}
 	m.watch = m.watch.next(now, m.role == RoleLessor && m.isOutsider())
 	switch {
@@ -208,11 +208,11 @@
 		m.stepDown()
 		m.role = RoleStandby
 		m.term = m.facts.Group.Term
-		m.standing = newStanding(now)
+		m.standbyState = newStandbyState(now)
 	default:
 		m.stepDown()
 	}
-	m.claim = claimState{number: m.claim.number, again: m.claim.again, repeated: m.claim.repeated, returned: m.claim.returned}
+	m.claim = claimState{number: m.claim.number, retryAt: m.claim.retryAt, standbyChanges: m.claim.standbyChanges, returnedAt: m.claim.returnedAt}
 }
 
 // stepDown gives up whatever this node was in the group.
@@ -220,7 +220,7 @@
 	m.role = RoleNone
 	m.term = topo.Term{}
 	m.offLog = false
-	m.standing = standing{}
+	m.standbyState = standbyState{}
 	m.resetLessor()
 }
 
@@ -236,11 +236,11 @@
 	m.term = m.facts.Group.Term
 	m.offLog = false
 	m.right = right{}
-	m.beats.sent = map[uint64]time.Duration{}
+	m.heartbeats.sent = map[uint64]time.Duration{}
 	if carried {
 		m.carryOver()
 	}
-	m.standing = standing{}
+	m.standbyState = standbyState{}
 }
 
 // carryOver keeps what this run knew as the lessor of the term before. Records
@@ -254,7 +254,7 @@
 		s.newTerm()
 	}
 	for _, a := range m.activated {
-		a.told = 0
+		a.reportedRound = 0
 	}
 	if len(m.activated) > 0 {
 		m.disconnectedTerm = m.term // no record tells of them yet
@@ -262,11 +262,11 @@
 	for _, mv := range m.moves {
 		mv.submitted = false
 	}
-	m.submit = submission{number: m.submit.number + 1, undecided: map[topo.ShardID]doubt{}}
+	m.submit = submission{number: m.submit.number + 1, undecided: map[topo.ShardID]undecidedShard{}}
 }
 
-// forgetPast drops what later assignments have overtaken.
-func (m *Member) forgetPast() {
+// dropSuperseded drops what later assignments have overtaken.
+func (m *Member) dropSuperseded() {
 	for id, fence := range m.settled {
 		if m.facts.Shards[id].Fence != fence {
 			delete(m.settled, id)
@@ -282,8 +282,8 @@
 			delete(m.activated, id)
 		}
 	}
-	m.forgetMoves()
-	m.forgetUndecided()
+	m.dropFinishedMoves()
+	m.dropDecided()
 	for id := range m.servers {
 		if _, exists := m.facts.Servers[id]; !exists {
 			delete(m.servers, id)
--- a/lessor/moves.go
+++ b/lessor/moves.go
@@ -28,23 +28,23 @@
 		return 0
 	}
 	accepted := 0
-	for _, wanted := range moves {
-		if m.requestMove(now, wanted) {
+	for _, requested := range moves {
+		if m.requestMove(now, requested) {
 			accepted++
 		}
 	}
 	return accepted
 }
 
-func (m *Member) requestMove(now time.Duration, wanted Move) bool {
-	id := wanted.Shard
-	if wanted.Fence != m.inForce(id) || wanted.Fence.IsZero() || m.isUndecided(id) {
+func (m *Member) requestMove(now time.Duration, requested Move) bool {
+	id := requested.Shard
+	if requested.Fence != m.inForce(id) || requested.Fence.IsZero() || m.isUndecided(id) {
 		return false
 	}
 	if _, moving := m.moves[id]; moving || m.isActivated(id) {
 		return false
 	}
-	mv := &move{Move: wanted, began: now}
+	mv := &move{Move: requested, began: now}
 	shard, exists := m.facts.Shards[id]
 	if !exists {
 		// inForce has found the hash range that the key is to be split out of.
@@ -54,17 +54,17 @@
 	if !m.isSettled(shard) || m.needsNewFence(shard.Shard) {
 		return false
 	}
-	if wanted.To == "" && !wanted.Merge {
+	if requested.To == "" && !requested.Merge {
 		return m.requestRelease(mv, shard)
 	}
-	if wanted.Merge {
+	if requested.Merge {
 		return m.requestMerge(mv, shard)
 	}
-	if wanted.To == "" || !m.canTake(id.Service, wanted.To) {
+	if requested.To == "" || !m.canTake(id.Service, requested.To) {
 		return false
 	}
-	mv.sameOwner = wanted.To == shard.Owner && !mv.split
-	if mv.sameOwner && (wanted.Standby == "" || wanted.Standby == shard.Standby) {
+	mv.sameOwner = requested.To == shard.Owner && !mv.split
+	if mv.sameOwner && (requested.Standby == "" || requested.Standby == shard.Standby) {
 		return false
 	}
 	m.startMove(mv, shard)
@@ -105,7 +105,7 @@
 func (m *Member) startMove(mv *move, shard Shard) {
 	m.moves[mv.Shard] = mv
 	if !mv.sameOwner {
-		m.server(shard.Owner).nextAt = 0
+		m.server(shard.Owner).notBefore = 0
 	}
 }
 
@@ -126,21 +126,21 @@
 	}
 }
 
-// giveUpMove puts the shard of a move whose record had no effect back on its
+// abandonMove puts the shard of a move whose record had no effect back on its
 // owner's list, and lets the owner hear of it at once.
-func (m *Member) giveUpMove(id topo.ShardID) {
+func (m *Member) abandonMove(id topo.ShardID) {
 	mv, moving := m.moves[id]
 	if !moving || !mv.submitted {
 		return
 	}
 	delete(m.moves, id)
 	if owner := m.facts.Shards[id].Owner; owner != "" {
-		m.server(owner).nextAt = 0
+		m.server(owner).notBefore = 0
 	}
 }
 
-// forgetMoves drops moves that are done or overtaken.
-func (m *Member) forgetMoves() {
+// dropFinishedMoves drops moves that are done or overtaken.
+func (m *Member) dropFinishedMoves() {
 	for id, mv := range m.moves {
 		if m.inForce(id) != mv.Fence {
 			delete(m.moves, id)
@@ -188,32 +188,32 @@
 	return !m.confirmedLost(id)
 }
 
-// planOwnMoves takes up the moves that the lessor makes by itself: away from
+// planAutomaticMoves takes up the moves that the lessor makes by itself: away from
 // servers that drain.
-func (m *Member) planOwnMoves(now time.Duration) {
+func (m *Member) planAutomaticMoves(now time.Duration) {
 	if m.right.mode != ModeConnected || m.offLog {
 		return
 	}
 	place := m.newPlacement()
 	for _, id := range slices.Sorted(maps.Keys(m.facts.Servers)) {
-		if !m.leaves(id, m.facts.Servers[id]) {
+		if !m.mustVacate(id, m.facts.Servers[id]) {
 			continue
 		}
 		for _, shardID := range m.facts.ShardsOf[id] {
-			if len(m.moves) < maxOwnMoves {
-				m.planOwnMove(now, m.facts.Shards[shardID], place)
+			if len(m.moves) < maxAutomaticMoves {
+				m.planAutomaticMove(now, m.facts.Shards[shardID], place)
 			}
 		}
 	}
 }
 
-// leaves reports whether a server that still answers is to give its shards up.
-func (m *Member) leaves(id topo.ServerID, facts Server) bool {
+// mustVacate reports whether a server that still answers is to give its shards up.
+func (m *Member) mustVacate(id topo.ServerID, facts Server) bool {
 	s, known := m.servers[id]
 	return facts.Phase == state.PhaseDraining || facts.Lost || (known && s.draining)
 }
 
-func (m *Member) planOwnMove(now time.Duration, shard Shard, place *placement) {
+func (m *Member) planAutomaticMove(now time.Duration, shard Shard, place *placement) {
 	id := shard.Shard
 	if _, moving := m.moves[id]; moving || m.isActivated(id) || m.isUndecided(id) {
 		return
--- a/lessor/plan.go
+++ b/lessor/plan.go
@@ -14,10 +14,10 @@
 	m.advance(now)
 	if m.role == RoleLessor {
 		m.expireMoves(now)
-		m.planOwnMoves(now)
+		m.planAutomaticMoves(now)
 	}
 	var actions []Action
-	if m.goOnDue(now) {
+	if m.offLogTakeoverDue(now) {
 		actions = append(actions, GoOn{})
 	}
 	if m.claimDue(now) {
@@ -26,8 +26,8 @@
 	if m.role == RoleLessor {
 		actions = m.planLessor(now, actions)
 	}
-	if m.role == RoleStandby && m.standing.tries {
-		actions = m.planTries(now, actions)
+	if m.role == RoleStandby && m.standbyState.probeServers {
+		actions = m.planServerProbes(now, actions)
 	}
 	return m.planProbes(now, actions)
 }
@@ -61,29 +61,29 @@
 	}
 	ttl := m.cfg.Lease.TTL
 	switch {
-	case m.right.asked == ModeConnected && (m.logAway(now) || !m.contact.fresher(now, ttl)):
+	case m.right.asked == ModeConnected && (m.logUnavailable(now) || !m.contact.fresher(now, ttl)):
 		if m.right.promise.fresher(now, ttl) {
 			actions = append(actions, ChangeMode{To: ModeDisconnected})
 		}
-	case m.right.asked == ModeDisconnected && !m.logFails.set && m.contact.fresher(now, ttl/2):
+	case m.right.asked == ModeDisconnected && !m.logFailingSince.set && m.contact.fresher(now, ttl/2):
 		actions = append(actions, ChangeMode{To: ModeConnected})
 	}
 	return actions
 }
 
-// logAway reports whether log reads have failed for so long that it is no
+// logUnavailable reports whether log reads have failed for so long that it is no
 // single failure. A log that fails leaves little time to prepare for the loss
 // of this lessor too: the standby lessor may go on only once it has
 // acknowledged disconnected mode.
-func (m *Member) logAway(now time.Duration) bool {
-	return m.logFails.set && now-m.logFails.at >= m.cfg.HeartbeatEvery
+func (m *Member) logUnavailable(now time.Duration) bool {
+	return m.logFailingSince.set && now-m.logFailingSince.at >= m.cfg.HeartbeatEvery
 }
 
 func (m *Member) heartbeatDue(now time.Duration) bool {
 	if m.offLog || m.standbyRun().Node == "" {
 		return false
 	}
-	last := m.beats.last
+	last := m.heartbeats.last
 	return !last.set || now-last.at >= m.cfg.HeartbeatEvery
 }
 
@@ -94,7 +94,7 @@
 	asks := m.asksForAcknowledgement()
 	for _, id := range slices.Sorted(maps.Keys(m.facts.Servers)) {
 		s := m.server(id)
-		if s.inFlight || now < s.nextAt || m.facts.Servers[id].Address == "" {
+		if s.inFlight || now < s.notBefore || m.facts.Servers[id].Address == "" {
 			continue
 		}
 		switch {
@@ -110,21 +110,21 @@
 // planAsks asks former lessors, while that can shorten a wait.
 func (m *Member) planAsks(now time.Duration, actions []Action) []Action {
 	f := &m.takeover.former
-	if !m.asksForAcknowledgement() || (f.asked.set && now-f.asked.at < m.cfg.RenewEvery) {
+	if !m.asksForAcknowledgement() || (f.askedAt.set && now-f.askedAt.at < m.cfg.RenewEvery) {
 		return actions
 	}
-	for _, id := range f.asks(m.self()) {
+	for _, id := range f.nodesToAsk(m.self()) {
 		actions = append(actions, Ask{Node: id})
 	}
 	return actions
 }
 
-// planTries lets a standby lessor find out whether servers answer it. It asks
+// planServerProbes lets a standby lessor find out whether servers answer it. It asks
 // them to acknowledge the term that is in force anyway.
-func (m *Member) planTries(now time.Duration, actions []Action) []Action {
+func (m *Member) planServerProbes(now time.Duration, actions []Action) []Action {
 	for _, id := range slices.Sorted(maps.Keys(m.facts.Servers)) {
 		s := m.server(id)
-		if !s.inFlight && now >= s.nextAt && m.facts.Servers[id].Address != "" {
+		if !s.inFlight && now >= s.notBefore && m.facts.Servers[id].Address != "" {
 			actions = append(actions, Acknowledge{Server: id})
 		}
 	}
--- a/lessor/probe.go
+++ b/lessor/probe.go
@@ -15,8 +15,8 @@
 	// laterPerStandIn divides StandInAfter: within that the watchers whose turn
 	// comes later have asked both.
 	laterPerStandIn = 2
-	// leastPause bounds how often a member whose probe cannot begin looks again.
-	leastPause = time.Millisecond
+	// minPause bounds how often a member whose probe cannot begin looks again.
+	minPause = time.Millisecond
 )
 
 // planProbes asks the lessor and the standby lessor for signs of life. While the
@@ -28,15 +28,15 @@
 	}
 	group := m.facts.Group
 	if m.role == RoleStandby {
-		if now-m.standing.heard.at >= m.cfg.SuspectAfter/2 {
+		if now-m.standbyState.lastHeartbeat.at >= m.cfg.SuspectAfter/2 {
 			actions = m.planProbe(now, group.Lessor, m.cfg.HeartbeatEvery, actions)
 		}
 		return actions
 	}
-	if !m.watches {
+	if !m.isWatcher {
 		return actions
 	}
-	if !m.doubtsLessor(now) {
+	if !m.suspectsLessor(now) {
 		return m.planProbe(now, group.Lessor, m.healthyEvery(), actions)
 	}
 	actions = m.planProbe(now, group.Lessor, m.cfg.HeartbeatEvery, actions)
@@ -49,7 +49,7 @@
 		return actions
 	}
 	known := m.watch.node(id)
-	if known.inFlight || (known.asked.set && now-known.asked.at < every) {
+	if known.inFlight || (known.askedAt.set && now-known.askedAt.at < every) {
 		return actions
 	}
 	return append(actions, Probe{Node: id})
@@ -57,7 +57,7 @@
 
 // healthyEvery is how often this watcher asks a lessor that answers.
 func (m *Member) healthyEvery() time.Duration {
-	if m.place == 0 {
+	if m.turnIndex == 0 {
 		return m.cfg.HeartbeatEvery - m.overdueAfter()
 	}
 	return m.cfg.StandInAfter/laterPerStandIn - m.overdueAfter()
@@ -65,26 +65,26 @@
 
 func (m *Member) overdueAfter() time.Duration { return m.cfg.HeartbeatEvery / overduePerHeartbeat }
 
-// doubtsLessor reports whether this watcher has a reason to ask the standby
+// suspectsLessor reports whether this watcher has a reason to ask the standby
 // lessor too: the lessor's run has ended, or its answer failed or is overdue.
-func (m *Member) doubtsLessor(now time.Duration) bool {
+func (m *Member) suspectsLessor(now time.Duration) bool {
 	lessor := m.facts.Group.Lessor
 	if lessor == "" || lessor == m.cfg.Node || m.lessorGone.set || m.watch.failed(lessor) {
 		return true
 	}
 	known := m.watch.node(lessor)
-	return known.inFlight && now-known.asked.at >= m.overdueAfter()
+	return known.inFlight && now-known.askedAt.at >= m.overdueAfter()
 }
 
 // WatchPause returns how long a member that watches may wait for its next look
 // at the time, unless something is told before.
 func (m *Member) WatchPause(now time.Duration) (time.Duration, bool) {
-	if m.role != RoleNone || !m.watches || m.facts.Group.Term.IsZero() || m.claim.pending() {
+	if m.role != RoleNone || !m.isWatcher || m.facts.Group.Term.IsZero() || m.claim.pending() {
 		return 0, false
 	}
 	known := m.watch.node(m.facts.Group.Lessor)
-	if known.inFlight || m.doubtsLessor(now) {
+	if known.inFlight || m.suspectsLessor(now) {
 		return m.overdueAfter(), true
 	}
-	return max(known.asked.at+m.healthyEvery()-now, leastPause), true
+	return max(known.askedAt.at+m.healthyEvery()-now, minPause), true
 }
--- a/lessor/probe_test.go
+++ b/lessor/probe_test.go
@@ -12,35 +12,35 @@
 
 const probeTimeout = 175 * time.Millisecond // as the module sets it
 
-// watching drives a member that watches, as the module does: it looks at the
+// watcherHarness drives a member that watches, as the module does: it looks at the
 // time after WatchPause, and when a probe ends.
-type watching struct {
-	t     *rapid.T
-	m     *Member
-	now   time.Duration
-	trip  time.Duration           // of a probe that is answered
-	lost  time.Duration           // since when lessor and standby lessor are silent
-	ends  map[topo.NodeID]probing // under way
-	asked map[topo.NodeID]int
+type watcherHarness struct {
+	t         *rapid.T
+	m         *Member
+	now       time.Duration
+	roundTrip time.Duration                // of a probe that is answered
+	lostAt    time.Duration                // since when lessor and standby lessor are silent
+	pending   map[topo.NodeID]pendingProbe // under way
+	probes    map[topo.NodeID]int
 }
 
-type probing struct {
+type pendingProbe struct {
 	at     time.Duration
 	failed bool
 }
 
-func newWatching(t *rapid.T, place int) *watching {
+func newWatcherHarness(t *rapid.T, place int) *watcherHarness {
 	facts := &Facts{Group: state.Group{
-		ID: "z0/0", Term: topo.MakeTerm(1, 0), Lessor: "lessor", LessorBoot: restBoot, Standby: "standby", StandbyBoot: restBoot,
+		ID: "z0/0", Term: topo.MakeTerm(1, 0), Lessor: "lessor", LessorBoot: testBoot, Standby: "standby", StandbyBoot: testBoot,
 	}}
 	for _, id := range []topo.NodeID{"lessor", "standby", "a", "b"} {
-		facts.Nodes = append(facts.Nodes, state.Node{ID: id, Boot: restBoot, Zone: "z0"})
+		facts.Nodes = append(facts.Nodes, state.Node{ID: id, Boot: testBoot, Zone: "z0"})
 	}
 	for _, id := range []topo.NodeID{"a", "b"} {
-		m := NewMember(restConfig(id, "z0"))
+		m := NewMember(testConfig(id, "z0"))
 		m.Observe(0, 0, true, facts)
-		if m.place == place {
-			return &watching{t: t, m: m, ends: map[topo.NodeID]probing{}, asked: map[topo.NodeID]int{}}
+		if m.turnIndex == place {
+			return &watcherHarness{t: t, m: m, pending: map[topo.NodeID]pendingProbe{}, probes: map[topo.NodeID]int{}}
 		}
 	}
 	t.Fatalf("no node has place %d", place)
@@ -49,14 +49,14 @@
 
 // step looks once and passes the time until the next look. It returns whether a
 // claim was due.
-func (w *watching) step() bool {
+func (w *watcherHarness) step() bool {
 	w.m.Observe(w.now, w.now, true, w.m.facts)
 	for _, action := range w.m.Plan(w.now) {
 		switch a := action.(type) {
 		case ClaimTerm:
 			return true
 		case Probe:
-			w.begin(a.Node)
+			w.beginProbe(a.Node)
 		}
 	}
 	pause, watches := w.m.WatchPause(w.now)
@@ -64,42 +64,42 @@
 		w.t.Fatal("the member watches no longer")
 	}
 	next := w.now + pause
-	for _, end := range w.ends {
+	for _, end := range w.pending {
 		next = min(next, end.at)
 	}
 	w.now = next
-	w.end()
+	w.finishProbes()
 	return false
 }
 
-func (w *watching) begin(id topo.NodeID) {
+func (w *watcherHarness) beginProbe(id topo.NodeID) {
 	w.m.BeginProbe(w.now, id)
-	w.asked[id]++
-	if w.now+w.trip >= w.lost {
-		w.ends[id] = probing{at: w.now + probeTimeout, failed: true}
+	w.probes[id]++
+	if w.now+w.roundTrip >= w.lostAt {
+		w.pending[id] = pendingProbe{at: w.now + probeTimeout, failed: true}
 		return
 	}
-	w.ends[id] = probing{at: w.now + w.trip}
+	w.pending[id] = pendingProbe{at: w.now + w.roundTrip}
 }
 
-func (w *watching) end() {
-	for id, end := range w.ends {
+func (w *watcherHarness) finishProbes() {
+	for id, end := range w.pending {
 		switch {
 		case end.at > w.now:
 			continue
 		case end.failed:
 			w.m.ProbeFailed(id)
 		default:
-			w.m.ProbeAnswered(w.now, Run{Node: id, Boot: restBoot})
+			w.m.ProbeAnswered(w.now, Run{Node: id, Boot: testBoot})
 		}
-		delete(w.ends, id)
+		delete(w.pending, id)
 	}
 }
 
-// TestWatchersClaimInTimeAndInTurn loses lessor and standby lessor at any
+// TestWatchersClaimInTurnWithinBounds loses lessor and standby lessor at any
 // moment between two probes. The first watcher claims as soon as it did when it
 // asked both of them each heartbeat interval; the next waits its turn.
-func TestWatchersClaimInTimeAndInTurn(t *testing.T) {
+func TestWatchersClaimInTurnWithinBounds(t *testing.T) {
 	for place, bounds := range []struct{ from, to time.Duration }{
 		// A heartbeat interval and two probes in vain.
 		{from: 250 * time.Millisecond, to: 100*time.Millisecond + 2*probeTimeout},
@@ -107,16 +107,16 @@
 		{from: 750 * time.Millisecond, to: 1000 * time.Millisecond},
 	} {
 		rapid.Check(t, func(t *rapid.T) {
-			w := newWatching(t, place)
-			w.trip = time.Duration(rapid.IntRange(0, 5000).Draw(t, "trip")) * time.Microsecond
-			w.lost = 2*time.Second + time.Duration(rapid.IntRange(0, 500_000).Draw(t, "lost"))*time.Microsecond
+			w := newWatcherHarness(t, place)
+			w.roundTrip = time.Duration(rapid.IntRange(0, 5000).Draw(t, "trip")) * time.Microsecond
+			w.lostAt = 2*time.Second + time.Duration(rapid.IntRange(0, 500_000).Draw(t, "lost"))*time.Microsecond
 			for !w.step() {
-				if w.now > w.lost+5*time.Second {
+				if w.now > w.lostAt+5*time.Second {
 					t.Fatal("never claimed")
 				}
 			}
-			after := w.now - w.lost
-			slack := w.trip + leastPause
+			after := w.now - w.lostAt
+			slack := w.roundTrip + minPause
 			if after < bounds.from-slack || after > bounds.to+slack {
 				t.Fatalf("place %d claimed %v after the loss, not within %v to %v", place, after, bounds.from, bounds.to)
 			}
@@ -124,21 +124,21 @@
 	}
 }
 
-// TestAWatcherAsksTheStandbyLessorOnlyInDoubt counts the probes of a healthy
+// TestWatcherProbesHealthyLessorOnly counts the probes of a healthy
 // pair.
-func TestAWatcherAsksTheStandbyLessorOnlyInDoubt(t *testing.T) {
+func TestWatcherProbesHealthyLessorOnly(t *testing.T) {
 	for place, most := range []int{14, 5} {
 		rapid.Check(t, func(t *rapid.T) {
-			w := newWatching(t, place)
-			w.trip = time.Duration(rapid.IntRange(0, 20_000).Draw(t, "trip")) * time.Microsecond
-			w.lost = time.Hour
+			w := newWatcherHarness(t, place)
+			w.roundTrip = time.Duration(rapid.IntRange(0, 20_000).Draw(t, "trip")) * time.Microsecond
+			w.lostAt = time.Hour
 			for w.now < 10*time.Second {
 				if w.step() {
 					t.Fatal("claimed")
 				}
 			}
-			if w.asked["standby"] > 0 || w.asked["lessor"] > 10*most {
-				t.Fatalf("place %d asked the lessor %d times and the standby lessor %d times in 10 s", place, w.asked["lessor"], w.asked["standby"])
+			if w.probes["standby"] > 0 || w.probes["lessor"] > 10*most {
+				t.Fatalf("place %d asked the lessor %d times and the standby lessor %d times in 10 s", place, w.probes["lessor"], w.probes["standby"])
 			}
 		})
 	}
--- a/lessor/project.go
+++ b/lessor/projection.go
@@ -70,7 +70,7 @@
 // FactsOf derives the facts of one group from a view and the view's NodesOf.
 // Without detail, what only lessors and standby lessors need is left out.
 func FactsOf(view *state.View, nodes []state.Node, id topo.GroupID, detail bool) *Facts {
-	facts := headOf(view, id)
+	facts := basicFacts(view, id)
 	facts.Applied, facts.Nodes = view.Applied(), nodes
 	if detail {
 		projectServers(view, &facts)
@@ -89,8 +89,8 @@
 		f.StandbyGone == runEnded(view, group.Standby, group.StandbyBoot)
 }
 
-// headOf returns what every node needs to know of a group.
-func headOf(view *state.View, id topo.GroupID) Facts {
+// basicFacts returns what every node needs to know of a group.
+func basicFacts(view *state.View, id topo.GroupID) Facts {
 	group, _ := view.Group(id)
 	group.ID = id
 	return Facts{
--- a/lessor/carry_test.go
+++ b/lessor/reclaim_test.go
@@ -9,26 +9,26 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// TestMovesOfTheOldTermAreSubmittedAgain: a lessor claims again while the record
+// TestReclaimResubmitsMoves: a lessor claims again while the record
 // of a planned move is on its way. The record has no effect under the new term,
 // and its fate is not told any more, so the move must not count as submitted: it
 // would be neither submitted nor given up, and its shard served by nobody.
-func TestMovesOfTheOldTermAreSubmittedAgain(t *testing.T) {
+func TestReclaimResubmitsMoves(t *testing.T) {
 	g := gomega.NewWithT(t)
 	m := NewMember(Config{MoveTimeout: 10 * time.Second})
 	id := topo.ShardID{Service: "quotes", Index: 7}
 	m.moves[id] = &move{Move: Move{Shard: id}, submitted: true}
-	m.submit.undecided[id] = doubt{number: m.submit.number}
+	m.submit.undecided[id] = undecidedShard{number: m.submit.number}
 	m.carryOver()
 	g.Expect(m.moves[id].submitted).To(gomega.BeFalse())
 	m.expireMoves(10 * time.Second)
 	g.Expect(m.moves).To(gomega.BeEmpty())
 }
 
-// TestActivationsOfAnOldTermAreTold: a lessor that claims again carries standby servers
+// TestReclaimReportsCarriedActivations: a lessor that claims again carries standby servers
 // that it has activated, until their records are written. Were only the mode of the new
 // term told, the next lessor would take it that none was activated since it was settled.
-func TestActivationsOfAnOldTermAreTold(t *testing.T) {
+func TestReclaimReportsCarriedActivations(t *testing.T) {
 	g := gomega.NewWithT(t)
 	m := NewMember(Config{})
 	m.term = topo.MakeTerm(20, 0)
--- a/lessor/renew.go
+++ b/lessor/renew.go
@@ -73,7 +73,7 @@
 		return nil
 	}
 	except := shard.Except
-	for _, id := range m.splitsUnderWay() {
+	for _, id := range m.pendingSplits() {
 		if rangeOf(id) == shard.Shard && !slices.Contains(except, id.Key) {
 			except = slices.Sorted(slices.Values(append(slices.Clone(except), id.Key)))
 		}
@@ -106,7 +106,7 @@
 // BeginAcknowledge starts an acknowledgement request and returns the term and
 // the number of the attempt.
 func (m *Member) BeginAcknowledge(now time.Duration, id topo.ServerID) (topo.Term, uint64, bool) {
-	if m.role != RoleLessor && !m.standing.tries {
+	if m.role != RoleLessor && !m.standbyState.probeServers {
 		return topo.Term{}, 0, false
 	}
 	return m.term, m.begin(m.server(id), now), true
--- a/lessor/search_calls_test.go
+++ b/lessor/search_calls_test.go
@@ -69,10 +69,10 @@
 	}
 	switch lost {
 	case "request held":
-		w.held = &message{kind: "renew", node: node, server: server, order: order}
+		w.heldMessage = &message{kind: "renew", node: node, server: server, order: order}
 		fallthrough
 	case "request lost":
-		w.fail(node, server, order.Attempt)
+		w.failAttempt(node, server, order.Attempt)
 		return true
 	}
 	report := w.lease(server, w.runOf(node), order)
@@ -83,20 +83,20 @@
 func (w *world) replied(node, server int, attempt uint64, report LeaseReport, lost string) {
 	switch lost {
 	case "reply lost":
-		w.fail(node, server, attempt)
+		w.failAttempt(node, server, attempt)
 	case "reply held":
-		w.held = &message{kind: "renewed", node: node, server: server, report: report, attempt: attempt}
+		w.heldMessage = &message{kind: "renewed", node: node, server: server, report: report, attempt: attempt}
 	default:
 		w.member(node).LeaseReplied(w.clock(node), serverNames[server], attempt, report)
 	}
 }
 
-// fail ends an attempt without an answer. Suspicion is not counted: with
+// failAttempt ends an attempt without an answer. Suspicion is not counted: with
 // rules.eager it needs none.
-func (w *world) fail(node, server int, attempt uint64) {
+func (w *world) failAttempt(node, server int, attempt uint64) {
 	m := w.member(node)
 	m.LeaseFailed(w.clock(node), serverNames[server], attempt)
-	if s, known := m.servers[serverNames[server]]; known && !w.b.lazy {
+	if s, known := m.servers[serverNames[server]]; known && !w.b.followPlans {
 		s.failures = 0
 	}
 }
@@ -112,7 +112,7 @@
 		return false
 	}
 	if lost == "request lost" || lost == "request held" {
-		w.fail(node, server, attempt)
+		w.failAttempt(node, server, attempt)
 		return true
 	}
 	reply := w.holder(server).Acknowledge(w.serverNow(server),
@@ -133,10 +133,10 @@
 	return 0, false
 }
 
-// beatFrom sends one heartbeat of a lessor to its standby lessor.
-func (w *world) beatFrom(node int, lost string) bool {
+// heartbeat sends one heartbeat of a lessor to its standby lessor.
+func (w *world) heartbeat(node int, lost string) bool {
 	to, exists := w.standbyOf(node)
-	if !exists && !w.b.lazy {
+	if !exists && !w.b.followPlans {
 		return false
 	}
 	m := w.member(node)
@@ -146,7 +146,7 @@
 	}
 	switch lost {
 	case "request held":
-		w.held = &message{kind: "beat", node: node, beat: beat}
+		w.heldMessage = &message{kind: "beat", node: node, heartbeat: beat}
 		fallthrough
 	case "request lost":
 		return true
@@ -171,10 +171,10 @@
 	switch lost {
 	case "reply lost":
 	case "reply held":
-		w.held = &message{kind: "answer", node: node, answer: reply}
+		w.heldMessage = &message{kind: "answer", node: node, answer: reply}
 	default:
 		w.member(node).HeartbeatAnswered(w.clock(node), reply)
 	}
 }
 
-func (w *world) beat(lost string) bool { return w.beatFrom(0, lost) }
+func (w *world) firstHeartbeat(lost string) bool { return w.heartbeat(0, lost) }
--- a/lessor/search_cases_test.go
+++ b/lessor/search_cases_test.go
@@ -6,62 +6,62 @@
 	"time"
 )
 
-// dropped are the searches that must find two owners once a rule is gone.
-var dropped = []struct {
+// droppedRules are the searches that must find two owners once a rule is gone.
+var droppedRules = []struct {
 	name   string
 	bounds bounds
 }{
-	{"modes", bounds{ttl: unit, limit: 2 * unit, assigns: 1, askers: "l", rules: rules{noModes: true}}},
-	{"both", bounds{ttl: unit, limit: 2 * unit, claimers: "c", claims: 1, askers: "l",
-		prefix: []string{"l asks for mode disconnected"}, rules: rules{noBoth: true}}},
-	{"tail", bounds{ttl: 2 * unit, claimers: "c", claims: 1, assigns: 1,
-		prefix: []string{"c claims", "c reads the log"}, rules: rules{noTail: true}}},
-	{"hold", bounds{ttl: unit, limit: 3 * unit, claimers: "c", claims: 1, assigns: 1,
-		prefix: []string{"c claims", "c reads the log"}, rules: rules{noHold: true}}},
-	{"report", bounds{ttl: unit, limit: 2 * unit, claimers: "c", claims: 1, askers: "l",
+	{"modes", bounds{ttl: timeUnit, limit: 2 * timeUnit, assigns: 1, modeRequesters: "l", rules: rules{noModes: true}}},
+	{"both", bounds{ttl: timeUnit, limit: 2 * timeUnit, claimers: "c", claims: 1, modeRequesters: "l",
+		prefix: []string{"l asks for mode disconnected"}, rules: rules{noBothServers: true}}},
+	{"tail", bounds{ttl: 2 * timeUnit, claimers: "c", claims: 1, assigns: 1,
+		prefix: []string{"c claims", "c reads the log"}, rules: rules{noLastLease: true}}},
+	{"hold", bounds{ttl: timeUnit, limit: 3 * timeUnit, claimers: "c", claims: 1, assigns: 1,
+		prefix: []string{"c claims", "c reads the log"}, rules: rules{noDisconnectedWait: true}}},
+	{"report", bounds{ttl: timeUnit, limit: 2 * timeUnit, claimers: "c", claims: 1, modeRequesters: "l",
 		prefix: []string{"time passes", "l asks for mode disconnected"}, rules: rules{noReport: true}}},
-	{"known run", bounds{ttl: unit, limit: 4 * unit, claimers: "c", claims: 1, assigns: 1, restarts: 1, askers: "l",
+	{"known run", bounds{ttl: timeUnit, limit: 4 * timeUnit, claimers: "c", claims: 1, assigns: 1, restarts: 1, modeRequesters: "l",
 		prefix: []string{"l asks for mode disconnected", "c claims", "c reads the log",
 			"s acknowledges c", "t acknowledges c", "time passes", "l sends a heartbeat", "t restarts"},
-		rules: rules{noKnownRun: true}}},
-	{"seen term", bounds{ttl: unit, limit: 4 * unit, claimers: "c", claims: 1, assigns: 1,
+		rules: rules{noKnownBoot: true}}},
+	{"seen term", bounds{ttl: timeUnit, limit: 4 * timeUnit, claimers: "c", claims: 1, assigns: 1,
 		prefix: []string{"c claims", "c reads the log", "c asks whether l stopped", "c asks whether b stopped"},
 		rules:  rules{noSeenTerm: true}}},
-	{"settled word", bounds{ttl: 2 * unit, limit: 6 * unit, claimers: "bc", claims: 2, assigns: 1,
+	{"settled word", bounds{ttl: 2 * timeUnit, limit: 6 * timeUnit, claimers: "bc", claims: 2, assigns: 1,
 		prefix: []string{"c claims", "c reads the log", "b reads the log", "b claims", "b reads the log",
 			"c reads the log", "b asks whether c stopped"},
-		rules: rules{noSettledWord: true}}},
-	{"standby's word", bounds{ttl: unit, limit: 5 * unit, claimers: "c", claims: 1, assigns: 1, askers: "l",
+		rules: rules{noSettledReply: true}}},
+	{"standby's word", bounds{ttl: timeUnit, limit: 5 * timeUnit, claimers: "c", claims: 1, assigns: 1, modeRequesters: "l",
 		prefix: []string{"l asks for mode disconnected", "b goes on off the log", "s acknowledges b",
 			"c claims", "c reads the log", "l reads the log", "c asks whether l stopped"},
-		rules: rules{noStandbyWord: true}}},
-	{"every run known", bounds{ttl: unit, limit: 2 * unit, claimers: "c", claims: 1, assigns: 1, askers: "l", formerMost: 1,
+		rules: rules{noStandbyReply: true}}},
+	{"every run known", bounds{ttl: timeUnit, limit: 2 * timeUnit, claimers: "c", claims: 1, assigns: 1, modeRequesters: "l", maxFormer: 1,
 		prefix: []string{"l asks for mode disconnected", "b goes on off the log", "s acknowledges b",
 			"c claims", "c reads the log", "l reads the log", "c asks whether l stopped"},
 		rules: rules{noComplete: true}}},
-	{"connected mode", bounds{ttl: unit, limit: 5 * unit, claimers: "c", claims: 1, assigns: 1, askers: "l",
+	{"connected mode", bounds{ttl: timeUnit, limit: 5 * timeUnit, claimers: "c", claims: 1, assigns: 1, modeRequesters: "l",
 		prefix: []string{"l asks for mode disconnected", "b goes on off the log", "s acknowledges b",
 			"c claims", "c reads the log", "l reads the log", "c asks whether l stopped"},
 		rules: rules{noConnected: true}}},
-	{"left mode", bounds{ttl: unit, limit: 5 * unit, claimers: "c", claims: 1, assigns: 1, askers: "l",
+	{"left mode", bounds{ttl: timeUnit, limit: 5 * timeUnit, claimers: "c", claims: 1, assigns: 1, modeRequesters: "l",
 		prefix: []string{"l asks for mode disconnected", "l asks for mode connected, request lost", "b goes on off the log",
 			"s acknowledges b", "c claims", "c reads the log", "l reads the log", "c asks whether l stopped"},
-		rules: rules{noLeft: true}}},
-	{"promise", bounds{ttl: 2 * unit, limit: 5 * unit, claimers: "c", claims: 1, assigns: 1,
+		rules: rules{noLeaveAck: true}}},
+	{"promise", bounds{ttl: 2 * timeUnit, limit: 5 * timeUnit, claimers: "c", claims: 1, assigns: 1,
 		prefix: []string{"c claims", "c reads the log", "b reads the log", "c asks whether b stopped"},
 		rules:  rules{noPromise: true}}},
-	{"one silent run", bounds{ttl: unit, limit: 3 * unit, claimers: "c", claims: 1, assigns: 1,
-		prefix: []string{"c claims", "c reads the log"}, rules: rules{noLone: true}}},
-	{"supersession", bounds{ttl: unit, limit: 2 * unit, claimers: "c", claims: 1, assigns: 1,
+	{"one silent run", bounds{ttl: timeUnit, limit: 3 * timeUnit, claimers: "c", claims: 1, assigns: 1,
+		prefix: []string{"c claims", "c reads the log"}, rules: rules{noSingleMissing: true}}},
+	{"supersession", bounds{ttl: timeUnit, limit: 2 * timeUnit, claimers: "c", claims: 1, assigns: 1,
 		prefix: []string{"time passes", "l sends a heartbeat"}, rules: rules{noSupersession: true}}},
-	{"tail after words", bounds{ttl: 2 * unit, limit: 5 * unit, claimers: "c", claims: 1, assigns: 1,
-		prefix: []string{"c claims", "c reads the log"}, rules: rules{noTail: true}}},
-	{"activation", bounds{ttl: unit, limit: 4 * unit, claimers: "c", claims: 1, assigns: 1,
+	{"tail after words", bounds{ttl: 2 * timeUnit, limit: 5 * timeUnit, claimers: "c", claims: 1, assigns: 1,
+		prefix: []string{"c claims", "c reads the log"}, rules: rules{noLastLease: true}}},
+	{"activation", bounds{ttl: timeUnit, limit: 4 * timeUnit, claimers: "c", claims: 1, assigns: 1,
 		rules: rules{noActivation: true}}},
 }
 
-func TestSearchFindsWhatEachRulePrevents(t *testing.T) {
-	for _, d := range dropped {
+func TestSearchFindsTwoOwnersWithoutEachRule(t *testing.T) {
+	for _, d := range droppedRules {
 		t.Run(d.name, func(t *testing.T) {
 			began := time.Now()
 			o := search(d.bounds, 2_000_000)
@@ -73,62 +73,62 @@
 	}
 }
 
-// whole are the searches with every rule in force. Within the bounds of one that
+// fullSearches are the searches with every rule in force. Within the bounds of one that
 // is complete, no two owners can come about. The long ones take minutes and run
 // with -search.long.
-var whole = []struct {
+var fullSearches = []struct {
 	name   string
 	long   bool
 	bounds bounds
 }{
-	{"disconnected pair", false, bounds{ttl: unit, limit: 2 * unit, askers: "l"}},
-	{"standby claims", false, bounds{ttl: unit, limit: 2 * unit, claimers: "b", claims: 1}},
-	{"other claims", false, bounds{ttl: unit, limit: 2 * unit, claimers: "c", claims: 1}},
-	{"former lessors' words", true, bounds{ttl: unit, limit: 2 * unit, claimers: "c", claims: 1, assigns: 1, askers: "l",
+	{"disconnected pair", false, bounds{ttl: timeUnit, limit: 2 * timeUnit, modeRequesters: "l"}},
+	{"standby claims", false, bounds{ttl: timeUnit, limit: 2 * timeUnit, claimers: "b", claims: 1}},
+	{"other claims", false, bounds{ttl: timeUnit, limit: 2 * timeUnit, claimers: "c", claims: 1}},
+	{"former lessors' words", true, bounds{ttl: timeUnit, limit: 2 * timeUnit, claimers: "c", claims: 1, assigns: 1, modeRequesters: "l",
 		prefix: []string{"l asks for mode disconnected", "c claims", "c reads the log", "l reads the log",
 			"c asks whether l stopped"}}},
-	{"words after an unsettled term", false, bounds{ttl: unit, limit: 2 * unit, claimers: "bc", claims: 2, assigns: 1,
+	{"words after an unsettled term", false, bounds{ttl: timeUnit, limit: 2 * timeUnit, claimers: "bc", claims: 2, assigns: 1,
 		prefix: []string{"c claims", "c reads the log", "b reads the log", "b claims", "b reads the log",
 			"c reads the log", "b asks whether c stopped"}}},
-	{"words of some former runs", false, bounds{ttl: unit, limit: 2 * unit, claimers: "c", claims: 1, assigns: 1, askers: "l",
-		formerMost: 1, prefix: []string{"l asks for mode disconnected", "b goes on off the log", "s acknowledges b",
+	{"words of some former runs", false, bounds{ttl: timeUnit, limit: 2 * timeUnit, claimers: "c", claims: 1, assigns: 1, modeRequesters: "l",
+		maxFormer: 1, prefix: []string{"l asks for mode disconnected", "b goes on off the log", "s acknowledges b",
 			"c claims", "c reads the log", "l reads the log", "c asks whether l stopped"}}},
-	{"delayed words", true, bounds{ttl: unit, limit: 3 * unit, claimers: "c", claims: 1, assigns: 1, askers: "l", delayed: true,
+	{"delayed words", true, bounds{ttl: timeUnit, limit: 3 * timeUnit, claimers: "c", claims: 1, assigns: 1, modeRequesters: "l", delayed: true,
 		prefix: []string{"l asks for mode disconnected", "c claims", "c reads the log"}}},
-	{"words, restarts", true, bounds{ttl: unit, limit: 3 * unit, claimers: "c", claims: 1, assigns: 1, askers: "l",
+	{"words, restarts", true, bounds{ttl: timeUnit, limit: 3 * timeUnit, claimers: "c", claims: 1, assigns: 1, modeRequesters: "l",
 		restarts: 1, nodeRestarts: 1, prefix: []string{"l asks for mode disconnected", "c claims", "c reads the log"}}},
-	{"a wait that goes on", false, bounds{ttl: unit, limit: 2 * unit, claimers: "bc", claims: 2, assigns: 1, askers: "l",
+	{"a wait that goes on", false, bounds{ttl: timeUnit, limit: 2 * timeUnit, claimers: "bc", claims: 2, assigns: 1, modeRequesters: "l",
 		prefix: []string{"l asks for mode disconnected", "b claims", "c reads the log", "time passes", "c claims",
 			"c reads the log", "b reads the log", "c asks whether b stopped"}}},
-	{"silent lessor", false, bounds{ttl: unit, limit: 3 * unit, claimers: "c", claims: 1, assigns: 1,
+	{"silent lessor", false, bounds{ttl: timeUnit, limit: 3 * timeUnit, claimers: "c", claims: 1, assigns: 1,
 		prefix: []string{"c claims", "c reads the log", "b reads the log", "c asks whether b stopped"}}},
-	{"silent standby lessor", false, bounds{ttl: unit, limit: 3 * unit, claimers: "c", claims: 1, assigns: 1,
+	{"silent standby lessor", false, bounds{ttl: timeUnit, limit: 3 * timeUnit, claimers: "c", claims: 1, assigns: 1,
 		prefix: []string{"c claims", "c reads the log", "l reads the log", "c asks whether l stopped"}}},
-	{"silent standby lessor that left disconnected mode", false, bounds{ttl: unit, limit: 2 * unit, claimers: "c", claims: 1,
-		assigns: 1, askers: "l", prefix: []string{"l asks for mode disconnected", "l asks for mode connected", "c claims",
+	{"silent standby lessor that left disconnected mode", false, bounds{ttl: timeUnit, limit: 2 * timeUnit, claimers: "c", claims: 1,
+		assigns: 1, modeRequesters: "l", prefix: []string{"l asks for mode disconnected", "l asks for mode connected", "c claims",
 			"c reads the log", "l reads the log", "c asks whether l stopped"}}},
-	{"silent lessor, disconnected pair", true, bounds{ttl: unit, limit: 3 * unit, claimers: "c", claims: 1, assigns: 1,
-		askers: "l", prefix: []string{"c claims", "c reads the log"}}},
-	{"disconnected pair, assignment", true, bounds{ttl: unit, limit: 2 * unit, askers: "l", assigns: 1}},
+	{"silent lessor, disconnected pair", true, bounds{ttl: timeUnit, limit: 3 * timeUnit, claimers: "c", claims: 1, assigns: 1,
+		modeRequesters: "l", prefix: []string{"c claims", "c reads the log"}}},
+	{"disconnected pair, assignment", true, bounds{ttl: timeUnit, limit: 2 * timeUnit, modeRequesters: "l", assigns: 1}},
 	{"standby claims, disconnected pair", true,
-		bounds{ttl: unit, limit: 2 * unit, claimers: "b", claims: 1, askers: "l"}},
+		bounds{ttl: timeUnit, limit: 2 * timeUnit, claimers: "b", claims: 1, modeRequesters: "l"}},
 	{"other claims, disconnected pair", true,
-		bounds{ttl: unit, limit: 2 * unit, claimers: "c", claims: 1, askers: "l"}},
+		bounds{ttl: timeUnit, limit: 2 * timeUnit, claimers: "c", claims: 1, modeRequesters: "l"}},
 	{"lessor claims, disconnected pair", true,
-		bounds{ttl: unit, limit: 2 * unit, claimers: "l", claims: 1, askers: "l"}},
-	{"longer leases", true, bounds{ttl: 2 * unit, limit: 3 * unit, claimers: "bc", claims: 1}},
-	{"two claims", true, bounds{ttl: unit, limit: 2 * unit, claimers: "bc", claims: 2}},
-	{"claim and assignment", true, bounds{ttl: unit, limit: 2 * unit, claimers: "bc", claims: 1, assigns: 1}},
+		bounds{ttl: timeUnit, limit: 2 * timeUnit, claimers: "l", claims: 1, modeRequesters: "l"}},
+	{"longer leases", true, bounds{ttl: 2 * timeUnit, limit: 3 * timeUnit, claimers: "bc", claims: 1}},
+	{"two claims", true, bounds{ttl: timeUnit, limit: 2 * timeUnit, claimers: "bc", claims: 2}},
+	{"claim and assignment", true, bounds{ttl: timeUnit, limit: 2 * timeUnit, claimers: "bc", claims: 1, assigns: 1}},
 }
 
-func TestSearchWhole(t *testing.T) {
-	for _, d := range whole {
+func TestSearchWithAllRules(t *testing.T) {
+	for _, d := range fullSearches {
 		if d.long && !*searchLong {
 			continue
 		}
 		t.Run(d.name, func(t *testing.T) {
 			began := time.Now()
-			o := search(d.bounds, *searchMost)
+			o := search(d.bounds, *maxSearchStates)
 			t.Logf("%v in %v", o, time.Since(began))
 			if o.path != nil {
 				t.Fail()
@@ -141,6 +141,6 @@
 }
 
 var (
-	searchMost = flag.Int("search.most", 3_000_000, "states after which a search is cut off")
-	searchLong = flag.Bool("search.long", false, "also run the searches that take minutes")
+	maxSearchStates = flag.Int("search.most", 3_000_000, "states after which a search is cut off")
+	searchLong      = flag.Bool("search.long", false, "also run the searches that take minutes")
 )
--- a/lessor/search_key_test.go
+++ b/lessor/search_key_test.go
@@ -52,11 +52,11 @@
 		k.num(-1)
 		return
 	}
-	k.num(int(min(k.w.now-m.at, most) / unit))
+	k.num(int(min(k.w.now-m.at, most) / timeUnit))
 }
 
-// left writes how far away a moment in the future is.
-func (k *keyWriter) left(at time.Duration) { k.num(int(max(0, at-k.w.now) / unit)) }
+// remaining writes how far away a moment in the future is.
+func (k *keyWriter) remaining(at time.Duration) { k.num(int(max(0, at-k.w.now) / timeUnit)) }
 
 // rank writes the place of n among the others.
 func (k *keyWriter) rank(n uint64, among ...uint64) {
@@ -73,10 +73,10 @@
 	k.ordinal(l.fence.Ordinal)
 	k.text(string(l.owner))
 	k.text(string(l.ownerBoot))
-	k.text(string(l.backup))
+	k.text(string(l.standbyServer))
 	k.num(l.claims)
 	k.num(l.assigns)
-	k.num(int(l.held))
+	k.num(int(l.heldSince))
 	k.num(int(l.since))
 	for _, run := range l.former {
 		k.formerRun(run)
@@ -87,7 +87,7 @@
 	n := &k.w.nodes[i]
 	m := n.member
 	ttl, limit := k.w.b.ttl, k.w.b.limit
-	k.num(n.runs)
+	k.num(n.boots)
 	k.num(int(n.submitted))
 	k.num(int(m.facts.Applied))
 	k.num(int(m.role))
@@ -97,20 +97,20 @@
 		k.age(m.contact, max(limit, ttl))
 	}
 	k.flag(m.claim.inFlight)
-	k.flag(m.claim.awaited)
+	k.flag(m.claim.maybeWritten)
 	k.ordinal(m.settledTerm.Ordinal)
 	k.ordinal(m.disconnectedTerm.Ordinal)
-	k.askedStandbys(m.asked.list)
-	for _, run := range m.silentRuns {
+	k.askedStandbys(m.askedStandbys.list)
+	for _, run := range m.unresponsive {
 		k.text(string(run.Boot))
 	}
-	if k.mayTakeOver(i) {
+	if k.mayWaitForPrevious(i) {
 		k.superseded(m)
 	}
-	if m.role == RoleStandby && !k.powerless(m.term.Standby()) {
-		k.standing(m)
+	if m.role == RoleStandby && !k.termUnusable(m.term.Standby()) {
+		k.standbyState(m)
 	}
-	if m.role == RoleLessor && !k.powerless(m.term) && !k.spent(m) {
+	if m.role == RoleLessor && !k.termUnusable(m.term) && !k.cannotRenew(m) {
 		k.lessor(i, m)
 	}
 }
@@ -123,10 +123,10 @@
 	}
 }
 
-// mayTakeOver reports whether a node has to wait for former lessors, or may come to.
-func (k *keyWriter) mayTakeOver(node int) bool {
+// mayWaitForPrevious reports whether a node has to wait for former lessors, or may come to.
+func (k *keyWriter) mayWaitForPrevious(node int) bool {
 	m := k.w.nodes[node].member
-	if m.asksForAcknowledgement() || m.claim.pending() || k.w.held != nil {
+	if m.asksForAcknowledgement() || m.claim.pending() || k.w.heldMessage != nil {
 		return true
 	}
 	return k.w.log.claims < k.w.b.claims && strings.Contains(k.w.b.claimers, string(nodeNames[node]))
@@ -144,10 +144,10 @@
 	}
 }
 
-// spent reports whether a lessor has no right to renew, and can get none but by
+// cannotRenew reports whether a lessor has no right to renew, and can get none but by
 // a promise that its standby lessor will never give again.
-func (k *keyWriter) spent(m *Member) bool {
-	if m.offLog || m.right.mode == ModeConnected || k.w.b.rules.noModes || k.w.held != nil {
+func (k *keyWriter) cannotRenew(m *Member) bool {
+	if m.offLog || m.right.mode == ModeConnected || k.w.b.rules.noModes || k.w.heldMessage != nil {
 		return false
 	}
 	if m.right.promise.fresher(k.w.now, k.w.b.ttl) {
@@ -162,9 +162,9 @@
 	return true
 }
 
-// powerless reports whether every server refuses a term for good, and the log
+// termUnusable reports whether every server refuses a term for good, and the log
 // takes no record under it.
-func (k *keyWriter) powerless(term topo.Term) bool {
+func (k *keyWriter) termUnusable(term topo.Term) bool {
 	return k.refusedForGood(0, term) && k.refusedForGood(1, term)
 }
 
@@ -178,16 +178,16 @@
 	return s.restarts >= k.w.b.restarts && term.Less(s.holder.State().Highest)
 }
 
-func (k *keyWriter) standing(m *Member) {
-	s := &m.standing
-	k.standingOf(s)
-	k.left(s.promised.at)
+func (k *keyWriter) standbyState(m *Member) {
+	s := &m.standbyState
+	k.reportedOffLog(s)
+	k.remaining(s.promisedUntil.at)
 	k.num(int(s.mode))
-	k.rank(s.round, k.modeRounds()...)
+	k.rank(s.modeRound, k.modeRounds()...)
 	k.flag(s.settled)
 }
 
-func (k *keyWriter) standingOf(s *standing) {
+func (k *keyWriter) reportedOffLog(s *standbyState) {
 	k.num(int(s.activated[searchShard]))
 	k.num(int(s.undecided[searchShard]))
 }
@@ -197,10 +197,10 @@
 	var rounds []uint64
 	for i := range k.w.nodes {
 		m := k.w.nodes[i].member
-		rounds = append(rounds, m.right.round, m.standing.round)
+		rounds = append(rounds, m.right.round, m.standbyState.modeRound)
 	}
-	if k.w.held != nil {
-		rounds = append(rounds, k.w.held.beat.ModeRound, k.w.held.answer.ModeRound)
+	if k.w.heldMessage != nil {
+		rounds = append(rounds, k.w.heldMessage.heartbeat.ModeRound, k.w.heldMessage.answer.ModeRound)
 	}
 	return rounds
 }
@@ -214,9 +214,9 @@
 	k.flag(m.right.acked)
 	k.num(int(m.takeover.basis))
 	k.num(int(min(m.takeover.before, 1<<14)))
-	k.left(m.leaseEnd(m.facts.Shards[searchShard].Policy).at)
+	k.remaining(m.leaseEnd(m.facts.Shards[searchShard].Policy).at)
 	k.former(m)
-	k.standingOf(&m.takeover.told)
+	k.reportedOffLog(&m.takeover.fromLessor)
 	k.flag(m.isSettled(m.facts.Shards[searchShard]))
 	if n, needed := m.needs[searchShard]; needed {
 		k.text(string(n.to))
@@ -225,7 +225,7 @@
 	if a, active := m.activated[searchShard]; active {
 		k.text(string(a.boot))
 		k.flag(a.granted)
-		k.rank(a.told, a.told, m.beats.round, k.heldRound())
+		k.rank(a.reportedRound, a.reportedRound, m.heartbeats.round, k.heldRound())
 	}
 	if mv, moving := m.moves[searchShard]; moving {
 		k.text(string(mv.To))
@@ -253,11 +253,11 @@
 	k.num(len(f.runs))
 	for _, run := range f.runs {
 		k.formerRun(run)
-		w, said := f.word(runOf(run))
+		w, said := f.reply(runOf(run))
 		k.flag(said)
 		if said {
 			k.ordinal(w.disconnected.Ordinal)
-			k.askedStandbys(w.asked)
+			k.askedStandbys(w.askedStandbys)
 		}
 	}
 }
@@ -269,10 +269,10 @@
 }
 
 func (k *keyWriter) heldRound() uint64 {
-	if k.w.held == nil {
+	if k.w.heldMessage == nil {
 		return 0
 	}
-	return max(k.w.held.beat.Round, k.w.held.answer.Round)
+	return max(k.w.heldMessage.heartbeat.Round, k.w.heldMessage.answer.Round)
 }
 
 func (k *keyWriter) granter(node, server int, m *Member, s *server) {
@@ -289,16 +289,16 @@
 	k.text(string(g.Boot))
 	// A stamp too old to be worth echoing makes no difference.
 	stampAge := k.w.now - fromWall(g.StampAt)
-	k.num(int(min(stampAge, ttl) / unit))
+	k.num(int(min(stampAge, ttl) / timeUnit))
 	if stampAge < ttl {
-		k.num(int((k.w.serverNow(server) - time.Duration(g.Stamp)) / unit))
+		k.num(int((k.w.serverNow(server) - time.Duration(g.Stamp)) / timeUnit))
 	}
-	k.left(fromWall(g.Until))
-	k.left(s.earlier)
-	k.flag(s.heardSince <= m.contact.at)
+	k.remaining(fromWall(g.Until))
+	k.remaining(s.earlierLeasesEnd)
+	k.flag(s.bootSeenAt <= m.contact.at)
 	k.flag(s.inFlight)
 	if s.inFlight {
-		k.num(int(min(k.w.now-s.sentAt, k.w.b.limit) / unit))
+		k.num(int(min(k.w.now-s.sentAt, k.w.b.limit) / timeUnit))
 	}
 	if !m.isSettled(m.facts.Shards[searchShard]) || len(m.needs) > 0 || len(m.activated) > 0 {
 		k.flag(s.acked)
@@ -321,7 +321,7 @@
 		list = append(list, s.generation, s.reported, s.revoked[searchShard])
 	}
 	list = append(list, k.w.servers[server].holder.State().Generation)
-	if h := k.w.held; h != nil && h.server == server {
+	if h := k.w.heldMessage; h != nil && h.server == server {
 		list = append(list, h.order.Generation, h.report.Generation)
 	}
 	return list
@@ -334,7 +334,7 @@
 	k.num(s.restarts)
 	k.ordinal(h.Highest.Ordinal)
 	k.text(h.Lessor)
-	k.num(int(max(0, h.Expires-now) / unit))
+	k.num(int(max(0, h.Expires-now) / timeUnit))
 	k.ordinal(h.ListTerm.Ordinal)
 	k.rank(h.Generation, k.allGenerations(i)...)
 	k.ordinal(h.HighestFence[searchShard].Ordinal)
@@ -353,7 +353,7 @@
 }
 
 func (k *keyWriter) message() {
-	h := k.w.held
+	h := k.w.heldMessage
 	if h == nil {
 		return
 	}
@@ -366,14 +366,14 @@
 	case "renewed":
 		k.report(h)
 	case "beat":
-		k.num(int(h.beat.Mode))
-		k.rank(h.beat.ModeRound, k.modeRounds()...)
-		k.flag(h.beat.Settled)
-		k.num(int(h.beat.Applied))
-		k.num(len(h.beat.Activated))
-		k.num(len(h.beat.Undecided))
-		k.ordinal(h.beat.Term.Ordinal)
-		k.age(momentAt(k.w.nodes[h.node].member.beats.sent[h.beat.Round]), k.w.b.ttl)
+		k.num(int(h.heartbeat.Mode))
+		k.rank(h.heartbeat.ModeRound, k.modeRounds()...)
+		k.flag(h.heartbeat.Settled)
+		k.num(int(h.heartbeat.Applied))
+		k.num(len(h.heartbeat.Activated))
+		k.num(len(h.heartbeat.Undecided))
+		k.ordinal(h.heartbeat.Term.Ordinal)
+		k.age(momentAt(k.w.nodes[h.node].member.heartbeats.sent[h.heartbeat.Round]), k.w.b.ttl)
 	case "answer":
 		k.text(string(h.answer.From.Boot))
 		k.ordinal(h.answer.HighestTerm.Ordinal)
@@ -384,7 +384,7 @@
 		k.num(int(h.answer.Mode))
 		k.rank(h.answer.ModeRound, k.modeRounds()...)
 		k.ordinal(h.answer.Term.Ordinal)
-		k.age(momentAt(k.w.nodes[h.node].member.beats.sent[h.answer.Round]), k.w.b.ttl)
+		k.age(momentAt(k.w.nodes[h.node].member.heartbeats.sent[h.answer.Round]), k.w.b.ttl)
 	case "record":
 		k.record(h.record)
 	}
@@ -395,7 +395,7 @@
 	k.ordinal(o.Term.Ordinal)
 	k.text(string(o.Boot))
 	echoAge := k.w.serverNow(h.server) - time.Duration(o.Echo)
-	k.num(int(min(echoAge, k.w.b.ttl) / unit))
+	k.num(int(min(echoAge, k.w.b.ttl) / timeUnit))
 	k.rank(o.Generation, k.generations(h.node, h.server)...)
 	k.flag(o.Full)
 	for _, grant := range o.Grants {
@@ -407,10 +407,10 @@
 	r := h.report
 	k.text(r.Refused)
 	k.text(string(r.Boot))
-	k.num(int((k.w.serverNow(h.server) - time.Duration(r.Stamp)) / unit))
+	k.num(int((k.w.serverNow(h.server) - time.Duration(r.Stamp)) / timeUnit))
 	k.ordinal(r.HighestTerm.Ordinal)
 	k.rank(r.Generation, k.generations(h.node, h.server)...)
-	k.num(int(r.Remaining / unit))
+	k.num(int(r.Remaining / timeUnit))
 	k.flag(r.HasActive)
 	for _, grant := range r.Active {
 		k.ordinal(grant.Fence.Ordinal)
--- a/lessor/search_run_test.go
+++ b/lessor/search_run_test.go
@@ -27,19 +27,19 @@
 
 // trace leads back from a world to the first one.
 type trace struct {
-	before *trace
-	name   string
+	previous *trace
+	name     string
 }
 
 func (t *trace) names() []string {
 	var names []string
-	for ; t != nil && t.before != nil; t = t.before {
+	for ; t != nil && t.previous != nil; t = t.previous {
 		names = append([]string{t.name}, names...)
 	}
 	return names
 }
 
-type reached struct {
+type frontEntry struct {
 	world *world
 	trace *trace
 }
@@ -52,9 +52,9 @@
 func search(b bounds, most int) outcome {
 	defer debug.SetGCPercent(debug.SetGCPercent(gcPercent))
 	seen := map[worldKey]struct{}{}
-	first := newSearchWorld(&b).follow(b.prefix)
+	first := newSearchWorld(&b).takeSteps(b.prefix)
 	seen[first.key()] = struct{}{}
-	front := []reached{{first, &trace{}}}
+	front := []frontEntry{{first, &trace{}}}
 	result := outcome{}
 	for len(front) > 0 {
 		next, bad := expand(front, seen, most)
@@ -73,8 +73,8 @@
 	return result
 }
 
-// follow takes the named steps.
-func (w *world) follow(names []string) *world {
+// takeSteps takes the named steps.
+func (w *world) takeSteps(names []string) *world {
 	for _, name := range names {
 		steps := w.steps()
 		i := slices.IndexFunc(steps, func(s step) bool { return s.name == name })
@@ -86,17 +86,17 @@
 	return w
 }
 
-// found is one step of an expansion, with its key.
-type found struct {
+// keyedStep is one step of an expansion, with its key.
+type keyedStep struct {
 	step
 	key worldKey
 }
 
 // expand returns the worlds that follow a front and were not seen before.
-func expand(front []reached, seen map[worldKey]struct{}, most int) ([]reached, *trace) {
+func expand(front []frontEntry, seen map[worldKey]struct{}, most int) ([]frontEntry, *trace) {
 	const chunk = 256
-	var next []reached
-	results := make([][]found, chunk)
+	var next []frontEntry
+	results := make([][]keyedStep, chunk)
 	for start := 0; start < len(front) && len(seen) < most; start += chunk {
 		part := front[start:min(start+chunk, len(front))]
 		expandPart(part, results)
@@ -106,11 +106,11 @@
 					continue
 				}
 				seen[f.key] = struct{}{}
-				way := &trace{before: part[i].trace, name: f.name}
+				path := &trace{previous: part[i].trace, name: f.name}
 				if f.world.owners() > 1 {
-					return nil, way
+					return nil, path
 				}
-				next = append(next, reached{f.world, way})
+				next = append(next, frontEntry{f.world, path})
 			}
 			front[start+i].world = nil
 		}
@@ -119,7 +119,7 @@
 }
 
 // expandPart finds the steps of several worlds at once.
-func expandPart(part []reached, results [][]found) {
+func expandPart(part []frontEntry, results [][]keyedStep) {
 	workers := min(2, runtime.GOMAXPROCS(0))
 	var wait sync.WaitGroup
 	for worker := range workers {
@@ -127,7 +127,7 @@
 			for i := worker; i < len(part); i += workers {
 				results[i] = results[i][:0]
 				for _, s := range part[i].world.steps() {
-					results[i] = append(results[i], found{s, s.world.key()})
+					results[i] = append(results[i], keyedStep{s, s.world.key()})
 				}
 			}
 		})
--- a/lessor/search_test.go
+++ b/lessor/search_test.go
@@ -15,18 +15,18 @@
 // steps returns every world that can follow w.
 func (w *world) steps() []step {
 	e := &explorer{from: w}
-	e.try("time passes", func(w *world) bool { w.now += unit; return true })
+	e.try("time passes", func(w *world) bool { w.now += timeUnit; return true })
 	for node := range w.nodes {
 		e.nodeSteps(node)
 	}
 	e.serverRestarts()
 	e.heldSteps()
-	return e.found
+	return e.next
 }
 
 type explorer struct {
-	from  *world
-	found []step
+	from *world
+	next []step
 }
 
 // try keeps the world that a change leads to, if the change is possible.
@@ -35,13 +35,13 @@
 	if !change(next) {
 		return
 	}
-	next.tidy()
-	e.found = append(e.found, step{name, next})
+	next.normalize()
+	e.next = append(e.next, step{name, next})
 }
 
-// tidy takes up what needs no contact, so that worlds which differ only in that
+// normalize takes up what needs no contact, so that worlds which differ only in that
 // count as one.
-func (w *world) tidy() {
+func (w *world) normalize() {
 	for i := range w.nodes {
 		if w.nodes[i].member.settling {
 			w.member(i).advance(w.clock(i))
@@ -50,9 +50,9 @@
 			continue
 		}
 		m := w.nodes[i].member
-		for round := range m.beats.sent {
-			if w.held == nil || (w.held.beat.Round != round && w.held.answer.Round != round) {
-				delete(m.beats.sent, round)
+		for round := range m.heartbeats.sent {
+			if w.heldMessage == nil || (w.heldMessage.heartbeat.Round != round && w.heldMessage.answer.Round != round) {
+				delete(m.heartbeats.sent, round)
 			}
 		}
 	}
@@ -67,10 +67,10 @@
 		e.try(name+" learns records from a peer", func(w *world) bool { w.readLog(node, false); return true })
 	}
 	e.claimSteps(node, name)
-	if w.nodes[node].runs <= w.b.nodeRestarts {
+	if w.nodes[node].boots <= w.b.nodeRestarts {
 		e.try(name+" restarts", func(w *world) bool { return w.restartNode(node) })
 	}
-	if m.mayGoOn() {
+	if m.mayTakeOverOffLog() {
 		e.try(name+" goes on off the log", func(w *world) bool { return w.member(node).BeginGoOn(w.clock(node)) })
 	}
 	if m.role == RoleLessor {
@@ -80,12 +80,12 @@
 
 func (w *world) restartNode(node int) bool {
 	n := &w.nodes[node]
-	n.runs++
+	n.boots++
 	n.submitted, n.number = 0, 0
-	n.member = NewMember(w.b.config(node, n.runs))
+	n.member = NewMember(w.b.config(node, n.boots))
 	w.ownedNodes[node] = true
 	n.member.rules = w.b.rules
-	n.member.rules.eager = !w.b.lazy
+	n.member.rules.eager = !w.b.followPlans
 	w.readLog(node, false)
 	return true
 }
@@ -98,19 +98,19 @@
 	if e.from.log.claims < e.from.b.claims {
 		e.try(name+" claims", func(w *world) bool { return w.claim(node) })
 	}
-	if e.from.b.delayed && e.from.held == nil && e.from.log.claims < e.from.b.claims {
+	if e.from.b.delayed && e.from.heldMessage == nil && e.from.log.claims < e.from.b.claims {
 		e.try(name+" claims, record held back", func(w *world) bool {
 			claim, _, allowed := w.member(node).BeginClaim(w.clock(node))
-			w.held = &message{kind: "record", node: node, record: record{node: node, claim: &claim, self: w.runOf(node)}}
+			w.heldMessage = &message{kind: "record", node: node, record: record{node: node, claim: &claim, self: w.runOf(node)}}
 			return allowed
 		})
 	}
 }
 
-// ways that a call can go besides its whole success.
-func (w *world) ways() []string {
+// callFailures that a call can go besides its whole success.
+func (w *world) callFailures() []string {
 	ways := []string{"", "reply lost"}
-	if w.b.delayed && w.held == nil {
+	if w.b.delayed && w.heldMessage == nil {
 		ways = append(ways, "request held", "reply held")
 	}
 	return ways
@@ -127,9 +127,9 @@
 	m := e.from.nodes[node].member
 	_, hasStandby := e.from.standbyOf(node)
 	hasStandby = hasStandby && !m.offLog
-	for _, way := range e.from.ways() {
+	for _, way := range e.from.callFailures() {
 		if hasStandby {
-			e.try(label(name+" sends a heartbeat", way), func(w *world) bool { return w.beatFrom(node, way) })
+			e.try(label(name+" sends a heartbeat", way), func(w *world) bool { return w.heartbeat(node, way) })
 		}
 		for s := range serverNames {
 			server := string(serverNames[s])
@@ -150,12 +150,12 @@
 	}
 	e.askSteps(node, name)
 	for _, mode := range []Mode{ModeConnected, ModeDisconnected} {
-		if !hasStandby || m.right.asked == mode || !strings.Contains(e.from.b.askers, name) {
+		if !hasStandby || m.right.asked == mode || !strings.Contains(e.from.b.modeRequesters, name) {
 			continue
 		}
-		for _, way := range append(e.from.ways(), "request lost") {
+		for _, way := range append(e.from.callFailures(), "request lost") {
 			e.try(label(name+" asks for mode "+mode.String(), way), func(w *world) bool {
-				return w.member(node).BeginChangeMode(mode) && (way == "request lost" || w.beatFrom(node, way))
+				return w.member(node).BeginChangeMode(mode) && (way == "request lost" || w.heartbeat(node, way))
 			})
 		}
 	}
@@ -175,10 +175,10 @@
 	if !m.asksForAcknowledgement() {
 		return
 	}
-	for _, former := range m.takeover.former.asks(m.self()) {
+	for _, former := range m.takeover.former.nodesToAsk(m.self()) {
 		what := name + " asks whether " + string(former) + " stopped"
 		e.try(what, func(w *world) bool { return w.ask(node, former, "") })
-		if e.from.b.delayed && e.from.held == nil {
+		if e.from.b.delayed && e.from.heldMessage == nil {
 			e.try(label(what, "reply held"), func(w *world) bool { return w.ask(node, former, "reply held") })
 		}
 	}
@@ -213,10 +213,10 @@
 		r, due := begin(w)
 		return due && w.deliver(r)
 	})
-	if e.from.b.delayed && e.from.held == nil {
+	if e.from.b.delayed && e.from.heldMessage == nil {
 		e.try(name+" writes an assignment, held back", func(w *world) bool {
 			r, due := begin(w)
-			w.held = &message{kind: "record", node: node, record: r}
+			w.heldMessage = &message{kind: "record", node: node, record: r}
 			return due
 		})
 	}
@@ -253,30 +253,30 @@
 
 // heldSteps delivers what was held back, or loses it.
 func (e *explorer) heldSteps() {
-	if e.from.held == nil {
+	if e.from.heldMessage == nil {
 		return
 	}
-	e.try("held "+e.from.held.kind+" arrives", func(w *world) bool {
-		h := w.held
-		w.held = nil
-		w.arrive(h)
+	e.try("held "+e.from.heldMessage.kind+" arrives", func(w *world) bool {
+		h := w.heldMessage
+		w.heldMessage = nil
+		w.deliverHeld(h)
 		return true
 	})
-	e.try("held "+e.from.held.kind+" arrives, and will again", func(w *world) bool {
-		if w.held.kind == "record" {
+	e.try("held "+e.from.heldMessage.kind+" arrives, and will again", func(w *world) bool {
+		if w.heldMessage.kind == "record" {
 			return false // the log takes a record once
 		}
-		w.arrive(w.held)
+		w.deliverHeld(w.heldMessage)
 		return true
 	})
-	e.try("held "+e.from.held.kind+" is lost", func(w *world) bool {
-		h := w.held
-		w.held = nil
-		return w.lose(h)
+	e.try("held "+e.from.heldMessage.kind+" is lost", func(w *world) bool {
+		h := w.heldMessage
+		w.heldMessage = nil
+		return w.dropHeld(h)
 	})
 }
 
-func (w *world) arrive(h *message) {
+func (w *world) deliverHeld(h *message) {
 	switch h.kind {
 	case "renew":
 		run := Run{Node: nodeNames[h.node], Boot: nodeBoot(h.node, 1)}
@@ -286,7 +286,7 @@
 	case "beat":
 		for i := range w.nodes {
 			if i != h.node {
-				w.member(i).HeartbeatReceived(w.clock(i), h.beat)
+				w.member(i).HeartbeatReceived(w.clock(i), h.heartbeat)
 			}
 		}
 	case "answer":
@@ -296,11 +296,11 @@
 	}
 }
 
-func (w *world) lose(h *message) bool {
+func (w *world) dropHeld(h *message) bool {
 	m := w.member(h.node)
 	switch {
 	case h.kind == "renewed":
-		w.fail(h.node, h.server, h.attempt)
+		w.failAttempt(h.node, h.server, h.attempt)
 	case h.kind == "record" && w.runOf(h.node) != h.record.self:
 	case h.kind == "record" && h.record.claim != nil:
 		m.ClaimFailed(w.clock(h.node), m.claim.number, false)
--- a/lessor/search_world_test.go
+++ b/lessor/search_world_test.go
@@ -20,44 +20,44 @@
 // any length are all in.
 
 const (
-	unit     = time.Millisecond // of the search's time
-	nodeMost = 3
+	timeUnit  = time.Millisecond // of the search's time
+	nodeCount = 3
 )
 
 var (
 	searchShard = topo.ShardID{Service: "svc"}
-	nodeNames   = [nodeMost]topo.NodeID{"l", "b", "c"}
+	nodeNames   = [nodeCount]topo.NodeID{"l", "b", "c"}
 	serverNames = [2]topo.ServerID{"s", "t"}
 	searchGroup = topo.GroupID("z/0")
 )
 
 // bounds limits the search.
 type bounds struct {
-	ttl, limit   time.Duration // lease TTL and MaxDisconnected
-	claims       int           // records that may take a term after the first
-	assigns      int           // records of assignments
-	claimers     string        // the nodes that may claim
-	askers       string        // the nodes that may ask for disconnected mode
-	restarts     int           // of servers
-	nodeRestarts int
-	lossy        bool     // replies to renewals and acknowledgements may be lost
-	delayed      bool     // one message, or one record, may be held back
-	relay        bool     // nodes may learn records without log contact
-	prefix       []string // steps that are taken first
-	lazy         bool     // members follow their plans, at intervals
-	formerMost   int      // former runs that the log lists; 0 for formerKept
-	rules        rules
+	ttl, limit     time.Duration // lease TTL and MaxDisconnected
+	claims         int           // records that may take a term after the first
+	assigns        int           // records of assignments
+	claimers       string        // the nodes that may claim
+	modeRequesters string        // the nodes that may ask for disconnected mode
+	restarts       int           // of servers
+	nodeRestarts   int
+	lossy          bool     // replies to renewals and acknowledgements may be lost
+	delayed        bool     // one message, or one record, may be held back
+	relay          bool     // nodes may learn records without log contact
+	prefix         []string // steps that are taken first
+	followPlans    bool     // members follow their plans, at intervals
+	maxFormer      int      // former runs that the log lists; 0 for formerKept
+	rules          rules
 	// Clocks run at so many parts per million of the world's time; 0 is the
 	// same speed. drift is the bound that the nodes count with.
-	nodeRates   [nodeMost]int64
+	nodeRates   [nodeCount]int64
 	serverRates [2]int64
 	drift       int
 }
 
 const million = 1_000_000
 
-// at returns what a clock shows.
-func at(now time.Duration, rate int64) time.Duration {
+// clockReading returns what a clock shows.
+func clockReading(now time.Duration, rate int64) time.Duration {
 	if rate == 0 {
 		return now
 	}
@@ -66,24 +66,24 @@
 
 // searchLog is the log's state after some records.
 type searchLog struct {
-	next      topo.Offset
-	term      topo.Term
-	lessor    Run
-	standby   Run
-	fence     topo.Fence
-	owner     topo.ServerID
-	ownerBoot topo.BootID
-	backup    topo.ServerID
-	claims    int
-	assigns   int
-	runs      [nodeMost]int // of the nodes that joined
-	held      topo.Offset   // see state.Group.HeldSince
-	former    [formerKept]state.FormerRun
-	since     topo.Offset // of former; zero if there is none
+	next          topo.Offset
+	term          topo.Term
+	lessor        Run
+	standby       Run
+	fence         topo.Fence
+	owner         topo.ServerID
+	ownerBoot     topo.BootID
+	standbyServer topo.ServerID
+	claims        int
+	assigns       int
+	boots         [nodeCount]int // of the nodes that joined
+	heldSince     topo.Offset    // see state.Group.HeldSince
+	former        [maxFormerRuns]state.FormerRun
+	since         topo.Offset // of former; zero if there is none
 }
 
-// formerKept is the most runs that a searched log can list: two of each node.
-const formerKept = 2 * nodeMost
+// maxFormerRuns is the most runs that a searched log can list: two of each node.
+const maxFormerRuns = 2 * nodeCount
 
 // group returns the group as the state keeps it.
 func (l *searchLog) group() state.Group {
@@ -91,7 +91,7 @@
 		ID: searchGroup, Term: l.term,
 		Lessor: l.lessor.Node, LessorBoot: l.lessor.Boot,
 		Standby: l.standby.Node, StandbyBoot: l.standby.Boot,
-		HeldSince: l.held,
+		HeldSince: l.heldSince,
 	}
 	if l.since == 0 {
 		return group
@@ -105,17 +105,17 @@
 	return group
 }
 
-// claimed takes the group's next term, and keeps at most so many former runs.
-func (l *searchLog) claimed(term topo.Term, lessor, standby Run, settled bool, most int) {
+// applyClaim takes the group's next term, and keeps at most so many former runs.
+func (l *searchLog) applyClaim(term topo.Term, lessor, standby Run, settled bool, most int) {
 	next := l.group().FormerAfter(settled)
 	if settled {
-		l.held = l.term.Offset
+		l.heldSince = l.term.Offset
 	}
 	if l.term.IsZero() {
-		l.held = term.Offset
+		l.heldSince = term.Offset
 	}
 	l.term, l.lessor, l.standby = term, lessor, standby
-	l.former, l.since = [formerKept]state.FormerRun{}, 0
+	l.former, l.since = [maxFormerRuns]state.FormerRun{}, 0
 	if next == nil {
 		return
 	}
@@ -137,15 +137,15 @@
 
 // message is the one thing that is held back.
 type message struct {
-	kind    string // "renew", "renewed", "beat", "answer", "record"
-	node    int    // its lessor
-	server  int
-	order   LeaseOrder
-	report  LeaseReport
-	beat    Heartbeat
-	answer  HeartbeatReply
-	attempt uint64
-	record  record
+	kind      string // "renew", "renewed", "beat", "answer", "record"
+	node      int    // its lessor
+	server    int
+	order     LeaseOrder
+	report    LeaseReport
+	heartbeat Heartbeat
+	answer    HeartbeatReply
+	attempt   uint64
+	record    record
 }
 
 type searchServer struct {
@@ -156,22 +156,22 @@
 
 type searchNode struct {
 	member *Member
-	runs   int
+	boots  int
 	// submitted is the offset of the record under way, if it is in the log.
 	submitted topo.Offset
 	number    uint64
 }
 
 type world struct {
-	b       *bounds
-	now     time.Duration
-	log     searchLog
-	nodes   [nodeMost]searchNode
-	servers [2]searchServer
-	held    *message
-	facts   *factsCache
+	b           *bounds
+	now         time.Duration
+	log         searchLog
+	nodes       [nodeCount]searchNode
+	servers     [2]searchServer
+	heldMessage *message
+	facts       *factsCache
 	// owned marks what this world shares with no other.
-	ownedNodes   [nodeMost]bool
+	ownedNodes   [nodeCount]bool
 	ownedServers [2]bool
 }
 
@@ -200,7 +200,7 @@
 		// Everything is due at any time; the search decides what happens.
 		MoveTimeout: time.Hour,
 	}
-	if b.lazy {
+	if b.followPlans {
 		config.RenewEvery = b.ttl / 4
 		config.HeartbeatEvery = b.ttl / 12
 		config.SuspectAfter = b.ttl / 3
@@ -219,9 +219,9 @@
 	policy := &Policy{ChecksFencing: true, MaxDisconnected: c.b.limit, TakeoverLimit: c.b.limit}
 	shard := Shard{
 		Assignment: state.Assignment{
-			Shard: searchShard, Fence: log.fence, Owner: log.owner, OwnerBoot: log.ownerBoot, Standby: log.backup,
+			Shard: searchShard, Fence: log.fence, Owner: log.owner, OwnerBoot: log.ownerBoot, Standby: log.standbyServer,
 		},
-		StandbyHere: log.backup != "",
+		StandbyHere: log.standbyServer != "",
 		Policy:      policy,
 	}
 	facts := &Facts{
@@ -238,7 +238,7 @@
 		facts.Targets["svc"] = append(facts.Targets["svc"], Target{ID: id, Zone: "z", Group: searchGroup})
 	}
 	for i, id := range nodeNames {
-		facts.Nodes = append(facts.Nodes, state.Node{ID: id, Boot: nodeBoot(i, log.runs[i]), Zone: "z"})
+		facts.Nodes = append(facts.Nodes, state.Node{ID: id, Boot: nodeBoot(i, log.boots[i]), Zone: "z"})
 	}
 	c.made[log] = facts
 	return facts
@@ -248,14 +248,14 @@
 // the shard to the first server.
 func newSearchWorld(b *bounds) *world {
 	w := &world{b: b, facts: &factsCache{b: b, made: map[searchLog]*Facts{}}}
-	first := searchLog{next: 10, owner: serverNames[0], ownerBoot: serverBoot(0, 1), backup: serverNames[1],
-		fence: topo.MakeFence(9, 0), runs: [nodeMost]int{1, 1, 1}}
+	first := searchLog{next: 10, owner: serverNames[0], ownerBoot: serverBoot(0, 1), standbyServer: serverNames[1],
+		fence: topo.MakeFence(9, 0), boots: [nodeCount]int{1, 1, 1}}
 	w.log = first
 	for i := range w.nodes {
-		w.nodes[i] = searchNode{member: NewMember(b.config(i, 1)), runs: 1}
+		w.nodes[i] = searchNode{member: NewMember(b.config(i, 1)), boots: 1}
 		w.ownedNodes[i] = true
 		w.nodes[i].member.rules = b.rules
-		w.nodes[i].member.rules.eager = !b.lazy
+		w.nodes[i].member.rules.eager = !b.followPlans
 		w.readLog(i, true)
 	}
 	for i := range w.servers {
@@ -274,7 +274,7 @@
 			w.renew(0, s, "")
 		}
 	}
-	w.beat("")
+	w.firstHeartbeat("")
 	return w
 }
 
@@ -283,7 +283,7 @@
 // clone returns a copy that shares members and holders until they are changed.
 func (w *world) clone() *world {
 	next := *w
-	next.ownedNodes = [nodeMost]bool{}
+	next.ownedNodes = [nodeCount]bool{}
 	next.ownedServers = [2]bool{}
 	return &next
 }
@@ -308,10 +308,10 @@
 
 func (m *Member) clone() *Member {
 	next := *m
-	next.standing.activated = copyMap(m.standing.activated)
-	next.standing.undecided = copyMap(m.standing.undecided)
+	next.standbyState.activated = copyMap(m.standbyState.activated)
+	next.standbyState.undecided = copyMap(m.standbyState.undecided)
 	next.watch.nodes = map[topo.NodeID]*watched{}
-	next.beats.sent = copyMap(m.beats.sent)
+	next.heartbeats.sent = copyMap(m.heartbeats.sent)
 	next.servers = make(map[topo.ServerID]*server, len(m.servers))
 	for id, s := range m.servers {
 		copied := *s
@@ -372,7 +372,7 @@
 		if r.claim.Expected != w.log.term {
 			return false
 		}
-		w.log.claimed(topo.MakeTerm(offset, 0), r.self, r.claim.Standby, r.claim.Settled, cmp.Or(w.b.formerMost, formerKept))
+		w.log.applyClaim(topo.MakeTerm(offset, 0), r.self, r.claim.Standby, r.claim.Settled, cmp.Or(w.b.maxFormer, maxFormerRuns))
 		w.log.claims++
 		return true
 	}
@@ -384,18 +384,18 @@
 			return false
 		}
 		w.log.fence = topo.MakeFence(offset, 0)
-		w.log.owner, w.log.ownerBoot, w.log.backup = a.Owner, a.OwnerBoot, a.Standby
+		w.log.owner, w.log.ownerBoot, w.log.standbyServer = a.Owner, a.OwnerBoot, a.Standby
 	}
 	w.log.assigns++
 	return true
 }
 
 // clock is what a node's clock shows.
-func (w *world) clock(node int) time.Duration { return at(w.now, w.b.nodeRates[node]) }
+func (w *world) clock(node int) time.Duration { return clockReading(w.now, w.b.nodeRates[node]) }
 
 // serverNow is what a server's clock shows, from its start on.
 func (w *world) serverNow(server int) time.Duration {
-	return at(w.now-w.servers[server].started, w.b.serverRates[server])
+	return clockReading(w.now-w.servers[server].started, w.b.serverRates[server])
 }
 
 // owners counts the servers that would serve the shard now.
--- a/lessor/server.go
+++ b/lessor/server.go
@@ -12,20 +12,20 @@
 // server is what a lessor knows of one backend server of its group.
 type server struct {
 	granter lease.Granter
-	// heardSince is when the server's present run was heard first.
-	heardSince time.Duration
-	// earlier is when the leases of the server's earlier runs have ended, in
+	// bootSeenAt is when the server's present run was heard first.
+	bootSeenAt time.Duration
+	// earlierLeasesEnd is when the leases of the server's earlier runs have ended, in
 	// case one is only paused.
-	earlier time.Duration
+	earlierLeasesEnd time.Duration
 
 	// One lease or acknowledgement call is in flight at a time; replies to
 	// earlier ones are dropped.
-	attempt  uint64
-	inFlight bool
-	sentAt   time.Duration
-	nextAt   time.Duration // not before
-	failures int           // attempts without an answer, in a row
-	heard    moment        // latest answer
+	attempt   uint64
+	inFlight  bool
+	sentAt    time.Duration
+	notBefore time.Duration // not before
+	failures  int           // attempts without an answer, in a row
+	lastReply moment        // latest answer
 	// refused is why the latest answer refused, and highest the highest term that it
 	// told.
 	refused string
@@ -63,9 +63,9 @@
 // boot returns the run of the server that was heard last.
 func (s *server) boot() topo.BootID { return s.granter.Boot() }
 
-// lapsed reports whether no lease that this lessor renewed, or that the server
+// expired reports whether no lease that this lessor renewed, or that the server
 // reported, is valid any longer.
-func (s *server) lapsed(now time.Duration) bool { return s.granter.Lapsed(wall(now)) }
+func (s *server) expired(now time.Duration) bool { return s.granter.Lapsed(wall(now)) }
 
 // suspected reports whether the server has not answered repeatedly.
 func (s *server) suspected() bool { return s.failures >= suspectFailures }
@@ -110,9 +110,9 @@
 	return id
 }
 
-// handedBack reports whether the server has said that it no longer serves a
+// released reports whether the server has said that it no longer serves a
 // shard that is not on its list, and has nothing of it in flight.
-func (s *server) handedBack(id topo.ShardID) bool {
+func (s *server) released(id topo.ShardID) bool {
 	first := max(s.revoked[id], s.revoked[rangeOf(id)], 1)
 	return s.reported >= first && !s.busy[id] && !s.lists(id)
 }
@@ -136,25 +136,25 @@
 	}
 	s.inFlight = false
 	s.failures = 0
-	s.heard = momentAt(now)
+	s.lastReply = momentAt(now)
 	if m.role == RoleStandby {
-		m.standing.reached = momentAt(now)
-		s.nextAt = now + m.cfg.SuspectAfter
+		m.standbyState.lastServerReply = momentAt(now)
+		s.notBefore = now + m.cfg.SuspectAfter
 		return
 	}
 	before := s.boot()
 	s.granter.Replied(replyOf(report), wall(s.sentAt), wall(now))
 	if s.boot() != before {
-		s.heardSince = now
+		s.bootSeenAt = now
 		s.reported = 0
 		if before != "" {
-			s.earlier = fromWall(s.granter.Until())
+			s.earlierLeasesEnd = fromWall(s.granter.Until())
 		}
 	}
 	s.draining = report.Draining
 	s.refused, s.highest = report.Refused, report.HighestTerm
-	s.take(report, m.term)
-	s.nextAt = s.sentAt + m.pauseAfter(report, s)
+	s.applyReport(report, m.term)
+	s.notBefore = s.sentAt + m.pauseAfter(report, s)
 	m.advance(now)
 }
 
@@ -168,13 +168,13 @@
 		return m.cfg.RetryAfter
 	}
 	if s.generation == 0 || s.reported < s.generation {
-		return m.cfg.RenewEvery / soonPerRenewal
+		return m.cfg.RenewEvery / promptRenewalsPerInterval
 	}
 	return m.cfg.RenewEvery
 }
 
-// take notes what a reply says of grants.
-func (s *server) take(report LeaseReport, term topo.Term) {
+// applyReport notes what a reply says of grants.
+func (s *server) applyReport(report LeaseReport, term topo.Term) {
 	if report.HasActive {
 		s.active = make(map[topo.ShardID]topo.Fence, len(report.Active))
 		for _, g := range report.Active {
@@ -194,12 +194,12 @@
 	}
 }
 
-// hurryNew makes the next renewal of servers that own new fences due at once.
-func (m *Member) hurryNew(before *Facts) {
+// expediteNewFences makes the next renewal of servers that own new fences due at once.
+func (m *Member) expediteNewFences(before *Facts) {
 	for id, shards := range m.facts.ShardsOf {
 		for _, shard := range shards {
 			if m.facts.Shards[shard].Fence != before.Shards[shard].Fence {
-				m.server(id).nextAt = 0
+				m.server(id).notBefore = 0
 				break
 			}
 		}
@@ -225,9 +225,9 @@
 	}
 	s.inFlight = false
 	s.failures++
-	s.nextAt = now
+	s.notBefore = now
 	if s.suspected() {
-		s.nextAt = max(now, s.sentAt+m.cfg.RenewEvery)
+		s.notBefore = max(now, s.sentAt+m.cfg.RenewEvery)
 	}
 	m.advance(now)
 }
@@ -249,7 +249,7 @@
 		return true
 	}
 	s, exists := m.servers[id]
-	return exists && (s.suspected() || m.rules.eager) && s.lapsed(now)
+	return exists && (s.suspected() || m.rules.eager) && s.expired(now)
 }
 
 // confirmedLost reports whether a server is known to have stopped. One that
--- a/lessor/settle.go
+++ b/lessor/settle.go
@@ -64,12 +64,12 @@
 // settleAsStandby settles by what the earlier lessor told: unless it told that
 // it would activate the standby server, only the owner can hold a lease.
 func (m *Member) settleAsStandby(now time.Duration, shard Shard) {
-	told := &m.takeover.told
-	if m.offLog && told.mayChange(shard.Shard, shard.Fence) {
+	reported := &m.takeover.fromLessor
+	if m.offLog && reported.mayChange(shard.Shard, shard.Fence) {
 		return
 	}
 	lapsed := m.leaseEnd(shard.Policy).passed(now)
-	if !told.mayBeActive(shard.Shard, shard.Fence) {
+	if !reported.mayBeActive(shard.Shard, shard.Fence) {
 		if lapsed || m.answersFor(shard.Owner, shard.Policy) {
 			m.settled[shard.Shard] = shard.Fence
 		}
@@ -127,7 +127,7 @@
 	if !m.answersFor(shard.Owner, shard.Policy) {
 		return false
 	}
-	if !shard.StandbyHere || m.rules.noBoth {
+	if !shard.StandbyHere || m.rules.noBothServers {
 		return true
 	}
 	return shard.StandbyLost || m.answersFor(shard.Standby, shard.Policy)
@@ -138,10 +138,10 @@
 // its present run only: an earlier one may have been, unless no lessor ever activated
 // any.
 func (m *Member) mayHaveServed(shard Shard) bool {
-	if !shard.StandbyHere || m.rules.noBoth {
+	if !shard.StandbyHere || m.rules.noBothServers {
 		return false
 	}
-	if !m.rules.noEarlierRun && !m.takeover.former.stayedConnected(m.rules) {
+	if !m.rules.noEarlierBoot && !m.takeover.former.stayedConnected(m.rules) {
 		return true
 	}
 	s, exists := m.servers[shard.Standby]
--- a/lessor/status.go
+++ b/lessor/status.go
@@ -42,7 +42,7 @@
 		if s.suspected() {
 			status.Suspected++
 		}
-		if s.reported > 0 && s.reported == s.generation && !s.lapsed(now) {
+		if s.reported > 0 && s.reported == s.generation && !s.expired(now) {
 			served += len(s.list)
 		}
 	}
@@ -69,8 +69,8 @@
 				ID:        id,
 				Suspected: s.suspected(),
 				Draining:  s.draining,
-				Heard:     s.heard.set,
-				HeardAt:   s.heard.at,
+				Heard:     s.lastReply.set,
+				HeardAt:   s.lastReply.at,
 			})
 		}
 	}
--- a/lessor/submit.go
+++ b/lessor/submit.go
@@ -25,17 +25,17 @@
 type submission struct {
 	number   uint64
 	inFlight bool
-	again    moment // not before
+	retryAt  moment // not before
 	// undecided are the shards of records whose fate is not known, or not seen
 	// in the state yet.
-	undecided map[topo.ShardID]doubt
+	undecided map[topo.ShardID]undecidedShard
 	// visible is the offset at which the state shows the latest record; only
 	// then are its shards decided.
 	visible topo.Offset
 }
 
-// doubt is a shard that a record may still change.
-type doubt struct {
+// undecidedShard is a shard that a record may still change.
+type undecidedShard struct {
 	expected topo.Fence
 	number   uint64 // of the latest record
 	unknown  bool   // an earlier record's fate was never learnt
@@ -50,7 +50,7 @@
 	if m.submit.inFlight || m.facts.Applied < m.submit.visible {
 		return false
 	}
-	if m.submit.again.set && now < m.submit.again.at {
+	if m.submit.retryAt.set && now < m.submit.retryAt.at {
 		return false
 	}
 	return m.contact.fresher(now, m.cfg.Lease.TTL)
@@ -70,14 +70,14 @@
 	m.submit.inFlight = true
 	for _, a := range assigns {
 		earlier := m.submit.undecided[a.Shard]
-		m.submit.undecided[a.Shard] = doubt{a.Expected, m.submit.number, earlier.unknown}
-		m.submitting(a.Shard)
+		m.submit.undecided[a.Shard] = undecidedShard{a.Expected, m.submit.number, earlier.unknown}
+		m.markSubmitted(a.Shard)
 	}
 	return Submission{Term: m.term, Assigns: assigns, Reason: reason}, m.submit.number, true
 }
 
-// submitting notes that a planned move has gone to the log.
-func (m *Member) submitting(id topo.ShardID) {
+// markSubmitted notes that a planned move has gone to the log.
+func (m *Member) markSubmitted(id topo.ShardID) {
 	if mv, moving := m.moves[id]; moving {
 		mv.submitted = true
 	}
@@ -91,7 +91,7 @@
 	}
 	m.submit.inFlight = false
 	m.submit.visible = offset
-	m.forgetUndecided()
+	m.dropDecided()
 	m.advance(now)
 }
 
@@ -102,7 +102,7 @@
 		return
 	}
 	m.submit.inFlight = false
-	m.submit.again = momentAt(now + m.cfg.RetryAfter)
+	m.submit.retryAt = momentAt(now + m.cfg.RetryAfter)
 	for id, d := range m.submit.undecided {
 		if d.number != number {
 			continue
@@ -111,15 +111,15 @@
 		d.unknown = d.unknown || unknown
 		m.submit.undecided[id] = d
 	}
-	m.forgetUndecided()
+	m.dropDecided()
 	m.advance(now)
 }
 
-// forgetUndecided drops the shards that no record can change any longer: their
+// dropDecided drops the shards that no record can change any longer: their
 // fence is another one, or every record about them has been seen to fail. In
 // the latter case a planned move is given up, so that the owner gets the shard
 // back at once: what it was moved to may be gone.
-func (m *Member) forgetUndecided() {
+func (m *Member) dropDecided() {
 	settled := !m.submit.inFlight && m.facts.Applied >= m.submit.visible
 	for id, d := range m.submit.undecided {
 		changed := m.inForce(id) != d.expected
@@ -128,7 +128,7 @@
 			delete(m.submit.undecided, id)
 		}
 		if failed && !changed {
-			m.giveUpMove(id)
+			m.abandonMove(id)
 		}
 	}
 }
@@ -164,9 +164,9 @@
 	return slices.SortedFunc(maps.Keys(m.submit.undecided), compareShards)
 }
 
-// splitsUnderWay lists keys that are about to be split out of a hash range, or
+// pendingSplits lists keys that are about to be split out of a hash range, or
 // possibly are.
-func (m *Member) splitsUnderWay() []topo.ShardID {
+func (m *Member) pendingSplits() []topo.ShardID {
 	var splits []topo.ShardID
 	for id := range m.submit.undecided {
 		if id.Key != "" {
@@ -179,7 +179,7 @@
 		}
 	}
 	if m.offLog {
-		for id := range m.takeover.told.undecided {
+		for id := range m.takeover.fromLessor.undecided {
 			if id.Key != "" {
 				splits = append(splits, id)
 			}
--- a/lessor/superseded.go
+++ b/lessor/superseded.go
@@ -12,21 +12,21 @@
 // on is younger, so what it may do without the log is counted from there, and not
 // anew from each later claim. It is never changed in place.
 type supersessions struct {
-	seen map[lastPart]time.Duration
+	seen map[roleInTerm]time.Duration
 	// since and unlisted are the same for the runs that the list has lost.
 	since    topo.Offset
 	unlisted time.Duration
 }
 
-// lastPart is the latest part of a run in a group.
-type lastPart struct {
+// roleInTerm is the latest part of a run in a group.
+type roleInTerm struct {
 	run  Run
 	term topo.Term
 }
 
 // next returns the supersessions as of a group whose term is first seen now.
 func (s supersessions) next(now time.Duration, group state.Group) supersessions {
-	after := supersessions{seen: map[lastPart]time.Duration{}, since: group.Term.Offset, unlisted: now}
+	after := supersessions{seen: map[roleInTerm]time.Duration{}, since: group.Term.Offset, unlisted: now}
 	if group.Former == nil {
 		return after
 	}
@@ -35,7 +35,7 @@
 		after.unlisted = s.unlisted
 	}
 	for _, run := range group.Former.Runs {
-		part := lastPart{runOf(run), run.Latest()}
+		part := roleInTerm{runOf(run), run.Latest()}
 		at, known := s.seen[part]
 		if !known {
 			at = now
@@ -47,13 +47,13 @@
 
 // at returns when a run that is listed was first seen to be superseded.
 func (s supersessions) at(run state.FormerRun) time.Duration {
-	return s.seen[lastPart{runOf(run), run.Latest()}]
+	return s.seen[roleInTerm{runOf(run), run.Latest()}]
 }
 
 // limit is how long a right lasts that nothing renews.
 type limit struct {
-	lasts   time.Duration
-	forever bool
+	duration time.Duration
+	forever  bool
 }
 
 // endAfter returns when a right that counts from a moment has ended; never if it
@@ -62,5 +62,5 @@
 	if l.forever {
 		return moment{}
 	}
-	return momentAt(at + l.lasts)
+	return momentAt(at + l.duration)
 }
--- a/lessor/superseded_test.go
+++ b/lessor/superseded_test.go
@@ -29,7 +29,7 @@
 
 // Former lessors that say nothing are waited for from the moment at which its own
 // term was superseded, however many claims follow.
-func TestSilentFormerLessorsAreWaitedForOnce(t *testing.T) {
+func TestWaitForUnresponsivePreviousLessorsStartsOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var s supersessions
 	const claims = 9
@@ -38,24 +38,24 @@
 	}
 	group := groupAt(claims)
 	f := former{runs: group.Former.Runs, since: group.Former.Since, settled: group.HeldSince, superseded: s}
-	unseen := silence{unseen: limit{lasts: time.Minute}, alone: time.Second}
-	g.Expect(f.rightEnd(unseen, rules{})).To(gomega.Equal(momentAt(claims*time.Second + time.Minute)))
+	stop := stopBounds{sinceSuperseded: limit{duration: time.Minute}, sinceSupport: time.Second}
+	g.Expect(f.rightEnd(stop, rules{})).To(gomega.Equal(momentAt(claims*time.Second + time.Minute)))
 	for _, node := range []topo.NodeID{"c", "d"} {
-		f.note(word{run: Run{Node: node, Boot: topo.BootID(node) + "-1"}, at: claims*time.Second + 1})
+		f.record(stopReply{run: Run{Node: node, Boot: topo.BootID(node) + "-1"}, at: claims*time.Second + 1})
 	}
-	g.Expect(f.rightEnd(unseen, rules{})).To(gomega.Equal(momentAt(time.Second + time.Minute)))
-	g.Expect(f.rightEnd(silence{unseen: limit{forever: true}, alone: time.Second}, rules{})).To(gomega.Equal(moment{}))
+	g.Expect(f.rightEnd(stop, rules{})).To(gomega.Equal(momentAt(time.Second + time.Minute)))
+	g.Expect(f.rightEnd(stopBounds{sinceSuperseded: limit{forever: true}, sinceSupport: time.Second}, rules{})).To(gomega.Equal(moment{}))
 }
 
 // Runs that the list has lost had all been superseded when the list first began
 // after them.
-func TestUnlistedRunsAreWaitedForOnce(t *testing.T) {
+func TestWaitForUnlistedIncarnationsStartsOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	unknown := state.Group{Term: topo.MakeTerm(50, 0), Lessor: "c", LessorBoot: "c-1", HeldSince: 10}
 	s := supersessions{}.next(5, unknown)
 	later := state.Group{Term: topo.MakeTerm(60, 0), HeldSince: 10, Former: unknown.FormerAfter(false)}
 	s = s.next(6, later)
 	f := former{runs: later.Former.Runs, since: later.Former.Since, settled: later.HeldSince, superseded: s}
-	f.note(word{run: Run{Node: "c", Boot: "c-1"}, at: 7})
-	g.Expect(f.rightEnd(silence{unseen: limit{lasts: time.Minute}}, rules{})).To(gomega.Equal(momentAt(time.Minute + 5)))
+	f.record(stopReply{run: Run{Node: "c", Boot: "c-1"}, at: 7})
+	g.Expect(f.rightEnd(stopBounds{sinceSuperseded: limit{duration: time.Minute}}, rules{})).To(gomega.Equal(momentAt(time.Minute + 5)))
 }
--- a/lessor/takeover.go
+++ b/lessor/takeover.go
@@ -40,11 +40,11 @@
 	// began is when this run's claim was seen. For a former standby lessor, the
 	// lessor's right by log contact is counted from there; by its standby's promise
 	// it has ended at promised.
-	began    time.Duration
-	byLog    bool // the earlier lessor may have counted log contact
-	promised moment
-	// told is what the earlier lessor told its standby lessor; of basisStandby.
-	told standing
+	began          time.Duration
+	usedLogContact bool // the earlier lessor may have counted log contact
+	promised       moment
+	// fromLessor is what the earlier lessor told its standby lessor; of basisStandby.
+	fromLessor standbyState
 	// former are the lessors of earlier terms, and what they said since.
 	former former
 }
@@ -63,23 +63,23 @@
 		next.before = 0
 	case m.role == RoleLessor && (m.offLog || m.right.mode == ModeConnected):
 		next.basis = basisSelf
-	case m.role == RoleStandby && m.standing.settled:
+	case m.role == RoleStandby && m.standbyState.settled:
 		next.basis = basisStandby
-		next.byLog = m.standing.mode == ModeConnected
-		next.promised = m.standing.promised
-		next.told = m.standing
+		next.usedLogContact = m.standbyState.mode == ModeConnected
+		next.promised = m.standbyState.promisedUntil
+		next.fromLessor = m.standbyState
 	}
 	return next
 }
 
-// goOn begins a takeover without the log by the standby lessor.
-func (m *Member) goOn(now time.Duration) takeover {
+// offLogTakeover begins a takeover without the log by the standby lessor.
+func (m *Member) offLogTakeover(now time.Duration) takeover {
 	return takeover{
-		basis:    basisStandby,
-		before:   math.MaxUint64,
-		began:    now,
-		promised: m.standing.promised,
-		told:     m.standing,
+		basis:      basisStandby,
+		before:     math.MaxUint64,
+		began:      now,
+		promised:   m.standbyState.promisedUntil,
+		fromLessor: m.standbyState,
 	}
 }
 
@@ -90,31 +90,31 @@
 	if t.basis == basisFirst {
 		return momentAt(t.began)
 	}
-	end := t.former.rightEnd(m.silence(policy), m.rules)
+	end := t.former.rightEnd(m.stopBounds(policy), m.rules)
 	if t.basis != basisStandby {
 		return end
 	}
 	promised := t.promised.later(momentAt(t.began))
-	if t.byLog {
-		promised = promised.later(momentAt(t.began + m.cfg.lapse(m.cfg.Lease.TTL)))
+	if t.usedLogContact {
+		promised = promised.later(momentAt(t.began + m.cfg.expiryWait(m.cfg.Lease.TTL)))
 	}
 	return end.earlier(promised)
 }
 
-// silence returns how long former runs that say nothing may renew leases for a
+// stopBounds returns how long former runs that say nothing may renew leases for a
 // service.
-func (m *Member) silence(policy *Policy) silence {
+func (m *Member) stopBounds(policy *Policy) stopBounds {
 	ttl := m.cfg.Lease.TTL
-	s := silence{alone: m.cfg.lapse(ttl)}
+	s := stopBounds{sinceSupport: m.cfg.expiryWait(ttl)}
 	most := policy.TakeoverLimit
-	if m.rules.noHold {
+	if m.rules.noDisconnectedWait {
 		most = 0
 	}
 	if most == siteconfig.Forever {
-		s.unseen.forever = true
+		s.sinceSuperseded.forever = true
 		return s
 	}
-	s.unseen.lasts = m.cfg.lapse(max(ttl, most))
+	s.sinceSuperseded.duration = m.cfg.expiryWait(max(ttl, most))
 	return s
 }
 
@@ -123,8 +123,8 @@
 // ended.
 func (m *Member) leaseEnd(policy *Policy) moment {
 	end := m.rightEnd(policy)
-	if !end.set || m.rules.noTail || m.takeover.basis == basisFirst {
+	if !end.set || m.rules.noLastLease || m.takeover.basis == basisFirst {
 		return end
 	}
-	return momentAt(end.at + m.cfg.lapse(m.cfg.Lease.TTL))
+	return momentAt(end.at + m.cfg.expiryWait(m.cfg.Lease.TTL))
 }
--- a/lessor/silentruns.go
+++ b/lessor/unresponsive.go
@@ -2,21 +2,21 @@
 
 import "slices"
 
-// silentRuns lists the runs of nodes that were found silent and have not been heard
+// unresponsiveRuns lists the runs of nodes that were found silent and have not been heard
 // since, the latest last. Whoever names a standby lessor prefers the others: with a
 // silent one the group's leases end when the log cannot be reached. It is never
 // changed in place.
-type silentRuns []Run
+type unresponsiveRuns []Run
 
-// silentMost bounds the list; the run that was found silent first is dropped.
-const silentMost = 16
+// maxUnresponsive bounds the list; the run that was found silent first is dropped.
+const maxUnresponsive = 16
 
-func (s silentRuns) with(run Run) silentRuns {
+func (s unresponsiveRuns) with(run Run) unresponsiveRuns {
 	next := append(slices.Clone(s.without(run)), run)
-	return next[max(0, len(next)-silentMost):]
+	return next[max(0, len(next)-maxUnresponsive):]
 }
 
-func (s silentRuns) without(run Run) silentRuns {
+func (s unresponsiveRuns) without(run Run) unresponsiveRuns {
 	if !slices.Contains(s, run) {
 		return s
 	}
@@ -25,4 +25,4 @@
 
 // rank orders runs by how well they suit: those that are not silent, then those
 // whose silence was noticed longest ago.
-func (s silentRuns) rank(run Run) int { return 1 + slices.Index(s, run) }
+func (s unresponsiveRuns) rank(run Run) int { return 1 + slices.Index(s, run) }
--- a/lessor/walk_test.go
+++ b/lessor/walk_test.go
@@ -17,29 +17,29 @@
 // that pause and restart, and clocks that run apart within the bound.
 type walk struct {
 	*world
-	t       *rapid.T
-	random  *rand.Rand
-	down    map[string]bool // links, by the names of their ends
-	paused  [nodeMost]bool
-	holders map[topo.Fence]topo.BootID
-	highest topo.Fence // under which the shard was served
-	served  int
+	t           *rapid.T
+	random      *rand.Rand
+	failedLinks map[string]bool // links, by the names of their ends
+	paused      [nodeCount]bool
+	holders     map[topo.Fence]topo.BootID
+	highest     topo.Fence // under which the shard was served
+	served      int
 }
 
 const (
-	walkTTL = 12 * unit
+	walkTTL = 12 * timeUnit
 	// walkDrift bounds how far the clocks drawn below run apart.
-	walkDrift = 20_000
-	rateMost  = 9_000
+	walkDrift     = 20_000
+	maxRateOffset = 9_000
 )
 
 func newWalk(t *rapid.T, off rules) *walk {
 	b := &bounds{
 		ttl:    walkTTL,
 		limit:  rapid.SampledFrom([]time.Duration{0, 2 * walkTTL, 8 * walkTTL}).Draw(t, "limit"),
-		claims: 1000, assigns: 1000, relay: true, lazy: true, drift: walkDrift, rules: off,
+		claims: 1000, assigns: 1000, relay: true, followPlans: true, drift: walkDrift, rules: off,
 	}
-	rate := rapid.Int64Range(million-rateMost, million+rateMost)
+	rate := rapid.Int64Range(million-maxRateOffset, million+maxRateOffset)
 	for i := range b.nodeRates {
 		b.nodeRates[i] = rate.Draw(t, "node's clock")
 	}
@@ -48,11 +48,11 @@
 	}
 	seed := rapid.Uint64().Draw(t, "seed")
 	return &walk{
-		world:   newSearchWorld(b),
-		t:       t,
-		random:  rand.New(rand.NewPCG(seed, 0)),
-		down:    map[string]bool{},
-		holders: map[topo.Fence]topo.BootID{},
+		world:       newSearchWorld(b),
+		t:           t,
+		random:      rand.New(rand.NewPCG(seed, 0)),
+		failedLinks: map[string]bool{},
+		holders:     map[topo.Fence]topo.BootID{},
 	}
 }
 
@@ -62,16 +62,16 @@
 // faults that a walk draws, by how often.
 var faults = []string{"log", "log", "peer", "peer", "peer", "server", "server", "server", "pause", "server restarts", "node restarts", "heal", "heal"}
 
-// fault changes one thing for the worse or the better.
-func (w *walk) fault() {
+// injectFault changes one thing for the worse or the better.
+func (w *walk) injectFault() {
 	kind := rapid.SampledFrom(faults).Draw(w.t, "fault")
-	node := rapid.IntRange(0, nodeMost-1).Draw(w.t, "node")
+	node := rapid.IntRange(0, nodeCount-1).Draw(w.t, "node")
 	server := rapid.IntRange(0, len(serverNames)-1).Draw(w.t, "server")
 	switch kind {
 	case "log":
 		w.toggle(fmt.Sprint("log ", node))
 	case "peer":
-		w.toggle(fmt.Sprint("peer ", node, (node+1)%nodeMost))
+		w.toggle(fmt.Sprint("peer ", node, (node+1)%nodeCount))
 	case "server":
 		w.toggle(fmt.Sprint("server ", node, server))
 	case "pause":
@@ -81,84 +81,84 @@
 	case "node restarts":
 		w.restartNode(node)
 		w.log.next++ // it joins
-		w.log.runs[node] = w.nodes[node].runs
+		w.log.boots[node] = w.nodes[node].boots
 	case "heal":
-		clear(w.down)
-		w.paused = [nodeMost]bool{}
+		clear(w.failedLinks)
+		w.paused = [nodeCount]bool{}
 	}
 }
 
-func (w *walk) toggle(link string) { w.down[link] = !w.down[link] }
+func (w *walk) toggle(link string) { w.failedLinks[link] = !w.failedLinks[link] }
 
 func (w *walk) peersReach(a, b int) bool {
-	return !w.down[fmt.Sprint("peer ", a, b)] && !w.down[fmt.Sprint("peer ", b, a)]
+	return !w.failedLinks[fmt.Sprint("peer ", a, b)] && !w.failedLinks[fmt.Sprint("peer ", b, a)]
 }
 
 // tick lets one unit of time pass and every running node do what is due.
 func (w *walk) tick() {
-	w.now += unit
-	if w.held != nil && w.chance(1, 4) {
-		h := w.held
+	w.now += timeUnit
+	if w.heldMessage != nil && w.chance(1, 4) {
+		h := w.heldMessage
 		if h.kind == "record" || w.chance(1, 2) {
-			w.held = nil
+			w.heldMessage = nil
 		}
-		w.arrive(h)
+		w.deliverHeld(h)
 		w.check()
 	}
-	for _, node := range w.random.Perm(nodeMost) {
+	for _, node := range w.random.Perm(nodeCount) {
 		if w.paused[node] {
 			continue
 		}
-		w.learn(node)
+		w.readState(node)
 		w.member(node).Plan(w.clock(node))
 		for _, action := range w.member(node).Plan(w.clock(node)) {
-			w.do(node, action)
+			w.execute(node, action)
 			w.check()
 		}
 	}
 }
 
-func (w *walk) learn(node int) {
-	w.member(node).LogFailing(w.clock(node), w.down[fmt.Sprint("log ", node)])
+func (w *walk) readState(node int) {
+	w.member(node).LogFailing(w.clock(node), w.failedLinks[fmt.Sprint("log ", node)])
 	switch {
-	case !w.down[fmt.Sprint("log ", node)] && w.chance(3, 4):
+	case !w.failedLinks[fmt.Sprint("log ", node)] && w.chance(3, 4):
 		w.readLog(node, true)
 	case w.chance(1, 8):
 		w.readLog(node, false)
 	}
 }
 
-// way draws what becomes of a call over a link that works or does not.
-func (w *walk) way(works bool) string {
+// drawFailure draws what becomes of a call over a link that works or does not.
+func (w *walk) drawFailure(works bool) string {
 	switch {
 	case !works:
 		return "request lost"
 	case w.chance(1, 12):
 		return "reply lost"
-	case w.held == nil && w.chance(1, 12):
+	case w.heldMessage == nil && w.chance(1, 12):
 		return "request held"
-	case w.held == nil && w.chance(1, 24):
+	case w.heldMessage == nil && w.chance(1, 24):
 		return "reply held"
 	}
 	return ""
 }
 
-func (w *walk) do(node int, action Action) {
+func (w *walk) execute(node int, action Action) {
 	m := w.member(node)
 	now := w.clock(node)
 	switch a := action.(type) {
 	case Renew:
 		server := serverIndex(a.Server)
-		w.renewOnce(node, server, w.way(!w.down[fmt.Sprint("server ", node, server)]))
+		w.renewOnce(node, server, w.drawFailure(!w.failedLinks[fmt.Sprint("server ", node, server)]))
 	case Acknowledge:
 		server := serverIndex(a.Server)
-		w.acknowledge(node, server, w.way(!w.down[fmt.Sprint("server ", node, server)]))
+		w.acknowledge(node, server, w.drawFailure(!w.failedLinks[fmt.Sprint("server ", node, server)]))
 	case SendHeartbeat:
 		to, exists := w.standbyOf(node)
-		w.beatFrom(node, w.way(exists && w.peersReach(node, to)))
+		w.heartbeat(node, w.drawFailure(exists && w.peersReach(node, to)))
 	case Ask:
 		if to := slices.Index(nodeNames[:], a.Node); !w.paused[to] && w.peersReach(node, to) {
-			w.ask(node, a.Node, w.way(true))
+			w.ask(node, a.Node, w.drawFailure(true))
 		}
 	case Probe:
 		w.probe(node, a.Node)
@@ -207,10 +207,10 @@
 	if !due {
 		return
 	}
-	lost := w.down[fmt.Sprint("log ", node)]
+	lost := w.failedLinks[fmt.Sprint("log ", node)]
 	switch {
-	case !lost && w.held == nil && w.chance(1, 6):
-		w.held = &message{kind: "record", node: node, record: r}
+	case !lost && w.heldMessage == nil && w.chance(1, 6):
+		w.heldMessage = &message{kind: "record", node: node, record: r}
 	case !lost:
 		w.deliver(r)
 	case r.claim != nil:
@@ -253,26 +253,26 @@
 	}
 }
 
-// ticks is the length of a walk, in units of time.
-const ticks = 30 * int(walkTTL/unit)
+// walkTicks is the length of a walk, in units of time.
+const walkTicks = 30 * int(walkTTL/timeUnit)
 
 func (w *walk) run() {
-	for range ticks {
+	for range walkTicks {
 		if w.chance(1, 10) {
-			w.fault()
+			w.injectFault()
 		}
 		w.tick()
 		w.served += w.owners()
 	}
 }
 
-func TestWalksNeverReachTwoOwners(t *testing.T) {
+func TestRandomWalksNeverReachTwoOwners(t *testing.T) {
 	served, passed := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWalk(t, rules{})
 		w.run()
 		served += w.served
-		passed += ticks
+		passed += walkTicks
 	})
 	t.Logf("served %d of %d units of time", served, passed)
 	if served < passed/4 {
--- a/lessor/watch.go
+++ b/lessor/watch.go
@@ -18,10 +18,10 @@
 	watchersOutside = 1
 )
 
-// turnsInside is for how many nodes of the group's zone the others wait. A large
+// maxTurnsInside is for how many nodes of the group's zone the others wait. A large
 // zone that is silent as a whole must not delay them by a turn for each of its
 // nodes; who claims too early costs a term, never safety.
-const turnsInside = 4
+const maxTurnsInside = 4
 
 // probeFailures in a row make a node count as silent.
 const probeFailures = 2
@@ -41,14 +41,14 @@
 
 // watched is one node that is asked for signs of life.
 type watched struct {
-	asked    moment
+	askedAt  moment
 	inFlight bool
-	// unanswered is when the first of the present row of probes without an
+	// firstUnanswered is when the first of the present row of probes without an
 	// answer was begun.
-	unanswered moment
-	heard      moment
-	failures   int
-	replaced   moment // another run answered
+	firstUnanswered moment
+	lastReply       moment
+	failures        int
+	replaced        moment // another run answered
 }
 
 // next returns the watch for a new term.
@@ -69,10 +69,10 @@
 	return known
 }
 
-// silentSince returns since when a node has given no sign of life, if it is
+// unresponsiveSince returns since when a node has given no sign of life, if it is
 // silent: at most lag before it was first asked in vain, since it may have been
 // asked seldom before.
-func (w *watch) silentSince(id topo.NodeID, lag time.Duration) (time.Duration, bool) {
+func (w *watch) unresponsiveSince(id topo.NodeID, lag time.Duration) (time.Duration, bool) {
 	known, exists := w.nodes[id]
 	if !exists {
 		return 0, false
@@ -80,7 +80,7 @@
 	if known.replaced.set {
 		return known.replaced.at, true
 	}
-	since := max(w.began, known.heard.at, known.unanswered.at-lag)
+	since := max(w.began, known.lastReply.at, known.firstUnanswered.at-lag)
 	return since, known.failures >= probeFailures
 }
 
@@ -94,10 +94,10 @@
 // BeginProbe starts a probe of a node.
 func (m *Member) BeginProbe(now time.Duration, id topo.NodeID) {
 	known := m.watch.node(id)
-	known.asked = momentAt(now)
+	known.askedAt = momentAt(now)
 	known.inFlight = true
 	if known.failures == 0 {
-		known.unanswered = known.asked
+		known.firstUnanswered = known.askedAt
 	}
 }
 
@@ -105,13 +105,13 @@
 func (m *Member) ProbeAnswered(now time.Duration, run Run) {
 	known := m.watch.node(run.Node)
 	known.inFlight = false
-	m.silentRuns = m.silentRuns.without(run)
+	m.unresponsive = m.unresponsive.without(run)
 	if run != m.namedRun(run.Node) {
 		known.replaced = momentAt(now)
 		return
 	}
 	known.failures = 0
-	known.heard = momentAt(now)
+	known.lastReply = momentAt(now)
 }
 
 // ProbeFailed tells that a probe got no answer.
@@ -120,14 +120,14 @@
 	known.inFlight = false
 	known.failures++
 	if known.failures >= probeFailures {
-		m.noteSilent(id)
+		m.recordUnresponsive(id)
 	}
 }
 
-// noteSilent notes that the run of a node that the group names is silent.
-func (m *Member) noteSilent(id topo.NodeID) {
+// recordUnresponsive notes that the run of a node that the group names is silent.
+func (m *Member) recordUnresponsive(id topo.NodeID) {
 	if run := m.namedRun(id); run.Node != "" {
-		m.silentRuns = m.silentRuns.with(run)
+		m.unresponsive = m.unresponsive.with(run)
 	}
 }
 
@@ -199,7 +199,7 @@
 		}
 	}
 	if own.outside {
-		return min(inside, turnsInside) + outside, outside < watchersOutside
+		return min(inside, maxTurnsInside) + outside, outside < watchersOutside
 	}
 	return inside, inside < watchersInside
 }
