--- a/lessor/activate.go
+++ b/lessor/activate.go
@@ -8,18 +8,19 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// activation is a standby server that was, or is about to be, made the owner of
-// a shard off the log.
+// activation is a standby server that has become, or is about to become, the
+// owner of a shard without the log.
 type activation struct {
-	fence  topo.Fence // of the assignment in force; the standby serves under fence.Standby()
+	fence  topo.Fence // of the current assignment; the standby serves under fence.Standby()
 	server topo.ServerID
-	boot   topo.BootID // the only run that may be granted it
-	// reportedRound is the first heartbeat round that told the standby lessor.
+	boot   topo.BootID // the only incarnation that may be granted the shard
+	// reportedRound is the first heartbeat round that reports the activation to
+	// the standby lessor.
 	reportedRound uint64
-	granted       bool // the standby lessor knows, so it may be granted
+	granted       bool // the standby lessor knows of the activation, so the shard may be granted
 }
 
-// activatedOn lists the activations on a server in a fixed order.
+// activatedOn returns the activated shards on a server in a fixed order.
 func (m *Member) activatedOn(id topo.ServerID) []topo.ShardID {
 	var shards []topo.ShardID
 	for shardID, a := range m.activated {
@@ -39,11 +40,12 @@
 	)
 }
 
-// mayActivate reports whether the standby server of a shard may be made its
-// owner off the log. Only a lessor whose standby lessor has acknowledged
-// disconnected mode may do so. The standby server must have been running since
-// before the latest log contact: had it acknowledged a claim that this lessor
-// has not seen, an earlier run of it may have, and a restart forgets that.
+// mayActivate reports whether the standby server of a shard may become its
+// owner without the log. Only a lessor whose standby lessor has acknowledged
+// disconnected mode may activate it. The standby server must have been running
+// since before the latest log contact: an earlier incarnation may have
+// acknowledged a claim that this lessor has not seen, and a restart loses that
+// acknowledgement.
 func (m *Member) mayActivate(now time.Duration, shard Shard) bool {
 	if m.role != RoleLessor || m.offLog || !m.right.disconnected() {
 		return false
@@ -64,8 +66,8 @@
 	return exists && m.knownSinceContact(standby)
 }
 
-// knownSinceContact reports whether the server's present run was heard before
-// the latest log contact began.
+// knownSinceContact reports whether the server's current incarnation was first
+// observed before the latest log contact began.
 func (m *Member) knownSinceContact(s *server) bool {
 	if s.boot() == "" {
 		return false
@@ -74,7 +76,7 @@
 }
 
 // BeginActivate begins the activation of a shard's standby server. It takes
-// effect once the standby lessor has been told.
+// effect once the standby lessor has confirmed the heartbeat that reports it.
 func (m *Member) BeginActivate(now time.Duration, id topo.ShardID) bool {
 	shard, exists := m.facts.Shards[id]
 	if !exists || !m.mayActivate(now, shard) {
@@ -90,8 +92,8 @@
 	return true
 }
 
-// grantReported lets activations be granted that the standby lessor was told of in
-// a round that it has answered with its promise.
+// grantReported allows grants of the activations that were reported to the standby
+// lessor up to a round that it has answered with its promise.
 func (m *Member) grantReported(round uint64) {
 	if !m.right.disconnected() {
 		return
@@ -104,8 +106,8 @@
 	}
 }
 
-// Activations lists the standby servers that serve off the log, in a fixed
-// order.
+// Activations returns the standby servers that serve without the log, in a
+// fixed order.
 func (m *Member) Activations() []Activation {
 	var list []Activation
 	for id, a := range m.activated {
@@ -117,8 +119,8 @@
 	return list
 }
 
-// BeginAnnounce returns what the zone's nodes must know although the log does
-// not say it; false if there is nothing.
+// BeginAnnounce returns the decisions that the zone's nodes must know but
+// cannot read from the log; false if there are none.
 func (m *Member) BeginAnnounce(now time.Duration) (Announcement, bool) {
 	list := m.Activations()
 	if m.role != RoleLessor || (len(list) == 0 && !m.offLog) {
--- a/lessor/askedstandbys.go
+++ b/lessor/askedstandbys.go
@@ -7,25 +7,28 @@
 )
 
 // AskedStandby is a standby lessor that a lessor has asked for disconnected mode, and the
-// latest term in which it did. No other standby lessor goes on off the log, and none that
-// has acknowledged connected mode since.
+// latest term of such a request. Only these standby lessors take over without the log,
+// and only until they acknowledge connected mode again.
 type AskedStandby struct {
 	Run  Run
 	Term topo.Term
 }
 
-// maxAskedStandbys bounds the standby lessors that a run remembers to have asked.
+// maxAskedStandbys bounds the standby lessors that an incarnation remembers to
+// have asked.
 const maxAskedStandbys = 16
 
-// askedStandbys are those that this run has asked, but for those that have acknowledged
-// connected mode since, the latest last. It is never changed in place.
+// askedStandbys lists the standby lessors that this incarnation has asked, the latest
+// last, except those that have acknowledged connected mode since. It is never modified
+// in place.
 type askedStandbys struct {
 	list []AskedStandby
-	// isPartial tells that some were dropped.
+	// isPartial is set if entries were dropped.
 	isPartial bool
 }
 
-// with adds a standby lessor. Those of terms before a settled one no longer matter.
+// with adds a standby lessor. Entries of terms before a settled one are dropped,
+// because they no longer matter.
 func (a askedStandbys) with(standby AskedStandby, settled topo.Term) askedStandbys {
 	var next []AskedStandby
 	for _, earlier := range a.list {
@@ -40,7 +43,7 @@
 	return askedStandbys{list: next, isPartial: a.isPartial}
 }
 
-// without drops a standby lessor that has acknowledged connected mode.
+// without removes a standby lessor that has acknowledged connected mode.
 func (a askedStandbys) without(standby Run) askedStandbys {
 	matches := func(asked AskedStandby) bool { return asked.Run == standby }
 	if !slices.ContainsFunc(a.list, matches) {
@@ -49,7 +52,8 @@
 	return askedStandbys{list: slices.DeleteFunc(slices.Clone(a.list), matches), isPartial: a.isPartial}
 }
 
-// wasAsked reports whether a standby lessor was asked in a term since an offset.
+// wasAsked reports whether a standby lessor was asked in a term at or after an
+// offset.
 func wasAsked(list []AskedStandby, standby Run, since topo.Offset) bool {
 	return slices.ContainsFunc(list, func(a AskedStandby) bool { return a.Run == standby && a.Term.Offset >= since })
 }
--- a/lessor/askedstandbys_test.go
+++ b/lessor/askedstandbys_test.go
@@ -9,8 +9,8 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// TestAskedStandbysKeepLatestTerm: each standby lessor stands once, and those of terms
-// before the settled one are dropped.
+// TestAskedStandbysKeepLatestTerm checks that each standby lessor is listed once, and
+// that those of terms before the settled one are dropped.
 func TestAskedStandbysKeepLatestTerm(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ask := func(node topo.NodeID, term topo.Offset) AskedStandby {
@@ -21,12 +21,13 @@
 	g.Expect(a.list).To(gomega.Equal([]AskedStandby{ask("c", 20), ask("b", 30)}))
 	g.Expect(a.with(ask("d", 40), topo.MakeTerm(30, 0)).list).To(gomega.Equal([]AskedStandby{ask("b", 30), ask("d", 40)}))
 	g.Expect(a.without(Run{Node: "c", Boot: "1"}).list).To(gomega.Equal([]AskedStandby{ask("b", 30)}))
-	g.Expect(a.without(Run{Node: "c", Boot: "2"}).list).To(gomega.HaveLen(2), "another run")
+	g.Expect(a.without(Run{Node: "c", Boot: "2"}).list).To(gomega.HaveLen(2), "another incarnation")
 	g.Expect(a.list).To(gomega.HaveLen(2), "not changed in place")
 }
 
-// TestAskedStandbysReportPartialList: a list that is full no longer counts as whole,
-// or a standby lessor that was dropped would pass for one that was never asked.
+// TestAskedStandbysReportPartialList checks that an overfull list is reported as
+// incomplete. Otherwise a standby lessor that was dropped would be treated as one
+// that was never asked.
 func TestAskedStandbysReportPartialList(t *testing.T) {
 	g := gomega.NewWithT(t)
 	m := NewMember(Config{Node: "a", Boot: "1"})
--- a/lessor/awaited.go
+++ b/lessor/awaited.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Awaited is what shards of earlier terms wait for.
+// Awaited describes what shards of earlier terms wait for.
 type Awaited struct {
 	Shards int
-	// Silent are the former runs whose answers are missing.
+	// Unresponsive lists the previous incarnations whose replies are missing.
 	Silent []Run
-	// Left is how long the longest wait lasts if none of them answers; without end if
-	// Endless is set.
+	// Left is the remaining duration of the longest wait if none of them replies;
+	// unbounded if Endless is set.
 	Left    time.Duration
 	Endless bool
 }
 
-// Awaited returns what the lessor's unsettled shards wait for.
+// Awaited describes what the lessor's unsettled shards wait for.
 func (m *Member) Awaited(now time.Duration) Awaited {
 	var awaited Awaited
 	if m.role != RoleLessor || !m.settling {
@@ -29,8 +29,8 @@
 		awaited.Left = max(awaited.Left, end.at-now)
 	}
 	for _, run := range m.takeover.former.needed(m.rules) {
-		if _, said := m.takeover.former.reply(runOf(run)); !said {
-			awaited.Silent = append(awaited.Silent, runOf(run))
+		if _, said := m.takeover.former.reply(incarnationOf(run)); !said {
+			awaited.Silent = append(awaited.Silent, incarnationOf(run))
 		}
 	}
 	return awaited
--- a/lessor/claim.go
+++ b/lessor/claim.go
@@ -9,12 +9,12 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// standbyTimeoutFactor is how many times SuspectAfter a standby lessor may be silent
-// before its lessor names another one.
+// standbyTimeoutFactor is how many times SuspectAfter a standby lessor may be
+// unresponsive before its lessor names another one.
 const standbyTimeoutFactor = 5
 
-// maxTimeoutDoublings bounds how patience grows while each standby lessor that
-// is named stays silent.
+// maxTimeoutDoublings bounds how often the timeout doubles while each newly
+// named standby lessor remains unresponsive.
 const maxTimeoutDoublings = 5
 
 // claimDue reports whether this member should claim the group's next term now.
@@ -35,36 +35,37 @@
 }
 
 // reclaimDue reports whether the lessor should claim its own group again: to
-// record that it went on off the log, or to name another standby lessor.
+// record a takeover without the log, or to name another standby lessor.
 func (m *Member) reclaimDue(now time.Duration) bool {
 	if m.offLog {
 		return true
 	}
-	silence := m.standbySilence(now)
+	elapsed := m.sinceStandbyPromise(now)
 	if m.right.mode == ModeDisconnected {
-		return silence >= m.cfg.SuspectAfter
+		return elapsed >= m.cfg.SuspectAfter
 	}
 	timeout := standbyTimeoutFactor * m.cfg.SuspectAfter << min(m.claim.standbyChanges, maxTimeoutDoublings)
-	lost := m.standbyRun().Node == "" || m.facts.StandbyGone || silence >= timeout
+	lost := m.standbyIncarnation().Node == "" || m.facts.StandbyGone || elapsed >= timeout
 	return (lost || m.returnDue(now)) && m.chooseStandby().Node != ""
 }
 
-// standbySilence is how long the standby lessor has promised nothing.
-func (m *Member) standbySilence(now time.Duration) time.Duration {
+// sinceStandbyPromise returns the time since the standby lessor's latest promise.
+func (m *Member) sinceStandbyPromise(now time.Duration) time.Duration {
 	return now - max(m.termSeen.at, m.heartbeats.answered.at)
 }
 
-// takeoverDue reports whether the standby lessor should take over: it was asked
-// to, or the lessor's run has ended or is silent, also on a new connection.
+// takeoverDue reports whether the standby lessor should take over: because the
+// lessor asked for it, or because the lessor's incarnation has ended or is
+// unresponsive, also over a new connection.
 func (m *Member) takeoverDue(now time.Duration) bool {
 	if m.standbyState.lessorResigning || m.facts.LessorGone {
 		return true
 	}
-	silence := now - m.standbyState.lastHeartbeat.at
-	if silence < m.suspectAfter(now) {
+	elapsed := now - m.standbyState.lastHeartbeat.at
+	if elapsed < m.suspectAfter(now) {
 		return false
 	}
-	return m.watch.failed(m.facts.Group.Lessor) || silence >= standbyTimeoutFactor*m.cfg.SuspectAfter
+	return m.watch.failed(m.facts.Group.Lessor) || elapsed >= standbyTimeoutFactor*m.cfg.SuspectAfter
 }
 
 // offLogTakeoverDue reports whether the standby lessor should take over without the log.
@@ -76,7 +77,8 @@
 }
 
 // mayTakeOverOffLog reports whether this standby lessor may take over without the log:
-// the lessor goes by its promise alone, and was settled.
+// the lessor's right depends on this standby's promise alone, and the lessor was
+// settled.
 func (m *Member) mayTakeOverOffLog() bool {
 	if m.role != RoleStandby || !m.standbyState.settled {
 		return false
@@ -84,8 +86,8 @@
 	return m.standbyState.mode == ModeDisconnected || m.rules.noModes
 }
 
-// BeginGoOn makes the standby lessor the lessor under the term that the group's
-// record allocated for it. It gives no promise from now on.
+// BeginTakeOverOffLog makes the standby lessor the lessor, under the term that
+// the group's record allocated for this. From then on it gives no promise.
 func (m *Member) BeginGoOn(now time.Duration) bool {
 	if !m.mayTakeOverOffLog() {
 		return false
@@ -120,8 +122,8 @@
 	return now-since >= time.Duration(m.turnIndex)*m.cfg.StandInAfter
 }
 
-// leaderlessSince returns since when the group has had neither a lessor nor a
-// standby lessor, as far as this node can tell.
+// leaderlessSince returns the time from which the group has had neither a
+// lessor nor a standby lessor, as far as this node knows.
 func (m *Member) leaderlessSince(now time.Duration) (time.Duration, bool) {
 	group := m.facts.Group
 	if group.Term.IsZero() {
@@ -132,8 +134,8 @@
 	return max(lessor, standby), lessorEnded && standbyEnded
 }
 
-// endedSince tells since when a node named by the group has given no sign of
-// life, or is known to have ended.
+// endedSince returns the time from which a node named by the group is treated
+// as unresponsive, or is known to have ended.
 func (m *Member) endedSince(now time.Duration, id topo.NodeID, gone moment) (time.Duration, bool) {
 	if id == "" {
 		return m.termSeen.at, true
@@ -141,16 +143,16 @@
 	if gone.set {
 		return gone.at, true
 	}
-	since, silent := m.watch.unresponsiveSince(id, m.cfg.HeartbeatEvery)
+	since, unresponsive := m.watch.unresponsiveSince(id, m.cfg.HeartbeatEvery)
 	suspectAfter := m.suspectAfter(now)
-	if !silent || now-since < suspectAfter {
+	if !unresponsive || now-since < suspectAfter {
 		return 0, false
 	}
 	return since + suspectAfter, true
 }
 
-// BeginClaim returns the claim to write to the log, and the number by which its
-// fate is told. From now until its fate is known, a standby lessor gives no
+// BeginClaim returns the claim to write to the log and the number by which its
+// outcome is reported. Until the outcome is known, a standby lessor gives no
 // promise.
 func (m *Member) BeginClaim(now time.Duration) (Claim, uint64, bool) {
 	if m.claim.inFlight || !m.observed {
@@ -164,7 +166,7 @@
 	}
 	if m.role == RoleLessor && !m.offLog {
 		m.claim.standbyChanges++
-		if m.standbySilence(now) >= m.cfg.SuspectAfter {
+		if m.sinceStandbyPromise(now) >= m.cfg.SuspectAfter {
 			m.recordUnresponsive(m.facts.Group.Standby)
 		}
 	}
@@ -177,19 +179,19 @@
 	return claim, m.claim.number, true
 }
 
-// ClaimDone tells that the claim's fate is known: accepted or not, it has been
-// applied, and the state observed next shows what became of it.
+// ClaimDone reports that the claim's outcome is known: it has been applied,
+// accepted or not, and the next observed state shows the result.
 func (m *Member) ClaimDone(now time.Duration, number uint64, accepted bool) {
 	if !m.claim.inFlight || m.claim.number != number {
-		return // the state has shown it already
+		return // the observed state has already shown the outcome
 	}
 	m.claim.inFlight = false
 	m.claim.maybeWritten = m.claim.maybeWritten || accepted
 	m.claim.retryAt = momentAt(now + m.cfg.RetryAfter)
 }
 
-// ClaimFailed tells that the claim was not appended or, if unknown, may have
-// been or may still be.
+// ClaimFailed reports that the claim was not appended or, if unknown is set,
+// that it may have been or may still be appended.
 func (m *Member) ClaimFailed(now time.Duration, number uint64, unknown bool) {
 	if !m.claim.inFlight || m.claim.number != number {
 		return
@@ -200,8 +202,8 @@
 }
 
 // chooseStandby returns the standby lessor to name: the next in turn among those
-// that have not been found silent, else the one whose silence was noticed first. Its
-// node is empty if there is none.
+// that were not found unresponsive, else the one that was found unresponsive first.
+// Its node is empty if there is no candidate.
 func (m *Member) chooseStandby() Run {
 	nodes := m.facts.Nodes
 	group := m.facts.Group
@@ -219,16 +221,16 @@
 		return Run{}
 	}
 	m.order(list)
-	rank := func(n state.Node) int { return m.unresponsive.rank(runOfNode(n)) }
+	rank := func(n state.Node) int { return m.unresponsive.rank(nodeIncarnation(n)) }
 	best := slices.MinFunc(list, func(a, b state.Node) int { return cmp.Compare(rank(a), rank(b)) })
 	return Run{Node: best.ID, Boot: best.Boot}
 }
 
 // cutOff reports whether every server of the group has stopped answering this
-// lessor in its term, so that the lessor itself may be what is cut off. Its
-// standby lessor is to try them, and to take over if one answers.
+// lessor in its term, which suggests that the lessor itself is partitioned. Its
+// standby lessor then probes the servers and takes over if one answers.
 func (m *Member) cutOff(now time.Duration) bool {
-	silent := 0
+	suspected := 0
 	for id, facts := range m.facts.Servers {
 		if facts.Lost {
 			continue
@@ -237,7 +239,7 @@
 		if !known || !s.suspected() || !s.lastReply.set {
 			return false
 		}
-		silent++
+		suspected++
 	}
-	return silent > 1 && m.right.promise.fresher(now, m.cfg.Lease.TTL)
+	return suspected > 1 && m.right.promise.fresher(now, m.cfg.Lease.TTL)
 }
--- a/lessor/collect.go
+++ b/lessor/collect.go
@@ -8,7 +8,7 @@
 )
 
 // collect returns the assignments that are due and allowed now, at most one
-// record's worth, and why.
+// record's worth, and the reason for the first one.
 func (m *Member) collect(now time.Duration) ([]Assign, string) {
 	var assigns []Assign
 	var reason string
@@ -38,8 +38,8 @@
 	return assigns, reason
 }
 
-// shardOrder lists the group's shards in a fixed order. The list, which must not
-// be changed, is made once for the facts.
+// shardOrder returns the group's shards in a fixed order. The list is built once
+// per Facts and must not be modified.
 func (m *Member) shardOrder() []topo.ShardID {
 	if m.shardsFrom == m.facts {
 		return m.shards
@@ -64,8 +64,8 @@
 	return order
 }
 
-// changeOf returns the change that one shard needs, and why; an empty reason
-// means none.
+// changeOf returns the change that one shard needs and the reason; an empty
+// reason means that none is needed.
 func (m *Member) changeOf(now time.Duration, shard Shard, place *placement) (Assign, string) {
 	if !m.isSettled(shard) {
 		return Assign{}, ""
@@ -85,20 +85,21 @@
 	if shard.OwnerBoot == "" && m.serves(shard.Owner) {
 		return m.assign(shard, shard.Owner, place), reasonBind
 	}
-	if m.submit.undecided[shard.Shard].unknown && m.ownerRuns(shard) {
+	if m.submit.undecided[shard.Shard].unknown && m.ownerIsCurrent(shard) {
 		return m.assign(shard, shard.Owner, place), reasonDecide
 	}
 	return Assign{}, ""
 }
 
-// ownerRuns reports whether the owner's run that the fence belongs to is the
-// one that was heard last.
-func (m *Member) ownerRuns(shard Shard) bool {
+// ownerIsCurrent reports whether the owner's incarnation that the fence belongs to
+// is the one observed last.
+func (m *Member) ownerIsCurrent(shard Shard) bool {
 	s, known := m.servers[shard.Owner]
 	return known && s.boot() != "" && s.boot() == shard.OwnerBoot
 }
 
-// ownerEnded says why a shard's owner serves it no longer; empty if it may.
+// ownerEnded returns the reason why a shard's owner no longer serves it; empty
+// if it may still serve it.
 func (m *Member) ownerEnded(now time.Duration, shard Shard) string {
 	if m.serverDown(now, shard.Owner) && m.mayReplace(shard) {
 		return reasonLost
@@ -113,28 +114,28 @@
 	return ""
 }
 
-// mayReplace reports whether a silent owner may be replaced: one that does not
-// check fencing may still be at work.
+// mayReplace reports whether an unresponsive owner may be replaced: an owner
+// that does not check fencing may still be serving.
 func (m *Member) mayReplace(shard Shard) bool { return m.mayReplaceServer(shard.Policy, shard.Owner) }
 
 func (m *Member) mayReplaceServer(policy *Policy, id topo.ServerID) bool {
 	return policy.ChecksFencing || policy.AcceptUnfenced || m.confirmedLost(id)
 }
 
-// unresponsiveServer reports whether a server has not answered this lessor, or no longer
-// does.
+// unresponsiveServer reports whether a server has never answered this lessor, or has
+// stopped answering.
 func (m *Member) unresponsiveServer(id topo.ServerID) bool {
 	s, known := m.servers[id]
 	return !known || s.boot() == "" || s.suspected()
 }
 
-// free reports whether the owner of a shard can hold no lease of it any longer.
+// free reports whether the owner of a shard can no longer hold a lease of it.
 func (m *Member) free(now time.Duration, shard Shard) bool {
 	return m.serverFree(now, shard.Owner, shard.Shard)
 }
 
-// serverFree reports whether a server can hold no lease of a settled shard any
-// longer.
+// serverFree reports whether a server can no longer hold a lease of a settled
+// shard.
 func (m *Member) serverFree(now time.Duration, id topo.ServerID, shard topo.ShardID) bool {
 	s, exists := m.servers[id]
 	if !exists || m.confirmedLost(id) {
@@ -143,9 +144,10 @@
 	return now >= s.earlierLeasesEnd && (s.expired(now) || s.released(shard))
 }
 
-// changeNeeded gives a shard of an earlier term a new fence. Neither of the two
-// servers that may have held it can be granted it by anyone now; a lease that
-// one of them reported must have ended, unless that one goes on.
+// changeNeeded gives a shard of an earlier term a new fence. No lessor can
+// grant it any longer to either of the two servers that may have held it. A
+// lease that one of them reported must have ended, unless that server becomes
+// the owner.
 func (m *Member) changeNeeded(now time.Duration, shard Shard, n need, place *placement) (Assign, string) {
 	to := place.owner(shard.Shard.Service, n.to)
 	if to == "" || (to != n.to && m.unresponsiveServer(n.to) && !m.mayReplaceServer(shard.Policy, n.to)) {
@@ -161,15 +163,15 @@
 	return a, reasonTakeover
 }
 
-// reportsInactive reports whether a shard's standby server has said that its present run
-// was not activated, so that it holds nothing of the shard; and it takes nothing from
-// earlier lessors any longer.
+// reportsInactive reports whether a shard's standby server has stated that its current
+// incarnation was not activated, so that it holds no lease of the shard, and rejects
+// grants of earlier lessors.
 func (m *Member) reportsInactive(id topo.ServerID, shard Shard) bool {
 	return id == shard.Standby && m.answersFor(id, shard.Policy) && !m.reportsActive(shard)
 }
 
-// changeActivated records a standby server that was activated off the log, or
-// moves the shard on if that server's run has ended.
+// changeActivated records a standby server that was activated without the log,
+// or reassigns the shard if that server's incarnation has ended.
 func (m *Member) changeActivated(now time.Duration, shard Shard, active *activation, place *placement) (Assign, string) {
 	if !m.free(now, shard) {
 		return Assign{}, ""
@@ -188,13 +190,12 @@
 	return a, why
 }
 
-// changeMoved completes a planned move once the owner has handed the shard
-// back.
+// changeMoved completes a planned move once the owner has released the shard.
 func (m *Member) changeMoved(now time.Duration, shard Shard, mv *move, place *placement) (Assign, string) {
 	if mv.revokes() && !m.free(now, shard) {
 		return Assign{}, ""
 	}
-	if mv.sameOwner && !m.ownerRuns(shard) {
+	if mv.sameOwner && !m.ownerIsCurrent(shard) {
 		return Assign{}, ""
 	}
 	if mv.release {
@@ -214,7 +215,8 @@
 	return m.reassign(shard, mv.To, place, reasonMove)
 }
 
-// splitChange completes the split of a key once the range's owner refuses it.
+// splitChange completes the split of a key once the hash range's owner rejects
+// requests for it.
 func (m *Member) splitChange(now time.Duration, mv *move, place *placement) (Assign, string) {
 	covering, exists := m.facts.Shards[rangeOf(mv.Shard)]
 	if !exists || !m.isSettled(covering) || !m.serverFree(now, covering.Owner, mv.Shard) {
@@ -226,8 +228,7 @@
 	return m.reassign(split, mv.To, place, reasonMove)
 }
 
-// reassign gives a shard that is free another owner: the preferred one if it is
-// fit.
+// reassign gives a free shard another owner: the preferred one if it is fit.
 func (m *Member) reassign(shard Shard, preferred topo.ServerID, place *placement, why string) (Assign, string) {
 	to := place.owner(shard.Shard.Service, preferred)
 	if to == "" {
@@ -236,7 +237,8 @@
 	return m.assign(shard, to, place), why
 }
 
-// assign fills in one assignment. The owner's run is named if it is known.
+// assign builds one assignment. It names the owner's incarnation if that is
+// known.
 func (m *Member) assign(shard Shard, to topo.ServerID, place *placement) Assign {
 	a := Assign{Shard: shard.Shard, Expected: shard.Fence, Owner: to}
 	if s, known := m.servers[to]; known {
--- a/lessor/delay.go
+++ b/lessor/delay.go
@@ -2,33 +2,35 @@
 
 import "time"
 
-// delayWindow is for how long, at least, a delay of this process counts.
+// delayWindow is the minimum time for which a scheduling delay of this process
+// is taken into account.
 const delayWindow = 3 * time.Second
 
-// maxDelayLeases is how many times a lease's length a delay counts at most: an ended lessor is
-// suspected within that.
+// maxDelayLeases bounds the delay that is taken into account, in lease TTLs, so that a lessor
+// that has ended is suspected within that time.
 const maxDelayLeases = 2
 
-// schedulingDelay is by how much this process was late lately, for want of processor time. It then
-// hears answers late as well, and what it takes for the silence of others may be its own.
+// schedulingDelay tracks the recent scheduling delay of this process. A process that is short
+// of CPU time receives replies late, so that an apparent timeout of another node may be its own
+// delay.
 type schedulingDelay struct {
-	began             time.Duration // of the present window
-	present, previous time.Duration // the longest delay in a window
+	began             time.Duration // start of the current window
+	present, previous time.Duration // longest delay in each window
 }
 
-// note takes by how much a timer fired late.
+// note records how late a timer fired.
 func (d *schedulingDelay) note(now, late time.Duration) {
 	d.rotate(now)
 	d.present = max(d.present, late)
 }
 
-// recent returns the longest delay lately.
+// recent returns the longest recent delay.
 func (d *schedulingDelay) recent(now time.Duration) time.Duration {
 	d.rotate(now)
 	return max(d.present, d.previous)
 }
 
-// rotate begins a new window once the present one is over.
+// rotate begins a new window once the current one is over.
 func (d *schedulingDelay) rotate(now time.Duration) {
 	switch passed := now - d.began; {
 	case passed < delayWindow:
@@ -39,15 +41,15 @@
 	}
 }
 
-// NoteDelay tells by how much a timer of this process fired late.
+// NoteDelay records how late a timer of this process fired.
 func (m *Member) NoteDelay(now, late time.Duration) { m.schedulingDelay.note(now, late) }
 
-// OwnDelay returns by how much this process was late lately.
+// SchedulingDelay returns the longest recent scheduling delay of this process.
 func (m *Member) OwnDelay(now time.Duration) time.Duration { return m.schedulingDelay.recent(now) }
 
-// suspectAfter returns the silence after which this node suspects another one. A node that is
-// late itself waits for longer: it would claim terms that it can't hold, and end each before
-// its lessor has settled what the one before left.
+// suspectAfter returns the time without a reply after which this node suspects another one. A
+// delayed node waits longer: otherwise it would claim terms that it cannot hold, and end each
+// of them before its lessor has settled the shards of the previous one.
 func (m *Member) suspectAfter(now time.Duration) time.Duration {
 	return m.cfg.SuspectAfter + min(m.schedulingDelay.recent(now), maxDelayLeases*m.cfg.Lease.TTL)
 }
--- a/lessor/delay_test.go
+++ b/lessor/delay_test.go
@@ -7,19 +7,20 @@
 	"pgregory.net/rapid"
 )
 
-// On a machine that is short of processor time nodes heard answers late, took each other for
-// lost and claimed a group in turn, each before the one before had settled: a lost server's
-// keys were not served for as long as that went on.
+// TestSchedulingDelayExtendsSuspicion guards against claims by delayed nodes. On a machine
+// short of CPU time, nodes received replies late, suspected each other and claimed a group
+// in turn, each before the previous lessor had settled, and a lost server's keys were not
+// served meanwhile.
 func TestSchedulingDelayExtendsSuspicion(t *testing.T) {
 	for name, row := range map[string]struct {
-		delay, since time.Duration // by how much it was late, and how long before the loss
+		delay, since time.Duration // scheduling delay, and how long before the loss it ended
 		counts       time.Duration
 	}{
-		"late now":             {800 * time.Millisecond, 0, 800 * time.Millisecond},
-		"late a moment ago":    {800 * time.Millisecond, delayWindow, 800 * time.Millisecond},
-		"no longer late":       {800 * time.Millisecond, 2 * delayWindow, 0},
-		"at most a while":      {time.Minute, 0, maxDelayLeases * testConfig("a", "z0").Lease.TTL},
-		"on time, as it seems": {-time.Second, 0, 0},
+		"late now":            {800 * time.Millisecond, 0, 800 * time.Millisecond},
+		"late until recently": {800 * time.Millisecond, delayWindow, 800 * time.Millisecond},
+		"no longer late":      {800 * time.Millisecond, 2 * delayWindow, 0},
+		"capped":              {time.Minute, 0, maxDelayLeases * testConfig("a", "z0").Lease.TTL},
+		"negative delay":      {-time.Second, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
@@ -35,7 +36,8 @@
 				}
 				from, to := 250*time.Millisecond, 100*time.Millisecond+2*probeTimeout
 				if row.counts > 0 {
-					// Suspicion, since a heartbeat interval before it asked at the earliest.
+					// Suspicion, measured from at most one heartbeat interval before the
+					// probe.
 					from = w.m.cfg.SuspectAfter + row.counts - 2*w.m.cfg.HeartbeatEvery
 					to = w.m.cfg.SuspectAfter + row.counts + probeTimeout
 				}
--- a/lessor/dump.go
+++ b/lessor/dump.go
@@ -8,7 +8,7 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Dump describes a member for the state dump.
+// Dump describes a member in the state dump.
 type Dump struct {
 	Group     topo.GroupID `json:"group"`
 	Role      string       `json:"role"`
@@ -20,12 +20,14 @@
 	ModeRound uint64       `json:"modeRound"`
 	Basis     string       `json:"basis"`
 	Settled   bool         `json:"settled"`
-	// SettledTerm is the latest term by which this run was a settled lessor.
+	// SettledTerm is the latest term in which this incarnation was a settled
+	// lessor.
 	SettledTerm string `json:"settledTerm"`
-	TermAge     string `json:"termAge"` // since the term in force was first seen
-	// Former and the following two are a lessor's that is not settled.
+	TermAge     string `json:"termAge"` // since the current term was first seen
+	// Former, FormerSince and KnownSettled are set by a lessor that is not
+	// settled.
 	Former       []FormerDump  `json:"former,omitempty"`
-	FormerSince  topo.Offset   `json:"formerSince,omitempty"`  // no run since this term is missing
+	FormerSince  topo.Offset   `json:"formerSince,omitempty"`  // the list of incarnations is complete from this term on
 	KnownSettled topo.Offset   `json:"knownSettled,omitempty"` // latest term known to be settled
 	ContactAge   string        `json:"contactAge"`
 	PromiseAge   string        `json:"promiseAge"`
@@ -44,17 +46,18 @@
 	OwnDelay     string        `json:"ownDelay"` // by how much this process was late lately
 }
 
-// FormerDump describes a run that may have renewed leases in earlier terms, as far
-// as a lessor that has not settled knows.
+// FormerDump describes an incarnation that may have renewed leases in earlier
+// terms, as far as a lessor that has not settled knows.
 type FormerDump struct {
 	Run     string `json:"run"`     // node and boot ID
 	Led     string `json:"led"`     // latest term as the lessor
 	StoodBy string `json:"stoodBy"` // latest term as the standby lessor
-	// AnswerAge is the age of its answer that it has stopped; "never" without one.
+	// AnswerAge is the age of its reply that it has stopped; "never" without a
+	// reply.
 	AnswerAge   string `json:"answerAge"`
-	SettledTerm string `json:"settledTerm"` // by its answer
-	// DisconnectedTerm is the latest in which it, as the lessor, asked for disconnected
-	// mode, and Asked are the standby lessors that it asked, by its answer.
+	SettledTerm string `json:"settledTerm"` // by its reply
+	// DisconnectedTerm is the latest term in which it, as the lessor, asked for
+	// disconnected mode, and Asked are the standby lessors that it asked, by its reply.
 	DisconnectedTerm string   `json:"disconnectedTerm"`
 	Asked            []string `json:"asked,omitempty"`
 }
@@ -70,12 +73,12 @@
 	Acked      bool          `json:"acked"`
 	LeaseLeft  string        `json:"leaseLeft"`
 	Draining   bool          `json:"draining"`
-	Refused    string        `json:"refused,omitempty"` // why the latest answer refused
-	// HighestTerm is the highest term that the server has told.
+	Refused    string        `json:"refused,omitempty"` // reason why the latest reply was a refusal
+	// HighestTerm is the highest term that the server has reported.
 	HighestTerm string `json:"highestTerm"`
 }
 
-// StandbyDump describes what a standby lessor remembers.
+// StandbyDump describes the state of a standby lessor.
 type StandbyDump struct {
 	Mode        string `json:"mode"`
 	ModeRound   uint64 `json:"modeRound"`
@@ -135,21 +138,22 @@
 	return list
 }
 
-// dumpFormer lists the runs of earlier terms while any shard waits for them.
+// dumpFormer lists the incarnations of earlier terms while any shard waits for
+// them.
 func (m *Member) dumpFormer(now time.Duration) []FormerDump {
 	var list []FormerDump
 	if !m.settling {
 		return list
 	}
 	f := &m.takeover.former
-	for _, r := range f.runs {
+	for _, r := range f.incarnations {
 		d := FormerDump{
 			Run:       string(r.Node) + "/" + string(r.Boot),
 			Led:       r.Led.String(),
 			StoodBy:   r.StoodBy.String(),
 			AnswerAge: moment{}.age(now),
 		}
-		if w, said := f.reply(runOf(r)); said {
+		if w, said := f.reply(incarnationOf(r)); said {
 			d.AnswerAge = momentAt(w.at).age(now)
 			d.SettledTerm = w.settled.String()
 			d.DisconnectedTerm = w.disconnected.String()
@@ -203,7 +207,7 @@
 	return list
 }
 
-// age renders how long ago the moment was.
+// age formats the time since the moment.
 func (m moment) age(now time.Duration) string {
 	if !m.set {
 		return "never"
--- a/lessor/facts.go
+++ b/lessor/facts.go
@@ -7,24 +7,24 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Facts is what a Member needs to know of the state, as of one applied offset.
-// It must not be changed once a Member has it.
+// Facts is the part of the state that a Member needs, as of one applied offset.
+// It must not be modified once a Member has it.
 type Facts struct {
 	Applied topo.Offset
-	// Group is the group in force; its Term is zero if it was never claimed.
+	// Group is the current group; its Term is zero if it was never claimed.
 	Group state.Group
-	// LessorGone and StandbyGone tell that the run which Group names has been
-	// replaced, removed, or confirmed as lost. They are hints for who claims
-	// when; no wait depends on them.
+	// LessorGone and StandbyGone report that the incarnation named by Group has
+	// been replaced, removed, or confirmed as lost. They are hints for which
+	// node claims when; no wait depends on them.
 	LessorGone  bool
 	StandbyGone bool
 	Nodes       []state.Node // see NodesOf
 	Servers     map[topo.ServerID]Server
-	Shards      map[topo.ShardID]Shard // whose owner is one of Servers
+	Shards      map[topo.ShardID]Shard // owned by one of Servers
 	// ShardsOf lists the shards of each owner in a fixed order.
 	ShardsOf map[topo.ServerID][]topo.ShardID
-	// StandbyOf lists what each of Servers is the standby server of, in a fixed
-	// order.
+	// StandbyOf lists the shards that each of Servers is the standby server of,
+	// in a fixed order.
 	StandbyOf map[topo.ServerID][]Grant
 	// LongestDisconnected is the longest MaxDisconnected of any server's service.
 	LongestDisconnected time.Duration
@@ -41,28 +41,28 @@
 // Shard is a shard that a server of the group owns.
 type Shard struct {
 	state.Assignment
-	// StandbyHere is true if the standby server is of this group too, so that
-	// this group's lessor may activate it.
+	// StandbyHere is true if the standby server belongs to this group too, so
+	// that this group's lessor may activate it.
 	StandbyHere bool
 	StandbyLost bool     // confirmed as stopped
 	Except      []string // keys split out of the hash range, sorted
 	Policy      *Policy
 }
 
-// Policy is what a service's configuration says of ownership.
+// Policy is the ownership part of a service's configuration.
 type Policy struct {
 	ChecksFencing  bool
-	AcceptUnfenced bool // replace silent servers that do not check fencing
-	// MaxDisconnected is how long after its last log contact a lessor may go
-	// on; siteconfig.Forever for no limit.
+	AcceptUnfenced bool // replace unresponsive servers that do not check fencing
+	// MaxDisconnected is how long after its last log contact a lessor may
+	// continue; siteconfig.Forever for no limit.
 	MaxDisconnected time.Duration
 	// TakeoverLimit is the longest MaxDisconnected that a lessor of the group
-	// may still go by.
+	// may still apply.
 	TakeoverLimit time.Duration
-	Retiring      bool // the service left the configuration: its shards may be released
+	Retiring      bool // the service was removed from the configuration: its shards may be released
 }
 
-// Target is a server that may be given shards.
+// Target is a server that may be assigned shards.
 type Target struct {
 	ID       topo.ServerID
 	Zone     topo.Zone
@@ -71,7 +71,7 @@
 	StandsBy int // shards it is the standby server of
 }
 
-// Grant is one shard that a server may serve, or is to warm up.
+// Grant is one shard that a server may serve, or should warm up.
 type Grant struct {
 	Shard  topo.ShardID
 	Fence  topo.Fence
--- a/lessor/former.go
+++ b/lessor/former.go
@@ -8,43 +8,45 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// former are the runs that may have renewed leases in earlier terms, and their
-// answers that they have stopped. A run that has seen a later term renews nothing
-// under an earlier one, for good.
+// former tracks the incarnations that may have renewed leases in earlier terms, and
+// their replies that they have stopped. An incarnation that has seen a later term
+// never again renews a lease under an earlier one.
 //
-// The answers count for the runs since a settled term: the lessor of that term knew
-// that nobody before it could renew. Lists here are never changed in place, so that a
-// copy of the struct is one of its own.
+// Replies are needed only from the incarnations since a settled term, because the
+// lessor of that term knew that no earlier one could renew. The slices are never
+// modified in place, so that a copy of the struct is independent.
 type former struct {
-	runs []state.FormerRun // by their latest terms, the latest first
-	// since is the offset of the first term from which on no run is missing.
+	incarnations []state.FormerRun // ordered by their latest terms, the latest first
+	// since is the offset of the first term from which the list is complete.
 	since topo.Offset
-	// settled is the latest term known to be settled: every lease of terms before
-	// it has ended.
+	// settled is the latest term known to be settled: every lease of earlier
+	// terms has ended.
 	settled    topo.Offset
 	superseded supersessions
 	replies    []stopReply
-	askedAt    moment // latest question
+	askedAt    moment // time of the latest question
 }
 
-// stopReply is what one run said, or this run knows of itself.
+// stopReply is the reply of one incarnation, or what this incarnation knows of
+// itself.
 type stopReply struct {
-	run Run
-	// at is when the word arrived; the run had stopped by then.
+	incarnation Run
+	// at is the arrival time of the reply; the incarnation had stopped by then.
 	at time.Duration
-	// settled is the latest term that the run knows to be settled.
+	// settled is the latest term that the incarnation knows to be settled.
 	settled topo.Term
-	// disconnected is the latest term in which the run, as the lessor, asked for
-	// disconnected mode, if it tells.
+	// disconnected is the latest term in which the incarnation, as the lessor,
+	// asked for disconnected mode, if it reports that.
 	disconnected topo.Term
 	reportsMode  bool
-	// askedStandbys are the standby lessors that the run asked for it, if it tells.
+	// askedStandbys are the standby lessors that the incarnation asked for
+	// disconnected mode, if it reports them.
 	askedStandbys   []AskedStandby
 	reportsStandbys bool
 }
 
-// mayHaveAsked reports whether the run may have asked a standby lessor for disconnected
-// mode in a term since an offset.
+// mayHaveAsked reports whether the incarnation may have asked a standby lessor for
+// disconnected mode in a term at or after an offset.
 func (w stopReply) mayHaveAsked(standby Run, since topo.Offset) bool {
 	if w.reportsStandbys {
 		return wasAsked(w.askedStandbys, standby, since)
@@ -52,16 +54,16 @@
 	return !w.reportsMode || w.disconnected.Offset >= since
 }
 
-// formerOf returns the lessors of the group's earlier terms. What this run itself
-// was has ended.
+// formerOf returns the lessors of the group's earlier terms. Earlier parts of
+// this incarnation have ended.
 func (m *Member) formerOf(now time.Duration) former {
 	group := m.facts.Group
 	f := former{since: group.Term.Offset, settled: group.HeldSince, superseded: m.superseded}
 	if group.Former != nil {
-		f.runs, f.since = group.Former.Runs, group.Former.Since
+		f.incarnations, f.since = group.Former.Runs, group.Former.Since
 	}
 	f.record(stopReply{
-		run:             m.self(),
+		incarnation:     m.self(),
 		at:              now,
 		settled:         m.settledTerm,
 		disconnected:    m.disconnectedTerm,
@@ -72,15 +74,15 @@
 	return f
 }
 
-func runOf(r state.FormerRun) Run { return Run{Node: r.Node, Boot: r.Boot} }
+func incarnationOf(r state.FormerRun) Run { return Run{Node: r.Node, Boot: r.Boot} }
 
-// recordFormerReply takes the reply of a node that may be a former lessor.
+// recordFormerReply records the reply of a node that may be a previous lessor.
 func (m *Member) recordFormerReply(now time.Duration, reply HeartbeatReply) {
 	if reply.HighestTerm.Less(m.term) && !m.rules.noSeenTerm {
 		return
 	}
 	w := stopReply{
-		run:             reply.From,
+		incarnation:     reply.From,
 		at:              now,
 		settled:         reply.SettledTerm,
 		disconnected:    reply.DisconnectedTerm,
@@ -89,15 +91,15 @@
 		reportsStandbys: reply.TellsStandbys,
 	}
 	if !w.settled.Less(m.term) {
-		w.settled = topo.Term{} // it has taken this node's term
+		w.settled = topo.Term{} // the replying node has adopted this node's term
 	}
 	m.takeover.former.record(w)
 }
 
-// record keeps the first word of each run that is asked for one.
+// record keeps the first reply of each incarnation that is asked for one.
 func (f *former) record(w stopReply) {
-	listed := func(r state.FormerRun) bool { return runOf(r) == w.run }
-	if _, known := f.reply(w.run); known || !slices.ContainsFunc(f.runs, listed) {
+	listed := func(r state.FormerRun) bool { return incarnationOf(r) == w.incarnation }
+	if _, known := f.reply(w.incarnation); known || !slices.ContainsFunc(f.incarnations, listed) {
 		return
 	}
 	f.replies = append(slices.Clip(f.replies), w)
@@ -105,42 +107,44 @@
 }
 
 func (f *former) reply(run Run) (stopReply, bool) {
-	i := slices.IndexFunc(f.replies, func(w stopReply) bool { return w.run == run })
+	i := slices.IndexFunc(f.replies, func(w stopReply) bool { return w.incarnation == run })
 	if i < 0 {
 		return stopReply{}, false
 	}
 	return f.replies[i], true
 }
 
-// needed lists the runs whose words are needed: all since the latest settled term.
+// needed returns the incarnations whose replies are needed: all since the latest
+// settled term.
 func (f *former) needed(r rules) []state.FormerRun {
 	settled := f.settled
-	if r.noSettledReply && len(f.runs) > 0 {
-		settled = f.runs[0].Latest().Offset
+	if r.noSettledReply && len(f.incarnations) > 0 {
+		settled = f.incarnations[0].Latest().Offset
 	}
 	count := 0
-	for count < len(f.runs) && f.runs[count].Latest().Offset >= settled {
+	for count < len(f.incarnations) && f.incarnations[count].Latest().Offset >= settled {
 		count++
 	}
-	return f.runs[:count]
+	return f.incarnations[:count]
 }
 
-// complete reports whether no run since the latest settled term is missing from
-// the list.
+// complete reports whether the list contains every incarnation since the latest
+// settled term.
 func (f *former) complete(r rules) bool { return f.settled >= f.since || r.noComplete }
 
-// stopBounds is how long a former run that says nothing may go on.
+// stopBounds bounds how long a previous incarnation that does not reply may
+// continue.
 type stopBounds struct {
 	sinceSuperseded limit         // after its term was superseded, if others may support it
-	sinceSupport    time.Duration // on what it has of the log, or of a standby lessor's promise
+	sinceSupport    time.Duration // after its last log contact or the last promise of a standby lessor
 }
 
-// rightEnd returns when the right of all former lessors to renew leases has surely
-// ended, by their own words or after their silence; never if one of them may go on
-// without limit.
+// rightEnd returns when the right of all previous lessors to renew leases has
+// certainly ended, by their replies or by their timeouts; never if one of them may
+// continue without limit.
 func (f *former) rightEnd(s stopBounds, r rules) moment {
 	if f.since == 0 {
-		return moment{} // not known
+		return moment{} // the previous incarnations are not known
 	}
 	end := momentAt(0)
 	complete := f.complete(r)
@@ -162,10 +166,11 @@
 	return end
 }
 
-// split returns the words of the runs that are needed, and the runs without one.
+// split returns the replies of the needed incarnations, and the incarnations
+// without a reply.
 func (f *former) split(needed []state.FormerRun, r rules) (said []stopReply, missing []state.FormerRun) {
 	for _, run := range needed {
-		w, known := f.reply(runOf(run))
+		w, known := f.reply(incarnationOf(run))
 		switch {
 		case known:
 			said = append(said, w)
@@ -177,9 +182,10 @@
 	return said, missing
 }
 
-// unresponsiveEnd returns when the right of the only run without a word has ended, as far
-// as the others' words bound it. If no lessor asked it for disconnected mode, it has not
-// gone on as the standby lessor; and as the lessor it gets no promise any more.
+// unresponsiveEnd returns when the right of the only incarnation without a reply has
+// ended, as far as the replies of the others bound it. If no lessor asked it for
+// disconnected mode, it has not taken over as the standby lessor; and as the lessor it
+// gets no further promise.
 func (f *former) unresponsiveEnd(run state.FormerRun, said []stopReply, s stopBounds, r rules) moment {
 	if run.StoodBy.Offset >= f.settled && f.mayHaveBeenAsked(run, r) && !r.noConnected && !r.noSingleMissing {
 		return moment{}
@@ -198,14 +204,15 @@
 }
 
 // mayHaveBeenAsked reports whether a lessor since the latest settled term may have asked
-// a standby lessor for disconnected mode, without which that does not go on by itself.
+// a standby lessor for disconnected mode. A standby lessor that was not asked does not
+// take over without the log.
 func (f *former) mayHaveBeenAsked(standby state.FormerRun, r rules) bool {
 	return slices.ContainsFunc(f.needed(r), func(run state.FormerRun) bool {
 		if run.Led.Offset < f.settled || run == standby {
 			return false
 		}
-		w, said := f.reply(runOf(run))
-		return !said || w.mayHaveAsked(runOf(standby), f.settled)
+		w, said := f.reply(incarnationOf(run))
+		return !said || w.mayHaveAsked(incarnationOf(standby), f.settled)
 	})
 }
 
@@ -219,16 +226,16 @@
 		if run.Led.Offset < f.settled {
 			return false
 		}
-		w, said := f.reply(runOf(run))
+		w, said := f.reply(incarnationOf(run))
 		return !said || !w.reportsMode || w.disconnected.Offset >= f.settled
 	})
 }
 
-// nodesToAsk lists the nodes whose words are missing.
+// nodesToAsk returns the nodes whose replies are missing.
 func (f *former) nodesToAsk(self Run) []topo.NodeID {
 	var nodes []topo.NodeID
 	for _, needed := range f.needed(rules{}) {
-		run := runOf(needed)
+		run := incarnationOf(needed)
 		_, said := f.reply(run)
 		if run != self && !said && !slices.Contains(nodes, run.Node) {
 			nodes = append(nodes, run.Node)
--- a/lessor/groupreturn.go
+++ b/lessor/groupreturn.go
@@ -7,50 +7,52 @@
 	"github.com/burdockspindle/burdockspindle/state"
 )
 
-// A lessor of another zone, which took a group over because the nodes of the
-// group's zone were silent, gives it back through a standby lessor of that zone:
-// it names one once one answers, and then asks it to take over.
+// A lessor of another zone, which claimed a group because the nodes of the
+// group's zone were unresponsive, returns it through a standby lessor of that
+// zone: it names one as soon as a node of the zone answers, and then asks it to
+// take over.
 
-// shouldReturnGroup reports whether a lessor of another zone should hand the group to
-// the standby lessor of the group's own zone.
+// shouldReturnGroup reports whether a lessor of another zone should hand the group
+// over to the standby lessor of the group's own zone.
 func (m *Member) shouldReturnGroup(now time.Duration) bool {
 	return m.isOutsider() && m.termSettled() && m.standbyInside() && m.right.promise.fresher(now, m.cfg.Lease.TTL)
 }
 
 // returnDue reports whether a lessor of another zone should name a standby lessor
-// of the group's own zone, since a node of it answers again.
+// of the group's own zone, because a node of that zone answers again.
 func (m *Member) returnDue(now time.Duration) bool {
 	if !m.awaitsReturn() || m.claim.returnedAt.fresher(now, outsiderPause) {
 		return false
 	}
-	return slices.ContainsFunc(m.nodesInside(), func(n state.Node) bool { return m.unresponsive.rank(runOfNode(n)) == 0 })
+	return slices.ContainsFunc(m.nodesInside(), func(n state.Node) bool { return m.unresponsive.rank(nodeIncarnation(n)) == 0 })
 }
 
-// planReturn asks the zone's silent nodes for signs of life.
+// planReturn probes the unresponsive nodes of the group's zone.
 func (m *Member) planReturn(now time.Duration, actions []Action) []Action {
 	if !m.awaitsReturn() {
 		return actions
 	}
 	for _, n := range m.nodesInside() {
-		if m.unresponsive.rank(runOfNode(n)) > 0 {
+		if m.unresponsive.rank(nodeIncarnation(n)) > 0 {
 			actions = m.planProbe(now, n.ID, m.cfg.StandInAfter, actions)
 		}
 	}
 	return actions
 }
 
-// awaitsReturn reports whether this is a settled lessor of another zone with a
-// standby lessor that is of another zone too.
+// awaitsReturn reports whether this is a settled lessor of another zone whose
+// standby lessor belongs to another zone too.
 func (m *Member) awaitsReturn() bool {
 	return m.role == RoleLessor && !m.offLog && m.isOutsider() && m.termSettled() && !m.standbyInside()
 }
 
 func (m *Member) standbyInside() bool {
-	standby := m.standbyRun()
+	standby := m.standbyIncarnation()
 	return slices.ContainsFunc(m.nodesInside(), func(n state.Node) bool { return n.ID == standby.Node })
 }
 
-// nodesInside lists the nodes of the group's zone by their turn.
+// nodesInside returns the nodes of the group's zone in the order of their
+// turns.
 func (m *Member) nodesInside() []state.Node {
 	var list []state.Node
 	for _, n := range m.facts.Nodes {
@@ -62,4 +64,4 @@
 	return list
 }
 
-func runOfNode(n state.Node) Run { return Run{Node: n.ID, Boot: n.Boot} }
+func nodeIncarnation(n state.Node) Run { return Run{Node: n.ID, Boot: n.Boot} }
--- a/lessor/heartbeat.go
+++ b/lessor/heartbeat.go
@@ -8,37 +8,37 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// maxHeartbeats bounds the heartbeats without an answer that are remembered.
+// maxHeartbeats bounds the unanswered heartbeats that are remembered.
 const maxHeartbeats = 16
 
-// heartbeats is what a lessor knows of its heartbeats to the standby lessor.
+// heartbeats is the state of a lessor's heartbeats to the standby lessor.
 type heartbeats struct {
 	round    uint64
-	sent     map[uint64]time.Duration // not answered yet, by round
-	last     moment                   // latest sending
-	answered moment                   // latest answer with a promise
-	peerAt   topo.Offset              // applied by the standby lessor
-	highest  topo.Term                // told by the standby lessor
+	sent     map[uint64]time.Duration // unanswered heartbeats, by round
+	last     moment                   // latest send time
+	answered moment                   // latest reply with a promise
+	peerAt   topo.Offset              // offset applied by the standby lessor
+	highest  topo.Term                // reported by the standby lessor
 	reaches  bool                     // the standby lessor reaches servers
 }
 
-// standbyRun returns the standby lessor; the node is empty if there is none.
-func (m *Member) standbyRun() Run {
+// standbyIncarnation returns the standby lessor; its node is empty if there is none.
+func (m *Member) standbyIncarnation() Run {
 	return Run{Node: m.facts.Group.Standby, Boot: m.facts.Group.StandbyBoot}
 }
 
 // BeginHeartbeat returns the heartbeat to send now.
 func (m *Member) BeginHeartbeat(now time.Duration) (Heartbeat, bool) {
-	if m.role != RoleLessor || m.offLog || m.standbyRun().Node == "" {
+	if m.role != RoleLessor || m.offLog || m.standbyIncarnation().Node == "" {
 		return Heartbeat{}, false
 	}
 	m.heartbeats.last = momentAt(now)
 	return m.nextHeartbeat(now), true
 }
 
-// BeginAsk returns the message by which former lessors are asked whether they
-// have stopped: a heartbeat of the new term, which their answer shows that they
-// have seen.
+// BeginAsk returns the message by which previous lessors are asked whether they
+// have stopped. It is a heartbeat of the new term, so that a reply shows that
+// the previous lessor has seen that term.
 func (m *Member) BeginAsk(now time.Duration) (Heartbeat, bool) {
 	if m.role != RoleLessor || m.offLog {
 		return Heartbeat{}, false
@@ -67,7 +67,7 @@
 	}
 }
 
-// HeartbeatAnswered takes the standby lessor's reply.
+// HeartbeatAnswered processes the standby lessor's reply.
 func (m *Member) HeartbeatAnswered(now time.Duration, reply HeartbeatReply) {
 	sent, known := m.heartbeats.sent[reply.Round]
 	if m.role != RoleLessor || !known || reply.Term != m.term {
@@ -77,7 +77,7 @@
 	m.unresponsive = m.unresponsive.without(reply.From)
 	m.recordFormerReply(now, reply)
 	m.advance(now)
-	if reply.From != m.standbyRun() {
+	if reply.From != m.standbyIncarnation() {
 		return
 	}
 	m.heartbeats.reaches = reply.Reaches
@@ -98,7 +98,7 @@
 	m.advance(now)
 }
 
-// BeginChangeMode asks the standby lessor for another mode with the next
+// BeginChangeMode requests another mode from the standby lessor with the next
 // heartbeats.
 func (m *Member) BeginChangeMode(to Mode) bool {
 	if m.role != RoleLessor || m.offLog || m.right.asked == to {
@@ -107,10 +107,10 @@
 	m.right.ask(to)
 	if to == ModeDisconnected {
 		m.disconnectedTerm = m.term
-		m.askedStandbys = m.askedStandbys.with(AskedStandby{Run: m.standbyRun(), Term: m.term}, m.settledTerm)
+		m.askedStandbys = m.askedStandbys.with(AskedStandby{Run: m.standbyIncarnation(), Term: m.term}, m.settledTerm)
 	}
 	if to == ModeConnected && m.rules.noLeaveAck {
-		m.askedStandbys = m.askedStandbys.without(m.standbyRun())
+		m.askedStandbys = m.askedStandbys.without(m.standbyIncarnation())
 	}
 	return true
 }
--- a/lessor/idle.go
+++ b/lessor/idle.go
@@ -1,11 +1,13 @@
 package lessor
 
-// Rests reports whether the time alone gives this member nothing to do, so that
-// it need not look again before the state changes or something is told.
+// Idle reports whether the passage of time alone causes no action of this
+// member, so that the driver need not call Plan before the state changes or
+// another input arrives.
 //
-// A member without a part in its group acts by itself only when it watches, or
-// when the group may have neither a lessor nor a standby lessor: claims wait
-// for the member's turn and for log contact, which time alone brings.
+// A member without a part in its group acts by itself only when it is a
+// watcher, or when the group may have neither a lessor nor a standby lessor: a
+// claim then waits for the member's turn and for log contact, which come with
+// time alone.
 func (m *Member) Rests() bool {
 	if !m.observed || m.role != RoleNone || m.isWatcher || m.claim.pending() {
 		return false
--- a/lessor/idle_test.go
+++ b/lessor/idle_test.go
@@ -33,7 +33,7 @@
 	return state.Node{ID: topo.NodeID(fmt.Sprintf("n%d", i)), Boot: testBoot, Zone: topo.Zone(fmt.Sprintf("z%d", i%2))}
 }
 
-// drawFacts draws what a node may be told of a group without a part in it.
+// drawFacts draws the facts of a group in which a node has no part.
 func drawFacts(t *rapid.T, term uint64) *Facts {
 	facts := &Facts{Group: state.Group{ID: "z0/0"}}
 	count := rapid.IntRange(1, 10).Draw(t, "nodes")
@@ -52,9 +52,9 @@
 	return facts
 }
 
-// TestIdleMemberHasNothingDue lets members see states, probe nodes that
-// answer or do not, and claim; whenever one says that it rests, nothing comes
-// due however long it waits.
+// TestIdleMemberHasNothingDue lets members observe states, probe nodes that
+// answer or fail, and claim. Once a member reports that it is idle, no action
+// becomes due, however long it waits.
 func TestIdleMemberHasNothingDue(t *testing.T) {
 	idle := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -67,7 +67,7 @@
 				now += 100 * time.Millisecond
 				m.Observe(now, now, true, m.facts)
 				for _, action := range m.Plan(now) {
-					drawResult(t, m, now, action)
+					drawOutcome(t, m, now, action)
 				}
 			}
 			if !m.Rests() {
@@ -78,17 +78,17 @@
 				now += wait
 				m.Observe(now, now, true, m.facts)
 				if due := m.Plan(now); len(due) > 0 || !m.Rests() {
-					t.Fatalf("at rest, but %v is due after %v", due, wait)
+					t.Fatalf("idle member has %v due after %v", due, wait)
 				}
 			}
 		}
 	})
 	if idle == 0 {
-		t.Fatal("no member ever rested")
+		t.Fatal("no member was ever idle")
 	}
 }
 
-func drawResult(t *rapid.T, m *Member, now time.Duration, action Action) {
+func drawOutcome(t *rapid.T, m *Member, now time.Duration, action Action) {
 	switch a := action.(type) {
 	case Probe:
 		m.BeginProbe(now, a.Node)
@@ -135,19 +135,19 @@
 	g.Expect(facts.Current(view, NodesOf(view, nodes))).To(gomega.BeFalse())
 	facts = FactsOf(view, nodes, "z0/0", false)
 
-	view = apply(join(2, testBoot)) // a node more
+	view = apply(join(2, testBoot)) // an additional node
 	g.Expect(facts.Current(view, NodesOf(view, nodes))).To(gomega.BeFalse())
 	nodes = NodesOf(view, nodes)
 	facts = FactsOf(view, nodes, "z0/0", false)
 
-	view = apply(join(0, "next")) // another run of the lessor's node
+	view = apply(join(0, "next")) // another incarnation of the lessor's node
 	changed := FactsOf(view, nodes, "z0/0", false)
 	g.Expect(changed.LessorGone).To(gomega.BeTrue())
-	g.Expect(facts.Current(view, nodes)).To(gomega.BeFalse(), "the lessor's run has ended")
+	g.Expect(facts.Current(view, nodes)).To(gomega.BeFalse(), "the lessor's incarnation has ended")
 }
 
-// TestOutsiderTurnIsBoundedInLargeZone: how long nodes of other zones
-// wait with a claim does not grow with the group's zone.
+// TestOutsiderTurnIsBoundedInLargeZone checks that the delay before nodes of
+// other zones claim does not grow with the size of the group's zone.
 func TestOutsiderTurnIsBoundedInLargeZone(t *testing.T) {
 	for _, c := range []struct{ inside, first int }{{1, 1}, {3, 3}, {4, 4}, {132, 4}} {
 		g := gomega.NewWithT(t)
--- a/lessor/member.go
+++ b/lessor/member.go
@@ -12,7 +12,7 @@
 // Role is a node's part in a group.
 type Role uint8
 
-// Roles.
+// Parts of a node in a group.
 const (
 	RoleNone    Role = iota
 	RoleStandby      // standby lessor
@@ -31,37 +31,41 @@
 }
 
 // Member is this node's part in one group. It is not safe for concurrent use.
-// Times given to its methods must not go backwards.
+// Times passed to its methods must not decrease.
 type Member struct {
 	cfg   Config
 	rules rules
 
 	facts           *Facts
 	shards          []topo.ShardID // see shardOrder
-	shardsFrom      *Facts         // whose shards these are
-	turnIndex       int            // among the candidates for the next lessor; below 0 if not one
-	isWatcher       bool           // one of the few that watch lessor and standby lessor
+	shardsFrom      *Facts         // the facts that shards was built from
+	turnIndex       int            // among the candidates for the next lessor; below 0 if not a candidate
+	isWatcher       bool           // one of the few nodes that watch lessor and standby lessor
 	observed        bool
-	contact         moment // when the latest log read began that proved Facts up to date
-	logFailingSince moment // since when log reads fail
-	termSeen        moment // when the term in force was first seen
-	// superseded tells since when the former runs' terms are known to have ended.
+	contact         moment // start of the latest log read that proved Facts up to date
+	logFailingSince moment // start of the current series of failed log reads
+	termSeen        moment // when the current term was first seen
+	// superseded records when the terms of previous incarnations were first seen
+	// to have ended.
 	superseded supersessions
-	// lessorGone and standbyGone are when the facts first said so in this term.
+	// lessorGone and standbyGone are when the facts first reported this in the
+	// current term.
 	lessorGone  moment
 	standbyGone moment
 
 	role   Role
-	term   topo.Term // acted under, or stood by for
+	term   topo.Term // as the lessor, or as the standby lessor
 	offLog bool      // lessor under the standby's term, not recorded yet
-	// settledTerm is the latest that this run knows to be settled, as its lessor by
-	// the log or as the standby lessor: every lease of terms before it has ended.
+	// settledTerm is the latest term that this incarnation knows to be settled, as
+	// its lessor by the log or as the standby lessor: every lease of earlier terms
+	// has ended.
 	settledTerm topo.Term
-	// disconnectedTerm is the latest in which this run, as the lessor, asked for
-	// disconnected mode, or had standby servers activated from such a term.
+	// disconnectedTerm is the latest term in which this incarnation, as the
+	// lessor, asked for disconnected mode, or still had standby servers
+	// activated in such a term.
 	disconnectedTerm topo.Term
 	askedStandbys    askedStandbys
-	draining         bool // this process is leaving
+	draining         bool // this process is shutting down
 
 	standbyState    standbyState
 	claim           claimState
@@ -69,7 +73,7 @@
 	unresponsive    unresponsiveRuns
 	schedulingDelay schedulingDelay
 
-	// What follows is a lessor's.
+	// The following fields are used only by a lessor.
 	right      right
 	heartbeats heartbeats
 	takeover   takeover
@@ -80,21 +84,21 @@
 	activated  map[topo.ShardID]*activation
 	moves      map[topo.ShardID]*move
 	submit     submission
-	announced  moment // latest announcement
+	announced  moment // time of the latest announcement
 }
 
-// claimState is a claim of this run whose record has not been seen.
+// claimState is a claim of this incarnation whose record has not been observed.
 type claimState struct {
 	number         uint64
-	inFlight       bool // the driver is working on it
+	inFlight       bool // the driver is processing it
 	maybeWritten   bool // its record was, or may have been, written
 	expected       topo.Term
-	retryAt        moment // not before
-	standbyChanges int    // claims in a row by which a lessor named another standby lessor
-	returnedAt     moment // latest one that named a standby lessor of the group's zone again
+	retryAt        moment // earliest time of the next claim
+	standbyChanges int    // consecutive claims by which a lessor named another standby lessor
+	returnedAt     moment // time of the latest claim that named a standby lessor of the group's zone again
 }
 
-// pending reports whether a claim may take effect.
+// pending reports whether a claim may still take effect.
 func (c claimState) pending() bool { return c.inFlight || c.maybeWritten }
 
 // NewMember returns a member that has observed nothing.
@@ -130,7 +134,8 @@
 	return m.self() == Run{Node: g.Standby, Boot: g.StandbyBoot}
 }
 
-// highestTerm is the highest term of the group that this run knows to be used.
+// highestTerm returns the highest term of the group that this incarnation knows
+// to be used.
 func (m *Member) highestTerm() topo.Term {
 	if m.offLog {
 		return m.term
@@ -138,12 +143,12 @@
 	return m.facts.Group.Term
 }
 
-// Observe takes the state as of facts. askedAt is when the latest log read
-// began that proved these facts up to date, and known is false if there never
-// was one. The caller must look up askedAt before it takes the view from which
-// it derives the facts; the other way round, a record applied in between would
-// be missed by a contact that counts as fresh. Facts that are the same pointer
-// as before only renew the contact.
+// Observe takes the state as of facts. askedAt is the start of the latest log
+// read that proved these facts up to date; known is false if there never was
+// one. The caller must read askedAt before it takes the view from which it
+// derives the facts: otherwise a record applied in between would be missing
+// from facts that are treated as fresh. If facts is the same pointer as before,
+// only the contact is renewed.
 func (m *Member) Observe(now time.Duration, askedAt time.Duration, known bool, facts *Facts) {
 	if known {
 		m.contact = m.contact.later(momentAt(askedAt))
@@ -171,8 +176,8 @@
 	m.advance(now)
 }
 
-// LogFailing tells whether the latest log read failed. It is a hint for when to
-// change the mode; no right depends on it.
+// LogFailing reports whether the latest log read failed. It is a hint for when
+// to change the mode; no right depends on it.
 func (m *Member) LogFailing(now time.Duration, failing bool) {
 	switch {
 	case !failing:
@@ -191,7 +196,7 @@
 	}
 }
 
-// termChanged takes up this node's part in the term that is new in force.
+// termChanged takes this node's part in the new current term.
 func (m *Member) termChanged(now time.Duration, before state.Group) {
 	supersededAt := now
 	if m.rules.noSupersession {
@@ -215,7 +220,7 @@
 	m.claim = claimState{number: m.claim.number, retryAt: m.claim.retryAt, standbyChanges: m.claim.standbyChanges, returnedAt: m.claim.returnedAt}
 }
 
-// stepDown gives up whatever this node was in the group.
+// stepDown drops this node's part in the group.
 func (m *Member) stepDown() {
 	m.role = RoleNone
 	m.term = topo.Term{}
@@ -224,7 +229,7 @@
 	m.resetLessor()
 }
 
-// becomeLessor takes up a term that this run claimed.
+// becomeLessor starts a term that this incarnation claimed.
 func (m *Member) becomeLessor(now time.Duration, before state.Group) {
 	next := m.takeoverAfter(now, before)
 	carried := next.basis == basisSelf
@@ -243,9 +248,9 @@
 	m.standbyState = standbyState{}
 }
 
-// carryOver keeps what this run knew as the lessor of the term before. Records
-// of that term can no longer change anything, so planned moves whose record was
-// on its way are submitted again.
+// carryOver keeps what this incarnation knew as the lessor of the previous
+// term. Records of that term can no longer change anything, so planned moves
+// whose record was in flight are submitted again.
 func (m *Member) carryOver() {
 	if m.takeover.before == math.MaxUint64 {
 		m.takeover.before = m.term.Offset
@@ -257,7 +262,7 @@
 		a.reportedRound = 0
 	}
 	if len(m.activated) > 0 {
-		m.disconnectedTerm = m.term // no record tells of them yet
+		m.disconnectedTerm = m.term // no record reports the activations yet
 	}
 	for _, mv := range m.moves {
 		mv.submitted = false
@@ -265,7 +270,7 @@
 	m.submit = submission{number: m.submit.number + 1, undecided: map[topo.ShardID]undecidedShard{}}
 }
 
-// dropSuperseded drops what later assignments have overtaken.
+// dropSuperseded drops entries that later assignments have superseded.
 func (m *Member) dropSuperseded() {
 	for id, fence := range m.settled {
 		if m.facts.Shards[id].Fence != fence {
@@ -294,7 +299,8 @@
 // Role returns this node's part in the group.
 func (m *Member) Role() Role { return m.role }
 
-// Term returns the term by which this node is the lessor; zero if it is not.
+// Term returns the term in which this node is the lessor; zero if it is not the
+// lessor.
 func (m *Member) Term() topo.Term {
 	if m.role != RoleLessor {
 		return topo.Term{}
@@ -302,18 +308,18 @@
 	return m.term
 }
 
-// SetDraining makes a lessor hand its term over to its standby lessor, and any
-// other member claim nothing.
+// SetDraining makes a lessor hand its term over to its standby lessor, and
+// keeps any other member from claiming.
 func (m *Member) SetDraining() { m.draining = true }
 
-// MayRenew reports whether this node is the lessor and may renew leases for at
-// least one kind of service now.
+// MayRenew reports whether this node is the lessor and may currently renew
+// leases for at least one kind of service.
 func (m *Member) MayRenew(now time.Duration) bool {
 	until, has := m.RightUntil()
 	return has && now < until
 }
 
-// RightUntil returns the moment until which this node may act as the lessor, as
+// RightUntil returns the time until which this node may act as the lessor, as
 // far as it knows now; false if it may not.
 func (m *Member) RightUntil() (time.Duration, bool) {
 	if m.role != RoleLessor {
@@ -338,8 +344,8 @@
 	return end.at, end.set
 }
 
-// disconnectedEnd is when a limit on the disconnected time ends the right of a
-// lessor that has no new log contact.
+// disconnectedEnd returns when a limit on the disconnected time ends the right
+// of a lessor that gets no new log contact.
 func (m *Member) disconnectedEnd(limit time.Duration) moment {
 	switch {
 	case limit == siteconfig.Forever:
--- a/lessor/messages.go
+++ b/lessor/messages.go
@@ -6,15 +6,15 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Mode says what gives a lessor the right to renew.
+// Mode selects what gives a lessor the right to renew.
 type Mode uint8
 
-// Modes.
+// Modes of the right to renew.
 const (
 	// ModeConnected: log contact or the standby's promise.
 	ModeConnected Mode = iota
-	// ModeDisconnected: the standby's promise alone. The standby may go on off
-	// the log when its promise has lapsed.
+	// ModeDisconnected: the standby's promise alone. The standby may take over
+	// without the log when its promise has expired.
 	ModeDisconnected
 )
 
@@ -26,53 +26,54 @@
 	return "connected"
 }
 
-// Run is one run of a node.
+// Incarnation is one incarnation of a node, from its start to its end.
 type Run struct {
 	Node topo.NodeID
 	Boot topo.BootID
 }
 
-// Heartbeat goes from a lessor to its standby lessor.
+// Heartbeat is sent by a lessor to its standby lessor.
 type Heartbeat struct {
 	From      Run
 	Term      topo.Term
 	Round     uint64 // of this message
-	Mode      Mode   // asked for
+	Mode      Mode   // requested
 	ModeRound uint64
 	Applied   topo.Offset
 	Settled   bool
 	Resigning bool
 	Activated []topo.ShardID
 	Undecided []topo.ShardID
-	CutOff    bool // no server answers: the standby lessor is to try them
+	CutOff    bool // no server answers: the standby lessor should probe them
 }
 
-// HeartbeatReply is the standby lessor's answer.
+// HeartbeatReply is the standby lessor's reply.
 type HeartbeatReply struct {
 	From        Run
 	Term        topo.Term // echoed
 	Round       uint64    // echoed
 	Promised    bool
-	Mode        Mode // acknowledged last
+	Mode        Mode // latest acknowledged mode
 	ModeRound   uint64
 	Applied     topo.Offset
 	HighestTerm topo.Term // known to the standby
-	Reaches     bool      // a server has just answered the standby
-	SettledTerm topo.Term // latest that the answering run knows to be settled
-	// DisconnectedTerm is the latest in which the answering run, as the lessor, asked
-	// for disconnected mode or had standby servers activated; it counts only if
-	// TellsMode is set.
+	Reaches     bool      // a server has recently answered the standby
+	SettledTerm topo.Term // latest term that the replying incarnation knows to be settled
+	// DisconnectedTerm is the latest term in which the replying incarnation, as the
+	// lessor, asked for disconnected mode or had standby servers activated. It is
+	// valid only if ReportsMode is set.
 	DisconnectedTerm topo.Term
 	TellsMode        bool
-	// AskedStandbys are all that the answering run, as the lessor, has asked for
-	// disconnected mode since it was settled, but for those that have acknowledged
-	// connected mode again; it counts only if TellsStandbys is set.
+	// AskedStandbys are the standby lessors that the replying incarnation, as the
+	// lessor, has asked for disconnected mode since it was settled, except those
+	// that have acknowledged connected mode again. The list is complete only if
+	// ReportsStandbys is set.
 	AskedStandbys []AskedStandby
 	TellsStandbys bool
 }
 
-// LeaseOrder is a renewal to send to a server. With an empty Boot it asks for a
-// time stamp only.
+// LeaseOrder is a renewal to send to a server. With an empty Boot it only
+// requests a time stamp.
 type LeaseOrder struct {
 	Server     topo.ServerID
 	Attempt    uint64
@@ -105,9 +106,9 @@
 type Claim struct {
 	Expected  topo.Term
 	Standby   Run
-	Continued topo.Term // zero unless the claimant went on under it
-	// Settled: the claimant is the lessor, and no lease of an earlier lessor is
-	// left.
+	Continued topo.Term // zero unless the claimant took over under it without the log
+	// Settled: the claimant is the lessor, and no lease of an earlier lessor
+	// remains.
 	Settled bool
 }
 
@@ -126,17 +127,17 @@
 type Submission struct {
 	Term    topo.Term
 	Assigns []Assign
-	Reason  string // for people
+	Reason  string // for operators
 }
 
-// Activation is a standby server that serves a shard off the log.
+// Activation is a standby server that serves a shard without the log.
 type Activation struct {
 	Shard  topo.ShardID
-	Fence  topo.Fence // the standby's
+	Fence  topo.Fence // the standby fence
 	Server topo.ServerID
 }
 
-// Announcement tells the zone's nodes what was decided off the log.
+// Announcement reports to the zone's nodes the decisions made without the log.
 type Announcement struct {
 	Term        topo.Term
 	Activations []Activation
@@ -145,8 +146,8 @@
 // Move is a planned change of a shard's owner or standby server.
 type Move struct {
 	Shard   topo.ShardID
-	Fence   topo.Fence // in force
+	Fence   topo.Fence // of the current assignment
 	To      topo.ServerID
-	Standby topo.ServerID // empty lets the lessor choose
+	Standby topo.ServerID // if empty, the lessor chooses
 	Merge   bool          // returns a split key to its hash range
 }
--- a/lessor/mode_test.go
+++ b/lessor/mode_test.go
@@ -7,7 +7,7 @@
 	"github.com/onsi/gomega"
 )
 
-// plansMode reports whether the first lessor would ask for a mode now.
+// plansMode reports whether the first lessor would request a mode now.
 func (w *world) plansMode(to Mode) bool {
 	return slices.Contains(w.member(0).Plan(w.clock(0)), Action(ChangeMode{To: to}))
 }
@@ -40,7 +40,7 @@
 	g := gomega.NewWithT(t)
 	w := newSearchWorld(&bounds{ttl: walkTTL, limit: 8 * walkTTL, followPlans: true})
 	w.member(0).LogFailing(w.clock(0), true)
-	w.now += walkTTL // the standby lessor is silent
+	w.now += walkTTL // the standby lessor is unresponsive
 	w.readLog(0, true)
 	g.Expect(w.plansMode(ModeDisconnected)).To(gomega.BeFalse())
 }
--- a/lessor/moment.go
+++ b/lessor/moment.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// moment is a point on the member's clock that may not have come yet. The zero
-// moment is "never".
+// moment is a point on the member's clock, which may lie in the future. The
+// zero moment means "never".
 type moment struct {
 	at  time.Duration
 	set bool
@@ -11,12 +11,12 @@
 
 func momentAt(at time.Duration) moment { return moment{at: at, set: true} }
 
-// fresher reports whether the moment came less than age before now.
+// fresher reports whether the moment is less than age before now.
 func (m moment) fresher(now, age time.Duration) bool {
 	return m.set && now-m.at < age
 }
 
-// later returns the later of two moments; never is the earliest.
+// later returns the later of two moments; never is treated as the earliest.
 func (m moment) later(other moment) moment {
 	if !m.set || (other.set && other.at > m.at) {
 		return other
@@ -24,7 +24,7 @@
 	return m
 }
 
-// latest returns the later of two moments; never is the latest.
+// latest returns the later of two moments; never is treated as the latest.
 func (m moment) latest(other moment) moment {
 	if !m.set || !other.set {
 		return moment{}
@@ -32,7 +32,7 @@
 	return m.later(other)
 }
 
-// earlier returns the earlier of two moments; never is the latest.
+// earlier returns the earlier of two moments; never is treated as the latest.
 func (m moment) earlier(other moment) moment {
 	if !m.set || (other.set && other.at < m.at) {
 		return other
@@ -40,13 +40,13 @@
 	return m
 }
 
-// passed reports whether the moment has been reached; never is not.
+// passed reports whether the moment has been reached; never has not.
 func (m moment) passed(now time.Duration) bool { return m.set && now >= m.at }
 
-// wall maps the member's clock to time.Time for package lease.
+// wall converts the member's clock to time.Time for package lease.
 func wall(at time.Duration) time.Time { return time.Unix(0, 0).Add(at) }
 
-// fromWall undoes wall; the zero time is the beginning.
+// fromWall reverses wall; the zero time maps to 0.
 func fromWall(t time.Time) time.Duration {
 	if t.IsZero() {
 		return 0
--- a/lessor/moves.go
+++ b/lessor/moves.go
@@ -13,16 +13,16 @@
 type move struct {
 	Move
 	began     time.Duration
-	submitted bool // its record is on the way
-	release   bool // the shard is to have no owner
+	submitted bool // its record is in flight
+	release   bool // the shard is left without an owner
 	split     bool // the shard is a key that is not split out yet
 	sameOwner bool // only the standby server or the key's entry changes
 }
 
-// revokes reports whether the owner must hand the shard back first.
+// revokes reports whether the owner must release the shard first.
 func (mv *move) revokes() bool { return !mv.sameOwner && !mv.split }
 
-// RequestMove asks for planned moves and returns how many were taken up.
+// RequestMove requests planned moves and returns how many were accepted.
 func (m *Member) RequestMove(now time.Duration, moves []Move) int {
 	if m.role != RoleLessor {
 		return 0
@@ -47,7 +47,7 @@
 	mv := &move{Move: requested, began: now}
 	shard, exists := m.facts.Shards[id]
 	if !exists {
-		// inForce has found the hash range that the key is to be split out of.
+		// inForce has found the hash range that the key is split out of.
 		mv.split = true
 		shard = m.facts.Shards[rangeOf(id)]
 	}
@@ -71,8 +71,8 @@
 	return true
 }
 
-// requestRelease leaves a shard of a service that left the configuration
-// without an owner.
+// requestRelease leaves a shard without an owner if its service was removed
+// from the configuration.
 func (m *Member) requestRelease(mv *move, shard Shard) bool {
 	if mv.split || !shard.Policy.Retiring {
 		return false
@@ -83,8 +83,8 @@
 }
 
 // requestMerge returns a split key to its hash range. Both must have the same
-// owner; if they differ, the key is moved to the range's owner first, and the
-// merge has to be asked for again.
+// owner; if the owners differ, the key is moved to the range's owner first, and
+// the merge must be requested again.
 func (m *Member) requestMerge(mv *move, shard Shard) bool {
 	if mv.split || mv.Shard.Key == "" {
 		return false
@@ -101,7 +101,7 @@
 	return true
 }
 
-// startMove takes the move up and lets the owner hear of it at once.
+// startMove starts the move and makes the owner's next renewal due at once.
 func (m *Member) startMove(mv *move, shard Shard) {
 	m.moves[mv.Shard] = mv
 	if !mv.sameOwner {
@@ -119,7 +119,7 @@
 	return active
 }
 
-// submitFailed lets a move whose record failed be submitted again.
+// submitFailed allows a move whose record failed to be submitted again.
 func (m *Member) submitFailed(id topo.ShardID) {
 	if mv, moving := m.moves[id]; moving {
 		mv.submitted = false
@@ -127,7 +127,7 @@
 }
 
 // abandonMove puts the shard of a move whose record had no effect back on its
-// owner's list, and lets the owner hear of it at once.
+// owner's list, and makes the owner's next renewal due at once.
 func (m *Member) abandonMove(id topo.ShardID) {
 	mv, moving := m.moves[id]
 	if !moving || !mv.submitted {
@@ -139,7 +139,7 @@
 	}
 }
 
-// dropFinishedMoves drops moves that are done or overtaken.
+// dropFinishedMoves drops moves that are done or superseded.
 func (m *Member) dropFinishedMoves() {
 	for id, mv := range m.moves {
 		if m.inForce(id) != mv.Fence {
@@ -148,8 +148,8 @@
 	}
 }
 
-// expireMoves gives up moves that wait for too long: their shards go back on
-// their owners' lists.
+// expireMoves abandons moves that have waited for MoveTimeout: their shards
+// return to their owners' lists.
 func (m *Member) expireMoves(now time.Duration) {
 	for id, mv := range m.moves {
 		if !mv.submitted && !m.isUndecided(id) && now-mv.began >= m.cfg.MoveTimeout {
@@ -158,7 +158,7 @@
 	}
 }
 
-// canTake reports whether a server can be given shards of a service.
+// canTake reports whether a server can be assigned shards of a service.
 func (m *Member) canTake(service topo.Service, id topo.ServerID) bool {
 	for _, target := range m.facts.Targets[service] {
 		if target.ID == id {
@@ -169,7 +169,7 @@
 }
 
 // serves reports whether a server is fit for new shards, as far as this member
-// can tell: of the servers of other groups it knows only what the state says.
+// knows. Of the servers of other groups it knows only what the state contains.
 func (m *Member) serves(id topo.ServerID) bool {
 	if _, here := m.facts.Servers[id]; !here {
 		return true
@@ -178,8 +178,8 @@
 	return known && s.boot() != "" && m.mayStandBy(id)
 }
 
-// mayStandBy reports whether nothing speaks against a server as a standby
-// server. It may not have been heard yet.
+// mayStandBy reports whether a server is usable as a standby server: neither
+// suspected, draining nor confirmed as lost. It may not have been observed yet.
 func (m *Member) mayStandBy(id topo.ServerID) bool {
 	s, known := m.servers[id]
 	if known && (s.suspected() || s.draining) {
@@ -188,8 +188,8 @@
 	return !m.confirmedLost(id)
 }
 
-// planAutomaticMoves takes up the moves that the lessor makes by itself: away from
-// servers that drain.
+// planAutomaticMoves starts the moves that the lessor makes without a request:
+// away from servers that drain.
 func (m *Member) planAutomaticMoves(now time.Duration) {
 	if m.right.mode != ModeConnected || m.offLog {
 		return
@@ -207,7 +207,8 @@
 	}
 }
 
-// mustVacate reports whether a server that still answers is to give its shards up.
+// mustVacate reports whether a server that still answers should give up its
+// shards.
 func (m *Member) mustVacate(id topo.ServerID, facts Server) bool {
 	s, known := m.servers[id]
 	return facts.Phase == state.PhaseDraining || facts.Lost || (known && s.draining)
--- a/lessor/placement.go
+++ b/lessor/placement.go
@@ -7,13 +7,13 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// placement chooses servers for the shards of one record. Its counts follow
-// what it has chosen, so that a lost server's shards are spread.
+// placement chooses servers for the shards of one record. It counts its own
+// choices, so that a lost server's shards are spread over several servers.
 type placement struct {
 	m        *Member
 	owned    map[topo.ServerID]int
 	standsBy map[topo.ServerID]int
-	seen     map[topo.Service]bool // whether the counts have been taken
+	seen     map[topo.Service]bool // services whose counts have been read
 }
 
 func (m *Member) newPlacement() *placement {
@@ -25,7 +25,7 @@
 	}
 }
 
-// targets lists the live servers of a service.
+// targets returns the live servers of a service.
 func (p *placement) targets(service topo.Service) []Target {
 	list := p.m.facts.Targets[service]
 	if p.seen[service] {
@@ -50,8 +50,8 @@
 	return best
 }
 
-// standby chooses a standby server for a shard: of the owner's group if there
-// is one, so that it can be activated while the log is away.
+// standby chooses a standby server for a shard: one of the owner's group if
+// there is any, so that it can be activated while the log is unavailable.
 func (p *placement) standby(service topo.Service, owner, preferred topo.ServerID) topo.ServerID {
 	candidates := p.targets(service)
 	group := p.groupOf(candidates, owner)
@@ -98,7 +98,8 @@
 	return best.ID
 }
 
-// compare orders servers by count, then those of the zone first, then by name.
+// compare orders servers by count, then by zone with the group's zone first,
+// then by name.
 func (p *placement) compare(a, b Target, zone topo.Zone, count map[topo.ServerID]int) int {
 	return cmp.Or(
 		cmp.Compare(count[a.ID], count[b.ID]),
--- a/lessor/plan.go
+++ b/lessor/plan.go
@@ -8,8 +8,8 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Plan lists what is due now, in order of urgency. Besides taking up what time
-// has settled it changes nothing.
+// Plan returns the actions that are due now, in order of urgency. Apart from
+// applying the passage of time to the member's state it changes nothing.
 func (m *Member) Plan(now time.Duration) []Action {
 	m.advance(now)
 	if m.role == RoleLessor {
@@ -35,7 +35,7 @@
 func (m *Member) planLessor(now time.Duration, actions []Action) []Action {
 	actions = m.planMode(now, actions)
 	if m.heartbeatDue(now) {
-		actions = append(actions, SendHeartbeat{To: m.standbyRun().Node})
+		actions = append(actions, SendHeartbeat{To: m.standbyIncarnation().Node})
 	}
 	actions = m.planAsks(now, actions)
 	actions = m.planReturn(now, actions)
@@ -52,11 +52,11 @@
 	return actions
 }
 
-// planMode enters disconnected mode when log contact gives the right no longer,
-// or is about to since the log fails, and the standby lessor answers. It leaves
-// the mode when the log is back.
+// planMode enters disconnected mode when the standby lessor answers and log
+// contact no longer gives the right, or is about to expire because the log
+// fails. It leaves the mode when the log is available again.
 func (m *Member) planMode(now time.Duration, actions []Action) []Action {
-	if m.offLog || m.standbyRun().Node == "" {
+	if m.offLog || m.standbyIncarnation().Node == "" {
 		return actions
 	}
 	ttl := m.cfg.Lease.TTL
@@ -71,24 +71,24 @@
 	return actions
 }
 
-// logUnavailable reports whether log reads have failed for so long that it is no
-// single failure. A log that fails leaves little time to prepare for the loss
-// of this lessor too: the standby lessor may go on only once it has
+// logUnavailable reports whether log reads have failed for longer than a single
+// failure. When the log fails, little time remains to prepare for the loss of
+// this lessor too, because the standby lessor may take over only once it has
 // acknowledged disconnected mode.
 func (m *Member) logUnavailable(now time.Duration) bool {
 	return m.logFailingSince.set && now-m.logFailingSince.at >= m.cfg.HeartbeatEvery
 }
 
 func (m *Member) heartbeatDue(now time.Duration) bool {
-	if m.offLog || m.standbyRun().Node == "" {
+	if m.offLog || m.standbyIncarnation().Node == "" {
 		return false
 	}
 	last := m.heartbeats.last
 	return !last.set || now-last.at >= m.cfg.HeartbeatEvery
 }
 
-// planServers asks for acknowledgements while shards of earlier terms are not
-// settled, and renews.
+// planServers requests acknowledgements while shards of earlier terms are not
+// settled, and renews leases.
 func (m *Member) planServers(now time.Duration, actions []Action) []Action {
 	renew := m.mayRenew(now)
 	asks := m.asksForAcknowledgement()
@@ -107,7 +107,7 @@
 	return actions
 }
 
-// planAsks asks former lessors, while that can shorten a wait.
+// planAsks asks previous lessors while their replies can shorten a wait.
 func (m *Member) planAsks(now time.Duration, actions []Action) []Action {
 	f := &m.takeover.former
 	if !m.asksForAcknowledgement() || (f.askedAt.set && now-f.askedAt.at < m.cfg.RenewEvery) {
@@ -119,8 +119,8 @@
 	return actions
 }
 
-// planServerProbes lets a standby lessor find out whether servers answer it. It asks
-// them to acknowledge the term that is in force anyway.
+// planServerProbes lets a standby lessor check whether servers answer it, by asking
+// them to acknowledge the term that is current in any case.
 func (m *Member) planServerProbes(now time.Duration, actions []Action) []Action {
 	for _, id := range slices.Sorted(maps.Keys(m.facts.Servers)) {
 		s := m.server(id)
@@ -138,9 +138,9 @@
 	return m.settling
 }
 
-// readyToRenew holds the first renewal of a term back while the server's lease
-// of an earlier term goes on and some of its shards are not settled, or wait for a
-// new fence: the first list takes away what it does not contain.
+// readyToRenew defers the first renewal of a term while the server's lease of an
+// earlier term is valid and some of its shards are not settled, or wait for a new
+// fence: the first list revokes every shard that it does not contain.
 func (m *Member) readyToRenew(now time.Duration, id topo.ServerID, s *server) bool {
 	if s.reported > 0 {
 		return true
@@ -171,8 +171,8 @@
 	return actions
 }
 
-// announceEvery is how often decisions off the log are told again, in renewal
-// intervals.
+// announceEvery is the interval between announcements of decisions made without
+// the log, in renewal intervals.
 const announceEvery = 4
 
 func (m *Member) announceDue(now time.Duration) bool {
--- a/lessor/probe.go
+++ b/lessor/probe.go
@@ -7,21 +7,20 @@
 )
 
 const (
-	// firstPerHeartbeat and overduePerHeartbeat divide the heartbeat interval:
-	// the watcher whose turn is first asks a lessor that answers every three
-	// quarters of it, and an answer that takes a quarter is overdue. So when
-	// lessor and standby lessor are lost, both have been asked within one.
+	// overduePerHeartbeat divides the heartbeat interval. The first watcher in turn probes a
+	// lessor that answers every three quarters of it, and a reply is overdue after a quarter.
+	// So when lessor and standby lessor are lost, both have been probed within one interval.
 	overduePerHeartbeat = 4
-	// laterPerStandIn divides StandInAfter: within that the watchers whose turn
-	// comes later have asked both.
+	// laterPerStandIn divides StandInAfter: watchers later in turn probe both
+	// nodes within that time.
 	laterPerStandIn = 2
-	// minPause bounds how often a member whose probe cannot begin looks again.
+	// minPause bounds how often a member whose probe cannot begin checks again.
 	minPause = time.Millisecond
 )
 
-// planProbes asks the lessor and the standby lessor for signs of life. While the
-// lessor answers, only the lessor is asked: the group needs a watcher once both
-// are silent.
+// planProbes probes the lessor and the standby lessor. While the lessor answers,
+// only the lessor is probed, because the group needs a watcher only once both
+// are unresponsive.
 func (m *Member) planProbes(now time.Duration, actions []Action) []Action {
 	if m.facts.Group.Term.IsZero() || m.role == RoleLessor {
 		return actions
@@ -43,7 +42,7 @@
 	return m.planProbe(now, group.Standby, m.cfg.HeartbeatEvery, actions)
 }
 
-// planProbe asks a node that was not asked for a while.
+// planProbe probes a node if the latest probe is at least every ago.
 func (m *Member) planProbe(now time.Duration, id topo.NodeID, every time.Duration, actions []Action) []Action {
 	if id == "" || id == m.cfg.Node {
 		return actions
@@ -55,7 +54,8 @@
 	return append(actions, Probe{Node: id})
 }
 
-// healthyEvery is how often this watcher asks a lessor that answers.
+// healthyEvery returns the interval at which this watcher probes a lessor that
+// answers.
 func (m *Member) healthyEvery() time.Duration {
 	if m.turnIndex == 0 {
 		return m.cfg.HeartbeatEvery - m.overdueAfter()
@@ -65,8 +65,9 @@
 
 func (m *Member) overdueAfter() time.Duration { return m.cfg.HeartbeatEvery / overduePerHeartbeat }
 
-// suspectsLessor reports whether this watcher has a reason to ask the standby
-// lessor too: the lessor's run has ended, or its answer failed or is overdue.
+// suspectsLessor reports whether this watcher has a reason to probe the standby
+// lessor too: the lessor's incarnation has ended, or its reply failed or is
+// overdue.
 func (m *Member) suspectsLessor(now time.Duration) bool {
 	lessor := m.facts.Group.Lessor
 	if lessor == "" || lessor == m.cfg.Node || m.lessorGone.set || m.watch.failed(lessor) {
@@ -76,8 +77,8 @@
 	return known.inFlight && now-known.askedAt.at >= m.overdueAfter()
 }
 
-// WatchPause returns how long a member that watches may wait for its next look
-// at the time, unless something is told before.
+// WatchPause returns how long a watching member may wait before its next check,
+// unless another input arrives earlier.
 func (m *Member) WatchPause(now time.Duration) (time.Duration, bool) {
 	if m.role != RoleNone || !m.isWatcher || m.facts.Group.Term.IsZero() || m.claim.pending() {
 		return 0, false
--- a/lessor/probe_test.go
+++ b/lessor/probe_test.go
@@ -10,17 +10,17 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-const probeTimeout = 175 * time.Millisecond // as the module sets it
+const probeTimeout = 175 * time.Millisecond // as set by module modules/lessor
 
-// watcherHarness drives a member that watches, as the module does: it looks at the
-// time after WatchPause, and when a probe ends.
+// watcherHarness drives a watching member as the module does: it calls Plan after
+// WatchPause, and when a probe ends.
 type watcherHarness struct {
 	t         *rapid.T
 	m         *Member
 	now       time.Duration
 	roundTrip time.Duration                // of a probe that is answered
-	lostAt    time.Duration                // since when lessor and standby lessor are silent
-	pending   map[topo.NodeID]pendingProbe // under way
+	lostAt    time.Duration                // time at which lessor and standby lessor become unresponsive
+	pending   map[topo.NodeID]pendingProbe // probes in flight
 	probes    map[topo.NodeID]int
 }
 
@@ -29,7 +29,7 @@
 	failed bool
 }
 
-func newWatcherHarness(t *rapid.T, place int) *watcherHarness {
+func newWatcherHarness(t *rapid.T, turn int) *watcherHarness {
 	facts := &Facts{Group: state.Group{
 		ID: "z0/0", Term: topo.MakeTerm(1, 0), Lessor: "lessor", LessorBoot: testBoot, Standby: "standby", StandbyBoot: testBoot,
 	}}
@@ -39,16 +39,16 @@
 	for _, id := range []topo.NodeID{"a", "b"} {
 		m := NewMember(testConfig(id, "z0"))
 		m.Observe(0, 0, true, facts)
-		if m.turnIndex == place {
+		if m.turnIndex == turn {
 			return &watcherHarness{t: t, m: m, pending: map[topo.NodeID]pendingProbe{}, probes: map[topo.NodeID]int{}}
 		}
 	}
-	t.Fatalf("no node has place %d", place)
+	t.Fatalf("no node has turn %d", turn)
 	return nil
 }
 
-// step looks once and passes the time until the next look. It returns whether a
-// claim was due.
+// step calls Plan once and advances the time to the next call. It reports
+// whether a claim was due.
 func (w *watcherHarness) step() bool {
 	w.m.Observe(w.now, w.now, true, w.m.facts)
 	for _, action := range w.m.Plan(w.now) {
@@ -61,7 +61,7 @@
 	}
 	pause, watches := w.m.WatchPause(w.now)
 	if !watches {
-		w.t.Fatal("the member watches no longer")
+		w.t.Fatal("the member is no longer a watcher")
 	}
 	next := w.now + pause
 	for _, end := range w.pending {
@@ -96,18 +96,19 @@
 	}
 }
 
-// TestWatchersClaimInTurnWithinBounds loses lessor and standby lessor at any
-// moment between two probes. The first watcher claims as soon as it did when it
-// asked both of them each heartbeat interval; the next waits its turn.
+// TestWatchersClaimInTurnWithinBounds stops lessor and standby lessor at any
+// moment between two probes. The first watcher claims as early as if it probed
+// both of them each heartbeat interval; the next one waits for its turn.
 func TestWatchersClaimInTurnWithinBounds(t *testing.T) {
-	for place, bounds := range []struct{ from, to time.Duration }{
-		// A heartbeat interval and two probes in vain.
+	for turn, bounds := range []struct{ from, to time.Duration }{
+		// A heartbeat interval and two failed probes.
 		{from: 250 * time.Millisecond, to: 100*time.Millisecond + 2*probeTimeout},
-		// Suspicion and its turn, since a heartbeat interval before it asked.
+		// Suspicion and its turn, measured from one heartbeat interval before
+		// the probe.
 		{from: 750 * time.Millisecond, to: 1000 * time.Millisecond},
 	} {
 		rapid.Check(t, func(t *rapid.T) {
-			w := newWatcherHarness(t, place)
+			w := newWatcherHarness(t, turn)
 			w.roundTrip = time.Duration(rapid.IntRange(0, 5000).Draw(t, "trip")) * time.Microsecond
 			w.lostAt = 2*time.Second + time.Duration(rapid.IntRange(0, 500_000).Draw(t, "lost"))*time.Microsecond
 			for !w.step() {
@@ -118,18 +119,18 @@
 			after := w.now - w.lostAt
 			slack := w.roundTrip + minPause
 			if after < bounds.from-slack || after > bounds.to+slack {
-				t.Fatalf("place %d claimed %v after the loss, not within %v to %v", place, after, bounds.from, bounds.to)
+				t.Fatalf("watcher %d claimed %v after the loss, not within %v to %v", turn, after, bounds.from, bounds.to)
 			}
 		})
 	}
 }
 
-// TestWatcherProbesHealthyLessorOnly counts the probes of a healthy
-// pair.
+// TestWatcherProbesHealthyLessorOnly counts the probes of a healthy lessor and
+// standby lessor.
 func TestWatcherProbesHealthyLessorOnly(t *testing.T) {
-	for place, most := range []int{14, 5} {
+	for turn, most := range []int{14, 5} {
 		rapid.Check(t, func(t *rapid.T) {
-			w := newWatcherHarness(t, place)
+			w := newWatcherHarness(t, turn)
 			w.roundTrip = time.Duration(rapid.IntRange(0, 20_000).Draw(t, "trip")) * time.Microsecond
 			w.lostAt = time.Hour
 			for w.now < 10*time.Second {
@@ -138,7 +139,7 @@
 				}
 			}
 			if w.probes["standby"] > 0 || w.probes["lessor"] > 10*most {
-				t.Fatalf("place %d asked the lessor %d times and the standby lessor %d times in 10 s", place, w.probes["lessor"], w.probes["standby"])
+				t.Fatalf("watcher %d probed the lessor %d times and the standby lessor %d times in 10 s", turn, w.probes["lessor"], w.probes["standby"])
 			}
 		})
 	}
--- a/lessor/projection.go
+++ b/lessor/projection.go
@@ -10,7 +10,7 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// GroupsOf lists the groups that a view knows: those claimed, those that
+// GroupsOf returns the groups that a view knows: those claimed, those that
 // servers belong to, and the configured number for each zone that has nodes.
 func GroupsOf(view *state.View) []topo.GroupID {
 	set := map[topo.GroupID]bool{}
@@ -45,9 +45,9 @@
 	return zones
 }
 
-// NodesOf lists the nodes of a view that are not lost, in order. It returns the
-// list that it gave for another view if that says the same, so that what was
-// worked out from it need not be worked out again.
+// NodesOf returns the nodes of a view that are not lost, in order. If the list
+// equals other, the result for another view, it returns other, so that callers
+// can reuse values derived from it.
 func NodesOf(view *state.View, other []state.Node) []state.Node {
 	nodes := make([]state.Node, 0, len(view.Nodes()))
 	for _, node := range view.Nodes() {
@@ -62,13 +62,13 @@
 	return nodes
 }
 
-// sameList reports whether two lists are one and the same.
+// sameList reports whether two slices are identical, not only equal.
 func sameList(a, b []state.Node) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
 // FactsOf derives the facts of one group from a view and the view's NodesOf.
-// Without detail, what only lessors and standby lessors need is left out.
+// Without detail, it omits what only lessors and standby lessors need.
 func FactsOf(view *state.View, nodes []state.Node, id topo.GroupID, detail bool) *Facts {
 	facts := basicFacts(view, id)
 	facts.Applied, facts.Nodes = view.Applied(), nodes
@@ -79,24 +79,25 @@
 	return &facts
 }
 
-// Current reports whether a newer view and its NodesOf would tell a node that
-// is neither lessor nor standby lessor nothing else but the offset.
+// Current reports whether the facts of a newer view and its NodesOf would
+// differ in nothing but the offset, for a node that is neither lessor nor
+// standby lessor.
 func (f *Facts) Current(view *state.View, nodes []state.Node) bool {
 	group, _ := view.Group(f.Group.ID)
 	group.ID = f.Group.ID
 	return sameList(f.Nodes, nodes) && group == f.Group &&
-		f.LessorGone == runEnded(view, group.Lessor, group.LessorBoot) &&
-		f.StandbyGone == runEnded(view, group.Standby, group.StandbyBoot)
+		f.LessorGone == incarnationEnded(view, group.Lessor, group.LessorBoot) &&
+		f.StandbyGone == incarnationEnded(view, group.Standby, group.StandbyBoot)
 }
 
-// basicFacts returns what every node needs to know of a group.
+// basicFacts returns the part of the facts that every node needs.
 func basicFacts(view *state.View, id topo.GroupID) Facts {
 	group, _ := view.Group(id)
 	group.ID = id
 	return Facts{
 		Group:       group,
-		LessorGone:  runEnded(view, group.Lessor, group.LessorBoot),
-		StandbyGone: runEnded(view, group.Standby, group.StandbyBoot),
+		LessorGone:  incarnationEnded(view, group.Lessor, group.LessorBoot),
+		StandbyGone: incarnationEnded(view, group.Standby, group.StandbyBoot),
 		Servers:     map[topo.ServerID]Server{},
 		Shards:      map[topo.ShardID]Shard{},
 		ShardsOf:    map[topo.ServerID][]topo.ShardID{},
@@ -105,8 +106,9 @@
 	}
 }
 
-// runEnded reports whether a run of a node was replaced, removed or lost.
-func runEnded(view *state.View, id topo.NodeID, boot topo.BootID) bool {
+// incarnationEnded reports whether an incarnation of a node was replaced, removed or
+// lost.
+func incarnationEnded(view *state.View, id topo.NodeID, boot topo.BootID) bool {
 	if id == "" {
 		return false
 	}
@@ -155,7 +157,7 @@
 	return 0
 }
 
-// projection gathers one service's shards.
+// projection collects one service's shards.
 type projection struct {
 	view   *state.View
 	facts  *Facts
@@ -213,8 +215,8 @@
 	p.split[a.Shard.Index] = append(p.split[a.Shard.Index], a.Shard.Key)
 }
 
-// addServer gathers what names one server of the group, so that the cost is
-// that of the group's own shards however many the service has.
+// addServer collects the shards that name one server of the group, so that the
+// cost depends on the group's own shards and not on those of the whole service.
 func (p *projection) addServer(service topo.Service, id topo.ServerID) {
 	for _, shard := range p.view.StandbyOf(service, id) {
 		a, _ := p.view.Shard(shard)
--- a/lessor/reclaim_test.go
+++ b/lessor/reclaim_test.go
@@ -9,10 +9,11 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// TestReclaimResubmitsMoves: a lessor claims again while the record
-// of a planned move is on its way. The record has no effect under the new term,
-// and its fate is not told any more, so the move must not count as submitted: it
-// would be neither submitted nor given up, and its shard served by nobody.
+// TestReclaimResubmitsMoves covers a lessor that claims again while the record
+// of a planned move is in flight. The record has no effect under the new term
+// and its outcome is not reported any more. If the move were still treated as
+// submitted, it would be neither resubmitted nor abandoned, and its shard would
+// not be served.
 func TestReclaimResubmitsMoves(t *testing.T) {
 	g := gomega.NewWithT(t)
 	m := NewMember(Config{MoveTimeout: 10 * time.Second})
@@ -25,9 +26,10 @@
 	g.Expect(m.moves).To(gomega.BeEmpty())
 }
 
-// TestReclaimReportsCarriedActivations: a lessor that claims again carries standby servers
-// that it has activated, until their records are written. Were only the mode of the new
-// term told, the next lessor would take it that none was activated since it was settled.
+// TestReclaimReportsCarriedActivations covers a lessor that claims again and carries its
+// activated standby servers over until their records are written. If it reported only the
+// mode of the new term, the next lessor would assume that none was activated since the
+// settled term.
 func TestReclaimReportsCarriedActivations(t *testing.T) {
 	g := gomega.NewWithT(t)
 	m := NewMember(Config{})
--- a/lessor/renew.go
+++ b/lessor/renew.go
@@ -20,7 +20,8 @@
 	return m.right.covers(now, m.contact, limit, m.cfg.Lease.TTL, m.rules)
 }
 
-// mayRenew reports whether any lease, also one without shards, may be renewed.
+// mayRenew reports whether any lease, including one without shards, may be
+// renewed.
 func (m *Member) mayRenew(now time.Duration) bool {
 	if m.role != RoleLessor {
 		return false
@@ -29,8 +30,8 @@
 		m.right.promise.fresher(now, m.cfg.Lease.TTL)
 }
 
-// grantable reports whether a shard may be on its owner's list now, as far as
-// the shard is concerned.
+// grantable reports whether a shard may currently be on its owner's list, as
+// far as the shard is concerned.
 func (m *Member) grantable(now time.Duration, shard Shard, boot topo.BootID) bool {
 	if boot == "" || shard.OwnerBoot != boot {
 		return false
@@ -47,7 +48,7 @@
 	return m.covers(now, shard.Policy)
 }
 
-// grantsFor returns what a run of a server may serve now.
+// grantsFor returns the shards that an incarnation of a server may serve now.
 func (m *Member) grantsFor(now time.Duration, id topo.ServerID, boot topo.BootID) []Grant {
 	var grants []Grant
 	for _, shardID := range m.facts.ShardsOf[id] {
@@ -66,8 +67,9 @@
 	return grants
 }
 
-// excepted returns the keys that the owner of a hash range must refuse: those
-// split out, about to be, or possibly split by a record whose fate is unknown.
+// excepted returns the keys that the owner of a hash range must reject: those
+// split out, about to be split, or possibly split by a record whose outcome is
+// unknown.
 func (m *Member) excepted(shard Shard) []string {
 	if shard.Shard.Key != "" {
 		return nil
@@ -81,8 +83,8 @@
 	return except
 }
 
-// BeginRenew returns the renewal to send to a server now; false if there is no
-// right to renew any longer. A renewal without a known stamp asks for one.
+// BeginRenew returns the renewal to send to a server now; false if the right to
+// renew has ended. A renewal without a known stamp requests one.
 func (m *Member) BeginRenew(now time.Duration, id topo.ServerID) (LeaseOrder, bool) {
 	if !m.mayRenew(now) {
 		return LeaseOrder{}, false
--- a/lessor/right.go
+++ b/lessor/right.go
@@ -8,15 +8,15 @@
 
 // right is a lessor's right to renew.
 //
-// The mode follows a handshake. A lessor stops counting log contact before it
-// asks for disconnected mode, and counts it again only after the standby's
-// answer to a later round; so whenever the standby is free to go on off the
-// log, the lessor goes by the promise alone.
+// The mode changes by a handshake. A lessor stops relying on log contact before
+// it asks for disconnected mode, and relies on it again only after the
+// standby's reply to a later round. So whenever the standby may take over
+// without the log, the lessor's right depends on the promise alone.
 type right struct {
-	promise moment // when the latest heartbeat that was answered by a promise was sent
-	mode    Mode   // ModeConnected: log contact counts
-	asked   Mode   // what heartbeats ask for
-	round   uint64 // of the mode asked for
+	promise moment // send time of the latest heartbeat that was answered with a promise
+	mode    Mode   // ModeConnected: log contact gives the right
+	asked   Mode   // mode requested by heartbeats
+	round   uint64 // of the requested mode
 	acked   bool   // the standby acknowledged that round
 }
 
@@ -29,7 +29,7 @@
 }
 
 // covers reports whether leases for a service with a limit on the disconnected
-// time may be renewed now.
+// time may currently be renewed.
 func (r right) covers(now time.Duration, contact moment, limit, ttl time.Duration, off rules) bool {
 	if r.byLog(now, contact, ttl, off) {
 		return true
@@ -40,7 +40,7 @@
 	return limit == siteconfig.Forever || contact.fresher(now, limit)
 }
 
-// ask begins a new round for a mode.
+// ask begins a new round that requests a mode.
 func (r *right) ask(mode Mode) {
 	if mode == ModeDisconnected {
 		r.mode = ModeDisconnected
@@ -50,7 +50,7 @@
 	r.acked = false
 }
 
-// answered takes the standby's reply to a heartbeat that was sent at sent.
+// answered processes the standby's reply to a heartbeat that was sent at sent.
 func (r *right) answered(reply HeartbeatReply, sent time.Duration) {
 	if !reply.Promised {
 		return
@@ -63,8 +63,8 @@
 	r.mode = r.asked
 }
 
-// disconnected reports whether the standby acknowledged disconnected mode and
-// was not asked to leave it since.
+// disconnected reports whether the standby has acknowledged disconnected mode
+// and was not asked to leave it since.
 func (r right) disconnected() bool {
 	return r.mode == ModeDisconnected && r.asked == ModeDisconnected && r.acked
 }
--- a/lessor/search_calls_test.go
+++ b/lessor/search_calls_test.go
@@ -35,8 +35,9 @@
 	return report
 }
 
-// renew sends renewals until the server has the list, its stamp is new, and its
-// lease runs from it, or sends one of which something is lost or held back.
+// renew sends renewals until the server has the list, its stamp is new and its
+// lease runs from that stamp, or sends a single renewal of which a message is
+// lost or held back.
 func (w *world) renew(node, server int, lost string) bool {
 	if lost != "" {
 		return w.renewOnce(node, server, lost)
@@ -56,7 +57,8 @@
 	return done
 }
 
-// renewOnce sends one renewal; lost says what is lost or held back on the way.
+// renewOnce sends one renewal; lost names the message that is lost or held
+// back.
 func (w *world) renewOnce(node, server int, lost string) bool {
 	m := w.member(node)
 	id := serverNames[server]
@@ -75,7 +77,7 @@
 		w.failAttempt(node, server, order.Attempt)
 		return true
 	}
-	report := w.lease(server, w.runOf(node), order)
+	report := w.lease(server, w.incarnation(node), order)
 	w.replied(node, server, order.Attempt, report, lost)
 	return true
 }
@@ -91,8 +93,8 @@
 	}
 }
 
-// failAttempt ends an attempt without an answer. Suspicion is not counted: with
-// rules.eager it needs none.
+// failAttempt ends an attempt without a reply. Failures are not counted towards
+// suspicion, which rules.eager does not need.
 func (w *world) failAttempt(node, server int, attempt uint64) {
 	m := w.member(node)
 	m.LeaseFailed(w.clock(node), serverNames[server], attempt)
@@ -121,12 +123,12 @@
 	return true
 }
 
-// lessorNode returns the node that thinks it is the lessor by the log and whose
-// standby lessor is another node's present run.
+// standbyOf returns the node whose current incarnation is the standby lessor
+// known to a node.
 func (w *world) standbyOf(node int) (int, bool) {
 	m := w.nodes[node].member
 	for i := range w.nodes {
-		if w.runOf(i) == m.standbyRun() {
+		if w.incarnation(i) == m.standbyIncarnation() {
 			return i, true
 		}
 	}
@@ -156,7 +158,7 @@
 	return true
 }
 
-// ask asks a former lessor whether it has stopped.
+// ask asks a previous lessor whether it has stopped.
 func (w *world) ask(node int, former topo.NodeID, lost string) bool {
 	beat, allowed := w.member(node).BeginAsk(w.clock(node))
 	if !allowed {
--- a/lessor/search_cases_test.go
+++ b/lessor/search_cases_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// droppedRules are the searches that must find two owners once a rule is gone.
+// droppedRules lists the searches that must find two owners once a rule is
+// disabled.
 var droppedRules = []struct {
 	name   string
 	bounds bounds
@@ -20,41 +21,41 @@
 		prefix: []string{"c claims", "c reads the log"}, rules: rules{noDisconnectedWait: true}}},
 	{"report", bounds{ttl: timeUnit, limit: 2 * timeUnit, claimers: "c", claims: 1, modeRequesters: "l",
 		prefix: []string{"time passes", "l asks for mode disconnected"}, rules: rules{noReport: true}}},
-	{"known run", bounds{ttl: timeUnit, limit: 4 * timeUnit, claimers: "c", claims: 1, assigns: 1, restarts: 1, modeRequesters: "l",
+	{"known boot", bounds{ttl: timeUnit, limit: 4 * timeUnit, claimers: "c", claims: 1, assigns: 1, restarts: 1, modeRequesters: "l",
 		prefix: []string{"l asks for mode disconnected", "c claims", "c reads the log",
 			"s acknowledges c", "t acknowledges c", "time passes", "l sends a heartbeat", "t restarts"},
 		rules: rules{noKnownBoot: true}}},
 	{"seen term", bounds{ttl: timeUnit, limit: 4 * timeUnit, claimers: "c", claims: 1, assigns: 1,
 		prefix: []string{"c claims", "c reads the log", "c asks whether l stopped", "c asks whether b stopped"},
 		rules:  rules{noSeenTerm: true}}},
-	{"settled word", bounds{ttl: 2 * timeUnit, limit: 6 * timeUnit, claimers: "bc", claims: 2, assigns: 1,
+	{"settled reply", bounds{ttl: 2 * timeUnit, limit: 6 * timeUnit, claimers: "bc", claims: 2, assigns: 1,
 		prefix: []string{"c claims", "c reads the log", "b reads the log", "b claims", "b reads the log",
 			"c reads the log", "b asks whether c stopped"},
 		rules: rules{noSettledReply: true}}},
-	{"standby's word", bounds{ttl: timeUnit, limit: 5 * timeUnit, claimers: "c", claims: 1, assigns: 1, modeRequesters: "l",
-		prefix: []string{"l asks for mode disconnected", "b goes on off the log", "s acknowledges b",
+	{"standby's reply", bounds{ttl: timeUnit, limit: 5 * timeUnit, claimers: "c", claims: 1, assigns: 1, modeRequesters: "l",
+		prefix: []string{"l asks for mode disconnected", "b takes over without the log", "s acknowledges b",
 			"c claims", "c reads the log", "l reads the log", "c asks whether l stopped"},
 		rules: rules{noStandbyReply: true}}},
-	{"every run known", bounds{ttl: timeUnit, limit: 2 * timeUnit, claimers: "c", claims: 1, assigns: 1, modeRequesters: "l", maxFormer: 1,
-		prefix: []string{"l asks for mode disconnected", "b goes on off the log", "s acknowledges b",
+	{"every incarnation known", bounds{ttl: timeUnit, limit: 2 * timeUnit, claimers: "c", claims: 1, assigns: 1, modeRequesters: "l", maxFormer: 1,
+		prefix: []string{"l asks for mode disconnected", "b takes over without the log", "s acknowledges b",
 			"c claims", "c reads the log", "l reads the log", "c asks whether l stopped"},
 		rules: rules{noComplete: true}}},
 	{"connected mode", bounds{ttl: timeUnit, limit: 5 * timeUnit, claimers: "c", claims: 1, assigns: 1, modeRequesters: "l",
-		prefix: []string{"l asks for mode disconnected", "b goes on off the log", "s acknowledges b",
+		prefix: []string{"l asks for mode disconnected", "b takes over without the log", "s acknowledges b",
 			"c claims", "c reads the log", "l reads the log", "c asks whether l stopped"},
 		rules: rules{noConnected: true}}},
-	{"left mode", bounds{ttl: timeUnit, limit: 5 * timeUnit, claimers: "c", claims: 1, assigns: 1, modeRequesters: "l",
-		prefix: []string{"l asks for mode disconnected", "l asks for mode connected, request lost", "b goes on off the log",
+	{"acknowledged return to connected mode", bounds{ttl: timeUnit, limit: 5 * timeUnit, claimers: "c", claims: 1, assigns: 1, modeRequesters: "l",
+		prefix: []string{"l asks for mode disconnected", "l asks for mode connected, request lost", "b takes over without the log",
 			"s acknowledges b", "c claims", "c reads the log", "l reads the log", "c asks whether l stopped"},
 		rules: rules{noLeaveAck: true}}},
 	{"promise", bounds{ttl: 2 * timeUnit, limit: 5 * timeUnit, claimers: "c", claims: 1, assigns: 1,
 		prefix: []string{"c claims", "c reads the log", "b reads the log", "c asks whether b stopped"},
 		rules:  rules{noPromise: true}}},
-	{"one silent run", bounds{ttl: timeUnit, limit: 3 * timeUnit, claimers: "c", claims: 1, assigns: 1,
+	{"one missing reply", bounds{ttl: timeUnit, limit: 3 * timeUnit, claimers: "c", claims: 1, assigns: 1,
 		prefix: []string{"c claims", "c reads the log"}, rules: rules{noSingleMissing: true}}},
 	{"supersession", bounds{ttl: timeUnit, limit: 2 * timeUnit, claimers: "c", claims: 1, assigns: 1,
 		prefix: []string{"time passes", "l sends a heartbeat"}, rules: rules{noSupersession: true}}},
-	{"tail after words", bounds{ttl: 2 * timeUnit, limit: 5 * timeUnit, claimers: "c", claims: 1, assigns: 1,
+	{"last lease after replies", bounds{ttl: 2 * timeUnit, limit: 5 * timeUnit, claimers: "c", claims: 1, assigns: 1,
 		prefix: []string{"c claims", "c reads the log"}, rules: rules{noLastLease: true}}},
 	{"activation", bounds{ttl: timeUnit, limit: 4 * timeUnit, claimers: "c", claims: 1, assigns: 1,
 		rules: rules{noActivation: true}}},
@@ -67,15 +68,15 @@
 			o := search(d.bounds, 2_000_000)
 			t.Logf("%v in %v", o, time.Since(began))
 			if o.path == nil {
-				t.Fatal("no two owners found")
+				t.Fatal("the search found no two owners")
 			}
 		})
 	}
 }
 
-// fullSearches are the searches with every rule in force. Within the bounds of one that
-// is complete, no two owners can come about. The long ones take minutes and run
-// with -search.long.
+// fullSearches lists the searches with every rule enabled. If one is complete, two
+// owners are impossible within its bounds. The long ones take minutes and run with
+// -search.long.
 var fullSearches = []struct {
 	name   string
 	long   bool
@@ -84,30 +85,30 @@
 	{"disconnected pair", false, bounds{ttl: timeUnit, limit: 2 * timeUnit, modeRequesters: "l"}},
 	{"standby claims", false, bounds{ttl: timeUnit, limit: 2 * timeUnit, claimers: "b", claims: 1}},
 	{"other claims", false, bounds{ttl: timeUnit, limit: 2 * timeUnit, claimers: "c", claims: 1}},
-	{"former lessors' words", true, bounds{ttl: timeUnit, limit: 2 * timeUnit, claimers: "c", claims: 1, assigns: 1, modeRequesters: "l",
+	{"previous lessors' replies", true, bounds{ttl: timeUnit, limit: 2 * timeUnit, claimers: "c", claims: 1, assigns: 1, modeRequesters: "l",
 		prefix: []string{"l asks for mode disconnected", "c claims", "c reads the log", "l reads the log",
 			"c asks whether l stopped"}}},
-	{"words after an unsettled term", false, bounds{ttl: timeUnit, limit: 2 * timeUnit, claimers: "bc", claims: 2, assigns: 1,
+	{"replies after an unsettled term", false, bounds{ttl: timeUnit, limit: 2 * timeUnit, claimers: "bc", claims: 2, assigns: 1,
 		prefix: []string{"c claims", "c reads the log", "b reads the log", "b claims", "b reads the log",
 			"c reads the log", "b asks whether c stopped"}}},
-	{"words of some former runs", false, bounds{ttl: timeUnit, limit: 2 * timeUnit, claimers: "c", claims: 1, assigns: 1, modeRequesters: "l",
-		maxFormer: 1, prefix: []string{"l asks for mode disconnected", "b goes on off the log", "s acknowledges b",
+	{"replies of some previous incarnations", false, bounds{ttl: timeUnit, limit: 2 * timeUnit, claimers: "c", claims: 1, assigns: 1, modeRequesters: "l",
+		maxFormer: 1, prefix: []string{"l asks for mode disconnected", "b takes over without the log", "s acknowledges b",
 			"c claims", "c reads the log", "l reads the log", "c asks whether l stopped"}}},
-	{"delayed words", true, bounds{ttl: timeUnit, limit: 3 * timeUnit, claimers: "c", claims: 1, assigns: 1, modeRequesters: "l", delayed: true,
+	{"delayed replies", true, bounds{ttl: timeUnit, limit: 3 * timeUnit, claimers: "c", claims: 1, assigns: 1, modeRequesters: "l", delayed: true,
 		prefix: []string{"l asks for mode disconnected", "c claims", "c reads the log"}}},
-	{"words, restarts", true, bounds{ttl: timeUnit, limit: 3 * timeUnit, claimers: "c", claims: 1, assigns: 1, modeRequesters: "l",
+	{"replies, restarts", true, bounds{ttl: timeUnit, limit: 3 * timeUnit, claimers: "c", claims: 1, assigns: 1, modeRequesters: "l",
 		restarts: 1, nodeRestarts: 1, prefix: []string{"l asks for mode disconnected", "c claims", "c reads the log"}}},
-	{"a wait that goes on", false, bounds{ttl: timeUnit, limit: 2 * timeUnit, claimers: "bc", claims: 2, assigns: 1, modeRequesters: "l",
+	{"a continued wait", false, bounds{ttl: timeUnit, limit: 2 * timeUnit, claimers: "bc", claims: 2, assigns: 1, modeRequesters: "l",
 		prefix: []string{"l asks for mode disconnected", "b claims", "c reads the log", "time passes", "c claims",
 			"c reads the log", "b reads the log", "c asks whether b stopped"}}},
-	{"silent lessor", false, bounds{ttl: timeUnit, limit: 3 * timeUnit, claimers: "c", claims: 1, assigns: 1,
+	{"unresponsive lessor", false, bounds{ttl: timeUnit, limit: 3 * timeUnit, claimers: "c", claims: 1, assigns: 1,
 		prefix: []string{"c claims", "c reads the log", "b reads the log", "c asks whether b stopped"}}},
-	{"silent standby lessor", false, bounds{ttl: timeUnit, limit: 3 * timeUnit, claimers: "c", claims: 1, assigns: 1,
+	{"unresponsive standby lessor", false, bounds{ttl: timeUnit, limit: 3 * timeUnit, claimers: "c", claims: 1, assigns: 1,
 		prefix: []string{"c claims", "c reads the log", "l reads the log", "c asks whether l stopped"}}},
-	{"silent standby lessor that left disconnected mode", false, bounds{ttl: timeUnit, limit: 2 * timeUnit, claimers: "c", claims: 1,
+	{"unresponsive standby lessor that left disconnected mode", false, bounds{ttl: timeUnit, limit: 2 * timeUnit, claimers: "c", claims: 1,
 		assigns: 1, modeRequesters: "l", prefix: []string{"l asks for mode disconnected", "l asks for mode connected", "c claims",
 			"c reads the log", "l reads the log", "c asks whether l stopped"}}},
-	{"silent lessor, disconnected pair", true, bounds{ttl: timeUnit, limit: 3 * timeUnit, claimers: "c", claims: 1, assigns: 1,
+	{"unresponsive lessor, disconnected pair", true, bounds{ttl: timeUnit, limit: 3 * timeUnit, claimers: "c", claims: 1, assigns: 1,
 		modeRequesters: "l", prefix: []string{"c claims", "c reads the log"}}},
 	{"disconnected pair, assignment", true, bounds{ttl: timeUnit, limit: 2 * timeUnit, modeRequesters: "l", assigns: 1}},
 	{"standby claims, disconnected pair", true,
@@ -134,13 +135,13 @@
 				t.Fail()
 			}
 			if !o.complete && !d.long {
-				t.Error("not complete")
+				t.Error("the search did not complete")
 			}
 		})
 	}
 }
 
 var (
-	maxSearchStates = flag.Int("search.most", 3_000_000, "states after which a search is cut off")
+	maxSearchStates = flag.Int("search.most", 3_000_000, "maximum number of states in a search")
 	searchLong      = flag.Bool("search.long", false, "also run the searches that take minutes")
 )
--- a/lessor/search_key_test.go
+++ b/lessor/search_key_test.go
@@ -11,10 +11,10 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// keyWriter writes what decides the future of a world. Times are written
-// relative to now, and cut off where they no longer make a difference; numbers
-// that only grow are written by their rank among those that they are compared
-// with.
+// keyWriter writes the part of a world that determines its future. Times are
+// written relative to now, and are capped where they no longer make a
+// difference. Numbers that only increase are written as their rank among the
+// numbers that they are compared with.
 type keyWriter struct {
 	w   *world
 	buf []byte
@@ -46,7 +46,7 @@
 
 func (k *keyWriter) ordinal(o topo.Ordinal) { k.num(int(o.Offset)<<1 | int(o.Rank)) }
 
-// age writes how long ago a moment was, up to a most.
+// age writes the time since a moment, capped at most.
 func (k *keyWriter) age(m moment, most time.Duration) {
 	if !m.set {
 		k.num(-1)
@@ -55,10 +55,10 @@
 	k.num(int(min(k.w.now-m.at, most) / timeUnit))
 }
 
-// remaining writes how far away a moment in the future is.
+// remaining writes the time until a future moment.
 func (k *keyWriter) remaining(at time.Duration) { k.num(int(max(0, at-k.w.now) / timeUnit)) }
 
-// rank writes the place of n among the others.
+// rank writes the rank of n among the given numbers.
 func (k *keyWriter) rank(n uint64, among ...uint64) {
 	slices.Sort(among)
 	k.num(slices.Index(slices.Compact(among), n))
@@ -123,7 +123,8 @@
 	}
 }
 
-// mayWaitForPrevious reports whether a node has to wait for former lessors, or may come to.
+// mayWaitForPrevious reports whether a node waits for previous lessors, or may have to
+// later.
 func (k *keyWriter) mayWaitForPrevious(node int) bool {
 	m := k.w.nodes[node].member
 	if m.asksForAcknowledgement() || m.claim.pending() || k.w.heldMessage != nil {
@@ -132,7 +133,8 @@
 	return k.w.log.claims < k.w.b.claims && strings.Contains(k.w.b.claimers, string(nodeNames[node]))
 }
 
-// superseded writes since when former runs' terms are known to have ended.
+// superseded writes the times at which the terms of previous incarnations were
+// first seen to have ended.
 func (k *keyWriter) superseded(m *Member) {
 	most := max(k.w.b.ttl, k.w.b.limit) + k.w.b.ttl
 	k.age(momentAt(m.superseded.unlisted), most)
@@ -144,8 +146,8 @@
 	}
 }
 
-// cannotRenew reports whether a lessor has no right to renew, and can get none but by
-// a promise that its standby lessor will never give again.
+// cannotRenew reports whether a lessor has no right to renew, and could get one only
+// by a promise that its standby lessor will never give again.
 func (k *keyWriter) cannotRenew(m *Member) bool {
 	if m.offLog || m.right.mode == ModeConnected || k.w.b.rules.noModes || k.w.heldMessage != nil {
 		return false
@@ -155,21 +157,21 @@
 	}
 	for i := range k.w.nodes {
 		other := k.w.nodes[i].member
-		if other.self() == m.standbyRun() {
+		if other.self() == m.standbyIncarnation() {
 			return other.role != RoleStandby || other.facts.Group.Term != m.term
 		}
 	}
 	return true
 }
 
-// termUnusable reports whether every server refuses a term for good, and the log
-// takes no record under it.
+// termUnusable reports whether every server permanently rejects a term, and the
+// log accepts no record under it.
 func (k *keyWriter) termUnusable(term topo.Term) bool {
 	return k.refusedForGood(0, term) && k.refusedForGood(1, term)
 }
 
-// refusedForGood reports whether a server refuses a term and cannot forget the
-// higher one, and the log takes no record under the term either.
+// refusedForGood reports whether a server rejects a term and cannot lose the
+// higher one, and the log accepts no record under the term either.
 func (k *keyWriter) refusedForGood(server int, term topo.Term) bool {
 	if k.w.log.term == term || k.w.log.term.Standby() == term {
 		return false
@@ -192,7 +194,7 @@
 	k.num(int(s.undecided[searchShard]))
 }
 
-// modeRounds lists every mode round that may still be compared.
+// modeRounds returns every mode round that may still be compared.
 func (k *keyWriter) modeRounds() []uint64 {
 	var rounds []uint64
 	for i := range k.w.nodes {
@@ -242,7 +244,8 @@
 	}
 }
 
-// former writes who may give a word that shortens the wait, and who has.
+// former writes the incarnations whose replies may shorten the wait, and the
+// replies received.
 func (k *keyWriter) former(m *Member) {
 	if !m.asksForAcknowledgement() {
 		return
@@ -250,10 +253,10 @@
 	f := &m.takeover.former
 	k.num(int(f.since))
 	k.num(int(f.settled))
-	k.num(len(f.runs))
-	for _, run := range f.runs {
+	k.num(len(f.incarnations))
+	for _, run := range f.incarnations {
 		k.formerRun(run)
-		w, said := f.reply(runOf(run))
+		w, said := f.reply(incarnationOf(run))
 		k.flag(said)
 		if said {
 			k.ordinal(w.disconnected.Ordinal)
@@ -287,7 +290,7 @@
 	ttl := k.w.b.ttl
 	g := s.granter.State()
 	k.text(string(g.Boot))
-	// A stamp too old to be worth echoing makes no difference.
+	// A stamp that is too old to be echoed makes no difference.
 	stampAge := k.w.now - fromWall(g.StampAt)
 	k.num(int(min(stampAge, ttl) / timeUnit))
 	if stampAge < ttl {
@@ -313,8 +316,8 @@
 	}
 }
 
-// generations lists the list numbers of one lessor and server that may still be
-// compared.
+// generations returns the list generations of one lessor and server that may
+// still be compared.
 func (k *keyWriter) generations(node, server int) []uint64 {
 	list := []uint64{0, 1}
 	if s := k.w.nodes[node].member.servers[serverNames[server]]; s != nil {
--- a/lessor/search_run_test.go
+++ b/lessor/search_run_test.go
@@ -9,12 +9,12 @@
 	"sync"
 )
 
-// outcome is what a search found.
+// outcome is the result of a search.
 type outcome struct {
 	states   int
 	complete bool
 	depth    int
-	path     []string // to a world with two owners; nil if there is none
+	path     []string // steps to a world with two owners; nil if there is none
 }
 
 func (o outcome) String() string {
@@ -25,7 +25,7 @@
 	return text
 }
 
-// trace leads back from a world to the first one.
+// trace is the path from the first world to a world, in reverse order.
 type trace struct {
 	previous *trace
 	name     string
@@ -44,11 +44,12 @@
 	trace *trace
 }
 
-// gcPercent spares the collector work: what a search drops is mostly young.
+// gcPercent reduces the work of the garbage collector, because most of what a
+// search drops is young.
 const gcPercent = 400
 
-// search looks at every world within the bounds, nearest first, until one has
-// two owners or most have been seen.
+// search visits every world within the bounds in breadth-first order, until one
+// has two owners or most worlds have been visited.
 func search(b bounds, most int) outcome {
 	defer debug.SetGCPercent(debug.SetGCPercent(gcPercent))
 	seen := map[worldKey]struct{}{}
@@ -79,20 +80,20 @@
 		steps := w.steps()
 		i := slices.IndexFunc(steps, func(s step) bool { return s.name == name })
 		if i < 0 {
-			panic("no such step: " + name)
+			panic("unknown step: " + name)
 		}
 		w = steps[i].world
 	}
 	return w
 }
 
-// keyedStep is one step of an expansion, with its key.
+// keyedStep is one step of an expansion and the key of its world.
 type keyedStep struct {
 	step
 	key worldKey
 }
 
-// expand returns the worlds that follow a front and were not seen before.
+// expand returns the successors of a front that were not visited before.
 func expand(front []frontEntry, seen map[worldKey]struct{}, most int) ([]frontEntry, *trace) {
 	const chunk = 256
 	var next []frontEntry
@@ -118,7 +119,7 @@
 	return next, nil
 }
 
-// expandPart finds the steps of several worlds at once.
+// expandPart computes the steps of several worlds concurrently.
 func expandPart(part []frontEntry, results [][]keyedStep) {
 	workers := min(2, runtime.GOMAXPROCS(0))
 	var wait sync.WaitGroup
--- a/lessor/search_test.go
+++ b/lessor/search_test.go
@@ -6,13 +6,13 @@
 	"github.com/burdockspindle/burdockspindle/lease"
 )
 
-// step is one world that can follow another.
+// step is a named transition to a successor world.
 type step struct {
 	name  string
 	world *world
 }
 
-// steps returns every world that can follow w.
+// steps returns every successor of w.
 func (w *world) steps() []step {
 	e := &explorer{from: w}
 	e.try("time passes", func(w *world) bool { w.now += timeUnit; return true })
@@ -29,7 +29,7 @@
 	next []step
 }
 
-// try keeps the world that a change leads to, if the change is possible.
+// try keeps the world that results from a change, if the change is possible.
 func (e *explorer) try(name string, change func(w *world) bool) {
 	next := e.from.clone()
 	if !change(next) {
@@ -39,8 +39,8 @@
 	e.next = append(e.next, step{name, next})
 }
 
-// normalize takes up what needs no contact, so that worlds which differ only in that
-// count as one.
+// normalize applies the updates that need no contact, so that worlds that differ
+// only in these are treated as equal.
 func (w *world) normalize() {
 	for i := range w.nodes {
 		if w.nodes[i].member.settling {
@@ -64,14 +64,14 @@
 	m := w.nodes[node].member
 	e.try(name+" reads the log", func(w *world) bool { w.readLog(node, true); return true })
 	if w.b.relay && m.facts.Applied < w.log.next-1 {
-		e.try(name+" learns records from a peer", func(w *world) bool { w.readLog(node, false); return true })
+		e.try(name+" receives records from a peer", func(w *world) bool { w.readLog(node, false); return true })
 	}
 	e.claimSteps(node, name)
 	if w.nodes[node].boots <= w.b.nodeRestarts {
 		e.try(name+" restarts", func(w *world) bool { return w.restartNode(node) })
 	}
 	if m.mayTakeOverOffLog() {
-		e.try(name+" goes on off the log", func(w *world) bool { return w.member(node).BeginGoOn(w.clock(node)) })
+		e.try(name+" takes over without the log", func(w *world) bool { return w.member(node).BeginGoOn(w.clock(node)) })
 	}
 	if m.role == RoleLessor {
 		e.lessorSteps(node, name)
@@ -101,13 +101,14 @@
 	if e.from.b.delayed && e.from.heldMessage == nil && e.from.log.claims < e.from.b.claims {
 		e.try(name+" claims, record held back", func(w *world) bool {
 			claim, _, allowed := w.member(node).BeginClaim(w.clock(node))
-			w.heldMessage = &message{kind: "record", node: node, record: record{node: node, claim: &claim, self: w.runOf(node)}}
+			w.heldMessage = &message{kind: "record", node: node, record: record{node: node, claim: &claim, self: w.incarnation(node)}}
 			return allowed
 		})
 	}
 }
 
-// callFailures that a call can go besides its whole success.
+// callFailures returns the ways in which a call can fail, and "" for its
+// success.
 func (w *world) callFailures() []string {
 	ways := []string{"", "reply lost"}
 	if w.b.delayed && w.heldMessage == nil {
@@ -169,7 +170,7 @@
 	e.submitSteps(node, name)
 }
 
-// askSteps asks former lessors whether they have stopped.
+// askSteps adds the steps that ask previous lessors whether they have stopped.
 func (e *explorer) askSteps(node int, name string) {
 	m := e.from.nodes[node].member
 	if !m.asksForAcknowledgement() {
@@ -184,7 +185,7 @@
 	}
 }
 
-// worthRenewing leaves out renewals without a shard while the server's stamp is
+// worthRenewing excludes renewals without a shard while the server's stamp is
 // fresh.
 func (e *explorer) worthRenewing(node, server int) bool {
 	m := e.from.nodes[node].member
@@ -207,7 +208,7 @@
 		n := &w.nodes[node]
 		submission, number, due := w.member(node).BeginSubmit(w.clock(node))
 		n.number = number
-		return record{node: node, submit: &submission, self: w.runOf(node)}, due
+		return record{node: node, submit: &submission, self: w.incarnation(node)}, due
 	}
 	e.try(name+" writes an assignment", func(w *world) bool {
 		r, due := begin(w)
@@ -222,11 +223,11 @@
 	}
 }
 
-// deliver appends a record of assignments; its writer learns of it when it
-// reads the log.
+// deliver appends a record of assignments; its writer observes it when it reads
+// the log.
 func (w *world) deliver(r record) bool {
 	w.append(r)
-	if n := &w.nodes[r.node]; r.submit != nil && w.runOf(r.node) == r.self {
+	if n := &w.nodes[r.node]; r.submit != nil && w.incarnation(r.node) == r.self {
 		n.submitted = w.log.next - 1
 	}
 	return true
@@ -251,7 +252,7 @@
 	s.holder = lease.NewHolder(serverBoot(server, 1+s.restarts))
 }
 
-// heldSteps delivers what was held back, or loses it.
+// heldSteps delivers the message that was held back, or drops it.
 func (e *explorer) heldSteps() {
 	if e.from.heldMessage == nil {
 		return
@@ -262,9 +263,9 @@
 		w.deliverHeld(h)
 		return true
 	})
-	e.try("held "+e.from.heldMessage.kind+" arrives, and will again", func(w *world) bool {
+	e.try("held "+e.from.heldMessage.kind+" arrives, and is repeated", func(w *world) bool {
 		if w.heldMessage.kind == "record" {
-			return false // the log takes a record once
+			return false // the log accepts a record once
 		}
 		w.deliverHeld(w.heldMessage)
 		return true
@@ -301,7 +302,7 @@
 	switch {
 	case h.kind == "renewed":
 		w.failAttempt(h.node, h.server, h.attempt)
-	case h.kind == "record" && w.runOf(h.node) != h.record.self:
+	case h.kind == "record" && w.incarnation(h.node) != h.record.self:
 	case h.kind == "record" && h.record.claim != nil:
 		m.ClaimFailed(w.clock(h.node), m.claim.number, false)
 	case h.kind == "record":
--- a/lessor/search_world_test.go
+++ b/lessor/search_world_test.go
@@ -13,14 +13,14 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// The search's world: three nodes (0 the lessor at the start, 1 its standby
-// lessor, 2 another node), two servers (0 the owner, 1 its standby server), one
-// shard and the log. Every process runs the project's own code. Every contact
-// may or may not happen at any step, so that partitions, losses and pauses of
-// any length are all in.
+// The simulated cluster of the search has three nodes (0 is the first lessor, 1
+// its standby lessor, 2 another node), two servers (0 is the owner, 1 its
+// standby server), one shard and the log. Every process runs the production
+// code. Every contact may happen or not at any step, so that partitions, losses
+// and pauses of any length are covered.
 
 const (
-	timeUnit  = time.Millisecond // of the search's time
+	timeUnit  = time.Millisecond // of simulated time
 	nodeCount = 3
 )
 
@@ -34,21 +34,22 @@
 // bounds limits the search.
 type bounds struct {
 	ttl, limit     time.Duration // lease TTL and MaxDisconnected
-	claims         int           // records that may take a term after the first
+	claims         int           // records that may claim a term after the first
 	assigns        int           // records of assignments
-	claimers       string        // the nodes that may claim
-	modeRequesters string        // the nodes that may ask for disconnected mode
+	claimers       string        // nodes that may claim
+	modeRequesters string        // nodes that may request disconnected mode
 	restarts       int           // of servers
 	nodeRestarts   int
 	lossy          bool     // replies to renewals and acknowledgements may be lost
 	delayed        bool     // one message, or one record, may be held back
-	relay          bool     // nodes may learn records without log contact
+	relay          bool     // nodes may receive records without log contact
 	prefix         []string // steps that are taken first
 	followPlans    bool     // members follow their plans, at intervals
-	maxFormer      int      // former runs that the log lists; 0 for formerKept
+	maxFormer      int      // incarnations that the log lists; 0 for maxFormerRuns
 	rules          rules
-	// Clocks run at so many parts per million of the world's time; 0 is the
-	// same speed. drift is the bound that the nodes count with.
+	// nodeRates and serverRates are clock speeds in parts per million of the
+	// world's time; 0 is the same speed. drift is the bound that the nodes
+	// assume.
 	nodeRates   [nodeCount]int64
 	serverRates [2]int64
 	drift       int
@@ -56,7 +57,7 @@
 
 const million = 1_000_000
 
-// clockReading returns what a clock shows.
+// clockReading returns the reading of a clock with a given rate.
 func clockReading(now time.Duration, rate int64) time.Duration {
 	if rate == 0 {
 		return now
@@ -64,7 +65,7 @@
 	return time.Duration(int64(now) / million * rate)
 }
 
-// searchLog is the log's state after some records.
+// searchLog is the state that results from the records of the log.
 type searchLog struct {
 	next          topo.Offset
 	term          topo.Term
@@ -82,10 +83,11 @@
 	since         topo.Offset // of former; zero if there is none
 }
 
-// maxFormerRuns is the most runs that a searched log can list: two of each node.
+// maxFormerRuns is the maximum number of previous incarnations in the log: two
+// of each node.
 const maxFormerRuns = 2 * nodeCount
 
-// group returns the group as the state keeps it.
+// group returns the group as package state represents it.
 func (l *searchLog) group() state.Group {
 	group := state.Group{
 		ID: searchGroup, Term: l.term,
@@ -105,7 +107,8 @@
 	return group
 }
 
-// applyClaim takes the group's next term, and keeps at most so many former runs.
+// applyClaim applies a claim of the group's next term, and keeps at most most
+// previous incarnations.
 func (l *searchLog) applyClaim(term topo.Term, lessor, standby Run, settled bool, most int) {
 	next := l.group().FormerAfter(settled)
 	if settled {
@@ -127,7 +130,7 @@
 	copy(l.former[:], next.Runs)
 }
 
-// record is one record that some node wants in the log.
+// record is one record that a node writes to the log.
 type record struct {
 	node   int
 	claim  *Claim
@@ -135,10 +138,10 @@
 	self   Run
 }
 
-// message is the one thing that is held back.
+// message is the single message that is held back.
 type message struct {
 	kind      string // "renew", "renewed", "beat", "answer", "record"
-	node      int    // its lessor
+	node      int    // index of its lessor
 	server    int
 	order     LeaseOrder
 	report    LeaseReport
@@ -157,7 +160,7 @@
 type searchNode struct {
 	member *Member
 	boots  int
-	// submitted is the offset of the record under way, if it is in the log.
+	// submitted is the offset of the record in flight, if it is in the log.
 	submitted topo.Offset
 	number    uint64
 }
@@ -170,7 +173,8 @@
 	servers     [2]searchServer
 	heldMessage *message
 	facts       *factsCache
-	// owned marks what this world shares with no other.
+	// ownedNodes and ownedServers mark what this world does not share with
+	// another.
 	ownedNodes   [nodeCount]bool
 	ownedServers [2]bool
 }
@@ -182,12 +186,12 @@
 	made map[searchLog]*Facts
 }
 
-func nodeBoot(node, run int) topo.BootID {
-	return topo.BootID(fmt.Sprintf("%s%d", nodeNames[node], run))
+func nodeBoot(node, number int) topo.BootID {
+	return topo.BootID(fmt.Sprintf("%s%d", nodeNames[node], number))
 }
 
-func serverBoot(server, run int) topo.BootID {
-	return topo.BootID(fmt.Sprintf("%s%d", serverNames[server], run))
+func serverBoot(server, number int) topo.BootID {
+	return topo.BootID(fmt.Sprintf("%s%d", serverNames[server], number))
 }
 
 func (b *bounds) config(node, run int) Config {
@@ -197,7 +201,7 @@
 		Zone:  "z",
 		Group: searchGroup,
 		Lease: lease.Timing{TTL: b.ttl, DriftPPM: b.drift},
-		// Everything is due at any time; the search decides what happens.
+		// Every action is due at any time; the search chooses among them.
 		MoveTimeout: time.Hour,
 	}
 	if b.followPlans {
@@ -244,8 +248,8 @@
 	return facts
 }
 
-// newSearchWorld is a site at rest: the first lessor is settled and has granted
-// the shard to the first server.
+// newSearchWorld returns a stable cluster: the first lessor is settled and has
+// granted the shard to the first server.
 func newSearchWorld(b *bounds) *world {
 	w := &world{b: b, facts: &factsCache{b: b, made: map[searchLog]*Facts{}}}
 	first := searchLog{next: 10, owner: serverNames[0], ownerBoot: serverBoot(0, 1), standbyServer: serverNames[1],
@@ -265,11 +269,11 @@
 		panic("the first lessor could not claim")
 	}
 	w.log.claims = 0
-	w.log.standby = w.runOf(1)
+	w.log.standby = w.incarnation(1)
 	for i := range w.nodes {
 		w.readLog(i, true)
 	}
-	for range 2 { // a stamp, then the lease
+	for range 2 { // the first gets a stamp, the second the lease
 		for s := range w.servers {
 			w.renew(0, s, "")
 		}
@@ -278,9 +282,9 @@
 	return w
 }
 
-func (w *world) runOf(node int) Run { return w.nodes[node].member.self() }
+func (w *world) incarnation(node int) Run { return w.nodes[node].member.self() }
 
-// clone returns a copy that shares members and holders until they are changed.
+// clone returns a copy that shares members and holders until they are modified.
 func (w *world) clone() *world {
 	next := *w
 	next.ownedNodes = [nodeCount]bool{}
@@ -288,7 +292,7 @@
 	return &next
 }
 
-// member returns a node's member for a change.
+// member returns a node's member for modification.
 func (w *world) member(node int) *Member {
 	if !w.ownedNodes[node] {
 		w.ownedNodes[node] = true
@@ -297,7 +301,7 @@
 	return w.nodes[node].member
 }
 
-// holder returns a server's holder for a change.
+// holder returns a server's holder for modification.
 func (w *world) holder(server int) *lease.Holder {
 	if !w.ownedServers[server] {
 		w.ownedServers[server] = true
@@ -334,7 +338,7 @@
 	return &next
 }
 
-// copyMap is maps.Clone, but for its cost when there is nothing to copy.
+// copyMap is maps.Clone without its cost for empty maps.
 func copyMap[K comparable, V any](from map[K]V) map[K]V {
 	if len(from) == 0 {
 		return map[K]V{}
@@ -342,7 +346,7 @@
 	return maps.Clone(from)
 }
 
-// readLog lets a node apply every record, by contact with the log or from
+// readLog lets a node apply every record, by contact with the log or through
 // another node.
 func (w *world) readLog(node int, contact bool) {
 	n := &w.nodes[node]
@@ -355,13 +359,13 @@
 	w.member(node).Observe(w.clock(node), w.clock(node), contact, w.facts.of(w.log))
 }
 
-// claim begins a claim and appends it, unless it is held back.
+// claim begins a claim and appends its record.
 func (w *world) claim(node int) bool {
 	claim, _, allowed := w.member(node).BeginClaim(w.clock(node))
 	if !allowed {
 		return false
 	}
-	return w.append(record{node: node, claim: &claim, self: w.runOf(node)})
+	return w.append(record{node: node, claim: &claim, self: w.incarnation(node)})
 }
 
 // append applies a record as state.Apply does.
@@ -390,15 +394,15 @@
 	return true
 }
 
-// clock is what a node's clock shows.
+// clock returns the reading of a node's clock.
 func (w *world) clock(node int) time.Duration { return clockReading(w.now, w.b.nodeRates[node]) }
 
-// serverNow is what a server's clock shows, from its start on.
+// serverNow returns the reading of a server's clock, measured from its start.
 func (w *world) serverNow(server int) time.Duration {
 	return clockReading(w.now-w.servers[server].started, w.b.serverRates[server])
 }
 
-// owners counts the servers that would serve the shard now.
+// owners returns the number of servers that would serve the shard now.
 func (w *world) owners() int {
 	count := 0
 	for i := range w.servers {
--- a/lessor/server.go
+++ b/lessor/server.go
@@ -9,39 +9,39 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// server is what a lessor knows of one backend server of its group.
+// server is a lessor's record of one backend server of its group.
 type server struct {
 	granter lease.Granter
-	// bootSeenAt is when the server's present run was heard first.
+	// bootSeenAt is when the server's current incarnation was first observed.
 	bootSeenAt time.Duration
-	// earlierLeasesEnd is when the leases of the server's earlier runs have ended, in
-	// case one is only paused.
+	// earlierLeasesEnd is when the leases of the server's earlier incarnations end.
+	// An earlier incarnation may only be paused, so its leases are waited for.
 	earlierLeasesEnd time.Duration
 
 	// One lease or acknowledgement call is in flight at a time; replies to
-	// earlier ones are dropped.
+	// earlier calls are dropped.
 	attempt   uint64
 	inFlight  bool
 	sentAt    time.Duration
-	notBefore time.Duration // not before
-	failures  int           // attempts without an answer, in a row
-	lastReply moment        // latest answer
-	// refused is why the latest answer refused, and highest the highest term that it
-	// told.
+	notBefore time.Duration // earliest time of the next call
+	failures  int           // consecutive attempts without a reply
+	lastReply moment        // latest reply
+	// refused is the reason why the latest reply was a refusal; highest is the
+	// highest term that it reported.
 	refused string
 	highest topo.Term
 
-	// generation numbers list; reported is the latest that the server said to
-	// have under the lessor's term.
+	// generation numbers list; reported is the latest generation that the
+	// server reported to have under the lessor's term.
 	generation uint64
 	reported   uint64
 	list       []Grant
 	standby    []Grant
-	// revoked: shards dropped from the list, with the first generation that is
-	// without them.
+	// revoked holds the shards dropped from the list, with the first generation
+	// that does not contain them.
 	revoked map[topo.ShardID]uint64
 
-	acked    bool // said to refuse every term below the one acted under
+	acked    bool // reported to reject every term below the current one
 	active   map[topo.ShardID]topo.Fence
 	busy     map[topo.ShardID]bool
 	draining bool
@@ -56,22 +56,22 @@
 	}
 }
 
-// newTerm forgets what counts only within one term of the same lessor. The
-// numbers of lists go on.
+// newTerm resets what is valid only within one term of the same lessor. The
+// generation numbers of lists continue.
 func (s *server) newTerm() { s.reported = 0 }
 
-// boot returns the run of the server that was heard last.
+// boot returns the incarnation of the server that was observed last.
 func (s *server) boot() topo.BootID { return s.granter.Boot() }
 
-// expired reports whether no lease that this lessor renewed, or that the server
-// reported, is valid any longer.
+// expired reports whether every lease that this lessor renewed, or that the
+// server reported, has expired.
 func (s *server) expired(now time.Duration) bool { return s.granter.Lapsed(wall(now)) }
 
-// suspected reports whether the server has not answered repeatedly.
+// suspected reports whether suspectFailures consecutive attempts got no reply.
 func (s *server) suspected() bool { return s.failures >= suspectFailures }
 
-// setList takes the list that the next renewal carries, as a new generation if
-// it differs from the one before.
+// setList sets the list that the next renewal carries, as a new generation if
+// it differs from the previous one.
 func (s *server) setList(grants, standby []Grant) {
 	if s.generation > 0 && equalGrants(s.list, grants) && equalGrants(s.standby, standby) {
 		return
@@ -90,8 +90,8 @@
 	}
 }
 
-// revoke notes the first generation without a shard, if the list has it no
-// longer.
+// revoke records the first generation without a shard, if the list no longer
+// contains it.
 func (s *server) revoke(id topo.ShardID) {
 	if _, already := s.revoked[id]; !already && !s.lists(id) {
 		s.revoked[id] = s.generation
@@ -110,8 +110,8 @@
 	return id
 }
 
-// released reports whether the server has said that it no longer serves a
-// shard that is not on its list, and has nothing of it in flight.
+// released reports whether the server has reported that it no longer serves a
+// shard that is not on its list, and that it has no request for it in flight.
 func (s *server) released(id topo.ShardID) bool {
 	first := max(s.revoked[id], s.revoked[rangeOf(id)], 1)
 	return s.reported >= first && !s.busy[id] && !s.lists(id)
@@ -127,7 +127,7 @@
 	})
 }
 
-// LeaseReplied takes a server's reply to the attempt, which was begun by
+// LeaseReplied processes a server's reply to the attempt, which was begun by
 // BeginRenew or BeginAcknowledge.
 func (m *Member) LeaseReplied(now time.Duration, id topo.ServerID, attempt uint64, report LeaseReport) {
 	s, exists := m.servers[id]
@@ -158,9 +158,9 @@
 	m.advance(now)
 }
 
-// pauseAfter returns how long after an attempt that got a reply the next one is
-// due: soon when the server has not got the list yet, and what kept it from
-// getting it is known now.
+// pauseAfter returns the delay between an attempt that got a reply and the next
+// one. It is short when the server does not have the latest list yet and the
+// reason for that is now known.
 func (m *Member) pauseAfter(report LeaseReport, s *server) time.Duration {
 	switch report.Refused {
 	case "", serverapi.RefusedBoot, serverapi.RefusedGeneration:
@@ -173,7 +173,7 @@
 	return m.cfg.RenewEvery
 }
 
-// applyReport notes what a reply says of grants.
+// applyReport records the grants that a reply reports.
 func (s *server) applyReport(report LeaseReport, term topo.Term) {
 	if report.HasActive {
 		s.active = make(map[topo.ShardID]topo.Fence, len(report.Active))
@@ -206,7 +206,7 @@
 	}
 }
 
-// replyOf gives package lease the fields that it needs.
+// replyOf converts a report to the fields that package lease needs.
 func replyOf(report LeaseReport) serverapi.LeaseReply {
 	remaining := (report.Remaining + time.Millisecond - 1) / time.Millisecond
 	return serverapi.LeaseReply{
@@ -216,8 +216,9 @@
 	}
 }
 
-// LeaseFailed tells that an attempt got no answer. Attempts use new connections
-// after a failure, so two in a row are no fault of one connection.
+// LeaseFailed reports that an attempt got no reply. Attempts after a failure
+// use new connections, so two consecutive failures are not the fault of one
+// connection.
 func (m *Member) LeaseFailed(now time.Duration, id topo.ServerID, attempt uint64) {
 	s, exists := m.servers[id]
 	if !exists || !s.inFlight || s.attempt != attempt {
@@ -232,7 +233,8 @@
 	m.advance(now)
 }
 
-// server returns the record of a server of the group.
+// server returns the record of a server of the group, and creates it if there
+// is none.
 func (m *Member) server(id topo.ServerID) *server {
 	s, exists := m.servers[id]
 	if !exists {
@@ -242,7 +244,7 @@
 	return s
 }
 
-// serverDown reports whether a server is confirmed as lost, or has not answered
+// serverDown reports whether a server is confirmed as lost, or does not answer
 // and can hold no lease.
 func (m *Member) serverDown(now time.Duration, id topo.ServerID) bool {
 	if m.confirmedLost(id) {
@@ -252,8 +254,8 @@
 	return exists && (s.suspected() || m.rules.eager) && s.expired(now)
 }
 
-// confirmedLost reports whether a server is known to have stopped. One that
-// still answers has not.
+// confirmedLost reports whether a server is known to have stopped. A server
+// that still answers has not.
 func (m *Member) confirmedLost(id topo.ServerID) bool {
 	facts, exists := m.facts.Servers[id]
 	if !exists || !facts.Lost {
--- a/lessor/settle.go
+++ b/lessor/settle.go
@@ -9,12 +9,12 @@
 // need is a shard of an earlier term that is free, but may be granted only
 // under a new fence.
 type need struct {
-	fence     topo.Fence    // in force
+	fence     topo.Fence    // of the current assignment
 	to        topo.ServerID // preferred owner
 	wasActive bool          // the standby server had been activated
 }
 
-// advance takes up what time or an input has settled.
+// advance updates the state after time has passed or an input has arrived.
 func (m *Member) advance(now time.Duration) {
 	if m.role != RoleLessor {
 		return
@@ -38,8 +38,8 @@
 	}
 }
 
-// isSettled reports whether no lease of an earlier term stands in the way of
-// what the state says of a shard.
+// isSettled reports whether no lease of an earlier term conflicts with the
+// assignment of a shard.
 func (m *Member) isSettled(shard Shard) bool {
 	if shard.OwnerBoot == "" || shard.Fence.Offset >= m.takeover.before {
 		return true
@@ -47,12 +47,12 @@
 	return m.settled[shard.Shard] == shard.Fence
 }
 
-// termSettled reports whether every shard is settled, and none that is needs a
-// new fence.
+// termSettled reports whether every shard is settled and none needs a new
+// fence.
 func (m *Member) termSettled() bool { return !m.settling && len(m.needs) == 0 }
 
-// settle decides who may go on with a shard of an earlier term, if that is
-// known already.
+// settle determines which server may continue with a shard of an earlier term,
+// if that is already known.
 func (m *Member) settle(now time.Duration, shard Shard) {
 	if m.takeover.basis == basisStandby {
 		m.settleAsStandby(now, shard)
@@ -61,29 +61,30 @@
 	m.settleAsOther(now, shard)
 }
 
-// settleAsStandby settles by what the earlier lessor told: unless it told that
-// it would activate the standby server, only the owner can hold a lease.
+// settleAsStandby settles a shard by the previous lessor's reports: unless it
+// reported that it would activate the standby server, only the owner can hold a
+// lease.
 func (m *Member) settleAsStandby(now time.Duration, shard Shard) {
 	reported := &m.takeover.fromLessor
 	if m.offLog && reported.mayChange(shard.Shard, shard.Fence) {
 		return
 	}
-	lapsed := m.leaseEnd(shard.Policy).passed(now)
+	expired := m.leaseEnd(shard.Policy).passed(now)
 	if !reported.mayBeActive(shard.Shard, shard.Fence) {
-		if lapsed || m.answersFor(shard.Owner, shard.Policy) {
+		if expired || m.answersFor(shard.Owner, shard.Policy) {
 			m.settled[shard.Shard] = shard.Fence
 		}
 		return
 	}
-	// The owner's lease had lapsed before the lessor told.
-	if !lapsed && !m.answersFor(shard.Standby, shard.Policy) {
+	// The owner's lease had expired before the lessor reported the activation.
+	if !expired && !m.answersFor(shard.Standby, shard.Policy) {
 		return
 	}
 	m.settleActivated(shard)
 }
 
 // settleActivated settles a shard whose standby server may have been activated,
-// and can now hold no lease but one that it reports.
+// and can now hold no lease except one that it reports.
 func (m *Member) settleActivated(shard Shard) {
 	active := m.reportsActive(shard)
 	if !m.offLog {
@@ -91,7 +92,7 @@
 		return
 	}
 	if !active {
-		return // possibly served by an earlier run: only the log can decide
+		return // an earlier incarnation may have served it: only the log can decide
 	}
 	m.settled[shard.Shard] = shard.Fence
 	m.activated[shard.Shard] = &activation{
@@ -102,16 +103,17 @@
 	}
 }
 
-// settleAsOther settles by acknowledgements of both servers that may hold a
-// lease, and by what they report, or by having waited for every lease. If the
-// standby server says that it was activated, its word is enough: the owner's
-// lease had lapsed then, and nobody gives the shard back under a lower fence.
+// settleAsOther settles a shard by acknowledgements of both servers that may
+// hold a lease, and by their reports, or after waiting for every lease. If the
+// standby server reports that it was activated, its report suffices: the
+// owner's lease had expired by then, and no lessor returns the shard under a
+// lower fence.
 func (m *Member) settleAsOther(now time.Duration, shard Shard) {
-	lapsed := m.leaseEnd(shard.Policy).passed(now)
+	expired := m.leaseEnd(shard.Policy).passed(now)
 	switch {
 	case m.reportsActive(shard) && !m.rules.noReport:
 		m.needNewFence(shard, true)
-	case !lapsed && !m.bothAnswer(shard):
+	case !expired && !m.bothAnswer(shard):
 	case m.rules.noReport:
 		m.settled[shard.Shard] = shard.Fence
 	case m.mayHaveServed(shard):
@@ -121,8 +123,8 @@
 	}
 }
 
-// bothAnswer reports whether neither the owner nor the standby server can be
-// granted anything by an earlier lessor any longer.
+// bothAnswer reports whether no earlier lessor can grant anything to the owner
+// or to the standby server any longer.
 func (m *Member) bothAnswer(shard Shard) bool {
 	if !m.answersFor(shard.Owner, shard.Policy) {
 		return false
@@ -134,9 +136,9 @@
 }
 
 // mayHaveServed reports whether the standby server may have been activated, under a
-// fence that is higher than the owner's. A server that says that it was not speaks for
-// its present run only: an earlier one may have been, unless no lessor ever activated
-// any.
+// fence that is higher than the owner's. A server's report that it was not activated
+// is valid only for its current incarnation: an earlier one may have been, unless no
+// lessor ever activated any.
 func (m *Member) mayHaveServed(shard Shard) bool {
 	if !shard.StandbyHere || m.rules.noBothServers {
 		return false
@@ -148,9 +150,10 @@
 	return !exists || !s.acked
 }
 
-// answersFor reports whether a server can hold no lease of an earlier term but
-// the one that it reported: it acknowledged this term, or is confirmed as lost.
-// The word of a server that does not check fencing is worth nothing.
+// answersFor reports whether a server can hold no lease of an earlier term
+// except the one that it reported: it acknowledged this term, or is confirmed
+// as lost. An acknowledgement by a server that does not check fencing proves
+// nothing.
 func (m *Member) answersFor(id topo.ServerID, policy *Policy) bool {
 	if m.confirmedLost(id) {
 		return true
@@ -159,8 +162,8 @@
 	return policy.ChecksFencing && exists && s.acked
 }
 
-// reportsActive reports whether the standby server said that it was activated
-// for a shard under the assignment in force.
+// reportsActive reports whether the standby server reported that it was
+// activated for a shard under the current assignment.
 func (m *Member) reportsActive(shard Shard) bool {
 	if !shard.StandbyHere {
 		return false
--- a/lessor/standbystate.go
+++ b/lessor/standbystate.go
@@ -6,21 +6,21 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// standbyState is what a standby lessor remembers of the term by which it stands
-// by. A process that restarts is another run and so is not the standby lessor
-// any longer: it has no standing.
+// standbyState is what a standby lessor remembers of the term in which it is the
+// standby. A process that restarts is another incarnation and no longer the
+// standby lessor, so it has no such state.
 type standbyState struct {
-	promisedUntil   moment // until when it may not go on
-	mode            Mode   // acknowledged last
+	promisedUntil   moment // it may not take over before
+	mode            Mode   // latest acknowledged mode
 	modeRound       uint64 // of that mode
-	settled         bool   // the lessor said that no earlier lease is left
+	settled         bool   // the lessor reported that no earlier lease remains
 	lastHeartbeat   moment // latest heartbeat
 	lessorResigning bool   // the lessor asked to be replaced
 	probeServers    bool   // the lessor asked whether servers answer this node
-	lastServerReply moment // latest answer of a server
-	// activated and undecided hold what the lessor told, with the offset up to
-	// which it had applied the log then: a fence above it is newer than what
-	// was told.
+	lastServerReply moment // latest reply of a server
+	// activated and undecided hold the shards that the lessor reported, with
+	// the offset up to which it had then applied the log: a fence above that
+	// offset is newer than the report.
 	activated map[topo.ShardID]topo.Offset
 	undecided map[topo.ShardID]topo.Offset
 }
@@ -33,7 +33,7 @@
 	}
 }
 
-// HeartbeatReceived takes a heartbeat of the lessor and returns the answer.
+// HeartbeatReceived processes a heartbeat of the lessor and returns the reply.
 func (m *Member) HeartbeatReceived(now time.Duration, req Heartbeat) HeartbeatReply {
 	m.unresponsive = m.unresponsive.without(req.From)
 	reply := HeartbeatReply{
@@ -72,23 +72,23 @@
 	return reply
 }
 
-// isFromLessor reports whether the heartbeat is by the lessor for whom this very
-// run is the standby lessor.
+// isFromLessor reports whether the heartbeat is from the lessor whose standby
+// lessor is this incarnation.
 func (m *Member) isFromLessor(req Heartbeat) bool {
 	group := m.facts.Group
 	lessor := Run{Node: group.Lessor, Boot: group.LessorBoot}
 	return req.Term == group.Term && req.From == lessor && m.isStandby()
 }
 
-// mayPromise reports whether this standby lessor has neither claimed nor gone
-// on, and is not about to.
+// mayPromise reports whether this standby lessor has neither claimed nor taken
+// over, and is not about to.
 func (m *Member) mayPromise() bool {
 	return m.role == RoleStandby && !m.claim.pending()
 }
 
-// acknowledgeMode follows the lessor's latest round. Disconnected mode is
-// acknowledged only by a standby whose state has everything that the lessor
-// wrote, since it may go on without the log.
+// acknowledgeMode adopts the lessor's latest round. Disconnected mode is
+// acknowledged only by a standby whose state contains everything that the
+// lessor wrote, because it may take over without the log.
 func (m *Member) acknowledgeMode(req Heartbeat) {
 	s := &m.standbyState
 	if req.ModeRound <= s.modeRound {
@@ -110,14 +110,14 @@
 }
 
 // mayBeActive reports whether the lessor may have activated the standby server
-// of a shard under the fence in force.
+// of a shard under the current fence.
 func (s *standbyState) mayBeActive(id topo.ShardID, fence topo.Fence) bool {
 	applied, reported := s.activated[id]
 	return reported && fence.Offset <= applied
 }
 
-// mayChange reports whether a record of the lessor may still change the shard
-// from the fence in force.
+// mayChange reports whether a record of the lessor may still replace the
+// shard's current fence.
 func (s *standbyState) mayChange(id topo.ShardID, fence topo.Fence) bool {
 	applied, reported := s.undecided[id]
 	return reported && fence.Offset <= applied
--- a/lessor/status.go
+++ b/lessor/status.go
@@ -8,18 +8,18 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Status is what the driver of a member compares before and after each step,
-// to log and count what changed.
+// Status is the part of a member's state that its driver compares before and
+// after each step, to log and count changes.
 type Status struct {
 	Role      Role
 	Term      topo.Term
 	OffLog    bool
 	Mode      Mode
 	Settled   bool
-	Basis     string // of a lessor: what it knew of the term before
+	Basis     string // of a lessor: what it knew of the previous term
 	MayRenew  bool
 	Suspected int // servers that do not answer
-	Activated int // shards served by standby servers off the log
+	Activated int // shards served by standby servers without the log
 	Unserved  int // shards of the group without a confirmed, unexpired lease
 }
 
@@ -55,8 +55,8 @@
 	return status
 }
 
-// Servers lists the group's servers with what the lessor last heard of them,
-// in order; nil unless this member is the lessor.
+// Servers returns the group's servers with the lessor's latest observation of
+// each, in order; nil unless this member is the lessor.
 func (m *Member) Servers() []ServerStatus {
 	if m.role != RoleLessor {
 		return nil
@@ -77,17 +77,17 @@
 	return list
 }
 
-// ServerStatus is what a lessor last heard of a server.
+// ServerStatus is a lessor's latest observation of a server.
 type ServerStatus struct {
 	ID        topo.ServerID
 	Suspected bool
 	Draining  bool
-	Heard     bool          // it answered this lessor
-	HeardAt   time.Duration // latest answer
+	Heard     bool          // it replied to this lessor
+	HeardAt   time.Duration // latest reply
 }
 
-// Granted returns the shards that this lessor has on servers' lists now, with
-// owner and fence.
+// Granted returns the shards that this lessor currently has on servers' lists,
+// with owner and fence.
 func (m *Member) Granted() map[topo.ShardID]Holding {
 	granted := map[topo.ShardID]Holding{}
 	if m.role != RoleLessor {
@@ -101,13 +101,14 @@
 	return granted
 }
 
-// Holding is the server that a shard is granted to.
+// Holding is the server that a shard is granted to, and the fence of the grant.
 type Holding struct {
 	Server topo.ServerID
 	Fence  topo.Fence
 }
 
-// ListsVersion changes whenever Granted does.
+// ListsVersion returns a number that changes whenever the result of Granted
+// does.
 func (m *Member) ListsVersion() uint64 {
 	var version uint64
 	if m.role != RoleLessor {
@@ -119,7 +120,7 @@
 	return version + 1
 }
 
-// ServiceUntil returns, for each service of the group, the moment until which
+// ServiceUntil returns, for each service of the group, the time until which
 // this lessor may act for it, as far as it knows now.
 func (m *Member) ServiceUntil() map[topo.Service]time.Duration {
 	ends := map[topo.Service]time.Duration{}
--- a/lessor/submit.go
+++ b/lessor/submit.go
@@ -8,7 +8,7 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Reasons that submissions give for people.
+// Reasons given in submissions, for operators.
 const (
 	reasonTakeover  = "takeover"
 	reasonLost      = "server lost"
@@ -20,16 +20,16 @@
 	reasonDecide    = "fate of an earlier record unknown"
 )
 
-// submission is the record of assignments that is on its way to the log. While
-// its fate is not known, none of its shards is granted to anyone.
+// submission is the record of assignments that is in flight to the log. While
+// its outcome is unknown, none of its shards is granted to any server.
 type submission struct {
 	number   uint64
 	inFlight bool
-	retryAt  moment // not before
-	// undecided are the shards of records whose fate is not known, or not seen
-	// in the state yet.
+	retryAt  moment // earliest time of the next submission
+	// undecided holds the shards of records whose outcome is not known, or not
+	// seen in the state yet.
 	undecided map[topo.ShardID]undecidedShard
-	// visible is the offset at which the state shows the latest record; only
+	// visible is the offset at which the state contains the latest record; only
 	// then are its shards decided.
 	visible topo.Offset
 }
@@ -38,11 +38,12 @@
 type undecidedShard struct {
 	expected topo.Fence
 	number   uint64 // of the latest record
-	unknown  bool   // an earlier record's fate was never learnt
+	unknown  bool   // the outcome of an earlier record was never observed
 }
 
-// maySubmit reports whether assignments may be written now. Only in connected
-// mode: a standby lessor that may go on without the log must not miss any.
+// maySubmit reports whether assignments may be written now. They are written
+// only in connected mode, because a standby lessor that may take over without
+// the log must not miss any.
 func (m *Member) maySubmit(now time.Duration) bool {
 	if m.role != RoleLessor || m.offLog || m.right.mode != ModeConnected {
 		return false
@@ -57,7 +58,7 @@
 }
 
 // BeginSubmit returns the assignments to write now, and the number by which
-// their fate is told.
+// their outcome is reported.
 func (m *Member) BeginSubmit(now time.Duration) (Submission, uint64, bool) {
 	if !m.maySubmit(now) {
 		return Submission{}, 0, false
@@ -76,15 +77,15 @@
 	return Submission{Term: m.term, Assigns: assigns, Reason: reason}, m.submit.number, true
 }
 
-// markSubmitted notes that a planned move has gone to the log.
+// markSubmitted records that a planned move has been written to the log.
 func (m *Member) markSubmitted(id topo.ShardID) {
 	if mv, moving := m.moves[id]; moving {
 		mv.submitted = true
 	}
 }
 
-// SubmitDone tells that the record's fate is known: it was applied at offset,
-// whether or not it changed anything.
+// SubmitDone reports that the record's outcome is known: it was applied at
+// offset, whether or not it changed anything.
 func (m *Member) SubmitDone(now time.Duration, number uint64, offset topo.Offset) {
 	if number != m.submit.number {
 		return
@@ -95,8 +96,8 @@
 	m.advance(now)
 }
 
-// SubmitFailed tells that the record was not appended or, if unknown, may have
-// been or may still be.
+// SubmitFailed reports that the record was not appended or, if unknown is set,
+// that it may have been or may still be appended.
 func (m *Member) SubmitFailed(now time.Duration, number uint64, unknown bool) {
 	if number != m.submit.number {
 		return
@@ -116,9 +117,9 @@
 }
 
 // dropDecided drops the shards that no record can change any longer: their
-// fence is another one, or every record about them has been seen to fail. In
-// the latter case a planned move is given up, so that the owner gets the shard
-// back at once: what it was moved to may be gone.
+// fence has changed, or every record about them is known to have failed. After
+// such a failure a planned move is abandoned, so that the owner gets the shard
+// back at once: the target of the move may be gone.
 func (m *Member) dropDecided() {
 	settled := !m.submit.inFlight && m.facts.Applied >= m.submit.visible
 	for id, d := range m.submit.undecided {
@@ -134,8 +135,8 @@
 }
 
 // inForce returns the fence that a record about a shard must expect: for a key
-// that is not split out, its hash range's. It is zero if no server of the group
-// owns the shard.
+// that is not split out, the fence of its hash range. It is zero if no server
+// of the group owns the shard.
 func (m *Member) inForce(id topo.ShardID) topo.Fence {
 	shard, exists := m.facts.Shards[id]
 	if exists || id.Key == "" {
@@ -159,13 +160,13 @@
 	return undecided
 }
 
-// undecided lists the undecided shards in a fixed order.
+// undecided returns the undecided shards in a fixed order.
 func (m *Member) undecided() []topo.ShardID {
 	return slices.SortedFunc(maps.Keys(m.submit.undecided), compareShards)
 }
 
-// pendingSplits lists keys that are about to be split out of a hash range, or
-// possibly are.
+// pendingSplits returns the keys that are about to be split out of a hash
+// range, or may have been.
 func (m *Member) pendingSplits() []topo.ShardID {
 	var splits []topo.ShardID
 	for id := range m.submit.undecided {
--- a/lessor/superseded.go
+++ b/lessor/superseded.go
@@ -7,24 +7,27 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// supersessions are the moments at which this run first saw that the latest terms
-// of former runs were no longer in force. No log contact by which such a run may go
-// on is younger, so what it may do without the log is counted from there, and not
-// anew from each later claim. It is never changed in place.
+// supersessions holds the times at which this incarnation first saw that the latest
+// terms of previous incarnations were no longer current. No log contact that lets
+// such an incarnation continue is newer, so the time for which it may act without
+// the log is measured from there, and does not start again with each later claim.
+// It is never modified in place.
 type supersessions struct {
 	seen map[roleInTerm]time.Duration
-	// since and unlisted are the same for the runs that the list has lost.
+	// since and unlisted are the corresponding values for the incarnations that
+	// were dropped from the list.
 	since    topo.Offset
 	unlisted time.Duration
 }
 
-// roleInTerm is the latest part of a run in a group.
+// roleInTerm identifies an incarnation and the latest term of the group in
+// which it had a part.
 type roleInTerm struct {
-	run  Run
-	term topo.Term
+	incarnation Run
+	term        topo.Term
 }
 
-// next returns the supersessions as of a group whose term is first seen now.
+// next returns the supersessions for a group whose term is first seen now.
 func (s supersessions) next(now time.Duration, group state.Group) supersessions {
 	after := supersessions{seen: map[roleInTerm]time.Duration{}, since: group.Term.Offset, unlisted: now}
 	if group.Former == nil {
@@ -35,7 +38,7 @@
 		after.unlisted = s.unlisted
 	}
 	for _, run := range group.Former.Runs {
-		part := roleInTerm{runOf(run), run.Latest()}
+		part := roleInTerm{incarnationOf(run), run.Latest()}
 		at, known := s.seen[part]
 		if !known {
 			at = now
@@ -45,18 +48,18 @@
 	return after
 }
 
-// at returns when a run that is listed was first seen to be superseded.
+// at returns when a listed incarnation was first seen to be superseded.
 func (s supersessions) at(run state.FormerRun) time.Duration {
-	return s.seen[roleInTerm{runOf(run), run.Latest()}]
+	return s.seen[roleInTerm{incarnationOf(run), run.Latest()}]
 }
 
-// limit is how long a right lasts that nothing renews.
+// limit is how long a right lasts after its last renewal.
 type limit struct {
 	duration time.Duration
 	forever  bool
 }
 
-// endAfter returns when a right that counts from a moment has ended; never if it
+// endAfter returns when a right measured from a moment has ended; never if it
 // has no end.
 func (l limit) endAfter(at time.Duration) moment {
 	if l.forever {
--- a/lessor/superseded_test.go
+++ b/lessor/superseded_test.go
@@ -10,8 +10,8 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// groupAt returns the group after so many claims in turn by c and d, which follow a
-// term of l with the standby lessor s.
+// groupAt returns the group after a number of claims, alternately by c and d, that
+// follow a term of l with the standby lessor s.
 func groupAt(claims int) state.Group {
 	group := state.Group{ID: searchGroup, Term: topo.MakeTerm(10, 0), Lessor: "l", LessorBoot: "l-1", HeldSince: 10}
 	group.Standby, group.StandbyBoot = "s", "s-1"
@@ -27,8 +27,9 @@
 	return group
 }
 
-// Former lessors that say nothing are waited for from the moment at which its own
-// term was superseded, however many claims follow.
+// TestWaitForUnresponsivePreviousLessorsStartsOnce checks that the wait for a
+// previous lessor that does not reply is measured from when its own term was
+// superseded, however many claims follow.
 func TestWaitForUnresponsivePreviousLessorsStartsOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var s supersessions
@@ -37,25 +38,25 @@
 		s = s.next(time.Duration(i)*time.Second, groupAt(i))
 	}
 	group := groupAt(claims)
-	f := former{runs: group.Former.Runs, since: group.Former.Since, settled: group.HeldSince, superseded: s}
+	f := former{incarnations: group.Former.Runs, since: group.Former.Since, settled: group.HeldSince, superseded: s}
 	stop := stopBounds{sinceSuperseded: limit{duration: time.Minute}, sinceSupport: time.Second}
 	g.Expect(f.rightEnd(stop, rules{})).To(gomega.Equal(momentAt(claims*time.Second + time.Minute)))
 	for _, node := range []topo.NodeID{"c", "d"} {
-		f.record(stopReply{run: Run{Node: node, Boot: topo.BootID(node) + "-1"}, at: claims*time.Second + 1})
+		f.record(stopReply{incarnation: Run{Node: node, Boot: topo.BootID(node) + "-1"}, at: claims*time.Second + 1})
 	}
 	g.Expect(f.rightEnd(stop, rules{})).To(gomega.Equal(momentAt(time.Second + time.Minute)))
 	g.Expect(f.rightEnd(stopBounds{sinceSuperseded: limit{forever: true}, sinceSupport: time.Second}, rules{})).To(gomega.Equal(moment{}))
 }
 
-// Runs that the list has lost had all been superseded when the list first began
-// after them.
+// TestWaitForUnlistedIncarnationsStartsOnce checks that incarnations dropped
+// from the list are treated as superseded when the list first began after them.
 func TestWaitForUnlistedIncarnationsStartsOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	unknown := state.Group{Term: topo.MakeTerm(50, 0), Lessor: "c", LessorBoot: "c-1", HeldSince: 10}
 	s := supersessions{}.next(5, unknown)
 	later := state.Group{Term: topo.MakeTerm(60, 0), HeldSince: 10, Former: unknown.FormerAfter(false)}
 	s = s.next(6, later)
-	f := former{runs: later.Former.Runs, since: later.Former.Since, settled: later.HeldSince, superseded: s}
-	f.record(stopReply{run: Run{Node: "c", Boot: "c-1"}, at: 7})
+	f := former{incarnations: later.Former.Runs, since: later.Former.Since, settled: later.HeldSince, superseded: s}
+	f.record(stopReply{incarnation: Run{Node: "c", Boot: "c-1"}, at: 7})
 	g.Expect(f.rightEnd(stopBounds{sinceSuperseded: limit{duration: time.Minute}}, rules{})).To(gomega.Equal(momentAt(time.Minute + 5)))
 }
--- a/lessor/takeover.go
+++ b/lessor/takeover.go
@@ -15,14 +15,14 @@
 const (
 	// basisFirst: the group never had a lessor, so nothing was ever granted.
 	basisFirst basis = iota
-	// basisSelf: this run was the lessor before and knows that no standby
-	// lessor went on in the meantime.
+	// basisSelf: this incarnation was the lessor before and knows that no
+	// standby lessor took over in the meantime.
 	basisSelf
-	// basisStandby: this run was the standby lessor. It knows until when the
-	// lessor counted on its promise, in which mode, and everything that the
-	// lessor may have decided off the log.
+	// basisStandby: this incarnation was the standby lessor. It knows until
+	// when the lessor relied on its promise, in which mode, and everything that
+	// the lessor may have decided without the log.
 	basisStandby
-	// basisOther: this run knows nothing but the state.
+	// basisOther: this incarnation knows only the state.
 	basisOther
 )
 
@@ -34,23 +34,25 @@
 // terms as free.
 type takeover struct {
 	basis basis
-	// before: shards with a fence below this offset may have been granted by
-	// an earlier lessor.
+	// before: shards with a fence below this offset may have been granted by an
+	// earlier lessor.
 	before topo.Offset
-	// began is when this run's claim was seen. For a former standby lessor, the
-	// lessor's right by log contact is counted from there; by its standby's promise
-	// it has ended at promised.
+	// began is when this incarnation's claim was seen. After basisStandby, the
+	// previous lessor's right by log contact is measured from there; its right by
+	// the standby's promise has ended at promised.
 	began          time.Duration
-	usedLogContact bool // the earlier lessor may have counted log contact
+	usedLogContact bool // the previous lessor may have relied on log contact
 	promised       moment
-	// fromLessor is what the earlier lessor told its standby lessor; of basisStandby.
+	// fromLessor is what the previous lessor reported to its standby lessor; set for
+	// basisStandby.
 	fromLessor standbyState
-	// former are the lessors of earlier terms, and what they said since.
+	// former holds the lessors of earlier terms and their replies.
 	former former
 }
 
-// takeoverAfter tells what the term that this run has just been seen to hold
-// begins with. It must be called before anything of the term before is dropped.
+// takeoverAfter returns the takeover for the term that this incarnation was
+// just seen to hold. It must be called before any state of the previous term is
+// dropped.
 func (m *Member) takeoverAfter(now time.Duration, before state.Group) takeover {
 	next := takeover{basis: basisOther, before: m.facts.Group.Term.Offset, began: now}
 	next.former = m.formerOf(now)
@@ -83,8 +85,8 @@
 	}
 }
 
-// rightEnd returns when the earlier lessors' right to renew leases for a service
-// has surely lapsed; never if it may last without limit.
+// rightEnd returns when the previous lessors' right to renew leases for a
+// service has certainly expired; never if it may last without limit.
 func (m *Member) rightEnd(policy *Policy) moment {
 	t := &m.takeover
 	if t.basis == basisFirst {
@@ -101,8 +103,8 @@
 	return end.earlier(promised)
 }
 
-// stopBounds returns how long former runs that say nothing may renew leases for a
-// service.
+// stopBounds returns how long previous incarnations that do not reply may renew
+// leases for a service.
 func (m *Member) stopBounds(policy *Policy) stopBounds {
 	ttl := m.cfg.Lease.TTL
 	s := stopBounds{sinceSupport: m.cfg.expiryWait(ttl)}
@@ -118,9 +120,9 @@
 	return s
 }
 
-// leaseEnd returns when every lease that earlier lessors renewed for a service
-// has surely lapsed. The last one may have been renewed just before the right
-// ended.
+// leaseEnd returns when every lease that previous lessors renewed for a service
+// has certainly expired. The last one may have been renewed just before the
+// right ended.
 func (m *Member) leaseEnd(policy *Policy) moment {
 	end := m.rightEnd(policy)
 	if !end.set || m.rules.noLastLease || m.takeover.basis == basisFirst {
--- a/lessor/unresponsive.go
+++ b/lessor/unresponsive.go
@@ -2,13 +2,14 @@
 
 import "slices"
 
-// unresponsiveRuns lists the runs of nodes that were found silent and have not been heard
-// since, the latest last. Whoever names a standby lessor prefers the others: with a
-// silent one the group's leases end when the log cannot be reached. It is never
-// changed in place.
+// unresponsiveRuns lists the incarnations of nodes that were found unresponsive and have
+// not been observed since, the latest last. A node that names a standby lessor prefers
+// nodes that are not listed, because with an unresponsive standby lessor the group's
+// leases end when the log cannot be reached. The list is never modified in place.
 type unresponsiveRuns []Run
 
-// maxUnresponsive bounds the list; the run that was found silent first is dropped.
+// maxUnresponsive bounds the list; the incarnation that was found unresponsive
+// first is dropped.
 const maxUnresponsive = 16
 
 func (s unresponsiveRuns) with(run Run) unresponsiveRuns {
@@ -23,6 +24,6 @@
 	return slices.DeleteFunc(slices.Clone(s), func(r Run) bool { return r == run })
 }
 
-// rank orders runs by how well they suit: those that are not silent, then those
-// whose silence was noticed longest ago.
+// rank orders incarnations by preference: those that are not listed, then those
+// that were found unresponsive longest ago.
 func (s unresponsiveRuns) rank(run Run) int { return 1 + slices.Index(s, run) }
--- a/lessor/walk_test.go
+++ b/lessor/walk_test.go
@@ -12,23 +12,23 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// A walk lets the members follow their own plans over links that fail, with
-// messages lost, held back and repeated, records of unknown fate, processes
-// that pause and restart, and clocks that run apart within the bound.
+// walk lets the members follow their own plans over failing links, with
+// messages lost, held back and repeated, records of unknown outcome, processes
+// that pause and restart, and clocks that diverge within the bound.
 type walk struct {
 	*world
 	t           *rapid.T
 	random      *rand.Rand
-	failedLinks map[string]bool // links, by the names of their ends
+	failedLinks map[string]bool // by the names of their ends
 	paused      [nodeCount]bool
 	holders     map[topo.Fence]topo.BootID
-	highest     topo.Fence // under which the shard was served
+	highest     topo.Fence // highest fence under which the shard was served
 	served      int
 }
 
 const (
 	walkTTL = 12 * timeUnit
-	// walkDrift bounds how far the clocks drawn below run apart.
+	// walkDrift bounds how far the drawn clocks diverge.
 	walkDrift     = 20_000
 	maxRateOffset = 9_000
 )
@@ -56,13 +56,14 @@
 	}
 }
 
-// chance is true n times in most.
+// chance returns true with probability n/most.
 func (w *walk) chance(n, most int) bool { return w.random.IntN(most) < n }
 
-// faults that a walk draws, by how often.
+// faults lists the kinds of faults that a walk draws; repeated entries are
+// drawn more often.
 var faults = []string{"log", "log", "peer", "peer", "peer", "server", "server", "server", "pause", "server restarts", "node restarts", "heal", "heal"}
 
-// injectFault changes one thing for the worse or the better.
+// injectFault injects or heals one fault.
 func (w *walk) injectFault() {
 	kind := rapid.SampledFrom(faults).Draw(w.t, "fault")
 	node := rapid.IntRange(0, nodeCount-1).Draw(w.t, "node")
@@ -80,7 +81,7 @@
 		w.restartServer(server)
 	case "node restarts":
 		w.restartNode(node)
-		w.log.next++ // it joins
+		w.log.next++ // it joins the cluster
 		w.log.boots[node] = w.nodes[node].boots
 	case "heal":
 		clear(w.failedLinks)
@@ -94,7 +95,8 @@
 	return !w.failedLinks[fmt.Sprint("peer ", a, b)] && !w.failedLinks[fmt.Sprint("peer ", b, a)]
 }
 
-// tick lets one unit of time pass and every running node do what is due.
+// tick advances the time by one unit and lets every running node execute its
+// due actions.
 func (w *walk) tick() {
 	w.now += timeUnit
 	if w.heldMessage != nil && w.chance(1, 4) {
@@ -128,7 +130,7 @@
 	}
 }
 
-// drawFailure draws what becomes of a call over a link that works or does not.
+// drawFailure draws how a call over a working or failed link ends.
 func (w *walk) drawFailure(works bool) string {
 	switch {
 	case !works:
@@ -194,14 +196,14 @@
 	m.BeginProbe(w.clock(node), id)
 	for i := range w.nodes {
 		if nodeNames[i] == id && !w.paused[i] && w.peersReach(node, i) {
-			m.ProbeAnswered(w.clock(node), w.runOf(i))
+			m.ProbeAnswered(w.clock(node), w.incarnation(i))
 			return
 		}
 	}
 	m.ProbeFailed(id)
 }
 
-// write appends a record, or loses it, or holds it back.
+// write appends a record, drops it, or holds it back.
 func (w *walk) write(node int, begin func() (record, bool)) {
 	r, due := begin()
 	if !due {
@@ -220,8 +222,9 @@
 	}
 }
 
-// check holds after every step: no two owners, no fence is ever held by two runs of
-// servers, and the fence under which the shard is served never goes back.
+// check verifies after every step that there are no two owners, that no fence is
+// held by two incarnations of servers, and that the fence under which the shard is
+// served never decreases.
 func (w *walk) check() {
 	if w.owners() > 1 {
 		w.t.Fatal("two owners")
@@ -274,8 +277,8 @@
 		served += w.served
 		passed += walkTicks
 	})
-	t.Logf("served %d of %d units of time", served, passed)
+	t.Logf("shard served for %d of %d time units", served, passed)
 	if served < passed/4 {
-		t.Error("hardly ever served")
+		t.Error("shard served for less than a quarter of the time")
 	}
 }
--- a/lessor/watch.go
+++ b/lessor/watch.go
@@ -11,44 +11,46 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Who watches a group's lessor and standby lessor, besides these two: so many
-// nodes of the group's zone, and so many of the others.
+// Number of nodes that watch a group's lessor and standby lessor, besides these
+// two: nodes of the group's zone, and nodes of other zones.
 const (
 	watchersInside  = 2
 	watchersOutside = 1
 )
 
-// maxTurnsInside is for how many nodes of the group's zone the others wait. A large
-// zone that is silent as a whole must not delay them by a turn for each of its
-// nodes; who claims too early costs a term, never safety.
+// maxTurnsInside bounds the number of nodes of the group's zone that nodes of other
+// zones wait for. A large zone that is unresponsive as a whole must not delay them
+// by a turn for each of its nodes; a claim that is too early costs a term, but
+// never safety.
 const maxTurnsInside = 4
 
-// probeFailures in a row make a node count as silent.
+// probeFailures is the number of consecutive failed probes after which a node
+// is treated as unresponsive.
 const probeFailures = 2
 
-// outsiderPause is how long a node of another zone that lost the term does not
-// claim it again, so that two zones that cannot reach each other, but both
-// reach the log, do not take the term from each other in turn.
+// outsiderPause is how long a node of another zone that lost the term waits
+// before it claims again, so that two zones that cannot reach each other, but
+// both reach the log, do not take the term from each other in turn.
 const outsiderPause = time.Minute
 
-// watch is what this node found out about the group's lessor and standby lessor
-// by asking them.
+// watch is what this node has observed of the group's lessor and standby lessor
+// by probing them.
 type watch struct {
 	began     time.Duration
 	nodes     map[topo.NodeID]*watched
-	notBefore moment // no claim before
+	notBefore moment // earliest time of the next claim
 }
 
-// watched is one node that is asked for signs of life.
+// watched is the probe state of one node.
 type watched struct {
 	askedAt  moment
 	inFlight bool
-	// firstUnanswered is when the first of the present row of probes without an
-	// answer was begun.
+	// firstUnanswered is the start time of the first of the consecutive probes
+	// without a reply.
 	firstUnanswered moment
 	lastReply       moment
 	failures        int
-	replaced        moment // another run answered
+	replaced        moment // time at which another incarnation replied
 }
 
 // next returns the watch for a new term.
@@ -69,9 +71,9 @@
 	return known
 }
 
-// unresponsiveSince returns since when a node has given no sign of life, if it is
-// silent: at most lag before it was first asked in vain, since it may have been
-// asked seldom before.
+// unresponsiveSince returns the time from which a node is unresponsive, if it is.
+// That time is at most lag before the first failed probe, because earlier probes
+// may have been rare.
 func (w *watch) unresponsiveSince(id topo.NodeID, lag time.Duration) (time.Duration, bool) {
 	known, exists := w.nodes[id]
 	if !exists {
@@ -84,8 +86,8 @@
 	return since, known.failures >= probeFailures
 }
 
-// failed reports whether the latest probe of a node got no answer, or one of
-// another run.
+// failed reports whether the latest probe of a node failed or was answered by
+// another incarnation.
 func (w *watch) failed(id topo.NodeID) bool {
 	known, exists := w.nodes[id]
 	return exists && (known.replaced.set || known.failures > 0)
@@ -101,12 +103,12 @@
 	}
 }
 
-// ProbeAnswered tells that a run of a node answered a probe.
+// ProbeAnswered reports that an incarnation of a node answered a probe.
 func (m *Member) ProbeAnswered(now time.Duration, run Run) {
 	known := m.watch.node(run.Node)
 	known.inFlight = false
 	m.unresponsive = m.unresponsive.without(run)
-	if run != m.namedRun(run.Node) {
+	if run != m.namedIncarnation(run.Node) {
 		known.replaced = momentAt(now)
 		return
 	}
@@ -114,7 +116,7 @@
 	known.lastReply = momentAt(now)
 }
 
-// ProbeFailed tells that a probe got no answer.
+// ProbeFailed reports that a probe got no reply.
 func (m *Member) ProbeFailed(id topo.NodeID) {
 	known := m.watch.node(id)
 	known.inFlight = false
@@ -124,27 +126,28 @@
 	}
 }
 
-// recordUnresponsive notes that the run of a node that the group names is silent.
+// recordUnresponsive records that the incarnation of a node that the group names
+// is unresponsive.
 func (m *Member) recordUnresponsive(id topo.NodeID) {
-	if run := m.namedRun(id); run.Node != "" {
+	if run := m.namedIncarnation(id); run.Node != "" {
 		m.unresponsive = m.unresponsive.with(run)
 	}
 }
 
-// namedRun returns the run of a node that the group names, of no node if it does
-// not name the node.
-func (m *Member) namedRun(id topo.NodeID) Run {
+// namedIncarnation returns the incarnation of a node that the group names; its node is
+// empty if the group does not name the node.
+func (m *Member) namedIncarnation(id topo.NodeID) Run {
 	group := m.facts.Group
 	switch id {
 	case group.Standby:
-		return m.standbyRun()
+		return m.standbyIncarnation()
 	case group.Lessor:
 		return Run{Node: group.Lessor, Boot: group.LessorBoot}
 	}
 	return Run{}
 }
 
-// isOutsider reports whether this node is not of the group's zone.
+// isOutsider reports whether this node belongs to another zone than the group.
 func (m *Member) isOutsider() bool { return m.cfg.Zone != m.cfg.Group.Zone() }
 
 // order sorts nodes by their turn in the group.
@@ -152,8 +155,8 @@
 	slices.SortFunc(list, func(a, b state.Node) int { return m.rankOf(a).compare(m.rankOf(b)) })
 }
 
-// rank is what decides a node's turn: nodes of the zone first, each by its
-// weight.
+// rank determines a node's turn: nodes of the group's zone come first, then the
+// order is by weight.
 type rank struct {
 	outside bool
 	weight  uint64
@@ -164,7 +167,7 @@
 	return rank{outside: n.Zone != m.cfg.Group.Zone(), weight: m.weight(n.ID), id: n.ID}
 }
 
-// compare is below 0 if it is the turn of a before that of b.
+// compare returns a number below 0 if the turn of a is before that of b.
 func (a rank) compare(b rank) int {
 	return cmp.Or(
 		cmp.Compare(boolRank(a.outside), boolRank(b.outside)),
@@ -173,15 +176,14 @@
 	)
 }
 
-// weight spreads the groups of a zone over its nodes (rendezvous hashing).
+// weight distributes the groups of a zone over its nodes by rendezvous hashing.
 func (m *Member) weight(id topo.NodeID) uint64 {
 	return xxhash.Sum64String(string(m.cfg.Group) + "\x00" + string(id))
 }
 
-// turn returns this node's place among the nodes that may become the group's
-// lessor, which stand in for each other in the order of their ranks, and
-// whether it is one of the few that watch. The present lessor and standby
-// lessor have no place.
+// turn returns this node's position among the candidates for the group's next
+// lessor, which claim in the order of their ranks, and whether it is one of the
+// few watchers. The current lessor and standby lessor are no candidates.
 func (m *Member) turn() (place int, watches bool) {
 	self, listed := m.selfListed()
 	if !listed {
@@ -204,8 +206,8 @@
 	return inside, inside < watchersInside
 }
 
-// selfListed returns this node as the facts list it, unless it is the lessor or
-// the standby lessor.
+// selfListed returns the entry of this node in the facts, unless it is the
+// lessor or the standby lessor.
 func (m *Member) selfListed() (state.Node, bool) {
 	for _, n := range m.facts.Nodes {
 		if n.ID == m.cfg.Node {
@@ -215,9 +217,9 @@
 	return state.Node{}, false
 }
 
-// named reports whether the group names this run of a node.
+// named reports whether the group names this incarnation of a node.
 func (m *Member) named(n state.Node) bool {
 	group := m.facts.Group
 	run := Run{Node: n.ID, Boot: n.Boot}
-	return run == Run{Node: group.Lessor, Boot: group.LessorBoot} || run == m.standbyRun()
+	return run == Run{Node: group.Lessor, Boot: group.LessorBoot} || run == m.standbyIncarnation()
 }
