--- a/lessor/awaited.go
+++ b/lessor/awaited.go
@@ -29,7 +29,7 @@
 		awaited.Left = max(awaited.Left, end.at-now)
 	}
 	for _, run := range m.takeover.former.needed(m.rules) {
-		if _, said := m.takeover.former.reply(incarnationOf(run)); !said {
+		if _, replied := m.takeover.former.reply(incarnationOf(run)); !replied {
 			awaited.Silent = append(awaited.Silent, incarnationOf(run))
 		}
 	}
--- a/lessor/dump.go
+++ b/lessor/dump.go
@@ -153,11 +153,11 @@
 			StoodBy:   r.StoodBy.String(),
 			AnswerAge: moment{}.age(now),
 		}
-		if w, said := f.reply(incarnationOf(r)); said {
-			d.AnswerAge = momentAt(w.at).age(now)
-			d.SettledTerm = w.settled.String()
-			d.DisconnectedTerm = w.disconnected.String()
-			for _, a := range w.askedStandbys {
+		if reply, replied := f.reply(incarnationOf(r)); replied {
+			d.AnswerAge = momentAt(reply.at).age(now)
+			d.SettledTerm = reply.settled.String()
+			d.DisconnectedTerm = reply.disconnected.String()
+			for _, a := range reply.askedStandbys {
 				d.Asked = append(d.Asked, string(a.Run.Node)+"/"+string(a.Run.Boot)+" in "+a.Term.String())
 			}
 		}
--- a/lessor/former.go
+++ b/lessor/former.go
@@ -47,11 +47,11 @@
 
 // mayHaveAsked reports whether the incarnation may have asked a standby lessor for
 // disconnected mode in a term at or after an offset.
-func (w stopReply) mayHaveAsked(standby Run, since topo.Offset) bool {
-	if w.reportsStandbys {
-		return wasAsked(w.askedStandbys, standby, since)
+func (r stopReply) mayHaveAsked(standby Run, since topo.Offset) bool {
+	if r.reportsStandbys {
+		return wasAsked(r.askedStandbys, standby, since)
 	}
-	return !w.reportsMode || w.disconnected.Offset >= since
+	return !r.reportsMode || r.disconnected.Offset >= since
 }
 
 // formerOf returns the lessors of the group's earlier terms. Earlier parts of
@@ -81,7 +81,7 @@
 	if reply.HighestTerm.Less(m.term) && !m.rules.noSeenTerm {
 		return
 	}
-	w := stopReply{
+	stop := stopReply{
 		incarnation:     reply.From,
 		at:              now,
 		settled:         reply.SettledTerm,
@@ -90,20 +90,20 @@
 		askedStandbys:   reply.AskedStandbys,
 		reportsStandbys: reply.TellsStandbys,
 	}
-	if !w.settled.Less(m.term) {
-		w.settled = topo.Term{} // the replying node has adopted this node's term
+	if !stop.settled.Less(m.term) {
+		stop.settled = topo.Term{} // the replying node has adopted this node's term
 	}
-	m.takeover.former.record(w)
+	m.takeover.former.record(stop)
 }
 
 // record keeps the first reply of each incarnation that is asked for one.
-func (f *former) record(w stopReply) {
-	listed := func(r state.FormerRun) bool { return incarnationOf(r) == w.incarnation }
-	if _, known := f.reply(w.incarnation); known || !slices.ContainsFunc(f.incarnations, listed) {
+func (f *former) record(reply stopReply) {
+	listed := func(r state.FormerRun) bool { return incarnationOf(r) == reply.incarnation }
+	if _, known := f.reply(reply.incarnation); known || !slices.ContainsFunc(f.incarnations, listed) {
 		return
 	}
-	f.replies = append(slices.Clip(f.replies), w)
-	f.settled = max(f.settled, w.settled.Offset)
+	f.replies = append(slices.Clip(f.replies), reply)
+	f.settled = max(f.settled, reply.settled.Offset)
 }
 
 func (f *former) reply(run Run) (stopReply, bool) {
@@ -142,24 +142,24 @@
 // rightEnd returns when the right of all previous lessors to renew leases has
 // certainly ended, by their replies or by their timeouts; never if one of them may
 // continue without limit.
-func (f *former) rightEnd(s stopBounds, r rules) moment {
+func (f *former) rightEnd(limits stopBounds, r rules) moment {
 	if f.since == 0 {
 		return moment{} // the previous incarnations are not known
 	}
 	end := momentAt(0)
 	complete := f.complete(r)
 	if !complete {
-		end = s.sinceSuperseded.endAfter(f.superseded.unlisted)
+		end = limits.sinceSuperseded.endAfter(f.superseded.unlisted)
 	}
-	said, missing := f.split(f.needed(r), r)
-	for _, w := range said {
-		end = end.latest(momentAt(w.at))
+	replies, missing := f.split(f.needed(r), r)
+	for _, reply := range replies {
+		end = end.latest(momentAt(reply.at))
 	}
 	alone := complete && (len(missing) == 1 || r.noSingleMissing)
 	for _, run := range missing {
-		one := s.sinceSuperseded.endAfter(f.superseded.at(run))
+		one := limits.sinceSuperseded.endAfter(f.superseded.at(run))
 		if alone {
-			one = one.earlier(f.unresponsiveEnd(run, said, s, r))
+			one = one.earlier(f.unresponsiveEnd(run, replies, limits, r))
 		}
 		end = end.latest(one)
 	}
@@ -168,25 +168,25 @@
 
 // split returns the replies of the needed incarnations, and the incarnations
 // without a reply.
-func (f *former) split(needed []state.FormerRun, r rules) (said []stopReply, missing []state.FormerRun) {
+func (f *former) split(needed []state.FormerRun, r rules) (replies []stopReply, missing []state.FormerRun) {
 	for _, run := range needed {
-		w, known := f.reply(incarnationOf(run))
+		reply, known := f.reply(incarnationOf(run))
 		switch {
 		case known:
-			said = append(said, w)
+			replies = append(replies, reply)
 		case r.noStandbyReply && run.Led.Offset < f.settled:
 		default:
 			missing = append(missing, run)
 		}
 	}
-	return said, missing
+	return replies, missing
 }
 
 // unresponsiveEnd returns when the right of the only incarnation without a reply has
 // ended, as far as the replies of the others bound it. If no lessor asked it for
 // disconnected mode, it has not taken over as the standby lessor; and as the lessor it
 // gets no further promise.
-func (f *former) unresponsiveEnd(run state.FormerRun, said []stopReply, s stopBounds, r rules) moment {
+func (f *former) unresponsiveEnd(run state.FormerRun, replies []stopReply, limits stopBounds, r rules) moment {
 	if run.StoodBy.Offset >= f.settled && f.mayHaveBeenAsked(run, r) && !r.noConnected && !r.noSingleMissing {
 		return moment{}
 	}
@@ -194,13 +194,13 @@
 		return momentAt(0)
 	}
 	supported := f.superseded.at(run)
-	for _, w := range said {
-		supported = max(supported, w.at)
+	for _, reply := range replies {
+		supported = max(supported, reply.at)
 	}
 	if r.noPromise {
 		return momentAt(supported)
 	}
-	return momentAt(supported + s.sinceSupport)
+	return momentAt(supported + limits.sinceSupport)
 }
 
 // mayHaveBeenAsked reports whether a lessor since the latest settled term may have asked
@@ -211,8 +211,8 @@
 		if run.Led.Offset < f.settled || run == standby {
 			return false
 		}
-		w, said := f.reply(incarnationOf(run))
-		return !said || w.mayHaveAsked(incarnationOf(standby), f.settled)
+		reply, replied := f.reply(incarnationOf(run))
+		return !replied || reply.mayHaveAsked(incarnationOf(standby), f.settled)
 	})
 }
 
@@ -226,8 +226,8 @@
 		if run.Led.Offset < f.settled {
 			return false
 		}
-		w, said := f.reply(incarnationOf(run))
-		return !said || !w.reportsMode || w.disconnected.Offset >= f.settled
+		reply, replied := f.reply(incarnationOf(run))
+		return !replied || !reply.reportsMode || reply.disconnected.Offset >= f.settled
 	})
 }
 
@@ -236,8 +236,8 @@
 	var nodes []topo.NodeID
 	for _, needed := range f.needed(rules{}) {
 		run := incarnationOf(needed)
-		_, said := f.reply(run)
-		if run != self && !said && !slices.Contains(nodes, run.Node) {
+		_, replied := f.reply(run)
+		if run != self && !replied && !slices.Contains(nodes, run.Node) {
 			nodes = append(nodes, run.Node)
 		}
 	}
--- a/lessor/search_key_test.go
+++ b/lessor/search_key_test.go
@@ -256,11 +256,11 @@
 	k.num(len(f.incarnations))
 	for _, run := range f.incarnations {
 		k.formerRun(run)
-		w, said := f.reply(incarnationOf(run))
-		k.flag(said)
-		if said {
-			k.ordinal(w.disconnected.Ordinal)
-			k.askedStandbys(w.askedStandbys)
+		reply, replied := f.reply(incarnationOf(run))
+		k.flag(replied)
+		if replied {
+			k.ordinal(reply.disconnected.Ordinal)
+			k.askedStandbys(reply.askedStandbys)
 		}
 	}
 }
--- a/lessor/submit.go
+++ b/lessor/submit.go
@@ -77,7 +77,7 @@
 	return Submission{Term: m.term, Assigns: assigns, Reason: reason}, m.submit.number, true
 }
 
-// markSubmitted records that a planned move has been written to the log.
+// markSubmitted records that a planned move is being written to the log.
 func (m *Member) markSubmitted(id topo.ShardID) {
 	if mv, moving := m.moves[id]; moving {
 		mv.submitted = true
--- a/lessor/takeover.go
+++ b/lessor/takeover.go
@@ -107,17 +107,17 @@
 // leases for a service.
 func (m *Member) stopBounds(policy *Policy) stopBounds {
 	ttl := m.cfg.Lease.TTL
-	s := stopBounds{sinceSupport: m.cfg.expiryWait(ttl)}
-	most := policy.TakeoverLimit
+	limits := stopBounds{sinceSupport: m.cfg.expiryWait(ttl)}
+	longest := policy.TakeoverLimit
 	if m.rules.noDisconnectedWait {
-		most = 0
+		longest = 0
 	}
-	if most == siteconfig.Forever {
-		s.sinceSuperseded.forever = true
-		return s
+	if longest == siteconfig.Forever {
+		limits.sinceSuperseded.forever = true
+		return limits
 	}
-	s.sinceSuperseded.duration = m.cfg.expiryWait(max(ttl, most))
-	return s
+	limits.sinceSuperseded.duration = m.cfg.expiryWait(max(ttl, longest))
+	return limits
 }
 
 // leaseEnd returns when every lease that previous lessors renewed for a service
