--- a/lessor/former.go
+++ b/lessor/former.go
@@ -8,204 +8,211 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// former are the runs that may have renewed leases in earlier terms, and their
-// answers that they have stopped. A run that has seen a later term renews nothing
-// under an earlier one, for good.
+// former tracks the incarnations that may have renewed leases in earlier terms, and
+// their replies that they have stopped. An incarnation that has seen a later term
+// never again renews a lease under an earlier one.
 //
-// The answers count for the runs since a settled term: the lessor of that term knew
-// that nobody before it could renew. Lists here are never changed in place, so that a
-// copy of the struct is one of its own.
+// Replies are needed only from the incarnations since a settled term, because the
+// lessor of that term knew that no earlier one could renew. The slices are never
+// modified in place, so that a copy of the struct is independent.
 type former struct {
-	runs []state.FormerRun // by their latest terms, the latest first
-	// since is the offset of the first term from which on no run is missing.
+	incarnations []state.FormerRun // ordered by their latest terms, the latest first
+	// since is the offset of the first term from which the list is complete.
 	since topo.Offset
-	// settled is the latest term known to be settled: every lease of terms before
-	// it has ended.
+	// settled is the latest term known to be settled: every lease of earlier
+	// terms has ended.
 	settled    topo.Offset
 	superseded supersessions
-	said       []word
-	asked      moment // latest question
+	replies    []stopReply
+	askedAt    moment // time of the latest question
 }
 
-// word is what one run said, or this run knows of itself.
-type word struct {
-	run Run
-	// at is when the word arrived; the run had stopped by then.
+// stopReply is the reply of one incarnation, or what this incarnation knows of
+// itself.
+type stopReply struct {
+	incarnation Run
+	// at is the arrival time of the reply; the incarnation had stopped by then.
 	at time.Duration
-	// settled is the latest term that the run knows to be settled.
+	// settled is the latest term that the incarnation knows to be settled.
 	settled topo.Term
-	// disconnected is the latest term in which the run, as the lessor, asked for
-	// disconnected mode, if it tells.
+	// disconnected is the latest term in which the incarnation, as the lessor,
+	// asked for disconnected mode, if it reports that.
 	disconnected topo.Term
-	tellsMode    bool
-	// asked are the standby lessors that the run asked for it, if it tells.
-	asked         []AskedStandby
-	tellsStandbys bool
+	reportsMode  bool
+	// askedStandbys are the standby lessors that the incarnation asked for
+	// disconnected mode, if it reports them.
+	askedStandbys   []AskedStandby
+	reportsStandbys bool
 }
 
-// mayHaveAsked reports whether the run may have asked a standby lessor for disconnected
-// mode in a term since an offset.
-func (w word) mayHaveAsked(standby Run, since topo.Offset) bool {
-	if w.tellsStandbys {
-		return wasAsked(w.asked, standby, since)
+// mayHaveAsked reports whether the incarnation may have asked a standby lessor for
+// disconnected mode in a term at or after an offset.
+func (r stopReply) mayHaveAsked(standby Run, since topo.Offset) bool {
+	if r.reportsStandbys {
+		return wasAsked(r.askedStandbys, standby, since)
 	}
-	return !w.tellsMode || w.disconnected.Offset >= since
+	return !r.reportsMode || r.disconnected.Offset >= since
 }
 
-// formerOf returns the lessors of the group's earlier terms. What this run itself
-// was has ended.
+// formerOf returns the lessors of the group's earlier terms. Earlier parts of
+// this incarnation have ended.
 func (m *Member) formerOf(now time.Duration) former {
 	group := m.facts.Group
 	f := former{since: group.Term.Offset, settled: group.HeldSince, superseded: m.superseded}
 	if group.Former != nil {
-		f.runs, f.since = group.Former.Runs, group.Former.Since
-	}
-	f.note(word{
-		run:           m.self(),
-		at:            now,
-		settled:       m.settledTerm,
-		disconnected:  m.disconnectedTerm,
-		tellsMode:     true,
-		asked:         m.asked.list,
-		tellsStandbys: !m.asked.isPartial,
+		f.incarnations, f.since = group.Former.Runs, group.Former.Since
+	}
+	f.record(stopReply{
+		incarnation:     m.self(),
+		at:              now,
+		settled:         m.settledTerm,
+		disconnected:    m.disconnectedTerm,
+		reportsMode:     true,
+		askedStandbys:   m.askedStandbys.list,
+		reportsStandbys: !m.askedStandbys.isPartial,
 	})
 	return f
 }
 
-func runOf(r state.FormerRun) Run { return Run{Node: r.Node, Boot: r.Boot} }
+func incarnationOf(r state.FormerRun) Run { return Run{Node: r.Node, Boot: r.Boot} }
 
-// formerSaid takes the reply of a node that may be a former lessor.
-func (m *Member) formerSaid(now time.Duration, reply HeartbeatReply) {
+// recordFormerReply records the reply of a node that may be a previous lessor.
+func (m *Member) recordFormerReply(now time.Duration, reply HeartbeatReply) {
 	if reply.HighestTerm.Less(m.term) && !m.rules.noSeenTerm {
 		return
 	}
-	w := word{
-		run:           reply.From,
-		at:            now,
-		settled:       reply.SettledTerm,
-		disconnected:  reply.DisconnectedTerm,
-		tellsMode:     reply.TellsMode,
-		asked:         reply.AskedStandbys,
-		tellsStandbys: reply.TellsStandbys,
+	stop := stopReply{
+		incarnation:     reply.From,
+		at:              now,
+		settled:         reply.SettledTerm,
+		disconnected:    reply.DisconnectedTerm,
+		reportsMode:     reply.TellsMode,
+		askedStandbys:   reply.AskedStandbys,
+		reportsStandbys: reply.TellsStandbys,
 	}
-	if !w.settled.Less(m.term) {
-		w.settled = topo.Term{} // it has taken this node's term
+	if !stop.settled.Less(m.term) {
+		stop.settled = topo.Term{} // the replying node has adopted this node's term
 	}
-	m.takeover.former.note(w)
+	m.takeover.former.record(stop)
 }
 
-// note keeps the first word of each run that is asked for one.
-func (f *former) note(w word) {
-	listed := func(r state.FormerRun) bool { return runOf(r) == w.run }
-	if _, known := f.word(w.run); known || !slices.ContainsFunc(f.runs, listed) {
+// record keeps the first reply of each incarnation that is asked for one.
+func (f *former) record(reply stopReply) {
+	listed := func(r state.FormerRun) bool { return incarnationOf(r) == reply.incarnation }
+	if _, known := f.reply(reply.incarnation); known || !slices.ContainsFunc(f.incarnations, listed) {
 		return
 	}
-	f.said = append(slices.Clip(f.said), w)
-	f.settled = max(f.settled, w.settled.Offset)
+	f.replies = append(slices.Clip(f.replies), reply)
+	f.settled = max(f.settled, reply.settled.Offset)
 }
 
-func (f *former) word(run Run) (word, bool) {
-	i := slices.IndexFunc(f.said, func(w word) bool { return w.run == run })
+func (f *former) reply(run Run) (stopReply, bool) {
+	i := slices.IndexFunc(f.replies, func(w stopReply) bool { return w.incarnation == run })
 	if i < 0 {
-		return word{}, false
+		return stopReply{}, false
 	}
-	return f.said[i], true
+	return f.replies[i], true
 }
 
-// needed lists the runs whose words are needed: all since the latest settled term.
+// needed returns the incarnations whose replies are needed: all since the latest
+// settled term.
 func (f *former) needed(r rules) []state.FormerRun {
 	settled := f.settled
-	if r.noSettledWord && len(f.runs) > 0 {
-		settled = f.runs[0].Latest().Offset
+	if r.noSettledReply && len(f.incarnations) > 0 {
+		settled = f.incarnations[0].Latest().Offset
 	}
 	count := 0
-	for count < len(f.runs) && f.runs[count].Latest().Offset >= settled {
+	for count < len(f.incarnations) && f.incarnations[count].Latest().Offset >= settled {
 		count++
 	}
-	return f.runs[:count]
+	return f.incarnations[:count]
 }
 
-// complete reports whether no run since the latest settled term is missing from
-// the list.
+// complete reports whether the list contains every incarnation since the latest
+// settled term.
 func (f *former) complete(r rules) bool { return f.settled >= f.since || r.noComplete }
 
-// silence is how long a former run that says nothing may go on.
-type silence struct {
-	unseen limit         // after its term was superseded, if others may support it
-	alone  time.Duration // on what it has of the log, or of a standby lessor's promise
+// stopBounds bounds how long a previous incarnation that does not reply may
+// continue.
+type stopBounds struct {
+	sinceSuperseded limit         // after its term was superseded, if others may support it
+	sinceSupport    time.Duration // after its last log contact or the last promise of a standby lessor
 }
 
-// rightEnd returns when the right of all former lessors to renew leases has surely
-// ended, by their own words or after their silence; never if one of them may go on
-// without limit.
-func (f *former) rightEnd(s silence, r rules) moment {
+// rightEnd returns when the right of all previous lessors to renew leases has
+// certainly ended, by their replies or by their timeouts; never if one of them may
+// continue without limit.
+func (f *former) rightEnd(limits stopBounds, r rules) moment {
 	if f.since == 0 {
-		return moment{} // not known
+		return moment{} // the previous incarnations are not known
 	}
 	end := momentAt(0)
 	complete := f.complete(r)
 	if !complete {
-		end = s.unseen.endAfter(f.superseded.unlisted)
+		end = limits.sinceSuperseded.endAfter(f.superseded.unlisted)
 	}
-	said, missing := f.split(f.needed(r), r)
-	for _, w := range said {
-		end = end.latest(momentAt(w.at))
+	replies, missing := f.split(f.needed(r), r)
+	for _, reply := range replies {
+		end = end.latest(momentAt(reply.at))
 	}
-	alone := complete && (len(missing) == 1 || r.noLone)
+	alone := complete && (len(missing) == 1 || r.noSingleMissing)
 	for _, run := range missing {
-		one := s.unseen.endAfter(f.superseded.at(run))
+		one := limits.sinceSuperseded.endAfter(f.superseded.at(run))
 		if alone {
-			one = one.earlier(f.silentEnd(run, said, s, r))
+			one = one.earlier(f.unresponsiveEnd(run, replies, limits, r))
 		}
 		end = end.latest(one)
 	}
 	return end
 }
 
-// split returns the words of the runs that are needed, and the runs without one.
-func (f *former) split(needed []state.FormerRun, r rules) (said []word, missing []state.FormerRun) {
+// split returns the replies of the needed incarnations, and the incarnations
+// without a reply.
+func (f *former) split(needed []state.FormerRun, r rules) (replies []stopReply, missing []state.FormerRun) {
 	for _, run := range needed {
-		w, known := f.word(runOf(run))
+		reply, known := f.reply(incarnationOf(run))
 		switch {
 		case known:
-			said = append(said, w)
-		case r.noStandbyWord && run.Led.Offset < f.settled:
+			replies = append(replies, reply)
+		case r.noStandbyReply && run.Led.Offset < f.settled:
 		default:
 			missing = append(missing, run)
 		}
 	}
-	return said, missing
+	return replies, missing
 }
 
-// silentEnd returns when the right of the only run without a word has ended, as far
-// as the others' words bound it. If no lessor asked it for disconnected mode, it has not
-// gone on as the standby lessor; and as the lessor it gets no promise any more.
-func (f *former) silentEnd(run state.FormerRun, said []word, s silence, r rules) moment {
-	if run.StoodBy.Offset >= f.settled && f.mayHaveBeenAsked(run, r) && !r.noConnected && !r.noLone {
+// unresponsiveEnd returns when the right of the only incarnation without a reply has
+// ended, as far as the replies of the others bound it. If no lessor asked it for
+// disconnected mode, it has not taken over as the standby lessor; and as the lessor it
+// gets no further promise.
+func (f *former) unresponsiveEnd(run state.FormerRun, replies []stopReply, limits stopBounds, r rules) moment {
+	if run.StoodBy.Offset >= f.settled && f.mayHaveBeenAsked(run, r) && !r.noConnected && !r.noSingleMissing {
 		return moment{}
 	}
 	if run.Led.Offset < f.settled {
 		return momentAt(0)
 	}
 	supported := f.superseded.at(run)
-	for _, w := range said {
-		supported = max(supported, w.at)
+	for _, reply := range replies {
+		supported = max(supported, reply.at)
 	}
 	if r.noPromise {
 		return momentAt(supported)
 	}
-	return momentAt(supported + s.alone)
+	return momentAt(supported + limits.sinceSupport)
 }
 
 // mayHaveBeenAsked reports whether a lessor since the latest settled term may have asked
-// a standby lessor for disconnected mode, without which that does not go on by itself.
+// a standby lessor for disconnected mode. A standby lessor that was not asked does not
+// take over without the log.
 func (f *former) mayHaveBeenAsked(standby state.FormerRun, r rules) bool {
 	return slices.ContainsFunc(f.needed(r), func(run state.FormerRun) bool {
 		if run.Led.Offset < f.settled || run == standby {
 			return false
 		}
-		w, said := f.word(runOf(run))
-		return !said || w.mayHaveAsked(runOf(standby), f.settled)
+		reply, replied := f.reply(incarnationOf(run))
+		return !replied || reply.mayHaveAsked(incarnationOf(standby), f.settled)
 	})
 }
 
@@ -219,18 +226,18 @@
 		if run.Led.Offset < f.settled {
 			return false
 		}
-		w, said := f.word(runOf(run))
-		return !said || !w.tellsMode || w.disconnected.Offset >= f.settled
+		reply, replied := f.reply(incarnationOf(run))
+		return !replied || !reply.reportsMode || reply.disconnected.Offset >= f.settled
 	})
 }
 
-// asks lists the nodes whose words are missing.
-func (f *former) asks(self Run) []topo.NodeID {
+// nodesToAsk returns the nodes whose replies are missing.
+func (f *former) nodesToAsk(self Run) []topo.NodeID {
 	var nodes []topo.NodeID
 	for _, needed := range f.needed(rules{}) {
-		run := runOf(needed)
-		_, said := f.word(run)
-		if run != self && !said && !slices.Contains(nodes, run.Node) {
+		run := incarnationOf(needed)
+		_, replied := f.reply(run)
+		if run != self && !replied && !slices.Contains(nodes, run.Node) {
 			nodes = append(nodes, run.Node)
 		}
 	}
--- a/lessor/renew.go
+++ b/lessor/renew.go
@@ -20,7 +20,8 @@
 	return m.right.covers(now, m.contact, limit, m.cfg.Lease.TTL, m.rules)
 }
 
-// mayRenew reports whether any lease, also one without shards, may be renewed.
+// mayRenew reports whether any lease, including one without shards, may be
+// renewed.
 func (m *Member) mayRenew(now time.Duration) bool {
 	if m.role != RoleLessor {
 		return false
@@ -29,8 +30,8 @@
 		m.right.promise.fresher(now, m.cfg.Lease.TTL)
 }
 
-// grantable reports whether a shard may be on its owner's list now, as far as
-// the shard is concerned.
+// grantable reports whether a shard may currently be on its owner's list, as
+// far as the shard is concerned.
 func (m *Member) grantable(now time.Duration, shard Shard, boot topo.BootID) bool {
 	if boot == "" || shard.OwnerBoot != boot {
 		return false
@@ -47,7 +48,7 @@
 	return m.covers(now, shard.Policy)
 }
 
-// grantsFor returns what a run of a server may serve now.
+// grantsFor returns the shards that an incarnation of a server may serve now.
 func (m *Member) grantsFor(now time.Duration, id topo.ServerID, boot topo.BootID) []Grant {
 	var grants []Grant
 	for _, shardID := range m.facts.ShardsOf[id] {
@@ -66,14 +67,15 @@
 	return grants
 }
 
-// excepted returns the keys that the owner of a hash range must refuse: those
-// split out, about to be, or possibly split by a record whose fate is unknown.
+// excepted returns the keys that the owner of a hash range must reject: those
+// split out, about to be split, or possibly split by a record whose outcome is
+// unknown.
 func (m *Member) excepted(shard Shard) []string {
 	if shard.Shard.Key != "" {
 		return nil
 	}
 	except := shard.Except
-	for _, id := range m.splitsUnderWay() {
+	for _, id := range m.pendingSplits() {
 		if rangeOf(id) == shard.Shard && !slices.Contains(except, id.Key) {
 			except = slices.Sorted(slices.Values(append(slices.Clone(except), id.Key)))
 		}
@@ -81,8 +83,8 @@
 	return except
 }
 
-// BeginRenew returns the renewal to send to a server now; false if there is no
-// right to renew any longer. A renewal without a known stamp asks for one.
+// BeginRenew returns the renewal to send to a server now; false if the right to
+// renew has ended. A renewal without a known stamp requests one.
 func (m *Member) BeginRenew(now time.Duration, id topo.ServerID) (LeaseOrder, bool) {
 	if !m.mayRenew(now) {
 		return LeaseOrder{}, false
@@ -106,7 +108,7 @@
 // BeginAcknowledge starts an acknowledgement request and returns the term and
 // the number of the attempt.
 func (m *Member) BeginAcknowledge(now time.Duration, id topo.ServerID) (topo.Term, uint64, bool) {
-	if m.role != RoleLessor && !m.standing.tries {
+	if m.role != RoleLessor && !m.standbyState.probeServers {
 		return topo.Term{}, 0, false
 	}
 	return m.term, m.begin(m.server(id), now), true
--- a/lessor/search_calls_test.go
+++ b/lessor/search_calls_test.go
@@ -35,8 +35,9 @@
 	return report
 }
 
-// renew sends renewals until the server has the list, its stamp is new, and its
-// lease runs from it, or sends one of which something is lost or held back.
+// renew sends renewals until the server has the list, its stamp is new and its
+// lease runs from that stamp, or sends a single renewal of which a message is
+// lost or held back.
 func (w *world) renew(node, server int, lost string) bool {
 	if lost != "" {
 		return w.renewOnce(node, server, lost)
@@ -56,7 +57,8 @@
 	return done
 }
 
-// renewOnce sends one renewal; lost says what is lost or held back on the way.
+// renewOnce sends one renewal; lost names the message that is lost or held
+// back.
 func (w *world) renewOnce(node, server int, lost string) bool {
 	m := w.member(node)
 	id := serverNames[server]
@@ -69,13 +71,13 @@
 	}
 	switch lost {
 	case "request held":
-		w.held = &message{kind: "renew", node: node, server: server, order: order}
+		w.heldMessage = &message{kind: "renew", node: node, server: server, order: order}
 		fallthrough
 	case "request lost":
-		w.fail(node, server, order.Attempt)
+		w.failAttempt(node, server, order.Attempt)
 		return true
 	}
-	report := w.lease(server, w.runOf(node), order)
+	report := w.lease(server, w.incarnation(node), order)
 	w.replied(node, server, order.Attempt, report, lost)
 	return true
 }
@@ -83,20 +85,20 @@
 func (w *world) replied(node, server int, attempt uint64, report LeaseReport, lost string) {
 	switch lost {
 	case "reply lost":
-		w.fail(node, server, attempt)
+		w.failAttempt(node, server, attempt)
 	case "reply held":
-		w.held = &message{kind: "renewed", node: node, server: server, report: report, attempt: attempt}
+		w.heldMessage = &message{kind: "renewed", node: node, server: server, report: report, attempt: attempt}
 	default:
 		w.member(node).LeaseReplied(w.clock(node), serverNames[server], attempt, report)
 	}
 }
 
-// fail ends an attempt without an answer. Suspicion is not counted: with
-// rules.eager it needs none.
-func (w *world) fail(node, server int, attempt uint64) {
+// failAttempt ends an attempt without a reply. Failures are not counted towards
+// suspicion, which rules.eager does not need.
+func (w *world) failAttempt(node, server int, attempt uint64) {
 	m := w.member(node)
 	m.LeaseFailed(w.clock(node), serverNames[server], attempt)
-	if s, known := m.servers[serverNames[server]]; known && !w.b.lazy {
+	if s, known := m.servers[serverNames[server]]; known && !w.b.followPlans {
 		s.failures = 0
 	}
 }
@@ -112,7 +114,7 @@
 		return false
 	}
 	if lost == "request lost" || lost == "request held" {
-		w.fail(node, server, attempt)
+		w.failAttempt(node, server, attempt)
 		return true
 	}
 	reply := w.holder(server).Acknowledge(w.serverNow(server),
@@ -121,22 +123,22 @@
 	return true
 }
 
-// lessorNode returns the node that thinks it is the lessor by the log and whose
-// standby lessor is another node's present run.
+// standbyOf returns the node whose current incarnation is the standby lessor
+// known to a node.
 func (w *world) standbyOf(node int) (int, bool) {
 	m := w.nodes[node].member
 	for i := range w.nodes {
-		if w.runOf(i) == m.standbyRun() {
+		if w.incarnation(i) == m.standbyIncarnation() {
 			return i, true
 		}
 	}
 	return 0, false
 }
 
-// beatFrom sends one heartbeat of a lessor to its standby lessor.
-func (w *world) beatFrom(node int, lost string) bool {
+// heartbeat sends one heartbeat of a lessor to its standby lessor.
+func (w *world) heartbeat(node int, lost string) bool {
 	to, exists := w.standbyOf(node)
-	if !exists && !w.b.lazy {
+	if !exists && !w.b.followPlans {
 		return false
 	}
 	m := w.member(node)
@@ -146,7 +148,7 @@
 	}
 	switch lost {
 	case "request held":
-		w.held = &message{kind: "beat", node: node, beat: beat}
+		w.heldMessage = &message{kind: "beat", node: node, heartbeat: beat}
 		fallthrough
 	case "request lost":
 		return true
@@ -156,7 +158,7 @@
 	return true
 }
 
-// ask asks a former lessor whether it has stopped.
+// ask asks a previous lessor whether it has stopped.
 func (w *world) ask(node int, former topo.NodeID, lost string) bool {
 	beat, allowed := w.member(node).BeginAsk(w.clock(node))
 	if !allowed {
@@ -171,10 +173,10 @@
 	switch lost {
 	case "reply lost":
 	case "reply held":
-		w.held = &message{kind: "answer", node: node, answer: reply}
+		w.heldMessage = &message{kind: "answer", node: node, answer: reply}
 	default:
 		w.member(node).HeartbeatAnswered(w.clock(node), reply)
 	}
 }
 
-func (w *world) beat(lost string) bool { return w.beatFrom(0, lost) }
+func (w *world) firstHeartbeat(lost string) bool { return w.heartbeat(0, lost) }
--- a/lessor/search_run_test.go
+++ b/lessor/search_run_test.go
@@ -9,12 +9,12 @@
 	"sync"
 )
 
-// outcome is what a search found.
+// outcome is the result of a search.
 type outcome struct {
 	states   int
 	complete bool
 	depth    int
-	path     []string // to a world with two owners; nil if there is none
+	path     []string // steps to a world with two owners; nil if there is none
 }
 
 func (o outcome) String() string {
@@ -25,36 +25,37 @@
 	return text
 }
 
-// trace leads back from a world to the first one.
+// trace is the path from the first world to a world, in reverse order.
 type trace struct {
-	before *trace
-	name   string
+	previous *trace
+	name     string
 }
 
 func (t *trace) names() []string {
 	var names []string
-	for ; t != nil && t.before != nil; t = t.before {
+	for ; t != nil && t.previous != nil; t = t.previous {
 		names = append([]string{t.name}, names...)
 	}
 	return names
 }
 
-type reached struct {
+type frontEntry struct {
 	world *world
 	trace *trace
 }
 
-// gcPercent spares the collector work: what a search drops is mostly young.
+// gcPercent reduces the work of the garbage collector, because most of what a
+// search drops is young.
 const gcPercent = 400
 
-// search looks at every world within the bounds, nearest first, until one has
-// two owners or most have been seen.
+// search visits every world within the bounds in breadth-first order, until one
+// has two owners or most worlds have been visited.
 func search(b bounds, most int) outcome {
 	defer debug.SetGCPercent(debug.SetGCPercent(gcPercent))
 	seen := map[worldKey]struct{}{}
-	first := newSearchWorld(&b).follow(b.prefix)
+	first := newSearchWorld(&b).takeSteps(b.prefix)
 	seen[first.key()] = struct{}{}
-	front := []reached{{first, &trace{}}}
+	front := []frontEntry{{first, &trace{}}}
 	result := outcome{}
 	for len(front) > 0 {
 		next, bad := expand(front, seen, most)
@@ -73,30 +74,30 @@
 	return result
 }
 
-// follow takes the named steps.
-func (w *world) follow(names []string) *world {
+// takeSteps takes the named steps.
+func (w *world) takeSteps(names []string) *world {
 	for _, name := range names {
 		steps := w.steps()
 		i := slices.IndexFunc(steps, func(s step) bool { return s.name == name })
 		if i < 0 {
-			panic("no such step: " + name)
+			panic("unknown step: " + name)
 		}
 		w = steps[i].world
 	}
 	return w
 }
 
-// found is one step of an expansion, with its key.
-type found struct {
+// keyedStep is one step of an expansion and the key of its world.
+type keyedStep struct {
 	step
 	key worldKey
 }
 
-// expand returns the worlds that follow a front and were not seen before.
-func expand(front []reached, seen map[worldKey]struct{}, most int) ([]reached, *trace) {
+// expand returns the successors of a front that were not visited before.
+func expand(front []frontEntry, seen map[worldKey]struct{}, most int) ([]frontEntry, *trace) {
 	const chunk = 256
-	var next []reached
-	results := make([][]found, chunk)
+	var next []frontEntry
+	results := make([][]keyedStep, chunk)
 	for start := 0; start < len(front) && len(seen) < most; start += chunk {
 		part := front[start:min(start+chunk, len(front))]
 		expandPart(part, results)
@@ -106,11 +107,11 @@
 					continue
 				}
 				seen[f.key] = struct{}{}
-				way := &trace{before: part[i].trace, name: f.name}
+				path := &trace{previous: part[i].trace, name: f.name}
 				if f.world.owners() > 1 {
-					return nil, way
+					return nil, path
 				}
-				next = append(next, reached{f.world, way})
+				next = append(next, frontEntry{f.world, path})
 			}
 			front[start+i].world = nil
 		}
@@ -118,8 +119,8 @@
 	return next, nil
 }
 
-// expandPart finds the steps of several worlds at once.
-func expandPart(part []reached, results [][]found) {
+// expandPart computes the steps of several worlds concurrently.
+func expandPart(part []frontEntry, results [][]keyedStep) {
 	workers := min(2, runtime.GOMAXPROCS(0))
 	var wait sync.WaitGroup
 	for worker := range workers {
@@ -127,7 +128,7 @@
 			for i := worker; i < len(part); i += workers {
 				results[i] = results[i][:0]
 				for _, s := range part[i].world.steps() {
-					results[i] = append(results[i], found{s, s.world.key()})
+					results[i] = append(results[i], keyedStep{s, s.world.key()})
 				}
 			}
 		})
--- a/lessor/search_world_test.go
+++ b/lessor/search_world_test.go
@@ -13,85 +13,87 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// The search's world: three nodes (0 the lessor at the start, 1 its standby
-// lessor, 2 another node), two servers (0 the owner, 1 its standby server), one
-// shard and the log. Every process runs the project's own code. Every contact
-// may or may not happen at any step, so that partitions, losses and pauses of
-// any length are all in.
+// The simulated cluster of the search has three nodes (0 is the first lessor, 1
+// its standby lessor, 2 another node), two servers (0 is the owner, 1 its
+// standby server), one shard and the log. Every process runs the production
+// code. Every contact may happen or not at any step, so that partitions, losses
+// and pauses of any length are covered.
 
 const (
-	unit     = time.Millisecond // of the search's time
-	nodeMost = 3
+	timeUnit  = time.Millisecond // of simulated time
+	nodeCount = 3
 )
 
 var (
 	searchShard = topo.ShardID{Service: "svc"}
-	nodeNames   = [nodeMost]topo.NodeID{"l", "b", "c"}
+	nodeNames   = [nodeCount]topo.NodeID{"l", "b", "c"}
 	serverNames = [2]topo.ServerID{"s", "t"}
 	searchGroup = topo.GroupID("z/0")
 )
 
 // bounds limits the search.
 type bounds struct {
-	ttl, limit   time.Duration // lease TTL and MaxDisconnected
-	claims       int           // records that may take a term after the first
-	assigns      int           // records of assignments
-	claimers     string        // the nodes that may claim
-	askers       string        // the nodes that may ask for disconnected mode
-	restarts     int           // of servers
-	nodeRestarts int
-	lossy        bool     // replies to renewals and acknowledgements may be lost
-	delayed      bool     // one message, or one record, may be held back
-	relay        bool     // nodes may learn records without log contact
-	prefix       []string // steps that are taken first
-	lazy         bool     // members follow their plans, at intervals
-	formerMost   int      // former runs that the log lists; 0 for formerKept
-	rules        rules
-	// Clocks run at so many parts per million of the world's time; 0 is the
-	// same speed. drift is the bound that the nodes count with.
-	nodeRates   [nodeMost]int64
+	ttl, limit     time.Duration // lease TTL and MaxDisconnected
+	claims         int           // records that may claim a term after the first
+	assigns        int           // records of assignments
+	claimers       string        // nodes that may claim
+	modeRequesters string        // nodes that may request disconnected mode
+	restarts       int           // of servers
+	nodeRestarts   int
+	lossy          bool     // replies to renewals and acknowledgements may be lost
+	delayed        bool     // one message, or one record, may be held back
+	relay          bool     // nodes may receive records without log contact
+	prefix         []string // steps that are taken first
+	followPlans    bool     // members follow their plans, at intervals
+	maxFormer      int      // incarnations that the log lists; 0 for maxFormerRuns
+	rules          rules
+	// nodeRates and serverRates are clock speeds in parts per million of the
+	// world's time; 0 is the same speed. drift is the bound that the nodes
+	// assume.
+	nodeRates   [nodeCount]int64
 	serverRates [2]int64
 	drift       int
 }
 
 const million = 1_000_000
 
-// at returns what a clock shows.
-func at(now time.Duration, rate int64) time.Duration {
+// clockReading returns the reading of a clock with a given rate.
+func clockReading(now time.Duration, rate int64) time.Duration {
 	if rate == 0 {
 		return now
 	}
 	return time.Duration(int64(now) / million * rate)
 }
 
-// searchLog is the log's state after some records.
+// searchLog is the state that results from the records of the log.
 type searchLog struct {
-	next      topo.Offset
-	term      topo.Term
-	lessor    Run
-	standby   Run
-	fence     topo.Fence
-	owner     topo.ServerID
-	ownerBoot topo.BootID
-	backup    topo.ServerID
-	claims    int
-	assigns   int
-	runs      [nodeMost]int // of the nodes that joined
-	held      topo.Offset   // see state.Group.HeldSince
-	former    [formerKept]state.FormerRun
-	since     topo.Offset // of former; zero if there is none
+	next          topo.Offset
+	term          topo.Term
+	lessor        Run
+	standby       Run
+	fence         topo.Fence
+	owner         topo.ServerID
+	ownerBoot     topo.BootID
+	standbyServer topo.ServerID
+	claims        int
+	assigns       int
+	boots         [nodeCount]int // of the nodes that joined
+	heldSince     topo.Offset    // see state.Group.HeldSince
+	former        [maxFormerRuns]state.FormerRun
+	since         topo.Offset // of former; zero if there is none
 }
 
-// formerKept is the most runs that a searched log can list: two of each node.
-const formerKept = 2 * nodeMost
+// maxFormerRuns is the maximum number of previous incarnations in the log: two
+// of each node.
+const maxFormerRuns = 2 * nodeCount
 
-// group returns the group as the state keeps it.
+// group returns the group as package state represents it.
 func (l *searchLog) group() state.Group {
 	group := state.Group{
 		ID: searchGroup, Term: l.term,
 		Lessor: l.lessor.Node, LessorBoot: l.lessor.Boot,
 		Standby: l.standby.Node, StandbyBoot: l.standby.Boot,
-		HeldSince: l.held,
+		HeldSince: l.heldSince,
 	}
 	if l.since == 0 {
 		return group
@@ -105,17 +107,18 @@
 	return group
 }
 
-// claimed takes the group's next term, and keeps at most so many former runs.
-func (l *searchLog) claimed(term topo.Term, lessor, standby Run, settled bool, most int) {
+// applyClaim applies a claim of the group's next term, and keeps at most most
+// previous incarnations.
+func (l *searchLog) applyClaim(term topo.Term, lessor, standby Run, settled bool, most int) {
 	next := l.group().FormerAfter(settled)
 	if settled {
-		l.held = l.term.Offset
+		l.heldSince = l.term.Offset
 	}
 	if l.term.IsZero() {
-		l.held = term.Offset
+		l.heldSince = term.Offset
 	}
 	l.term, l.lessor, l.standby = term, lessor, standby
-	l.former, l.since = [formerKept]state.FormerRun{}, 0
+	l.former, l.since = [maxFormerRuns]state.FormerRun{}, 0
 	if next == nil {
 		return
 	}
@@ -127,7 +130,7 @@
 	copy(l.former[:], next.Runs)
 }
 
-// record is one record that some node wants in the log.
+// record is one record that a node writes to the log.
 type record struct {
 	node   int
 	claim  *Claim
@@ -135,17 +138,17 @@
 	self   Run
 }
 
-// message is the one thing that is held back.
+// message is the single message that is held back.
 type message struct {
-	kind    string // "renew", "renewed", "beat", "answer", "record"
-	node    int    // its lessor
-	server  int
-	order   LeaseOrder
-	report  LeaseReport
-	beat    Heartbeat
-	answer  HeartbeatReply
-	attempt uint64
-	record  record
+	kind      string // "renew", "renewed", "beat", "answer", "record"
+	node      int    // index of its lessor
+	server    int
+	order     LeaseOrder
+	report    LeaseReport
+	heartbeat Heartbeat
+	answer    HeartbeatReply
+	attempt   uint64
+	record    record
 }
 
 type searchServer struct {
@@ -156,22 +159,23 @@
 
 type searchNode struct {
 	member *Member
-	runs   int
-	// submitted is the offset of the record under way, if it is in the log.
+	boots  int
+	// submitted is the offset of the record in flight, if it is in the log.
 	submitted topo.Offset
 	number    uint64
 }
 
 type world struct {
-	b       *bounds
-	now     time.Duration
-	log     searchLog
-	nodes   [nodeMost]searchNode
-	servers [2]searchServer
-	held    *message
-	facts   *factsCache
-	// owned marks what this world shares with no other.
-	ownedNodes   [nodeMost]bool
+	b           *bounds
+	now         time.Duration
+	log         searchLog
+	nodes       [nodeCount]searchNode
+	servers     [2]searchServer
+	heldMessage *message
+	facts       *factsCache
+	// ownedNodes and ownedServers mark what this world does not share with
+	// another.
+	ownedNodes   [nodeCount]bool
 	ownedServers [2]bool
 }
 
@@ -182,12 +186,12 @@
 	made map[searchLog]*Facts
 }
 
-func nodeBoot(node, run int) topo.BootID {
-	return topo.BootID(fmt.Sprintf("%s%d", nodeNames[node], run))
+func nodeBoot(node, number int) topo.BootID {
+	return topo.BootID(fmt.Sprintf("%s%d", nodeNames[node], number))
 }
 
-func serverBoot(server, run int) topo.BootID {
-	return topo.BootID(fmt.Sprintf("%s%d", serverNames[server], run))
+func serverBoot(server, number int) topo.BootID {
+	return topo.BootID(fmt.Sprintf("%s%d", serverNames[server], number))
 }
 
 func (b *bounds) config(node, run int) Config {
@@ -197,10 +201,10 @@
 		Zone:  "z",
 		Group: searchGroup,
 		Lease: lease.Timing{TTL: b.ttl, DriftPPM: b.drift},
-		// Everything is due at any time; the search decides what happens.
+		// Every action is due at any time; the search chooses among them.
 		MoveTimeout: time.Hour,
 	}
-	if b.lazy {
+	if b.followPlans {
 		config.RenewEvery = b.ttl / 4
 		config.HeartbeatEvery = b.ttl / 12
 		config.SuspectAfter = b.ttl / 3
@@ -219,9 +223,9 @@
 	policy := &Policy{ChecksFencing: true, MaxDisconnected: c.b.limit, TakeoverLimit: c.b.limit}
 	shard := Shard{
 		Assignment: state.Assignment{
-			Shard: searchShard, Fence: log.fence, Owner: log.owner, OwnerBoot: log.ownerBoot, Standby: log.backup,
+			Shard: searchShard, Fence: log.fence, Owner: log.owner, OwnerBoot: log.ownerBoot, Standby: log.standbyServer,
 		},
-		StandbyHere: log.backup != "",
+		StandbyHere: log.standbyServer != "",
 		Policy:      policy,
 	}
 	facts := &Facts{
@@ -238,24 +242,24 @@
 		facts.Targets["svc"] = append(facts.Targets["svc"], Target{ID: id, Zone: "z", Group: searchGroup})
 	}
 	for i, id := range nodeNames {
-		facts.Nodes = append(facts.Nodes, state.Node{ID: id, Boot: nodeBoot(i, log.runs[i]), Zone: "z"})
+		facts.Nodes = append(facts.Nodes, state.Node{ID: id, Boot: nodeBoot(i, log.boots[i]), Zone: "z"})
 	}
 	c.made[log] = facts
 	return facts
 }
 
-// newSearchWorld is a site at rest: the first lessor is settled and has granted
-// the shard to the first server.
+// newSearchWorld returns a stable cluster: the first lessor is settled and has
+// granted the shard to the first server.
 func newSearchWorld(b *bounds) *world {
 	w := &world{b: b, facts: &factsCache{b: b, made: map[searchLog]*Facts{}}}
-	first := searchLog{next: 10, owner: serverNames[0], ownerBoot: serverBoot(0, 1), backup: serverNames[1],
-		fence: topo.MakeFence(9, 0), runs: [nodeMost]int{1, 1, 1}}
+	first := searchLog{next: 10, owner: serverNames[0], ownerBoot: serverBoot(0, 1), standbyServer: serverNames[1],
+		fence: topo.MakeFence(9, 0), boots: [nodeCount]int{1, 1, 1}}
 	w.log = first
 	for i := range w.nodes {
-		w.nodes[i] = searchNode{member: NewMember(b.config(i, 1)), runs: 1}
+		w.nodes[i] = searchNode{member: NewMember(b.config(i, 1)), boots: 1}
 		w.ownedNodes[i] = true
 		w.nodes[i].member.rules = b.rules
-		w.nodes[i].member.rules.eager = !b.lazy
+		w.nodes[i].member.rules.eager = !b.followPlans
 		w.readLog(i, true)
 	}
 	for i := range w.servers {
@@ -265,30 +269,30 @@
 		panic("the first lessor could not claim")
 	}
 	w.log.claims = 0
-	w.log.standby = w.runOf(1)
+	w.log.standby = w.incarnation(1)
 	for i := range w.nodes {
 		w.readLog(i, true)
 	}
-	for range 2 { // a stamp, then the lease
+	for range 2 { // the first gets a stamp, the second the lease
 		for s := range w.servers {
 			w.renew(0, s, "")
 		}
 	}
-	w.beat("")
+	w.firstHeartbeat("")
 	return w
 }
 
-func (w *world) runOf(node int) Run { return w.nodes[node].member.self() }
+func (w *world) incarnation(node int) Run { return w.nodes[node].member.self() }
 
-// clone returns a copy that shares members and holders until they are changed.
+// clone returns a copy that shares members and holders until they are modified.
 func (w *world) clone() *world {
 	next := *w
-	next.ownedNodes = [nodeMost]bool{}
+	next.ownedNodes = [nodeCount]bool{}
 	next.ownedServers = [2]bool{}
 	return &next
 }
 
-// member returns a node's member for a change.
+// member returns a node's member for modification.
 func (w *world) member(node int) *Member {
 	if !w.ownedNodes[node] {
 		w.ownedNodes[node] = true
@@ -297,7 +301,7 @@
 	return w.nodes[node].member
 }
 
-// holder returns a server's holder for a change.
+// holder returns a server's holder for modification.
 func (w *world) holder(server int) *lease.Holder {
 	if !w.ownedServers[server] {
 		w.ownedServers[server] = true
@@ -308,10 +312,10 @@
 
 func (m *Member) clone() *Member {
 	next := *m
-	next.standing.activated = copyMap(m.standing.activated)
-	next.standing.undecided = copyMap(m.standing.undecided)
+	next.standbyState.activated = copyMap(m.standbyState.activated)
+	next.standbyState.undecided = copyMap(m.standbyState.undecided)
 	next.watch.nodes = map[topo.NodeID]*watched{}
-	next.beats.sent = copyMap(m.beats.sent)
+	next.heartbeats.sent = copyMap(m.heartbeats.sent)
 	next.servers = make(map[topo.ServerID]*server, len(m.servers))
 	for id, s := range m.servers {
 		copied := *s
@@ -334,7 +338,7 @@
 	return &next
 }
 
-// copyMap is maps.Clone, but for its cost when there is nothing to copy.
+// copyMap is maps.Clone without its cost for empty maps.
 func copyMap[K comparable, V any](from map[K]V) map[K]V {
 	if len(from) == 0 {
 		return map[K]V{}
@@ -342,7 +346,7 @@
 	return maps.Clone(from)
 }
 
-// readLog lets a node apply every record, by contact with the log or from
+// readLog lets a node apply every record, by contact with the log or through
 // another node.
 func (w *world) readLog(node int, contact bool) {
 	n := &w.nodes[node]
@@ -355,13 +359,13 @@
 	w.member(node).Observe(w.clock(node), w.clock(node), contact, w.facts.of(w.log))
 }
 
-// claim begins a claim and appends it, unless it is held back.
+// claim begins a claim and appends its record.
 func (w *world) claim(node int) bool {
 	claim, _, allowed := w.member(node).BeginClaim(w.clock(node))
 	if !allowed {
 		return false
 	}
-	return w.append(record{node: node, claim: &claim, self: w.runOf(node)})
+	return w.append(record{node: node, claim: &claim, self: w.incarnation(node)})
 }
 
 // append applies a record as state.Apply does.
@@ -372,7 +376,7 @@
 		if r.claim.Expected != w.log.term {
 			return false
 		}
-		w.log.claimed(topo.MakeTerm(offset, 0), r.self, r.claim.Standby, r.claim.Settled, cmp.Or(w.b.formerMost, formerKept))
+		w.log.applyClaim(topo.MakeTerm(offset, 0), r.self, r.claim.Standby, r.claim.Settled, cmp.Or(w.b.maxFormer, maxFormerRuns))
 		w.log.claims++
 		return true
 	}
@@ -384,21 +388,21 @@
 			return false
 		}
 		w.log.fence = topo.MakeFence(offset, 0)
-		w.log.owner, w.log.ownerBoot, w.log.backup = a.Owner, a.OwnerBoot, a.Standby
+		w.log.owner, w.log.ownerBoot, w.log.standbyServer = a.Owner, a.OwnerBoot, a.Standby
 	}
 	w.log.assigns++
 	return true
 }
 
-// clock is what a node's clock shows.
-func (w *world) clock(node int) time.Duration { return at(w.now, w.b.nodeRates[node]) }
+// clock returns the reading of a node's clock.
+func (w *world) clock(node int) time.Duration { return clockReading(w.now, w.b.nodeRates[node]) }
 
-// serverNow is what a server's clock shows, from its start on.
+// serverNow returns the reading of a server's clock, measured from its start.
 func (w *world) serverNow(server int) time.Duration {
-	return at(w.now-w.servers[server].started, w.b.serverRates[server])
+	return clockReading(w.now-w.servers[server].started, w.b.serverRates[server])
 }
 
-// owners counts the servers that would serve the shard now.
+// owners returns the number of servers that would serve the shard now.
 func (w *world) owners() int {
 	count := 0
 	for i := range w.servers {
