--- a/lease/bench_test.go
+++ b/lease/bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// BenchmarkHolderBegin is a server's check of one request.
+// BenchmarkHolderBegin measures a server's ownership check of one request.
 func BenchmarkHolderBegin(b *testing.B) {
 	h := NewHolder("boot")
 	h.Lease(0, renewal(1, grantsOf(100)...))
@@ -25,8 +25,9 @@
 	}
 }
 
-// BenchmarkRenewal is one renewal without a list, encoded and decoded both
-// ways. It reports the bytes of both bodies.
+// BenchmarkRenewal measures one renewal without and with a grant list, including
+// JSON encoding and decoding of request and reply. It reports the size of both
+// bodies together as wire-B.
 func BenchmarkRenewal(b *testing.B) {
 	for _, shards := range []int{8, 100, 1000} {
 		for _, full := range []bool{false, true} {
@@ -58,8 +59,8 @@
 	return grants
 }
 
-// roundTrip carries a renewal to the holder and its reply back, and returns the
-// bytes of both.
+// roundTrip sends a renewal to the holder and its reply to the granter, and
+// returns the encoded size of both in bytes.
 func roundTrip(b *testing.B, h *Holder, granter *Granter, req serverapi.LeaseRequest) int {
 	sent, err := json.Marshal(req)
 	if err != nil {
--- a/lease/granter.go
+++ b/lease/granter.go
@@ -7,37 +7,38 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Granter counts, for one backend server, the latest moment at which a lease
-// that its lessor has renewed may still be valid. It does not decide whether
+// Granter tracks, for one backend server, the latest time at which a lease
+// renewed by the server's lessor may still be valid. It does not decide whether
 // the lessor has the right to renew. A Granter belongs to one lessor's term and
 // is not safe for concurrent use.
 type Granter struct {
 	timing Timing
-	// boot, stamp and stampAt are the newest stamp known, the server's run that
-	// it belongs to, and when the reply that carried it was received.
-	boot      topo.BootID
-	bootHeard time.Time // when the first reply of boot was received
-	stamp     int64
-	stampAt   time.Time
-	// until is the latest end of any lease that may have been renewed.
+	// stamp is the newest stamp known, boot the incarnation of the server that
+	// issued it, and stampAt the time at which the reply with it was received.
+	boot       topo.BootID
+	bootSeenAt time.Time // when the first reply of boot was received
+	stamp      int64
+	stampAt    time.Time
+	// until is the latest expiry of any lease that may have been renewed.
 	until time.Time
 }
 
-// NewGranter returns a granter that has heard nothing of the server and counts
-// no lease. A lessor that takes over must itself wait out, or settle by
-// acknowledgements, what earlier lessors may have renewed.
+// NewGranter returns a granter that has received no reply and tracks no lease.
+// A lessor that takes over must itself wait until leases renewed by previous
+// lessors have expired, or settle them by acknowledgements.
 func NewGranter(timing Timing) *Granter { return &Granter{timing: timing} }
 
-// Boot returns the run of the server that was heard last; empty when none was.
+// Boot returns the incarnation of the server that replied last, or "" if there
+// was no reply.
 func (g *Granter) Boot() topo.BootID { return g.boot }
 
 // Renewal returns the boot and stamp that a renewal sent now must echo, and
-// counts the lease that it may bring about. It must be called before the
-// renewal is sent. ok is false when no stamp is known: the request must then
-// ask for a stamp only, with an empty boot.
+// extends Until to the end of the lease that the renewal may create. It must be
+// called before the renewal is sent. ok is false when no stamp is known: the
+// request must then ask for a stamp only, with an empty boot.
 //
-// A stamp that is so old that its lease would have lapsed already is not worth
-// sending: ok is false then too.
+// ok is also false when the stamp is so old that its lease would already have
+// expired.
 func (g *Granter) Renewal(now time.Time) (boot topo.BootID, echo int64, ok bool) {
 	if g.boot == "" {
 		return "", 0, false
@@ -50,14 +51,14 @@
 	return g.boot, g.stamp, true
 }
 
-// Replied takes a server's reply to a request that was sent at sent, received
-// at now. Replies may come in any order. changed is true when the reply is by a
-// later run of the server than the one heard before: what this run holds was
-// not granted by this Granter. Until still counts the earlier run's lease, in
-// case that run is only paused.
+// Replied processes a server's reply, received at now, to a request sent at
+// sent. Replies may arrive in any order. changed is true when the reply comes
+// from a later incarnation of the server than the one known before: the grants
+// of the new incarnation were not issued by this Granter. Until still covers the
+// lease of the earlier incarnation, which may only be paused.
 //
-// The reply also tells how long a lease that an earlier lessor renewed still
-// lasts; that is counted too.
+// The reply also reports the remaining time of a lease renewed by an earlier
+// lessor; Until covers that lease too.
 func (g *Granter) Replied(reply serverapi.LeaseReply, sent, now time.Time) (changed bool) {
 	if reply.Boot == "" {
 		return false
@@ -69,19 +70,19 @@
 		}
 		return false
 	}
-	if g.boot != "" && sent.Before(g.bootHeard) {
-		// The request left before the known run was heard of, so this may be a
-		// late reply of an earlier run. The next reply tells.
+	if g.boot != "" && sent.Before(g.bootSeenAt) {
+		// The request was sent before the known incarnation was discovered, so
+		// this may be a late reply of an earlier one. The next reply decides.
 		return false
 	}
 	changed = g.boot != ""
-	g.boot, g.bootHeard = reply.Boot, now
+	g.boot, g.bootSeenAt = reply.Boot, now
 	g.stamp, g.stampAt = reply.Stamp, now
 	return changed
 }
 
-// remaining returns how long the lease that a reply reports may last on the
-// granter's clock.
+// remaining returns the longest time, on the granter's clock, for which the
+// lease reported in a reply may last.
 func (g *Granter) remaining(reply serverapi.LeaseReply) time.Duration {
 	if reply.RemainingMs <= 0 {
 		return 0
@@ -96,9 +97,9 @@
 	}
 }
 
-// Until returns the latest moment at which a counted lease may still be valid;
-// the zero time when none was counted.
+// Until returns the latest time at which a tracked lease may still be valid, or
+// the zero time if there is none.
 func (g *Granter) Until() time.Time { return g.until }
 
-// Lapsed reports whether every lease that was counted has ended by now.
+// Expired reports whether every tracked lease has ended by now.
 func (g *Granter) Lapsed(now time.Time) bool { return !now.Before(g.until) }
--- a/lease/granter_state.go
+++ b/lease/granter_state.go
@@ -6,21 +6,21 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// GranterState is everything that a Granter remembers, for state dumps and for
-// tests that compare states.
+// GranterState is the complete state of a Granter, for state dumps and for tests
+// that compare states.
 type GranterState struct {
-	Boot      topo.BootID // run of the server that was heard last
-	BootHeard time.Time   // first reply of that run
-	Stamp     int64       // newest stamp of that run, on the server's clock
+	Boot      topo.BootID // incarnation of the server that replied last
+	BootHeard time.Time   // when the first reply of Boot was received
+	Stamp     int64       // newest stamp of Boot, on the server's clock
 	StampAt   time.Time   // when the reply with that stamp was received
-	Until     time.Time   // latest end of any lease counted
+	Until     time.Time   // latest expiry of any tracked lease
 }
 
-// State returns what the granter remembers.
+// State returns the granter's state.
 func (g *Granter) State() GranterState {
 	return GranterState{
 		Boot:      g.boot,
-		BootHeard: g.bootHeard,
+		BootHeard: g.bootSeenAt,
 		Stamp:     g.stamp,
 		StampAt:   g.stampAt,
 		Until:     g.until,
--- a/lease/holder_errors.go
+++ b/lease/holder_errors.go
@@ -2,12 +2,12 @@
 
 import "github.com/burdockspindle/burdockspindle/topo"
 
-// Problem says why a server is not the owner.
+// Problem is the reason why a server is not the owner.
 type Problem string
 
 // Problems.
 const (
-	ProblemLapsed     Problem = "lease lapsed"
+	ProblemExpired    Problem = "lease expired"
 	ProblemNotGranted Problem = "shard not granted"
 	ProblemOtherFence Problem = "granted under another fence"
 	ProblemExcepted   Problem = "key split out of the shard"
@@ -15,8 +15,8 @@
 	ProblemNotBegun   Problem = "run not begun"
 )
 
-// NotOwnerError reports that a server may not serve a shard under a fence. When
-// it comes from Holder.Begin, the request did not run.
+// NotOwnerError reports that a server may not serve a shard under a fence. If
+// Holder.Begin returns it, the request did not run.
 type NotOwnerError struct {
 	Shard   topo.ShardID
 	Fence   topo.Fence
--- a/lease/holder_lease.go
+++ b/lease/holder_lease.go
@@ -7,23 +7,23 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// maxTTL bounds what a lessor may ask for, so that a wrong number cannot keep a
-// server's ownership for good.
+// maxTTL bounds the TTL in a lease request, so that an invalid value cannot
+// extend a server's ownership indefinitely.
 const maxTTL = time.Hour
 
-// Lease takes a renewal. The reply's Refused is empty when the lease was
+// Lease processes a renewal. The reply's Refused is empty when the lease was
 // renewed, or when the request asked for a stamp only.
 //
-// A term below the highest seen is refused. A grant list replaces the held one
-// only if it is newer: of a higher term, or of a higher generation in the same
-// term. The lease never ends earlier than it would have without the request:
-// what takes a shard away is a list without it.
+// A term below the highest one seen is refused. A grant list replaces the current
+// one only if it is newer: of a higher term, or of a higher generation in the
+// same term. A request never shortens the lease; a shard is revoked by a list
+// that does not contain it.
 func (h *Holder) Lease(now time.Duration, req serverapi.LeaseRequest) serverapi.LeaseReply {
 	parsed, valid := parseLease(req)
 	if !valid {
 		return h.reply(now, serverapi.RefusedMalformed, true)
 	}
-	if refused := h.seeTerm(parsed.term, req.Lessor); refused != "" {
+	if refused := h.acceptTerm(parsed.term, req.Lessor); refused != "" {
 		return h.reply(now, refused, true)
 	}
 	if req.Boot == "" {
@@ -33,10 +33,10 @@
 		return h.reply(now, serverapi.RefusedBoot, true)
 	}
 	if time.Duration(req.Echo) > now {
-		// This run cannot have given that stamp yet.
+		// This incarnation cannot have issued a stamp of the future.
 		return h.reply(now, serverapi.RefusedMalformed, true)
 	}
-	if refused := h.takeList(parsed, req); refused != "" {
+	if refused := h.replaceList(parsed, req); refused != "" {
 		return h.reply(now, refused, true)
 	}
 	if !h.Valid(now) {
@@ -46,8 +46,8 @@
 	return h.reply(now, "", req.Full || req.WantActive)
 }
 
-// Acknowledge refuses every term below the request's from now on. A lease that
-// runs goes on to its end.
+// Acknowledge makes the holder refuse every term below the request's from now
+// on. A current lease stays valid until it expires.
 func (h *Holder) Acknowledge(now time.Duration, req serverapi.AcknowledgeRequest) serverapi.LeaseReply {
 	term, err := topo.ParseTerm(req.Term)
 	if err != nil {
@@ -60,14 +60,15 @@
 	return h.reply(now, "", true)
 }
 
-// OtherServer answers a call that names another server than the caller has reached.
-// Nothing changes: the term is that of another server's lessor.
+// RefuseOtherServer answers a call that names a server other than the one that the
+// caller has reached. The holder's state does not change, because the term belongs
+// to the lessor of another server.
 func (h *Holder) OtherServer(now time.Duration) serverapi.LeaseReply {
 	return h.reply(now, serverapi.RefusedServer, true)
 }
 
-// seeTerm accepts the term of a lessor or says why it is refused.
-func (h *Holder) seeTerm(term topo.Term, lessor string) string {
+// acceptTerm accepts the term of a lessor, or returns the reason for refusing it.
+func (h *Holder) acceptTerm(term topo.Term, lessor string) string {
 	if term.Less(h.highest) {
 		return serverapi.RefusedStaleTerm
 	}
@@ -88,9 +89,9 @@
 	}
 }
 
-// takeList replaces the grant list if the request's is newer, or says why the
-// request is refused.
-func (h *Holder) takeList(parsed parsedLease, req serverapi.LeaseRequest) string {
+// replaceList replaces the grant list if the one in the request is newer. It returns
+// the reason if it refuses the request.
+func (h *Holder) replaceList(parsed parsedLease, req serverapi.LeaseRequest) string {
 	newer := h.listTerm != parsed.term || req.Generation > h.generation
 	switch {
 	case !newer:
@@ -103,14 +104,14 @@
 	h.standby = fencesOf(parsed.standby)
 	h.grants = map[topo.ShardID]grant{}
 	for _, granted := range parsed.grants {
-		h.take(granted)
+		h.addGrant(granted)
 	}
-	h.describe()
+	h.updateActive()
 	return ""
 }
 
-// take adds one grant unless a higher fence of the shard was granted before.
-func (h *Holder) take(granted parsedGrant) {
+// addGrant adds a grant unless a higher fence was granted for the shard before.
+func (h *Holder) addGrant(granted parsedGrant) {
 	if granted.fence.Less(h.highestFence[granted.shard]) {
 		return
 	}
@@ -123,7 +124,7 @@
 	}
 }
 
-// parsedLease is a lease request whose fields were read.
+// parsedLease has the parsed fields of a lease request.
 type parsedLease struct {
 	term    topo.Term
 	ttl     time.Duration
@@ -137,7 +138,7 @@
 	except map[string]bool
 }
 
-// parseLease reads a lease request; valid is false when a field makes no sense.
+// parseLease parses a lease request. valid is false if a field is malformed.
 func parseLease(req serverapi.LeaseRequest) (parsed parsedLease, valid bool) {
 	term, err := topo.ParseTerm(req.Term)
 	if err != nil || term.IsZero() || req.Lessor == "" {
--- a/lease/holder_report.go
+++ b/lease/holder_report.go
@@ -16,8 +16,8 @@
 	Except []string // sorted
 }
 
-// Grants lists what the server may serve while its lease is valid, in order of
-// shard.
+// Grants lists the grants that the server may serve while its lease is valid,
+// sorted by shard.
 func (h *Holder) Grants() []Held {
 	held := make([]Held, 0, len(h.grants))
 	for shard, granted := range h.grants {
@@ -27,16 +27,16 @@
 	return held
 }
 
-// Standby returns the fence that the server was named the standby under; false
-// when it is not the shard's standby.
+// Standby returns the fence under which the server is the standby of a shard. It
+// returns false if the server is not the shard's standby.
 func (h *Holder) Standby(shard topo.ShardID) (topo.Fence, bool) {
 	fence, exists := h.standby[shard]
 	return fence, exists
 }
 
-// describe makes the list of the grants held, and of the standby grants that
-// were ever activated and not replaced by a higher fence, and its digest.
-func (h *Holder) describe() {
+// updateActive recomputes active and digest: the current grants, and the standby
+// grants that were activated earlier and not replaced by a higher fence.
+func (h *Holder) updateActive() {
 	var list []serverapi.Grant
 	for _, held := range h.Grants() {
 		list = append(list, serverapi.Grant{
@@ -45,15 +45,16 @@
 			Except: held.Except,
 		})
 	}
-	for _, shard := range h.formerlyActivated() {
+	for _, shard := range h.revokedActivations() {
 		list = append(list, serverapi.Grant{Shard: shard.String(), Fence: h.activated[shard].String()})
 	}
 	h.active = list
 	h.digest = serverapi.GrantsDigest(list)
 }
 
-// formerlyActivated lists the activated standby grants that are not held now.
-func (h *Holder) formerlyActivated() []topo.ShardID {
+// revokedActivations lists the activated standby grants that are no longer
+// granted.
+func (h *Holder) revokedActivations() []topo.ShardID {
 	var shards []topo.ShardID
 	for shard, fence := range h.activated {
 		if h.grants[shard].fence != fence {
@@ -65,31 +66,31 @@
 }
 
 // Orphan is a run in flight whose shard was revoked, or whose key was excepted
-// from its shard, after it began.
+// from its shard, after the run began.
 type Orphan struct {
 	Shard topo.ShardID
 	Fence topo.Fence
 	Key   string
-	// Lapsed is true when the lease lapsed since it began, so that nobody waits
-	// for it.
+	// Expired is true if the lease has expired since the run began, so that the
+	// lessor does not wait for the run.
 	Lapsed bool
 }
 
-// Orphans lists the runs in flight under grants that are no longer held.
+// Orphans lists the runs in flight whose grant was revoked.
 func (h *Holder) Orphans() []Orphan {
 	var orphans []Orphan
 	for _, run := range h.runs {
 		if h.problemWithGrant(run) == "" {
 			continue
 		}
-		lapsed := run.period != h.period
-		orphans = append(orphans, Orphan{Shard: run.shard, Fence: run.fence, Key: run.key, Lapsed: lapsed})
+		expired := run.period != h.period
+		orphans = append(orphans, Orphan{Shard: run.shard, Fence: run.fence, Key: run.key, Lapsed: expired})
 	}
 	return orphans
 }
 
-// busy lists what the orphans still hold: the key, as its split shard, and the
-// hash range too unless the key alone was taken out of it.
+// busy lists the shards that orphans still use: the key, as its split shard, and
+// also the hash range unless only the key was excepted from it.
 func (h *Holder) busy() []string {
 	set := map[string]bool{}
 	for _, orphan := range h.Orphans() {
@@ -104,7 +105,7 @@
 	return sortedKeys(set)
 }
 
-// InFlight returns the number of runs begun and not ended.
+// InFlight returns the number of runs that have begun and not ended.
 func (h *Holder) InFlight() int { return len(h.runs) }
 
 // Dump describes a holder for the state dump.
@@ -116,7 +117,7 @@
 	Generation  uint64
 	Expires     time.Duration // on the server's clock
 	Now         time.Duration
-	Grants      []serverapi.Grant // held, or formerly activated
+	Grants      []serverapi.Grant // current, or activated earlier
 	Busy        []string
 	InFlight    int
 	Draining    bool
@@ -139,7 +140,7 @@
 	}
 }
 
-// sortedKeys returns the members of a set; nil when it is empty.
+// sortedKeys returns the members of a set in order, or nil if it is empty.
 func sortedKeys(set map[string]bool) []string {
 	if len(set) == 0 {
 		return nil
--- a/lease/holder_state.go
+++ b/lease/holder_state.go
@@ -7,8 +7,8 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// HolderState is what decides a Holder's answers, for tests that compare
-// states. Its maps must not be changed.
+// HolderState is the state that determines a Holder's replies, for tests that
+// compare states. Its maps must not be modified.
 type HolderState struct {
 	Boot         topo.BootID
 	Highest      topo.Term
@@ -20,8 +20,8 @@
 	Activated    map[topo.ShardID]topo.Fence
 }
 
-// State returns what decides the holder's answers, but for its grants and the
-// requests in flight.
+// State returns the state that determines the holder's replies, except its grants
+// and the requests in flight.
 func (h *Holder) State() HolderState {
 	return HolderState{
 		Boot:         h.boot,
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -62,7 +62,7 @@
 		want  Problem
 	}{
 		{999 * ms, shard0, fence5, "k", ""},
-		{1000 * ms, shard0, fence5, "k", ProblemLapsed},
+		{1000 * ms, shard0, fence5, "k", ProblemExpired},
 		{0, topo.ShardID{Service: "svc", Index: 1}, fence5, "k", ProblemNotGranted},
 		{0, shard0, topo.MakeFence(4, 0), "k", ProblemOtherFence},
 		{0, shard0, topo.MakeFence(6, 0), "k", ProblemOtherFence},
@@ -111,8 +111,9 @@
 	g.Expect(problemOf(h.Recheck(3*ms, cold))).To(gomega.Equal(ProblemNotBegun))
 }
 
-// TestExceptedKeyStaysBusyWhenItsRangeIsRevoked: whoever is to get the key must
-// still see that it is in use.
+// TestExceptedKeyStaysBusyWhenItsRangeIsRevoked checks that a key with a run in
+// flight is reported as busy after its range is revoked or granted again. Otherwise
+// the key could be assigned to another server while the run still uses it.
 func TestExceptedKeyStaysBusyWhenItsRangeIsRevoked(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := NewHolder("boot")
@@ -126,10 +127,10 @@
 }
 
 func TestRunsDoNotOutliveTheOwnershipTheyBeganUnder(t *testing.T) {
-	const lapsed = 1000 * ms
+	const expired = 1000 * ms
 	again := func(generation uint64, grants ...serverapi.Grant) serverapi.LeaseRequest {
 		req := renewal(generation, grants...)
-		req.Echo = int64(lapsed)
+		req.Echo = int64(expired)
 		return req
 	}
 	higher := topo.MakeFence(8, 0)
@@ -138,17 +139,17 @@
 		now    time.Duration
 		want   Problem
 	}{
-		"lapsed": {func(*Holder) {}, lapsed, ProblemLapsed},
-		"lapsed and renewed under the same fence": {func(h *Holder) {
-			h.Lease(lapsed, again(1, grantOf(shard0, fence5)))
-		}, lapsed, ""},
-		"lapsed and renewed without the shard": {func(h *Holder) {
-			h.Lease(lapsed, again(2))
-		}, lapsed, ProblemNotGranted},
-		"revoked, then lapsed and renewed": {func(h *Holder) {
+		"lapsed": {func(*Holder) {}, expired, ProblemExpired},
+		"expired and renewed under the same fence": {func(h *Holder) {
+			h.Lease(expired, again(1, grantOf(shard0, fence5)))
+		}, expired, ""},
+		"expired and renewed without the shard": {func(h *Holder) {
+			h.Lease(expired, again(2))
+		}, expired, ProblemNotGranted},
+		"revoked, then expired and renewed": {func(h *Holder) {
 			h.Lease(0, renewal(2))
-			h.Lease(lapsed, again(3))
-		}, lapsed, ProblemNotGranted},
+			h.Lease(expired, again(3))
+		}, expired, ProblemNotGranted},
 		"revoked": {func(h *Holder) {
 			h.Lease(0, renewal(2))
 		}, 0, ""},
@@ -172,7 +173,7 @@
 	}
 }
 
-func TestDelayedListsDoNotComeBack(t *testing.T) {
+func TestDelayedListsAreIgnored(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := NewHolder("boot")
 	h.Lease(0, renewal(1, grantOf(shard0, fence5)))
@@ -183,7 +184,7 @@
 
 	h.Lease(0, renewal(3, grantOf(shard0, topo.MakeFence(7, 0))))
 	reply = h.Lease(0, renewal(4, grantOf(shard0, fence5)))
-	g.Expect(reply.Active).To(gomega.BeEmpty(), "a lower fence of the shard must never be served again")
+	g.Expect(reply.Active).To(gomega.BeEmpty(), "a lower fence of the shard must not be served again")
 }
 
 func TestLeaseRequestsAreRefusedWithTheirReason(t *testing.T) {
@@ -258,7 +259,7 @@
 	active := []serverapi.Grant{grantOf(shard0, fence5.Standby())}
 	g.Expect(h.Lease(0, renewal(2, active...)).Active).To(gomega.Equal(active))
 	reply := h.Lease(0, renewal(3))
-	g.Expect(reply.Active).To(gomega.Equal(active), "ever activated")
+	g.Expect(reply.Active).To(gomega.Equal(active), "it was activated earlier")
 	_, err := h.Begin(0, shard0, fence5.Standby(), "k")
 	g.Expect(problemOf(err)).To(gomega.Equal(ProblemNotGranted))
 	later := h.Lease(0, renewal(4, grantOf(shard0, topo.MakeFence(8, 0))))
@@ -291,7 +292,7 @@
 	g.Expect(reply.HighestTerm).To(gomega.Equal("10.0"))
 }
 
-func TestGranterIgnoresALateReplyOfAnEarlierRun(t *testing.T) {
+func TestGranterIgnoresALateReplyOfAnEarlierIncarnation(t *testing.T) {
 	g := gomega.NewWithT(t)
 	granter := NewGranter(Timing{TTL: time.Second})
 	at := func(d time.Duration) time.Time { return time.Unix(0, 0).Add(d) }
@@ -301,7 +302,7 @@
 	g.Expect(granter.Boot()).To(gomega.Equal(topo.BootID("two")))
 }
 
-func TestGranterDoesNotEchoAStampWhoseLeaseWouldHaveLapsed(t *testing.T) {
+func TestGranterDoesNotEchoAStampWhoseLeaseWouldHaveExpired(t *testing.T) {
 	g := gomega.NewWithT(t)
 	granter := NewGranter(Timing{TTL: time.Second})
 	start := time.Unix(0, 0)
@@ -315,7 +316,7 @@
 	g.Expect(ok).To(gomega.BeFalse())
 }
 
-func FuzzHolderTakesAnyLeaseRequest(f *testing.F) {
+func FuzzHolderAcceptsAnyLeaseRequest(f *testing.F) {
 	f.Add([]byte(`{"term":"10.0","lessor":"n@b","boot":"boot","ttlMs":1000,"generation":1,"full":true,"grants":[{"shard":"s/0","fence":"3.0"}]}`))
 	f.Add([]byte(`{"term":"10.0","lessor":"n@b","boot":"boot","echo":-1,"ttlMs":9223372036854775807,"generation":1}`))
 	f.Add([]byte(`{"term":"18446744073709551616.0"}`))
--- a/lease/machine_test.go
+++ b/lease/machine_test.go
@@ -11,15 +11,15 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// machine interleaves one server, its lessor and a second lessor that takes
-// over, over a network that delays, reorders, repeats and loses messages.
+// machine models one server, its lessor and a second lessor that takes over. They
+// are connected by a network that delays, reorders, repeats and loses messages.
 type machine struct {
 	timing Timing
-	now    time.Duration // true time, which both lessors' clocks show
+	now    time.Duration // true time, which is also the time on both lessors' clocks
 
-	// rate is the server's clock's speed as parts per million of true time.
+	// rate is the speed of the server's clock in parts per million of true time.
 	rate    int64
-	started time.Duration // true time at which this run of the server started
+	started time.Duration // true time at which this incarnation of the server started
 	holder  *Holder
 	boots   int
 
@@ -27,17 +27,18 @@
 	network []message
 }
 
-// lessorModel renews under one term with the granter under test.
+// lessorModel is a lessor that renews under one term, using the tested granter.
 type lessorModel struct {
 	granter *Granter
 	term    topo.Term
 	name    string
-	// pinned is the run to which the lessor may renew; empty for any.
-	pinned topo.BootID
-	heard  bool // an unrefused reply under its term arrived
+	// pinned is the only incarnation whose lease the lessor may renew; empty for
+	// any.
+	pinned  topo.BootID
+	replied bool // a reply that did not refuse its term arrived
 }
 
-// message is a request to the server, or its reply on the way back.
+// message is a request to the server, or a reply to a lessor.
 type message struct {
 	from  int
 	sent  time.Duration
@@ -45,7 +46,7 @@
 	reply *serverapi.LeaseReply
 }
 
-var shardsOfMachine = []string{"svc/0", "svc/1"}
+var machineShards = []string{"svc/0", "svc/1"}
 
 func newMachine(t *rapid.T) *machine {
 	m := &machine{timing: Timing{
@@ -86,7 +87,7 @@
 
 func (m *machine) wall() time.Time { return time.Unix(0, 0).Add(m.now) }
 
-// renew sends a renewal, or asks for a stamp when there is none to echo.
+// renew sends a renewal, or a request for a stamp when there is none to echo.
 func (m *machine) renew(index int, generation uint64) {
 	lessor := m.lessors[index]
 	req := serverapi.LeaseRequest{Term: lessor.term.String(), Lessor: lessor.name}
@@ -96,13 +97,14 @@
 			req.Boot, req.Echo = boot, echo
 			req.TTLMs = m.timing.TTL.Milliseconds()
 			req.Generation, req.Full = generation, true
-			req.Grants = []serverapi.Grant{{Shard: shardsOfMachine[0], Fence: "5.0"}}
+			req.Grants = []serverapi.Grant{{Shard: machineShards[0], Fence: "5.0"}}
 		}
 	}
 	m.network = append(m.network, message{from: index, sent: m.now, req: req})
 }
 
-// deliver carries one message on, and keeps it for another delivery if repeat.
+// deliver delivers one message. If repeat is true, the message stays in flight and
+// can be delivered again.
 func (m *machine) deliver(index int, repeat bool) {
 	msg := m.network[index]
 	if !repeat {
@@ -116,28 +118,29 @@
 	lessor := m.lessors[msg.from]
 	lessor.granter.Replied(*msg.reply, m.at(msg.sent), m.wall())
 	if msg.reply.Refused != serverapi.RefusedStaleTerm {
-		lessor.heard = true
+		lessor.replied = true
 	}
 }
 
 func (m *machine) at(moment time.Duration) time.Time { return time.Unix(0, 0).Add(moment) }
 
-// check: a lessor of the highest term that has heard this run of the server, or
-// that is the only one there ever was, never counts the server's lease as
-// lapsed while the server thinks it valid.
+// check verifies that a lessor of the highest term does not treat the server's
+// lease as expired while the server treats it as valid. It applies to a lessor that
+// has received a reply of this incarnation of the server, or that is the only one
+// so far.
 func (m *machine) check(t *rapid.T) {
 	newest := m.lessors[len(m.lessors)-1]
-	heardThisRun := newest.heard && newest.granter.Boot() == m.holder.Boot()
-	if !heardThisRun && len(m.lessors) > 1 {
+	knowsIncarnation := newest.replied && newest.granter.Boot() == m.holder.Boot()
+	if !knowsIncarnation && len(m.lessors) > 1 {
 		return
 	}
 	if newest.granter.Lapsed(m.wall()) && m.holder.Valid(m.serverClock()) {
-		t.Fatalf("counted as lapsed since %v, valid on the server until %v (now %v)",
+		t.Fatalf("expired for the lessor since %v, valid on the server until %v (now %v)",
 			newest.granter.Until(), m.holder.Expires(), m.serverClock())
 	}
 }
 
-func TestServerNeverHoldsALeaseThatItsGranterCountsAsLapsed(t *testing.T) {
+func TestServerLeaseIsNeverValidAfterTheGranterTreatsItAsExpired(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine(t)
 		t.Repeat(map[string]func(*rapid.T){
@@ -155,13 +158,13 @@
 			},
 			"deliver": func(t *rapid.T) {
 				if len(m.network) == 0 {
-					t.Skip("nothing on the way")
+					t.Skip("nothing in flight")
 				}
 				m.deliver(rapid.IntRange(0, len(m.network)-1).Draw(t, "message"), rapid.Bool().Draw(t, "repeat"))
 			},
 			"lose": func(t *rapid.T) {
 				if len(m.network) == 0 {
-					t.Skip("nothing on the way")
+					t.Skip("nothing in flight")
 				}
 				i := rapid.IntRange(0, len(m.network)-1).Draw(t, "message")
 				m.network = append(m.network[:i], m.network[i+1:]...)
--- a/lease/moves_test.go
+++ b/lease/moves_test.go
@@ -12,10 +12,10 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// movesModel is one lessor with two servers between which it moves a hash range
-// and a key that is split out of it. The lessor follows the rules that package
-// lease is made for; messages are delayed, repeated, reordered and lost; runs
-// begin and end at any time; servers' clocks differ.
+// movesModel models one lessor and two servers between which it moves a hash range
+// and a key that is split out of the range. The lessor follows the protocol of
+// package lease. Messages are delayed, repeated, reordered and lost, runs begin and
+// end at any time, and the clocks of the servers differ.
 type movesModel struct {
 	timing  Timing
 	now     time.Duration
@@ -41,13 +41,13 @@
 	key string
 }
 
-// ownership is where a shard is, and from which generation on its owner is
-// without it while it moves.
+// ownership is the owner of a shard. While the shard moves, without is the first
+// generation of the owner's grant list that does not contain it.
 type ownership struct {
-	server  int
-	fence   topo.Fence
-	moving  bool
-	without uint64
+	server    int
+	fence     topo.Fence
+	moving    bool
+	revokedIn uint64
 }
 
 type movingMessage struct {
@@ -88,7 +88,7 @@
 
 func (m *movesModel) wall(at time.Duration) time.Time { return time.Unix(0, 0).Add(at) }
 
-// listOf returns what a server may be granted now.
+// listOf returns the grants of a server as of now.
 func (m *movesModel) listOf(server int) []serverapi.Grant {
 	var list []serverapi.Grant
 	for _, shard := range []topo.ShardID{shard0, hotKey} {
@@ -105,7 +105,7 @@
 	return list
 }
 
-// renew sends a renewal, with a new generation if the list has changed.
+// renew sends a renewal, with a new generation if the grant list has changed.
 func (m *movesModel) renew(server int) {
 	s := m.servers[server]
 	req := serverapi.LeaseRequest{Term: "9.0", Lessor: "n@b"}
@@ -148,15 +148,15 @@
 	}
 }
 
-// exchange is a renewal and its reply without delay.
+// exchange delivers a renewal and its reply without delay.
 func (m *movesModel) exchange(server int) {
 	m.renew(server)
 	m.deliver(len(m.network)-1, false)
 	m.deliver(len(m.network)-1, false)
 }
 
-// startMove revokes a shard; a key that is not split out yet is excepted from
-// its range.
+// startMove revokes a shard. A key that is not split out yet is excepted from its
+// range.
 func (m *movesModel) startMove(shard topo.ShardID) {
 	owned, exists := m.owners[shard]
 	if !exists {
@@ -171,23 +171,24 @@
 		return
 	}
 	owned.moving = true
-	owned.without = m.servers[owned.server].gen + 1
+	owned.revokedIn = m.servers[owned.server].gen + 1
 }
 
-// finishMove assigns a shard anew once its owner is rid of it.
+// finishMove assigns a shard to a server once the previous owner has released it
+// or its lease has expired.
 func (m *movesModel) finishMove(shard topo.ShardID, to int) {
 	owned, exists := m.owners[shard]
 	if !exists || !owned.moving {
 		return
 	}
 	s := m.servers[owned.server]
-	handedBack := s.reported >= owned.without && !s.busy[shard.String()]
-	if handedBack || s.granter.Lapsed(m.wall(m.now)) {
+	released := s.reported >= owned.revokedIn && !s.busy[shard.String()]
+	if released || s.granter.Lapsed(m.wall(m.now)) {
 		m.assign(shard, to)
 	}
 }
 
-// begin starts a run at a server under whatever it was granted last.
+// begin starts a run at a server under the latest grant that covers the key.
 func (m *movesModel) begin(server int, key string) {
 	s := m.servers[server]
 	for _, held := range s.holder.Grants() {
@@ -198,8 +199,8 @@
 	}
 }
 
-// serves reports whether a server would run a request for a key now, or let a
-// run of it that is under way stand.
+// serves reports whether a server would run a request for a key now, or accept the
+// result of a run of the key that is in flight.
 func (m *movesModel) serves(server int, key string) bool {
 	s := m.servers[server]
 	now := m.clock(server)
@@ -234,7 +235,7 @@
 		}
 		message := func(t *rapid.T) int {
 			if len(m.network) == 0 {
-				t.Skip("nothing on the way")
+				t.Skip("nothing in flight")
 			}
 			return rapid.IntRange(0, len(m.network)-1).Draw(t, "message")
 		}
@@ -243,10 +244,10 @@
 			"time passes": func(t *rapid.T) {
 				m.now += time.Duration(rapid.IntRange(1, 300).Draw(t, "ms")) * time.Millisecond
 			},
-			"leases lapse": func(*rapid.T) { m.now += m.timing.LapseWait() },
-			"exchange":     func(t *rapid.T) { m.exchange(server(t)) },
+			"leases expire": func(*rapid.T) { m.now += m.timing.LapseWait() },
+			"exchange":      func(t *rapid.T) { m.exchange(server(t)) },
 			"settle": func(*rapid.T) {
-				for range 2 { // the first may only bring a stamp
+				for range 2 { // the first exchange may only return a stamp
 					m.exchange(0)
 					m.exchange(1)
 				}
@@ -263,7 +264,7 @@
 			"end": func(t *rapid.T) {
 				s := m.servers[server(t)]
 				if len(s.runs) == 0 {
-					t.Skip("nothing is being run")
+					t.Skip("no run in flight")
 				}
 				s.holder.End(s.runs[0].id)
 				s.runs = s.runs[1:]
--- a/lease/timing.go
+++ b/lease/timing.go
@@ -1,11 +1,12 @@
-// Package lease holds the rules of leases between a lessor and a backend
-// server: how long a lease lasts at most (Timing), what the granter must count
-// before it treats a lease as lapsed (Granter), and what a server must do
-// (Holder). Everything here is pure: the time comes in as an argument.
+// Package lease implements the lease protocol between a lessor and a backend
+// server: the longest duration of a lease (Timing), the time until which the
+// granter must treat a lease as valid (Granter), and the server's side (Holder).
+// The package is pure: the time is an argument of every call.
 //
 // A renewal echoes the server's own time stamp from an earlier reply, and the
-// lease runs from that stamp on the server's clock. A renewal that is delayed
-// on its way therefore never lengthens a lease past what the granter counts.
+// lease is measured from that stamp on the server's clock. A renewal that is
+// delayed in flight therefore never extends a lease past the end that the granter
+// tracks.
 package lease
 
 import "time"
@@ -13,20 +14,21 @@
 // partsPerMillion is the unit of Timing.DriftPPM.
 const partsPerMillion = 1_000_000
 
-// Timing holds what granter and server must agree on.
+// Timing has the parameters that granter and server must agree on.
 type Timing struct {
-	// TTL is how long a lease lasts from the stamp that its renewal echoes.
+	// TTL is the duration of a lease, measured from the stamp that its renewal
+	// echoes.
 	TTL time.Duration
-	// Margin is added to every wait, for the granularity of clocks and timers.
+	// Margin is added to every wait to cover the granularity of clocks and timers.
 	Margin time.Duration
 	// DriftPPM bounds how much faster the granter's clock may run than the
-	// server's, in parts per million: while the server's clock counts d, the
-	// granter's counts at most d × (1 + drift).
+	// server's, in parts per million: while the server's clock advances by d, the
+	// granter's advances by at most d × (1 + drift).
 	DriftPPM int
 }
 
-// LapseWait returns how long after it received a reply the granter must wait
-// until a lease that runs from that reply's stamp has surely ended:
+// ExpiryWait returns how long after the receipt of a reply the granter must wait
+// until a lease measured from that reply's stamp has certainly expired:
 // TTL × (1 + drift) + margin.
 func (t Timing) LapseWait() time.Duration { return t.stretch(t.TTL) + t.Margin }
 
@@ -37,14 +39,14 @@
 	return d + time.Duration(extra)
 }
 
-// Validate returns a *TimingError when the values cannot work together with
+// Validate returns a *TimingError if the values are invalid or incompatible with
 // renewals sent every renewEvery.
 func (t Timing) Validate(renewEvery time.Duration) error {
 	switch {
 	case t.TTL <= 0:
-		return &TimingError{Problem: "TTL must be above 0"}
+		return &TimingError{Problem: "TTL must be positive"}
 	case t.Margin < 0:
-		return &TimingError{Problem: "margin must not be below 0"}
+		return &TimingError{Problem: "margin must not be negative"}
 	case t.DriftPPM < 0 || t.DriftPPM >= partsPerMillion:
 		return &TimingError{Problem: "drift must be at least 0 and below 1000000 ppm"}
 	case renewEvery <= 0 || 2*renewEvery > t.TTL:
@@ -53,7 +55,7 @@
 	return nil
 }
 
-// TimingError reports timing values that cannot work.
+// TimingError reports invalid timing values.
 type TimingError struct{ Problem string }
 
 // Error implements error.
