--- a/membership/facts.go
+++ b/membership/facts.go
@@ -8,57 +8,58 @@
 	"github.com/burdockspindle/burdockspindle/vmlist"
 )
 
-// facts is what the list and the server's own word say of one server.
+// facts combines what the VM list and the server's own reports say of one server.
 type facts struct {
-	says      authority
-	row       vmlist.VM
-	listed    bool
-	gone      bool // called gone by enough lists
-	absentFor time.Duration
-	word      Word
-	heard     bool // answered its lessor lately
-	silentFor time.Duration
+	authority       authority
+	row             vmlist.VM
+	listed          bool
+	gone            bool // enough lists in a row show the VM as gone
+	absentFor       time.Duration
+	report          ServerReport
+	responding      bool // responded to its lessor recently
+	unresponsiveFor time.Duration
 }
 
-func (o *Observed) facts(server state.Server, says authority) facts {
+func (o *Observed) facts(server state.Server, level authority) facts {
 	id := string(server.ID)
-	f := facts{says: says, gone: o.Roster.Gone(id), absentFor: o.Roster.AbsentFor(id)}
+	f := facts{authority: level, gone: o.Roster.Gone(id), absentFor: o.Roster.AbsentFor(id)}
 	f.row, f.listed = o.Roster.Row(id)
-	if says != authorityLessor {
+	if level != authorityLessor {
 		return f
 	}
-	word, reported := o.Words[server.ID]
-	if !reported {
+	report, exists := o.Reports[server.ID]
+	if !exists {
 		return f
 	}
-	f.word = word
-	if !word.Silent.IsZero() {
-		f.silentFor = o.Now.Sub(word.Silent)
+	f.report = report
+	if !report.Silent.IsZero() {
+		f.unresponsiveFor = o.Now.Sub(report.Silent)
 	}
-	f.heard = !word.At.IsZero() && word.Silent.IsZero() && o.Now.Sub(word.At) < WordLasts
+	f.responding = !report.At.IsZero() && report.Silent.IsZero() && o.Now.Sub(report.At) < MaxReportAge
 	return f
 }
 
-// unheard reports whether whoever should hear the server does not.
-func (f *facts) unheard() bool {
-	switch f.says {
+// unreachable reports whether the server does not respond to its lessor, or has no
+// lessor to respond to.
+func (f *facts) unreachable() bool {
+	switch f.authority {
 	case authorityOrphan:
 		return true
 	case authorityLessor:
-		return f.silentFor >= SilentServerAfter
+		return f.unresponsiveFor >= UnresponsiveServerAfter
 	}
 	return false
 }
 
-// confirmedGone reports whether the platform says that the VM has stopped and
-// nothing contradicts it: a server that still answers is believed more than
+// confirmedGone reports whether the platform says that the VM has stopped and the
+// server does not contradict it. A server that still responds takes precedence over
 // the list.
-func (f *facts) confirmedGone() bool { return f.gone && f.unheard() }
+func (f *facts) confirmedGone() bool { return f.gone && f.unreachable() }
 
-// removable reports whether the server should be forgotten once no shard names
-// it.
+// removable reports whether the server should be removed from the state once no
+// shard refers to it.
 func (f *facts) removable() bool {
-	return f.unheard() && (f.gone || f.absentFor >= RemoveServerAfter)
+	return f.unreachable() && (f.gone || f.absentFor >= RemoveServerAfter)
 }
 
 // phase returns the server's next phase.
@@ -75,32 +76,33 @@
 	return now
 }
 
-// mustDrain reports whether the server should get nothing new: the list or the
-// server itself says that it leaves, or it is silent, or missing and unheard.
+// mustDrain reports whether the server should get no new shards: the list or the
+// server itself says that it is leaving, it is unresponsive, or it is missing from
+// the list and does not respond.
 func (f *facts) mustDrain() bool {
 	switch {
 	case f.listed && f.row.Phase != vmlist.PhaseLive:
 		return true
-	case f.heard && f.word.Draining:
+	case f.responding && f.report.Draining:
 		return true
-	case f.says == authorityLessor && f.silentFor >= SilentServerAfter:
+	case f.authority == authorityLessor && f.unresponsiveFor >= UnresponsiveServerAfter:
 		return true
 	}
-	return f.unheard() && f.absentFor >= AbsentServerAfter
+	return f.unreachable() && f.absentFor >= AbsentServerAfter
 }
 
-// mayReturn reports whether the server may get work again: the list shows it as
-// live and it says itself that it serves. The list alone is not enough, since
-// it may lag behind the server's own word.
+// mayReturn reports whether the server may get shards again: the list shows it as
+// live and the server reports that it is not draining. The list alone is not
+// enough, because it may lag behind the server's own report.
 func (f *facts) mayReturn() bool {
-	return f.listed && f.row.Phase == vmlist.PhaseLive && f.heard && !f.word.Draining
+	return f.listed && f.row.Phase == vmlist.PhaseLive && f.responding && !f.report.Draining
 }
 
-// group returns the server's lessor group: the one it has while shards name it
-// or while that is still among the zone's groups as they are now.
-func (f *facts) group(server state.Server, perZone int, named *named) topo.GroupID {
+// group returns the server's lessor group: the assigned one, or the present one
+// as long as shards refer to the server.
+func (f *facts) group(server state.Server, perZone int, inUse *serversInUse) topo.GroupID {
 	best := AssignGroup(server.Zone, server.ID, perZone)
-	if best == server.Group || named.has(server.ID) {
+	if best == server.Group || inUse.has(server.ID) {
 		return server.Group
 	}
 	return best
--- a/membership/groups.go
+++ b/membership/groups.go
@@ -7,8 +7,8 @@
 )
 
 // AssignGroup chooses the lessor group of a server among its zone's groups by
-// rendezvous hashing: every node chooses the same, and with one group more only
-// the servers of the new one change.
+// rendezvous hashing. Every node computes the same group, and an additional group
+// changes only the servers that are assigned to it.
 func AssignGroup(zone topo.Zone, server topo.ServerID, perZone int) topo.GroupID {
 	best := topo.MakeGroupID(zone, 0)
 	highest := weight(best, server)
--- a/membership/nodes.go
+++ b/membership/nodes.go
@@ -12,39 +12,40 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// Times of silence after which a node is removed.
+// Times without a response after which a node is removed.
 const (
-	// RemoveNodeAfter applies when the list agrees: the VM is gone, leaving or
-	// missing from it.
+	// RemoveNodeAfter applies when the VM list agrees: the VM is gone, leaving or
+	// missing from the list.
 	RemoveNodeAfter = 10 * time.Second
-	// RemoveLiveNodeAfter applies while the list shows the VM as live.
+	// RemoveLiveNodeAfter applies while the VM list shows the VM as live.
 	RemoveLiveNodeAfter = 10 * time.Minute
 )
 
-// NodeChanges is what should be written to the log about nodes.
+// NodeChanges are the changes to nodes that should be written to the log.
 type NodeChanges struct {
 	Remove []*bspb.RemoveNode
-	// Lost lists runs, as node ID and boot ID joined by "@", that are confirmed to
-	// be lost; only if the site trusts the list.
+	// Lost lists incarnations, as node ID and boot ID joined by "@", that are
+	// confirmed to be lost. It is empty unless the site trusts the VM list.
 	Lost []string
 }
 
-// Empty reports whether there is nothing to write.
+// Empty reports whether there are no changes.
 func (c *NodeChanges) Empty() bool { return len(c.Remove) == 0 && len(c.Lost) == 0 }
 
-// DecideNodes decides about the nodes that this node watches. A node is removed
-// only when all its watchers that answer agree that it is silent, at least one
-// other among them if there is one, and the VM list agrees or the silence has
-// lasted very long. Absence from the list alone removes nobody.
-func DecideNodes(view *state.View, circle Circle, live *Liveness, o *Observed) NodeChanges {
+// DecideNodes decides which of the nodes that this node watches are removed. A node
+// is removed only if all its watchers that answer find it unresponsive, including
+// at least one watcher other than this node if there is one, and either the VM list
+// agrees or the node has been unresponsive for RemoveLiveNodeAfter. Absence from
+// the list alone removes no node.
+func DecideNodes(view *state.View, ring NodeRing, live *Liveness, o *Observed) NodeChanges {
 	var changes NodeChanges
 	o = o.current()
-	for _, id := range live.AllSilent(o.Now) {
+	for _, id := range live.AllUnresponsive(o.Now) {
 		node, exists := view.Node(id)
-		if !exists || !agreed(circle, live, o, id) {
+		if !exists || !agreed(ring, live, o, id) {
 			continue
 		}
-		if !silentLongEnough(live, o, id) {
+		if !unresponsiveLongEnough(live, o, id) {
 			continue
 		}
 		if trustsList(view) && o.Roster.Gone(string(id)) && !view.RunLost(id, node.Boot) {
@@ -55,12 +56,12 @@
 	return changes
 }
 
-// agreed reports whether every watcher of a node that answers finds it silent,
-// and at least one beside this node does, unless there is no other.
-func agreed(circle Circle, live *Liveness, o *Observed, id topo.NodeID) bool {
+// agreed reports whether every watcher that answers finds a node unresponsive, and
+// at least one watcher other than this node does, unless there is no other.
+func agreed(ring NodeRing, live *Liveness, o *Observed, id topo.NodeID) bool {
 	others := 0
 	agreeing := 0
-	for _, watcher := range circle.Watchers(id) {
+	for _, watcher := range ring.Watchers(id) {
 		if watcher == o.Self {
 			continue
 		}
@@ -69,7 +70,7 @@
 		if !answered {
 			continue
 		}
-		if !slices.Contains(answer.Silent, id) {
+		if !slices.Contains(answer.Unresponsive, id) {
 			return false
 		}
 		agreeing++
@@ -77,12 +78,12 @@
 	return agreeing > 0 || others == 0
 }
 
-func silentLongEnough(live *Liveness, o *Observed, id topo.NodeID) bool {
-	silent := live.SilentFor(id, o.Now)
-	if silent >= RemoveLiveNodeAfter {
+func unresponsiveLongEnough(live *Liveness, o *Observed, id topo.NodeID) bool {
+	unresponsive := live.UnresponsiveFor(id, o.Now)
+	if unresponsive >= RemoveLiveNodeAfter {
 		return true
 	}
-	if silent < RemoveNodeAfter {
+	if unresponsive < RemoveNodeAfter {
 		return false
 	}
 	row, listed := o.Roster.Row(string(id))
@@ -92,12 +93,12 @@
 	return o.Roster.AbsentFor(string(id)) >= RemoveNodeAfter
 }
 
-// Opinions returns the nodes that this node has to ask, beside those it
-// watches: the other watchers of the nodes that it finds silent.
-func Opinions(circle Circle, live *Liveness, self topo.NodeID, now time.Time) []topo.NodeID {
+// OtherWatchers returns the nodes that this node has to call in addition to those
+// it watches: the other watchers of the nodes that it finds unresponsive.
+func OtherWatchers(ring NodeRing, live *Liveness, self topo.NodeID, now time.Time) []topo.NodeID {
 	var asked []topo.NodeID
-	for _, id := range live.AllSilent(now) {
-		for _, watcher := range circle.Watchers(id) {
+	for _, id := range live.AllUnresponsive(now) {
+		for _, watcher := range ring.Watchers(id) {
 			if watcher != self && !slices.Contains(asked, watcher) {
 				asked = append(asked, watcher)
 			}
--- a/membership/servers.go
+++ b/membership/servers.go
@@ -12,63 +12,63 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// Times after which a server is treated otherwise.
+// Times after which a server is drained or removed.
 const (
-	// SilentServerAfter is how long a server may leave its lessor without an
-	// answer before it gets nothing new.
-	SilentServerAfter = 2 * time.Second
-	// AbsentServerAfter is how long a server that nobody hears may be missing
-	// from the list before it gets nothing new.
+	// UnresponsiveServerAfter is how long a server may be unresponsive to its lessor
+	// before it gets no new shards.
+	UnresponsiveServerAfter = 2 * time.Second
+	// AbsentServerAfter is how long a server that does not respond may be missing
+	// from the list before it gets no new shards.
 	AbsentServerAfter = 10 * time.Second
-	// RemoveServerAfter is how long it may be missing or gone before it is
-	// removed, once no shard names it.
+	// RemoveServerAfter is how long a server that does not respond may be missing
+	// from the list before it is removed, once no shard refers to it.
 	RemoveServerAfter = time.Minute
 )
 
-// Observed is what one node knows beside the log's state.
+// Observed is what one node knows in addition to the state of the log.
 type Observed struct {
-	Now    time.Time
-	Self   topo.NodeID
-	Holder bool // this node holds RoleServers
-	Roster *Roster
-	Words  map[topo.ServerID]Word
-	// Unable reports whether a node is silent or draining.
+	Now     time.Time
+	Self    topo.NodeID
+	Holder  bool // this node holds RoleServers
+	Roster  *Roster
+	Reports map[topo.ServerID]ServerReport
+	// Unable reports whether a node is unresponsive or draining.
 	Unable func(topo.NodeID) bool
 }
 
-// current returns what is observed without a list that is too old to count.
+// current returns a copy without a list that is older than MaxListAge.
 func (o *Observed) current() *Observed {
 	now := *o
 	now.Roster = o.Roster.Current(o.Now)
 	return &now
 }
 
-// ServerChanges is what should be written to the log about servers.
+// ServerChanges are the changes to servers that should be written to the log.
 type ServerChanges struct {
 	Upsert []*bspb.ServerEntry
 	Remove []string
-	Lost   []string // confirmed to be lost; only if the site trusts the list
+	Lost   []string // confirmed to be lost; empty unless the site trusts the list
 }
 
-// Empty reports whether there is nothing to write.
+// Empty reports whether there are no changes.
 func (c *ServerChanges) Empty() bool {
 	return len(c.Upsert) == 0 && len(c.Remove) == 0 && len(c.Lost) == 0
 }
 
-// DecideServers compares the list and the servers' words with the state. A
-// server's lessor decides for it, since it alone hears the server; the holder
-// of the role adds what is new, drains what is leaving, and decides for servers
-// whose lessor is missing.
+// DecideServers compares the VM list and the servers' reports with the state. The
+// lessor of a server decides about it, because only the lessor receives its reports.
+// The holder of RoleServers adds new servers, drains servers that are leaving, and
+// decides about servers whose lessor is missing.
 func DecideServers(view *state.View, o *Observed) ServerChanges {
 	var changes ServerChanges
 	o = o.current()
 	if o.Holder {
 		addNew(view, o, &changes)
 	}
-	named := newNamed(view)
+	inUse := newServersInUse(view)
 	for _, server := range view.Servers() {
-		if says := o.authority(view, server); says != authorityNone {
-			decideServer(view, o, server, says, named, &changes)
+		if level := o.authority(view, server); level != authorityNone {
+			decideServer(view, o, server, level, inUse, &changes)
 		}
 	}
 	slices.SortFunc(changes.Upsert, func(a, b *bspb.ServerEntry) int { return strings.Compare(a.Id, b.Id) })
@@ -77,14 +77,14 @@
 	return changes
 }
 
-// authority says how far this node decides for a server.
+// authority is the extent to which this node decides about a server.
 type authority int
 
 const (
 	authorityNone   authority = iota
-	authorityDrain            // may only make it get nothing new
-	authorityOrphan           // decides without the server's word: its lessor is missing
-	authorityLessor           // decides with the server's word
+	authorityDrain            // may only drain it
+	authorityOrphan           // decides without the server's reports, because its lessor is missing
+	authorityLessor           // decides with the server's reports
 )
 
 func (o *Observed) authority(view *state.View, server state.Server) authority {
@@ -102,7 +102,7 @@
 	return authorityDrain
 }
 
-// addNew adds live servers that the state does not have.
+// addNew adds live servers that are not in the state.
 func addNew(view *state.View, o *Observed, changes *ServerChanges) {
 	for _, vm := range o.Roster.rows {
 		if vm.Role != vmlist.RoleServer || vm.Phase != vmlist.PhaseLive {
@@ -138,9 +138,9 @@
 }
 
 // decideServer adds the changes to one server that is in the state.
-func decideServer(view *state.View, o *Observed, server state.Server, says authority, named *named, changes *ServerChanges) {
-	f := o.facts(server, says)
-	if f.removable() && !named.has(server.ID) {
+func decideServer(view *state.View, o *Observed, server state.Server, level authority, inUse *serversInUse, changes *ServerChanges) {
+	f := o.facts(server, level)
+	if f.removable() && !inUse.has(server.ID) {
 		changes.Remove = append(changes.Remove, string(server.ID))
 		return
 	}
@@ -155,12 +155,12 @@
 	}
 	next := server
 	next.Phase = f.phase(server.Phase)
-	if server.Phase == state.PhaseGone && next.Phase != state.PhaseGone && named.has(server.ID) {
-		return // shards still name the run that was confirmed to be gone
+	if server.Phase == state.PhaseGone && next.Phase != state.PhaseGone && inUse.has(server.ID) {
+		return // shards still refer to the incarnation that was confirmed to be gone
 	}
-	if f.listed && says != authorityDrain {
+	if f.listed && level != authorityDrain {
 		next.Address = f.row.Address
-		next.Group = f.group(server, groupsPerZone(view), named)
+		next.Group = f.group(server, groupsPerZone(view), inUse)
 	}
 	if next != server {
 		changes.Upsert = append(changes.Upsert, entryOf(next, next.Phase))
@@ -178,24 +178,24 @@
 	}
 }
 
-// named tells which servers shards name; it is computed when first asked for.
-type named struct {
+// serversInUse is the set of servers that shards refer to. It is computed on first use.
+type serversInUse struct {
 	view    *state.View
 	servers map[topo.ServerID]bool
 }
 
-func newNamed(view *state.View) *named { return &named{view: view} }
+func newServersInUse(view *state.View) *serversInUse { return &serversInUse{view: view} }
 
-func (n *named) has(id topo.ServerID) bool {
-	if n.servers == nil {
-		n.servers = map[topo.ServerID]bool{}
-		for _, service := range n.view.Tables() {
-			n.view.EachShard(service, func(a state.Assignment) bool {
-				n.servers[a.Owner] = true
-				n.servers[a.Standby] = true
+func (s *serversInUse) has(id topo.ServerID) bool {
+	if s.servers == nil {
+		s.servers = map[topo.ServerID]bool{}
+		for _, service := range s.view.Tables() {
+			s.view.EachShard(service, func(a state.Assignment) bool {
+				s.servers[a.Owner] = true
+				s.servers[a.Standby] = true
 				return true
 			})
 		}
 	}
-	return n.servers[id]
+	return s.servers[id]
 }
--- a/membership/servers_test.go
+++ b/membership/servers_test.go
@@ -23,61 +23,62 @@
 	}
 }
 
-// listed is what the latest list says of server s1.
+// listed is the state of server s1 in the latest list.
 type listed string
 
 const (
 	live    listed = "live"
 	leaving listed = "leaving"
-	gone    listed = "gone" // by two lists in a row
+	gone    listed = "gone" // in two lists in a row
 	missing listed = "missing"
 )
 
-// roster returns a roster that read lists saying so for a time.
-func roster(says listed, lasted time.Duration, now time.Time) *membership.Roster {
+// roster returns a roster whose lists have shown a kind of row for the given
+// duration.
+func roster(kind listed, lasted time.Duration, now time.Time) *membership.Roster {
 	r := membership.NewRoster()
-	r.Notice(siteWithLessor(state.PhaseLive).View(), now.Add(-2*time.Hour))
+	r.ObserveState(siteWithLessor(state.PhaseLive).View(), now.Add(-2*time.Hour))
 	r.Update([]vmlist.VM{row(vmlist.PhaseLive)}, now.Add(-lasted-time.Second))
 	var vms []vmlist.VM
-	if says != missing {
-		vms = []vmlist.VM{row(vmlist.Phase(says))}
+	if kind != missing {
+		vms = []vmlist.VM{row(vmlist.Phase(kind))}
 	}
 	r.Update(vms, now.Add(-lasted))
 	r.Update(vms, now)
 	return r
 }
 
-// said is what server s1's lessor learnt from the server.
-type said string
+// reported is the state of server s1 as reported by its lessor.
+type reported string
 
 const (
-	nothing  said = "nothing"
-	serving  said = "serving"
-	draining said = "draining"
-	silent   said = "silent for long"
-	brief    said = "silent for a moment"
-	stale    said = "serving, but that was long ago"
+	nothing  reported = "nothing"
+	serving  reported = "serving"
+	draining reported = "draining"
+	silent   reported = "unresponsive for long"
+	brief    reported = "unresponsive for a moment"
+	stale    reported = "serving, but the report is old"
 )
 
-func words(says said, now time.Time) map[topo.ServerID]membership.Word {
-	word := membership.Word{At: now}
-	switch says {
+func reportsOf(kind reported, now time.Time) map[topo.ServerID]membership.ServerReport {
+	report := membership.ServerReport{At: now}
+	switch kind {
 	case nothing:
 		return nil
 	case draining:
-		word.Draining = true
+		report.Draining = true
 	case silent:
-		word = membership.Word{At: now.Add(-time.Hour), Silent: now.Add(-time.Hour)}
+		report = membership.ServerReport{At: now.Add(-time.Hour), Silent: now.Add(-time.Hour)}
 	case brief:
-		word.Silent = now.Add(-membership.SilentServerAfter + time.Millisecond)
+		report.Silent = now.Add(-membership.UnresponsiveServerAfter + time.Millisecond)
 	case stale:
-		word.At = now.Add(-membership.WordLasts)
+		report.At = now.Add(-membership.MaxReportAge)
 	}
-	return map[topo.ServerID]membership.Word{"s1": word}
+	return map[topo.ServerID]membership.ServerReport{"s1": report}
 }
 
-// TestPhaseOfAServer is the table of what the list, which lags both ways, and
-// the server's own word together do to a server.
+// TestPhaseOfAServer covers the phase that follows from the VM list, which may lag
+// in both directions, together with the server's own report.
 func TestPhaseOfAServer(t *testing.T) {
 	const (
 		none      = state.Phase(0) // not in the state
@@ -87,44 +88,44 @@
 		name   string
 		list   listed
 		lasted time.Duration
-		word   said
+		word   reported
 		self   string // "lessor", or another node which holds the role
 		before state.Phase
 		after  state.Phase
 		lost   bool
 	}{
 		{"new server", live, 0, nothing, nodeOther, none, state.PhaseLive, false},
-		{"new server is not the lessor's to add", live, 0, nothing, "lessor", none, none, false},
+		{"new server, which the lessor does not add", live, 0, nothing, "lessor", none, none, false},
 		{"new but already leaving", leaving, 0, nothing, nodeOther, none, none, false},
 		{"new but already gone", gone, 0, nothing, nodeOther, none, none, false},
 		{"both agree", live, 0, serving, "lessor", state.PhaseLive, state.PhaseLive, false},
-		{"list ahead: leaving", leaving, 0, serving, "lessor", state.PhaseLive, state.PhaseDraining, false},
+		{"list leads: leaving", leaving, 0, serving, "lessor", state.PhaseLive, state.PhaseDraining, false},
 		{"leaving, seen by the holder", leaving, 0, nothing, nodeOther, state.PhaseLive, state.PhaseDraining, false},
-		{"list behind: the server drains", live, time.Hour, draining, "lessor", state.PhaseLive, state.PhaseDraining, false},
-		{"list behind: the drain stays", live, time.Hour, draining, "lessor", state.PhaseDraining, state.PhaseDraining, false},
+		{"list lags: the server drains", live, time.Hour, draining, "lessor", state.PhaseLive, state.PhaseDraining, false},
+		{"list lags: the drain stays", live, time.Hour, draining, "lessor", state.PhaseDraining, state.PhaseDraining, false},
 		{"the holder cannot undo a drain", live, time.Hour, nothing, nodeOther, state.PhaseDraining, state.PhaseDraining, false},
-		{"a drain without word stays", live, time.Hour, nothing, "lessor", state.PhaseDraining, state.PhaseDraining, false},
-		{"a drain with an old word stays", live, time.Hour, stale, "lessor", state.PhaseDraining, state.PhaseDraining, false},
-		{"returned by both", live, 0, serving, "lessor", state.PhaseDraining, state.PhaseLive, false},
-		{"list behind: still leaving, the server serves", leaving, time.Hour, serving, "lessor", state.PhaseDraining, state.PhaseDraining, false},
-		{"list behind: live, the server is silent", live, time.Hour, silent, "lessor", state.PhaseLive, state.PhaseDraining, false},
-		{"silent for a moment", live, time.Hour, brief, "lessor", state.PhaseLive, state.PhaseLive, false},
-		{"gone and silent", gone, time.Second, silent, "lessor", state.PhaseLive, state.PhaseGone, true},
-		{"misled: gone, but it answers", gone, time.Hour, serving, "lessor", state.PhaseLive, state.PhaseDraining, false},
-		{"misled: gone, silent for a moment", gone, time.Hour, brief, "lessor", state.PhaseLive, state.PhaseDraining, false},
-		{"gone, the holder does not hear it", gone, time.Hour, nothing, nodeOther, state.PhaseLive, state.PhaseDraining, false},
-		{"misled: missing, but it answers", missing, time.Hour, serving, "lessor", state.PhaseLive, state.PhaseLive, false},
-		{"missing, the holder does not hear it", missing, time.Hour, nothing, nodeOther, state.PhaseLive, state.PhaseLive, false},
-		{"missing for a moment and silent", missing, time.Second, silent, "lessor", state.PhaseLive, state.PhaseDraining, false},
-		{"confirmed gone stays gone while shards name it", live, 0, serving, "lessor", state.PhaseGone, state.PhaseGone, false},
+		{"a drain without a report stays", live, time.Hour, nothing, "lessor", state.PhaseDraining, state.PhaseDraining, false},
+		{"a drain with an old report stays", live, time.Hour, stale, "lessor", state.PhaseDraining, state.PhaseDraining, false},
+		{"returned according to both", live, 0, serving, "lessor", state.PhaseDraining, state.PhaseLive, false},
+		{"list lags: still leaving, the server serves", leaving, time.Hour, serving, "lessor", state.PhaseDraining, state.PhaseDraining, false},
+		{"list lags: live, the server is unresponsive", live, time.Hour, silent, "lessor", state.PhaseLive, state.PhaseDraining, false},
+		{"unresponsive for a moment", live, time.Hour, brief, "lessor", state.PhaseLive, state.PhaseLive, false},
+		{"gone and unresponsive", gone, time.Second, silent, "lessor", state.PhaseLive, state.PhaseGone, true},
+		{"wrong list: gone, but it answers", gone, time.Hour, serving, "lessor", state.PhaseLive, state.PhaseDraining, false},
+		{"wrong list: gone, unresponsive for a moment", gone, time.Hour, brief, "lessor", state.PhaseLive, state.PhaseDraining, false},
+		{"gone, the holder has no report", gone, time.Hour, nothing, nodeOther, state.PhaseLive, state.PhaseDraining, false},
+		{"wrong list: missing, but it answers", missing, time.Hour, serving, "lessor", state.PhaseLive, state.PhaseLive, false},
+		{"missing, the holder has no report", missing, time.Hour, nothing, nodeOther, state.PhaseLive, state.PhaseLive, false},
+		{"missing for a moment and unresponsive", missing, time.Second, silent, "lessor", state.PhaseLive, state.PhaseDraining, false},
+		{"confirmed gone stays gone while shards refer to it", live, 0, serving, "lessor", state.PhaseGone, state.PhaseGone, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			site := siteWithLessor(c.before)
-			o := observed(c.self, roster(c.list, c.lasted, start), words(c.word, start))
+			o := observed(c.self, roster(c.list, c.lasted, start), reportsOf(c.word, start))
 			changes := membership.DecideServers(site.View(), o)
-			carryOut(site, changes)
+			applyChanges(site, changes)
 			server, _ := site.View().Server("s1")
 			g.Expect(server.Phase).To(gomega.Equal(c.after))
 			g.Expect(len(changes.Lost) > 0).To(gomega.Equal(c.lost))
@@ -134,7 +135,8 @@
 	}
 }
 
-// siteWithLessor has a service whose only shard is owned by s1 in a phase.
+// siteWithLessor returns a site with a service whose only shard is owned by s1. The
+// server is in the given phase, or absent if the phase is 0.
 func siteWithLessor(phase state.Phase) *sitefake.Site {
 	site := sitefake.New()
 	site.Publish(sitefake.Keyed("logs", 1))
@@ -158,14 +160,14 @@
 	}}})
 }
 
-func observed(self string, r *membership.Roster, words map[topo.ServerID]membership.Word) *membership.Observed {
+func observed(self string, r *membership.Roster, reports map[topo.ServerID]membership.ServerReport) *membership.Observed {
 	return &membership.Observed{
-		Now: start, Self: topo.NodeID(self), Holder: self == "other", Roster: r, Words: words,
+		Now: start, Self: topo.NodeID(self), Holder: self == "other", Roster: r, Reports: reports,
 		Unable: func(topo.NodeID) bool { return false },
 	}
 }
 
-func carryOut(site *sitefake.Site, changes membership.ServerChanges) {
+func applyChanges(site *sitefake.Site, changes membership.ServerChanges) {
 	if len(changes.Lost) > 0 {
 		site.Apply("node@1", &bspb.Record{Body: &bspb.Record_ConfirmLoss{ConfirmLoss: &bspb.ConfirmLoss{
 			Servers: changes.Lost,
@@ -180,7 +182,7 @@
 	g := gomega.NewWithT(t)
 	site := siteWithLessor(state.PhaseLive)
 	site.PublishSite(&bspb.SiteConfig{Services: []*bspb.ServiceConfig{sitefake.Keyed("logs", 1)}, GroupsPerZone: 1})
-	changes := membership.DecideServers(site.View(), observed("lessor", roster(gone, time.Hour, start), words(silent, start)))
+	changes := membership.DecideServers(site.View(), observed("lessor", roster(gone, time.Hour, start), reportsOf(silent, start)))
 	g.Expect(changes.Lost).To(gomega.BeEmpty())
 	g.Expect(changes.Upsert).To(gomega.HaveLen(1))
 	g.Expect(changes.Upsert[0].Phase).To(gomega.Equal(bspb.ServerPhase_SERVER_PHASE_DRAINING))
@@ -191,27 +193,27 @@
 	site := siteWithLessor(state.PhaseLive)
 	r := membership.NewRoster()
 	r.Update([]vmlist.VM{row(vmlist.PhaseGone)}, start)
-	changes := membership.DecideServers(site.View(), observed("lessor", r, words(silent, start)))
+	changes := membership.DecideServers(site.View(), observed("lessor", r, reportsOf(silent, start)))
 	g.Expect(changes.Lost).To(gomega.BeEmpty())
 	r.Update([]vmlist.VM{row(vmlist.PhaseGone)}, start.Add(time.Second))
-	changes = membership.DecideServers(site.View(), observed("lessor", r, words(silent, start)))
+	changes = membership.DecideServers(site.View(), observed("lessor", r, reportsOf(silent, start)))
 	g.Expect(changes.Lost).To(gomega.ConsistOf("s1"))
 }
 
-func TestAServerIsRemovedOnceNothingNamesIt(t *testing.T) {
+func TestAServerIsRemovedOnceNoShardRefersToIt(t *testing.T) {
 	cases := []struct {
 		name    string
 		list    listed
 		lasted  time.Duration
-		word    said
+		word    reported
 		named   bool
 		removed bool
 	}{
-		{"missing for long, silent, unnamed", missing, membership.RemoveServerAfter, silent, false, true},
+		{"missing for long, unresponsive, no shard refers to it", missing, membership.RemoveServerAfter, silent, false, true},
 		{"missing not long enough", missing, membership.RemoveServerAfter - time.Second, silent, false, false},
 		{"missing for long but it answers", missing, time.Hour, serving, false, false},
-		{"missing for long but a shard names it", missing, time.Hour, silent, true, false},
-		{"gone and silent", gone, time.Second, silent, false, true},
+		{"missing for long but a shard refers to it", missing, time.Hour, silent, true, false},
+		{"gone and unresponsive", gone, time.Second, silent, false, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -221,15 +223,16 @@
 			if c.named {
 				site = siteWithLessor(state.PhaseLive)
 			}
-			o := observed("lessor", roster(c.list, c.lasted, start), words(c.word, start))
+			o := observed("lessor", roster(c.list, c.lasted, start), reportsOf(c.word, start))
 			removed := membership.DecideServers(site.View(), o).Remove
 			g.Expect(len(removed) > 0).To(gomega.Equal(c.removed))
 		})
 	}
 }
 
-// TestServersOfAMissingLessorAreTheHolders lets the lessor's node vanish.
-func TestServersOfAMissingLessorAreTheHolders(t *testing.T) {
+// TestTheHolderDecidesForServersOfAMissingLessor covers a lessor whose node is lost: the
+// holder of the role then decides about its servers.
+func TestTheHolderDecidesForServersOfAMissingLessor(t *testing.T) {
 	g := gomega.NewWithT(t)
 	site := siteWithLessor(state.PhaseLive)
 	o := observed("other", roster(gone, time.Hour, start), nil)
@@ -241,12 +244,12 @@
 	g := gomega.NewWithT(t)
 	r := membership.NewRoster()
 	view := siteWithLessor(state.PhaseLive).View()
-	r.Notice(view, start)
+	r.ObserveState(view, start)
 	g.Expect(r.AbsentFor("s1")).To(gomega.BeZero(), "no list yet")
 	r.Update([]vmlist.VM{row(vmlist.PhaseLive)}, start)
 	r.Update(nil, start.Add(time.Second))
 	g.Expect(r.AbsentFor("s1")).To(gomega.BeZero())
-	// An outage of an hour goes by; then the list is read once.
+	// After an outage of an hour, the list is read once.
 	r.Update(nil, start.Add(3*time.Second))
 	g.Expect(r.AbsentFor("s1")).To(gomega.Equal(2 * time.Second))
 	r.Update([]vmlist.VM{row(vmlist.PhaseLive)}, start.Add(time.Hour))
@@ -255,24 +258,25 @@
 	g.Expect(listed).To(gomega.BeTrue())
 }
 
-// TestAServerThatNoListHasShownYetIsNotMissing is added by another node, which
-// has read a newer list.
+// TestAServerThatNoListHasShownYetIsNotMissing covers a server that another node has
+// added from a newer list than this node has read.
 func TestAServerThatNoListHasShownYetIsNotMissing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := membership.NewRoster()
-	r.Notice(siteWithLessor(0).View(), start.Add(-time.Hour))
+	r.ObserveState(siteWithLessor(0).View(), start.Add(-time.Hour))
 	r.Update(nil, start.Add(-time.Second))
-	r.Notice(siteWithLessor(state.PhaseLive).View(), start)
+	r.ObserveState(siteWithLessor(state.PhaseLive).View(), start)
 	o := observed("other", r, nil)
 	o.Unable = func(topo.NodeID) bool { return true }
 	changes := membership.DecideServers(siteWithLessor(state.PhaseLive).View(), o)
 	g.Expect(changes.Empty()).To(gomega.BeTrue())
 }
 
-// TestAnOldListIsNotBelieved has a list from before the server was added.
-func TestAnOldListIsNotBelieved(t *testing.T) {
+// TestAnOldListIsIgnored covers a list that is older than MaxListAge and was read
+// before the server was added.
+func TestAnOldListIsIgnored(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := roster(missing, time.Hour, start.Add(-membership.ListLasts-1))
+	r := roster(missing, time.Hour, start.Add(-membership.MaxListAge-1))
 	o := observed("other", r, nil)
 	o.Unable = func(topo.NodeID) bool { return true }
 	changes := membership.DecideServers(siteWithLessor(state.PhaseLive).View(), o)
@@ -298,8 +302,9 @@
 	}
 }
 
-// TestAServerThatShardsNameIsNotRegrouped changes the number of groups.
-func TestAServerThatShardsNameIsNotRegrouped(t *testing.T) {
+// TestAServerThatShardsReferToKeepsItsGroup changes the number of groups per zone. A
+// server that a shard refers to keeps its group.
+func TestAServerThatShardsReferToKeepsItsGroup(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, named := range []bool{true, false} {
 		site := siteWithLessor(0)
@@ -311,13 +316,13 @@
 		site.PublishSite(&bspb.SiteConfig{
 			Services: []*bspb.ServiceConfig{sitefake.Keyed("logs", 1)}, GroupsPerZone: uint32(perZone),
 		})
-		changes := membership.DecideServers(site.View(), observed("lessor", roster(live, time.Hour, start), words(serving, start)))
+		changes := membership.DecideServers(site.View(), observed("lessor", roster(live, time.Hour, start), reportsOf(serving, start)))
 		g.Expect(changes.Empty()).To(gomega.Equal(named))
 	}
 }
 
-// groupsThatMove returns a number of groups for which a server is not in the
-// first.
+// groupsThatMove returns a number of groups for which a server is not assigned to
+// the first one.
 func groupsThatMove(id topo.ServerID) int {
 	for n := 2; ; n++ {
 		if membership.AssignGroup("zone-a", id, n) != "zone-a/0" {
--- a/modules/membership/duty.go
+++ b/modules/membership/duty.go
@@ -37,7 +37,7 @@
 	roster *core.Roster
 	// circleOf is the view of which circle is; one is made for each set of nodes.
 	circleOf *state.View
-	circle   core.Circle
+	circle   core.NodeRing
 	held     map[core.Role]bool
 }
 
@@ -79,13 +79,13 @@
 
 func (d *duty) take(a nodeAnswer) {
 	now := time.Now()
-	wasSilent := d.live.Silent(a.node, now)
+	wasSilent := d.live.Unresponsive(a.node, now)
 	if a.failed {
 		d.live.Failed(a.node, a.began)
 	} else {
 		d.live.Answered(a.node, a.answer, now)
 	}
-	switch isSilent := d.live.Silent(a.node, now); {
+	switch isSilent := d.live.Unresponsive(a.node, now); {
 	case isSilent && !wasSilent:
 		eventNodeSilent.Log(d.logger, "peer", a.node)
 	case wasSilent && !isSilent:
@@ -121,19 +121,19 @@
 func (d *duty) publish(view *state.View, now time.Time) {
 	if view != d.circleOf {
 		d.circleOf = view
-		d.circle = core.NewCircle(view.Nodes())
+		d.circle = core.NewNodeRing(view.Nodes())
 	}
 	self := d.module.identity.Node
-	silent := func(id topo.NodeID) bool { return d.live.Silent(id, now) }
+	silent := func(id topo.NodeID) bool { return d.live.Unresponsive(id, now) }
 	watched := d.circle.Watched(self, silent)
-	for _, id := range core.Opinions(d.circle, d.live, self, now) {
+	for _, id := range core.OtherWatchers(d.circle, d.live, self, now) {
 		if !slices.Contains(watched, id) {
 			watched = append(watched, id)
 		}
 	}
 	d.live.Keep(watched)
 	d.targets.Store(watched)
-	known := &picture{circle: d.circle, silent: d.live.AllSilent(now)}
+	known := &picture{circle: d.circle, silent: d.live.AllUnresponsive(now)}
 	for _, id := range watched {
 		if d.live.Unable(id, now) {
 			known.unable = append(known.unable, id)
@@ -157,14 +157,14 @@
 
 func (d *duty) observe(view *state.View, now time.Time) *core.Observed {
 	d.forgetOthers(view)
-	d.roster.Notice(view, now)
+	d.roster.ObserveState(view, now)
 	return &core.Observed{
-		Now:    now,
-		Self:   d.module.identity.Node,
-		Holder: d.held[core.RoleServers],
-		Roster: d.roster,
-		Words:  d.module.words.All(),
-		Unable: d.module.Unable,
+		Now:     now,
+		Self:    d.module.identity.Node,
+		Holder:  d.held[core.RoleServers],
+		Roster:  d.roster,
+		Reports: d.module.words.All(),
+		Unable:  d.module.Unable,
 	}
 }
 
@@ -183,10 +183,10 @@
 // hold the role: a node that it watches is silent, or a server of its own is
 // silent or drains.
 func (d *duty) concerned(view *state.View, o *core.Observed) bool {
-	if len(d.live.AllSilent(o.Now)) > 0 {
+	if len(d.live.AllUnresponsive(o.Now)) > 0 {
 		return true
 	}
-	for id, word := range o.Words {
+	for id, word := range o.Reports {
 		server, exists := view.Server(id)
 		if exists && (!word.Silent.IsZero() || server.Phase != state.PhaseLive) {
 			return true
--- a/modules/membership/membership_test.go
+++ b/modules/membership/membership_test.go
@@ -304,8 +304,8 @@
 func TestNodesCutOffFromSomeAreNotRemoved(t *testing.T) {
 	run(t, func(s *site) {
 		s.VMs.SetPhase("node-3", vmlist.PhaseGone)
-		circle := core.NewCircle(s.Site.View().Nodes())
-		for _, watcher := range circle.Watchers("node-3")[1:] {
+		ring := core.NewNodeRing(s.Site.View().Nodes())
+		for _, watcher := range ring.Watchers("node-3")[1:] {
 			s.Network.Cut("node-3", watcher)
 		}
 		s.pass(time.Minute)
--- a/modules/membership/module.go
+++ b/modules/membership/module.go
@@ -64,7 +64,7 @@
 func (m *Module) Provision(ctx *kernel.Context) error {
 	m.identity = ctx.Identity
 	m.logger = ctx.Logger.Named("membership")
-	m.words = core.NewWords()
+	m.words = core.NewServerReports()
 	m.published.Store(&picture{})
 	settings, err := kernel.Use[*settings.Settings](ctx)
 	if err != nil {
--- a/modules/membership/picture.go
+++ b/modules/membership/picture.go
@@ -10,7 +10,7 @@
 // picture is what the duty last knew of the other nodes. It is replaced, never
 // changed.
 type picture struct {
-	circle core.Circle
+	circle core.NodeRing
 	silent []topo.NodeID
 	unable []topo.NodeID
 }
@@ -59,12 +59,12 @@
 }
 
 type dump struct {
-	Draining  bool                        `json:"draining"`
-	Nodes     int                         `json:"nodes"`
-	Watching  []topo.NodeID               `json:"watching"`
-	Silent    []topo.NodeID               `json:"silent"`
-	Unable    []topo.NodeID               `json:"unable"`
-	Holds     map[core.Role]bool          `json:"holds"`
-	ReadsList bool                        `json:"readsList"`
-	Words     map[topo.ServerID]core.Word `json:"words"`
+	Draining  bool                                `json:"draining"`
+	Nodes     int                                 `json:"nodes"`
+	Watching  []topo.NodeID                       `json:"watching"`
+	Silent    []topo.NodeID                       `json:"silent"`
+	Unable    []topo.NodeID                       `json:"unable"`
+	Holds     map[core.Role]bool                  `json:"holds"`
+	ReadsList bool                                `json:"readsList"`
+	Words     map[topo.ServerID]core.ServerReport `json:"words"`
 }
--- a/modules/membership/watch.go
+++ b/modules/membership/watch.go
@@ -64,7 +64,7 @@
 	} else {
 		result.answer = core.Answer{Boot: topo.BootID(status.GetSender().GetBoot()), Draining: status.GetDraining()}
 		for _, silent := range status.GetSilent() {
-			result.answer.Silent = append(result.answer.Silent, topo.NodeID(silent))
+			result.answer.Unresponsive = append(result.answer.Unresponsive, topo.NodeID(silent))
 		}
 	}
 	_ = w.results.Put(ctx, result) // ends only with ctx
