--- a/modules/membership/duty.go
+++ b/modules/membership/duty.go
@@ -17,47 +17,48 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// answersSize bounds the Status results that wait for the duty; the watcher
-// waits when it is full.
+// answersSize bounds the queue of Status results for the duty. The watcher blocks
+// while the queue is full.
 const answersSize = 64
 
-// duty is the one goroutine that owns what this node knows of others and
-// decides.
+// duty is the state of the single goroutine that tracks the other nodes and makes
+// the membership decisions.
 type duty struct {
 	module  *Module
 	logger  hclog.Logger
 	answers *ring.Ring[nodeAnswer]
 	lists   *ring.Ring[vmList]
-	// targets is the []topo.NodeID that the watcher calls; wantsList whether
-	// the reader reads.
+	// targets is the []topo.NodeID that the watcher calls. wantsList is true while
+	// the reader reads the VM list.
 	targets   atomic.Value
 	wantsList atomic.Bool
 
 	live   *core.Liveness
 	roster *core.Roster
-	// circleOf is the view of which circle is; one is made for each set of nodes.
-	circleOf *state.View
-	circle   core.NodeRing
-	held     map[core.Role]bool
+	// ringView is the view from which nodeRing was made. It is remade for each new
+	// view.
+	ringView  *state.View
+	nodeRing  core.NodeRing
+	heldRoles map[core.Role]bool
 }
 
 func newDuty(m *Module) *duty {
 	d := &duty{
-		module:  m,
-		logger:  m.logger,
-		answers: ring.New[nodeAnswer]("membership-answers", answersSize, ring.Wait),
-		lists:   ring.New[vmList]("membership-lists", 1, ring.Wait),
-		live:    core.NewLiveness(),
-		roster:  core.NewRoster(),
-		held:    map[core.Role]bool{},
+		module:    m,
+		logger:    m.logger,
+		answers:   ring.New[nodeAnswer]("membership-answers", answersSize, ring.Wait),
+		lists:     ring.New[vmList]("membership-lists", 1, ring.Wait),
+		live:      core.NewLiveness(),
+		roster:    core.NewRoster(),
+		heldRoles: map[core.Role]bool{},
 	}
 	d.targets.Store([]topo.NodeID(nil))
 	return d
 }
 
-// run ends with ctx.
+// run returns when ctx is done.
 func (d *duty) run(ctx context.Context) {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		changed := d.module.source.Changed()
@@ -67,33 +68,34 @@
 			return
 		case <-changed:
 		case <-ticker.C:
-		case <-d.module.words.Changed():
+		case <-d.module.reports.Changed():
 		case <-d.module.writer.Finished():
 		case answer := <-d.answers.Items():
-			d.take(answer)
+			d.handleAnswer(answer)
 		case list := <-d.lists.Items():
 			d.roster.Update(list.vms, list.asked)
 		}
 	}
 }
 
-func (d *duty) take(a nodeAnswer) {
+func (d *duty) handleAnswer(a nodeAnswer) {
 	now := time.Now()
-	wasSilent := d.live.Unresponsive(a.node, now)
+	wasUnresponsive := d.live.Unresponsive(a.node, now)
 	if a.failed {
 		d.live.Failed(a.node, a.began)
 	} else {
 		d.live.Answered(a.node, a.answer, now)
 	}
-	switch isSilent := d.live.Unresponsive(a.node, now); {
-	case isSilent && !wasSilent:
-		eventNodeSilent.Log(d.logger, "peer", a.node)
-	case wasSilent && !isSilent:
-		eventNodeBack.Log(d.logger, "peer", a.node)
+	switch isUnresponsive := d.live.Unresponsive(a.node, now); {
+	case isUnresponsive && !wasUnresponsive:
+		eventNodeUnresponsive.Log(d.logger, "peer", a.node)
+	case wasUnresponsive && !isUnresponsive:
+		eventNodeResponsive.Log(d.logger, "peer", a.node)
 	}
 }
 
-// step looks at everything known now, and offers what follows from it.
+// step decides on the basis of the current state and observations, and submits the
+// resulting records.
 func (d *duty) step(ctx context.Context, now time.Time) {
 	view := d.module.source.View()
 	d.publish(view, now)
@@ -101,9 +103,9 @@
 		d.wantsList.Store(false)
 		return
 	}
-	d.noteRoles()
+	d.logRoleChanges()
 	observed := d.observe(view, now)
-	d.wantsList.Store(observed.Holder || d.concerned(view, observed))
+	d.wantsList.Store(observed.Holder || d.needsList(view, observed))
 	if !d.joined(view) {
 		d.offer(ctx, d.join())
 		return
@@ -113,45 +115,45 @@
 
 func (d *duty) offer(ctx context.Context, batch []submit.Submission) {
 	if len(batch) > 0 && !d.module.writer.Offer(ctx, batch) {
-		metricPutOff.Add(1)
+		metricDeferred.Add(1)
 	}
 }
 
-// publish renews what other goroutines see, and whom the watcher calls.
+// publish updates the snapshot for other goroutines and the targets of the watcher.
 func (d *duty) publish(view *state.View, now time.Time) {
-	if view != d.circleOf {
-		d.circleOf = view
-		d.circle = core.NewNodeRing(view.Nodes())
+	if view != d.ringView {
+		d.ringView = view
+		d.nodeRing = core.NewNodeRing(view.Nodes())
 	}
 	self := d.module.identity.Node
-	silent := func(id topo.NodeID) bool { return d.live.Unresponsive(id, now) }
-	watched := d.circle.Watched(self, silent)
-	for _, id := range core.OtherWatchers(d.circle, d.live, self, now) {
+	unresponsive := func(id topo.NodeID) bool { return d.live.Unresponsive(id, now) }
+	watched := d.nodeRing.Watched(self, unresponsive)
+	for _, id := range core.OtherWatchers(d.nodeRing, d.live, self, now) {
 		if !slices.Contains(watched, id) {
 			watched = append(watched, id)
 		}
 	}
 	d.live.Keep(watched)
 	d.targets.Store(watched)
-	known := &picture{circle: d.circle, silent: d.live.AllUnresponsive(now)}
+	next := &snapshot{ring: d.nodeRing, unresponsive: d.live.AllUnresponsive(now)}
 	for _, id := range watched {
 		if d.live.Unable(id, now) {
-			known.unable = append(known.unable, id)
+			next.unable = append(next.unable, id)
 		}
 	}
-	d.module.published.Store(known)
+	d.module.published.Store(next)
 }
 
-func (d *duty) noteRoles() {
+func (d *duty) logRoleChanges() {
 	for _, role := range []core.Role{core.RoleServers, core.RolePlanner} {
 		holds := d.module.Holds(role)
 		switch {
-		case holds && !d.held[role]:
-			eventRoleTaken.Log(d.logger, "role", role)
-		case !holds && d.held[role]:
-			eventRoleGiven.Log(d.logger, "role", role)
+		case holds && !d.heldRoles[role]:
+			eventRoleAcquired.Log(d.logger, "role", role)
+		case !holds && d.heldRoles[role]:
+			eventRoleReleased.Log(d.logger, "role", role)
 		}
-		d.held[role] = holds
+		d.heldRoles[role] = holds
 	}
 }
 
@@ -161,34 +163,34 @@
 	return &core.Observed{
 		Now:     now,
 		Self:    d.module.identity.Node,
-		Holder:  d.held[core.RoleServers],
+		Holder:  d.heldRoles[core.RoleServers],
 		Roster:  d.roster,
-		Reports: d.module.words.All(),
+		Reports: d.module.reports.All(),
 		Unable:  d.module.Unable,
 	}
 }
 
-// forgetOthers drops the words of servers that this node is not the lessor of.
+// forgetOthers removes the reports of servers that this node is not the lessor of.
 func (d *duty) forgetOthers(view *state.View) {
-	for id := range d.module.words.All() {
+	for id := range d.module.reports.All() {
 		server, exists := view.Server(id)
 		group, _ := view.Group(server.Group)
 		if !exists || group.Lessor != d.module.identity.Node {
-			d.module.words.Forget(id)
+			d.module.reports.Forget(id)
 		}
 	}
 }
 
-// concerned reports whether the list matters to this node although it does not
-// hold the role: a node that it watches is silent, or a server of its own is
-// silent or drains.
-func (d *duty) concerned(view *state.View, o *core.Observed) bool {
+// needsList reports whether this node needs the VM list although it does not hold
+// RoleServers: a node that it watches is unresponsive, or a server of which it is
+// the lessor is unresponsive or not live.
+func (d *duty) needsList(view *state.View, o *core.Observed) bool {
 	if len(d.live.AllUnresponsive(o.Now)) > 0 {
 		return true
 	}
-	for id, word := range o.Reports {
+	for id, report := range o.Reports {
 		server, exists := view.Server(id)
-		if exists && (!word.Silent.IsZero() || server.Phase != state.PhaseLive) {
+		if exists && (!report.Silent.IsZero() || server.Phase != state.PhaseLive) {
 			return true
 		}
 	}
@@ -208,6 +210,6 @@
 	}
 	return []submit.Submission{{
 		Record: &bspb.Record{Body: &bspb.Record_JoinNode{JoinNode: body}},
-		Done:   d.settled(func() { eventJoined.Log(d.logger, "address", body.PeerAddress) }),
+		Done:   d.onOutcome(func() { eventJoined.Log(d.logger, "address", body.PeerAddress) }),
 	}}
 }
--- a/modules/membership/membership_test.go
+++ b/modules/membership/membership_test.go
@@ -19,7 +19,7 @@
 	"github.com/burdockspindle/burdockspindle/vmlist"
 )
 
-// site is a cluster of six nodes in three zones, under a faked clock.
+// site is a cluster of six nodes in three zones with a fake clock.
 type site struct {
 	*dutytest.Cluster
 	t     *testing.T
@@ -27,7 +27,7 @@
 	nodes []*dutytest.Node
 }
 
-// run gives a test a site whose nodes have joined.
+// run runs a test on a site whose nodes have joined.
 func run(t *testing.T, test func(s *site)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &site{Cluster: dutytest.New(t, "duty.membership"), t: t, g: gomega.NewWithT(t)}
@@ -43,7 +43,7 @@
 	})
 }
 
-// pass lets time go by.
+// pass advances the fake clock.
 func (s *site) pass(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
@@ -69,7 +69,7 @@
 	return holders
 }
 
-// server shows a live server.
+// server adds a live server to the VM list.
 func (s *site) server(id, zone string) {
 	s.VMs.Put(vmlist.VM{
 		ID: id, Role: vmlist.RoleServer, Service: "logs", Zone: topo.Zone(zone), Address: "127.0.0.1:9",
@@ -77,7 +77,7 @@
 	})
 }
 
-// records counts the records written in a time.
+// records counts the records written while a function runs.
 func (s *site) records(during func()) int {
 	before := len(s.Site.Records())
 	during()
@@ -86,7 +86,7 @@
 
 func TestNodesJoinAndLeave(t *testing.T) {
 	run(t, func(s *site) {
-		s.g.Expect(s.records(func() { s.pass(time.Minute) })).To(gomega.BeZero(), "a quiet site writes nothing")
+		s.g.Expect(s.records(func() { s.pass(time.Minute) })).To(gomega.BeZero(), "an idle site writes nothing")
 		s.nodes[2].Stop()
 		s.g.Expect(s.member("node-2")).To(gomega.BeFalse())
 		s.Start("node-2", "zone-c", "2")
@@ -96,8 +96,8 @@
 	})
 }
 
-// TestARestartedNodeJoinsUnderItsNewBoot was killed, so that its earlier run is
-// a member still.
+// TestARestartedNodeJoinsUnderItsNewBoot kills and restarts a node whose earlier
+// incarnation is still a member.
 func TestARestartedNodeJoinsUnderItsNewBoot(t *testing.T) {
 	run(t, func(s *site) {
 		s.nodes[2].Kill()
@@ -108,7 +108,7 @@
 	})
 }
 
-func TestANodeTakenOffByMistakeJoinsAgain(t *testing.T) {
+func TestANodeRemovedByMistakeJoinsAgain(t *testing.T) {
 	run(t, func(s *site) {
 		node, _ := s.Site.View().Node("node-1")
 		s.Site.Apply("operator@1", removeNode(node))
@@ -160,7 +160,7 @@
 				s.g.Expect(now).To(gomega.HaveLen(1))
 				s.server("s1", "zone-a")
 				s.pass(2 * time.Second)
-				s.g.Expect(s.phase("s1")).To(gomega.Equal(state.PhaseLive), "the duty is done again")
+				s.g.Expect(s.phase("s1")).To(gomega.Equal(state.PhaseLive), "the role is performed again")
 			})
 		})
 	}
@@ -175,35 +175,35 @@
 		s.pass(3 * time.Second)
 		s.g.Expect(s.phase("s1")).To(gomega.Equal(state.PhaseLive))
 
-		// The server says that it drains long before the list does.
+		// The server reports that it is draining long before the list shows it.
 		s.Site.Lessor("zone-a", "node-0")
-		s.hear(true)
+		s.reportAnswer(true)
 		s.pass(time.Second)
 		s.g.Expect(s.phase("s1")).To(gomega.Equal(state.PhaseDraining))
 		s.VMs.SetPhase("s1", vmlist.PhaseLeaving)
 		s.pass(30 * time.Second)
 		s.g.Expect(s.phase("s1")).To(gomega.Equal(state.PhaseDraining))
 
-		// It is gone and silent; the list tells of it late.
+		// The server is gone and unresponsive; the list shows this with a delay.
 		s.VMs.SetPhase("s1", vmlist.PhaseGone)
 		dutytest.Use[*core.Words](s.nodes[0]).Silent("s1", time.Now())
 		s.pass(19 * time.Second)
 		s.g.Expect(s.Site.View().ServerLost("s1")).To(gomega.BeFalse())
 		s.pass(5 * time.Second)
 		_, exists := s.Site.View().Server("s1")
-		s.g.Expect(exists).To(gomega.BeFalse(), "gone, unheard and named by no shard")
+		s.g.Expect(exists).To(gomega.BeFalse(), "gone, unresponsive and without shards")
 	})
 }
 
-// hear lets the lessor on the first node learn what server s1 says.
-func (s *site) hear(draining bool) {
+// reportAnswer simulates an answer of server s1 to the lessor on the first node.
+func (s *site) reportAnswer(draining bool) {
 	dutytest.Use[*core.Words](s.nodes[0]).Heard("s1", draining, time.Now())
 }
 
 func TestALeavingServerIsDrainingWithinThreeSeconds(t *testing.T) {
 	cases := map[string]func(s *site){
 		"the list says so":   func(s *site) { s.VMs.SetPhase("s1", vmlist.PhaseLeaving) },
-		"the server says so": func(s *site) { s.hear(true) },
+		"the server says so": func(s *site) { s.reportAnswer(true) },
 	}
 	for name, leave := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -211,7 +211,7 @@
 				s.server("s1", "zone-a")
 				s.Site.Lessor("zone-a", "node-0")
 				s.pass(3 * time.Second)
-				s.hear(false)
+				s.reportAnswer(false)
 				leave(s)
 				s.pass(3 * time.Second)
 				s.g.Expect(s.phase("s1")).To(gomega.Equal(state.PhaseDraining))
@@ -220,8 +220,9 @@
 	}
 }
 
-// TestAnOldStateDoesNotReviveADrainingServer freezes the view of the role's
-// holder, which then adds the server again and again.
+// TestAnOldStateDoesNotReviveADrainingServer freezes the view of the role's holder,
+// which then tries repeatedly to add the server as live. Those records must have no
+// effect.
 func TestAnOldStateDoesNotReviveADrainingServer(t *testing.T) {
 	run(t, func(s *site) {
 		s.Site.Lessor("zone-a", "node-0")
@@ -230,16 +231,16 @@
 		s.server("s1", "zone-a")
 		s.pass(3 * time.Second)
 		s.g.Expect(s.phase("s1")).To(gomega.Equal(state.PhaseLive))
-		s.hear(true)
+		s.reportAnswer(true)
 		s.pass(time.Second)
 		s.g.Expect(s.phase("s1")).To(gomega.Equal(state.PhaseDraining))
 		before := len(s.Site.Records())
 		for range 60 {
-			s.hear(true)
+			s.reportAnswer(true)
 			s.pass(time.Second)
 		}
 		late := s.Site.Records()[before:]
-		s.g.Expect(late).NotTo(gomega.BeEmpty(), "the holder went on adding it")
+		s.g.Expect(late).NotTo(gomega.BeEmpty(), "the holder continued to add it")
 		for _, record := range late {
 			s.g.Expect(record.Result.Accepted).To(gomega.BeFalse(), "%v", record.Record)
 		}
@@ -274,13 +275,13 @@
 		{"gone", func(s *site) { s.VMs.SetPhase("node-4", vmlist.PhaseGone) }, 20 * time.Second, true, true},
 		{"leaving", func(s *site) { s.VMs.SetPhase("node-4", vmlist.PhaseLeaving) }, 20 * time.Second, true, false},
 		{"missing", func(s *site) { s.VMs.Remove("node-4") }, 30 * time.Second, true, false},
-		// For how long: see the table in package membership.
-		{"list behind: live", func(*site) {}, time.Minute, false, false},
+		// The duration is covered by TestRemovalOfANode in package membership.
+		{"list lags: live", func(*site) {}, time.Minute, false, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			run(t, func(s *site) {
-				s.Site.Lessor("zone-b", "node-4") // the mark of a lost run stays while a group names it
+				s.Site.Lessor("zone-b", "node-4") // an incarnation stays marked as lost while a group refers to it
 				s.nodes[4].Kill()
 				c.list(s)
 				s.pass(c.after)
@@ -299,8 +300,8 @@
 	})
 }
 
-// TestNodesCutOffFromSomeAreNotRemoved cuts links between nodes; the list calls
-// the node gone. As long as one watcher hears it, it stays.
+// TestNodesCutOffFromSomeAreNotRemoved cuts links between nodes while the list shows
+// the node as gone. The node is not removed as long as one watcher gets its answers.
 func TestNodesCutOffFromSomeAreNotRemoved(t *testing.T) {
 	run(t, func(s *site) {
 		s.VMs.SetPhase("node-3", vmlist.PhaseGone)
@@ -312,8 +313,8 @@
 		s.g.Expect(s.member("node-3")).To(gomega.BeTrue())
 		s.Network.Isolate("node-3")
 		s.pass(30 * time.Second)
-		// Cut off from peers but not from the log, it may join again, and is
-		// removed again; what matters is that the watchers acted.
+		// The node is cut off from its peers but not from the log. It may join and
+		// be removed repeatedly, so the test only requires one removal.
 		removed := 0
 		for _, record := range s.Site.Records() {
 			if record.Record.GetRemoveNode().GetNode() == "node-3" {
@@ -324,9 +325,9 @@
 	})
 }
 
-// TestSilentConnectionsAreNotSilentNodes makes every open connection silent,
-// again and again, while the list wrongly calls all nodes gone.
-func TestSilentConnectionsAreNotSilentNodes(t *testing.T) {
+// TestStalledConnectionsAreNotUnresponsiveNodes stalls every open connection
+// repeatedly while the list wrongly shows all nodes as gone. No node may be removed.
+func TestStalledConnectionsAreNotUnresponsiveNodes(t *testing.T) {
 	run(t, func(s *site) {
 		for _, n := range s.nodes {
 			s.VMs.SetPhase(string(n.ID), vmlist.PhaseGone)
@@ -343,8 +344,9 @@
 	})
 }
 
-// TestAQuietSiteCostsLittle counts the reads of the list and the Status calls.
-func TestAQuietSiteCostsLittle(t *testing.T) {
+// TestAnIdleSiteCostsLittle counts the reads of the VM list and the Status calls of
+// an idle site.
+func TestAnIdleSiteCostsLittle(t *testing.T) {
 	run(t, func(s *site) {
 		s.server("s1", "zone-a")
 		s.pass(5 * time.Second)
--- a/modules/membership/module.go
+++ b/modules/membership/module.go
@@ -1,8 +1,7 @@
-// Package membership is the module duty.membership: it joins the node to the
-// site and takes it off again, watches other nodes, reads the VM list when this
-// node has a use for it, and writes what package membership decides to the log.
-// It provides *membership.Words and membership.Roles, and answers peers' Status
-// calls.
+// Package membership is the module duty.membership. It adds the node to the site
+// and removes it at shutdown, watches other nodes, reads the VM list while this node
+// needs it, and writes the decisions of package membership to the log. It provides
+// *membership.ServerReports and membership.Roles, and answers peers' Status calls.
 package membership
 
 import (
@@ -27,28 +26,28 @@
 )
 
 const (
-	defaultPollEvery = time.Second
-	watchEvery       = time.Second
-	watchTimeout     = 800 * time.Millisecond
-	tickEvery        = time.Second
+	defaultPollInterval = time.Second
+	watchInterval       = time.Second
+	watchTimeout        = 800 * time.Millisecond
+	tickInterval        = time.Second
 )
 
 func init() { kernel.Register(&Module{}) }
 
 // Module implements kernel.Module.
 type Module struct {
-	identity kernel.Identity
-	logger   hclog.Logger
-	source   state.Source
-	appender follower.Appender
-	caller   peer.Caller
-	list     vmlist.List
-	address  func() string
-	words    *core.Words
-	pollWait time.Duration
+	identity     kernel.Identity
+	logger       hclog.Logger
+	source       state.Source
+	appender     follower.Appender
+	caller       peer.Caller
+	list         vmlist.List
+	address      func() string
+	reports      *core.Words
+	pollInterval time.Duration
 
 	draining  atomic.Bool
-	published atomic.Pointer[picture]
+	published atomic.Pointer[snapshot]
 	duty      *duty
 	writer    *submit.Writer
 	cancel    context.CancelFunc
@@ -64,15 +63,15 @@
 func (m *Module) Provision(ctx *kernel.Context) error {
 	m.identity = ctx.Identity
 	m.logger = ctx.Logger.Named("membership")
-	m.words = core.NewServerReports()
-	m.published.Store(&picture{})
+	m.reports = core.NewServerReports()
+	m.published.Store(&snapshot{})
 	settings, err := kernel.Use[*settings.Settings](ctx)
 	if err != nil {
 		return err
 	}
-	m.pollWait = settings.Timing.VMPollEvery
-	if m.pollWait <= 0 {
-		m.pollWait = defaultPollEvery
+	m.pollInterval = settings.Timing.VMPollEvery
+	if m.pollInterval <= 0 {
+		m.pollInterval = defaultPollInterval
 	}
 	var handlers *peer.Handlers
 	for _, use := range []func() error{
@@ -92,35 +91,34 @@
 	}
 	handlers.Status = m.status
 	return errors.Join(
-		kernel.Provide(ctx, m.words),
+		kernel.Provide(ctx, m.reports),
 		kernel.Provide[core.Roles](ctx, m),
 	)
 }
 
 // Start implements kernel.Starter. It does not wait until the node has joined,
-// since the log may be away.
+// because the log may be unavailable.
 func (m *Module) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	m.cancel = cancel
 	m.writer = submit.NewWriter("membership-records", m.appender)
 	m.duty = newDuty(m)
 	w := &watcher{caller: m.caller, results: m.duty.answers, targets: m.duty.targets.Load}
-	r := &reader{list: m.list, every: m.pollWait, wanted: m.duty.wantsList.Load, results: m.duty.lists}
+	r := &reader{list: m.list, interval: m.pollInterval, enabled: m.duty.wantsList.Load, results: m.duty.lists}
 	for _, run := range []func(context.Context){m.writer.Run, m.duty.run, w.run, r.run} {
 		m.running.Go(func() { run(ctx) })
 	}
 	return nil
 }
 
-// Drain implements kernel.Drainer: the node gives its roles away and decides
-// nothing more. It stays a member until Stop, since peers forward to it.
+// Drain implements kernel.Drainer. The node releases its roles and makes no further
+// decisions. It stays a member until Stop, because peers forward requests to it.
 func (m *Module) Drain(context.Context) error {
 	m.draining.Store(true)
 	return nil
 }
 
-// Stop implements kernel.Stopper. After a drain the node takes itself off the
-// site.
+// Stop implements kernel.Stopper. After a drain it removes the node from the site.
 func (m *Module) Stop(ctx context.Context) error {
 	if m.cancel == nil {
 		return nil
@@ -138,7 +136,7 @@
 		Node: string(m.identity.Node), Boot: string(m.identity.Boot),
 	}}}
 	if _, err := m.appender.Submit(ctx, record); err != nil {
-		eventLeaveUnknown.Log(m.logger, "error", err)
+		eventLeaveFailed.Log(m.logger, "error", err)
 		return
 	}
 	eventLeft.Log(m.logger)
@@ -150,7 +148,7 @@
 		Applied:  uint64(m.source.View().Applied()),
 		Draining: m.draining.Load(),
 	}
-	for _, id := range m.published.Load().silent {
+	for _, id := range m.published.Load().unresponsive {
 		answer.Silent = append(answer.Silent, string(id))
 	}
 	return answer, nil
--- a/modules/membership/records.go
+++ b/modules/membership/records.go
@@ -9,10 +9,10 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// lossSource names, in ConfirmLoss records, who says so.
+// lossSource is the source of the confirmation in ConfirmLoss records.
 const lossSource = "vm-list"
 
-// serverRecords returns what should be written about servers.
+// serverRecords returns the records to write about servers.
 func (d *duty) serverRecords(view *state.View, o *core.Observed) []submit.Submission {
 	changes := core.DecideServers(view, o)
 	basis := uint64(view.Applied())
@@ -24,7 +24,7 @@
 		update := &bspb.UpdateServers{Upsert: changes.Upsert, Remove: changes.Remove, Basis: basis}
 		batch = append(batch, submit.Submission{
 			Record: &bspb.Record{Body: &bspb.Record_UpdateServers{UpdateServers: update}},
-			Done: d.settled(func() {
+			Done: d.onOutcome(func() {
 				eventServers.Log(d.logger, "changed", len(update.Upsert), "removed", len(update.Remove))
 			}),
 		})
@@ -32,9 +32,9 @@
 	return batch
 }
 
-// nodeRecords returns what should be written about silent nodes.
+// nodeRecords returns the records to write about unresponsive nodes.
 func (d *duty) nodeRecords(view *state.View, o *core.Observed) []submit.Submission {
-	changes := core.DecideNodes(view, d.circle, d.live, o)
+	changes := core.DecideNodes(view, d.nodeRing, d.live, o)
 	var batch []submit.Submission
 	if len(changes.Lost) > 0 {
 		batch = append(batch, d.loss(&bspb.ConfirmLoss{Nodes: changes.Lost, Source: lossSource}))
@@ -42,7 +42,7 @@
 	for _, remove := range changes.Remove {
 		batch = append(batch, submit.Submission{
 			Record: &bspb.Record{Body: &bspb.Record_RemoveNode{RemoveNode: remove}},
-			Done: d.settled(func() {
+			Done: d.onOutcome(func() {
 				metricNodesRemoved.Add(1)
 				eventNodeRemoved.Log(d.logger, "peer", remove.Node, "boot", remove.Boot)
 			}),
@@ -54,26 +54,27 @@
 func (d *duty) loss(body *bspb.ConfirmLoss) submit.Submission {
 	return submit.Submission{
 		Record: &bspb.Record{Body: &bspb.Record_ConfirmLoss{ConfirmLoss: body}},
-		Done: d.settled(func() {
-			metricLossesTold.Add(int64(len(body.Servers) + len(body.Nodes)))
+		Done: d.onOutcome(func() {
+			metricLossesConfirmed.Add(int64(len(body.Servers) + len(body.Nodes)))
 			eventLossConfirmed.Log(d.logger, "servers", body.Servers, "nodes", body.Nodes)
 		}),
 	}
 }
 
-// settled counts and logs a record's fate, and calls took when it took effect.
-func (d *duty) settled(took func()) func(follower.Fate, error) {
-	return func(fate follower.Fate, err error) {
+// onOutcome returns a callback that counts and logs the outcome of a record, and calls
+// took if the record took effect.
+func (d *duty) onOutcome(onAccepted func()) func(follower.Fate, error) {
+	return func(outcome follower.Fate, err error) {
 		metricSubmitted.Add(1)
 		switch {
 		case err != nil:
 			metricSubmitFailed.Add(1)
 			eventSubmitFailed.Log(d.logger, "error", err)
-		case !fate.Accepted:
+		case !outcome.Accepted:
 			metricRefused.Add(1)
-			eventRefused.Log(d.logger, "offset", fate.Offset, "conflict", fate.Conflict)
+			eventRefused.Log(d.logger, "offset", outcome.Offset, "conflict", outcome.Conflict)
 		default:
-			took()
+			onAccepted()
 		}
 	}
 }
--- a/modules/membership/watch.go
+++ b/modules/membership/watch.go
@@ -20,16 +20,16 @@
 	failed bool
 }
 
-// watcher calls the watched nodes' Status at intervals.
+// watcher calls Status on the watched nodes at regular intervals.
 type watcher struct {
 	caller  peer.Caller
 	targets func() any // []topo.NodeID
 	results *ring.Ring[nodeAnswer]
 }
 
-// run ends with ctx.
+// run returns when ctx is done.
 func (w *watcher) run(ctx context.Context) {
-	ticker := time.NewTicker(watchEvery)
+	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -52,22 +52,22 @@
 func (w *watcher) call(ctx context.Context, id topo.NodeID) {
 	callCtx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
-	metricProbes.Add(1)
+	metricStatusCalls.Add(1)
 	result := nodeAnswer{node: id, began: time.Now()}
 	status, err := w.caller.Status(callCtx, id)
 	if err != nil {
 		if ctx.Err() != nil {
-			return // this node stops; that says nothing of the other
+			return // this node is stopping; the failure does not concern the other node
 		}
-		metricProbeFailed.Add(1)
+		metricStatusFailed.Add(1)
 		result.failed = true
 	} else {
 		result.answer = core.Answer{Boot: topo.BootID(status.GetSender().GetBoot()), Draining: status.GetDraining()}
-		for _, silent := range status.GetSilent() {
-			result.answer.Unresponsive = append(result.answer.Unresponsive, topo.NodeID(silent))
+		for _, unresponsive := range status.GetSilent() {
+			result.answer.Unresponsive = append(result.answer.Unresponsive, topo.NodeID(unresponsive))
 		}
 	}
-	_ = w.results.Put(ctx, result) // ends only with ctx
+	_ = w.results.Put(ctx, result) // fails only when ctx is done
 }
 
 // vmList is the result of one successful read of the VM list.
@@ -76,20 +76,20 @@
 	asked time.Time
 }
 
-// reader reads the VM list at intervals while this node has a use for it.
+// reader reads the VM list at regular intervals while this node needs it.
 type reader struct {
-	list    vmlist.List
-	every   time.Duration
-	wanted  func() bool
-	results *ring.Ring[vmList]
+	list     vmlist.List
+	interval time.Duration
+	enabled  func() bool
+	results  *ring.Ring[vmList]
 }
 
-// run ends with ctx.
+// run returns when ctx is done.
 func (r *reader) run(ctx context.Context) {
-	ticker := time.NewTicker(r.every)
+	ticker := time.NewTicker(r.interval)
 	defer ticker.Stop()
 	for {
-		if r.wanted() {
+		if r.enabled() {
 			r.read(ctx)
 		}
 		select {
@@ -103,12 +103,12 @@
 func (r *reader) read(ctx context.Context) {
 	asked := time.Now()
 	metricListReads.Add(1)
-	readCtx, cancel := context.WithTimeout(ctx, max(r.every, defaultPollEvery))
+	readCtx, cancel := context.WithTimeout(ctx, max(r.interval, defaultPollInterval))
 	defer cancel()
 	vms, err := r.list.VMs(readCtx)
 	if err != nil {
 		metricListFailed.Add(1)
 		return
 	}
-	_ = r.results.Put(ctx, vmList{vms: vms, asked: asked}) // ends only with ctx
+	_ = r.results.Put(ctx, vmList{vms: vms, asked: asked}) // fails only when ctx is done
 }
