--- a/modules/lessor/actions.go
+++ b/modules/lessor/actions.go
@@ -20,7 +20,7 @@
 
 // renew sends one lease request.
 func (w *worker) renew(ctx context.Context, now time.Duration, id topo.ServerID) {
-	if !w.calls.room() {
+	if !w.calls.hasSlot() {
 		return
 	}
 	order, allowed := w.member.BeginRenew(now, id)
@@ -32,13 +32,13 @@
 	req := orderToRequest(w.group, w.module.self, order)
 	w.calls.begin(ctx, w.module.timing.RenewEvery, func(ctx context.Context) input {
 		reply, err := w.module.driver.Lease(ctx, target, req)
-		return w.leaseEnded(id, order.Attempt, reply, err, req.Full)
+		return w.leaseResult(id, order.Attempt, reply, err, req.Full)
 	})
 }
 
-// acknowledge asks a server to refuse earlier terms.
+// acknowledge sends one acknowledgement, which asks a server to refuse earlier terms.
 func (w *worker) acknowledge(ctx context.Context, now time.Duration, id topo.ServerID) {
-	if !w.calls.room() {
+	if !w.calls.hasSlot() {
 		return
 	}
 	term, attempt, allowed := w.member.BeginAcknowledge(now, id)
@@ -50,26 +50,26 @@
 	req := serverapi.AcknowledgeRequest{Term: term.String(), Group: string(w.group)}
 	w.calls.begin(ctx, w.module.timing.RenewEvery, func(ctx context.Context) input {
 		reply, err := w.module.driver.Acknowledge(ctx, target, req)
-		return w.leaseEnded(id, attempt, reply, err, true)
+		return w.leaseResult(id, attempt, reply, err, true)
 	})
 }
 
-func (w *worker) leaseEnded(id topo.ServerID, attempt uint64, reply serverapi.LeaseReply, err error, active bool) input {
+func (w *worker) leaseResult(id topo.ServerID, attempt uint64, reply serverapi.LeaseReply, err error, active bool) input {
 	ended := leaseAnswered{server: id, attempt: attempt}
 	if err == nil {
 		ended.report, err = reportFromReply(reply, active)
 		if err != nil {
-			eventUnreadable.Log(w.module.logger, "server", id, "error", err)
+			eventMalformedReply.Log(w.module.logger, "server", id, "error", err)
 		}
 	}
 	ended.failed = err != nil
 	return ended
 }
 
-// heartbeat sends one heartbeat to the standby lessor. Without an answer there
-// is nothing to tell.
+// heartbeat sends one heartbeat to the standby lessor. A failed heartbeat is not
+// reported to the member.
 func (w *worker) heartbeat(ctx context.Context, now time.Duration, to topo.NodeID) {
-	if !w.calls.room() {
+	if !w.calls.hasSlot() {
 		return
 	}
 	heartbeat, allowed := w.member.BeginHeartbeat(now)
@@ -78,9 +78,9 @@
 	}
 }
 
-// ask asks a former lessor whether it has stopped.
-func (w *worker) ask(ctx context.Context, now time.Duration, to topo.NodeID) {
-	if !w.calls.room() {
+// askPrevious asks a previous lessor whether it has stopped.
+func (w *worker) askPrevious(ctx context.Context, now time.Duration, to topo.NodeID) {
+	if !w.calls.hasSlot() {
 		return
 	}
 	heartbeat, allowed := w.member.BeginAsk(now)
@@ -95,16 +95,16 @@
 	w.calls.begin(ctx, w.module.timing.SuspectAfter, func(ctx context.Context) input {
 		resp, err := w.module.caller.Heartbeat(ctx, to, req)
 		if err != nil {
-			metricHeartFailed.Add(1)
+			metricHeartbeatsFailed.Add(1)
 			return nil
 		}
 		return heartbeatAnswered{reply: replyFromProto(resp)}
 	})
 }
 
-// probe asks a node for a sign of life.
+// probe checks whether a node responds.
 func (w *worker) probe(ctx context.Context, now time.Duration, id topo.NodeID) {
-	if !w.calls.room() {
+	if !w.calls.hasSlot() {
 		return
 	}
 	w.member.BeginProbe(now, id)
@@ -114,11 +114,11 @@
 		if err != nil {
 			return probeEnded{node: id, failed: true}
 		}
-		return probeEnded{node: id, run: runOf(resp.GetSender())}
+		return probeEnded{node: id, incarnation: incarnationOf(resp.GetSender())}
 	})
 }
 
-// claim writes a claim of the group's next term.
+// claim writes a claim of the group's next term to the log.
 func (w *worker) claim(ctx context.Context) {
 	claim, number, allowed := w.member.BeginClaim(w.module.now())
 	if !allowed {
@@ -128,32 +128,32 @@
 	eventClaiming.Log(w.module.logger, "group", w.group, "expected", claim.Expected, "standby", claim.Standby.Node, "ownDelay", w.member.OwnDelay(w.module.now()))
 	record := claimToProto(w.group, w.module.self, claim)
 	w.calls.write(ctx, func(ctx context.Context) input {
-		fate, err := w.module.appender.Submit(ctx, record)
-		return w.claimEnded(number, fate, err)
+		outcome, err := w.module.appender.Submit(ctx, record)
+		return w.claimResult(number, outcome, err)
 	})
 }
 
-func (w *worker) claimEnded(number uint64, fate follower.Fate, err error) input {
+func (w *worker) claimResult(number uint64, outcome follower.Fate, err error) input {
 	if err != nil {
 		eventClaimFailed.Log(w.module.logger, "group", w.group, "error", err)
 		return claimEnded{number: number, failed: true, unknown: isUnknown(err)}
 	}
-	if !fate.Accepted {
-		eventClaimRefused.Log(w.module.logger, "group", w.group, "conflict", fate.Conflict)
+	if !outcome.Accepted {
+		eventClaimRefused.Log(w.module.logger, "group", w.group, "conflict", outcome.Conflict)
 	} else {
 		metricClaimsWon.Add(1)
 	}
-	return claimEnded{number: number, accepted: fate.Accepted}
+	return claimEnded{number: number, accepted: outcome.Accepted}
 }
 
-// isUnknown reports whether a record may have been written although Submit
-// failed. Anything but a proof of the contrary counts.
+// isUnknown reports whether a record may have been written although Submit failed:
+// every error except a *follower.NotAppendedError leaves the outcome unknown.
 func isUnknown(err error) bool {
 	var not *follower.NotAppendedError
 	return !errors.As(err, &not)
 }
 
-// submit writes assignments.
+// submit writes shard assignments to the log.
 func (w *worker) submit(ctx context.Context, now time.Duration) {
 	submission, number, due := w.member.BeginSubmit(now)
 	if !due {
@@ -165,27 +165,27 @@
 	eventAssigning.Log(w.module.logger, "group", w.group, "reason", submission.Reason, "shards", count)
 	record := submissionToProto(w.group, submission)
 	w.calls.write(ctx, func(ctx context.Context) input {
-		fate, err := w.module.appender.Submit(ctx, record)
+		outcome, err := w.module.appender.Submit(ctx, record)
 		if err != nil {
 			eventAssignFailed.Log(w.module.logger, "group", w.group, "error", err)
 			return submitEnded{number: number, failed: true, unknown: isUnknown(err)}
 		}
-		if rejected := len(fate.RejectedShards); rejected > 0 {
+		if rejected := len(outcome.RejectedShards); rejected > 0 {
 			metricRejected.Add(int64(rejected))
-			eventRejected.Log(w.module.logger, "group", w.group, "rejected", rejected, "conflict", fate.Conflict)
+			eventRejected.Log(w.module.logger, "group", w.group, "rejected", rejected, "conflict", outcome.Conflict)
 		}
-		return submitEnded{number: number, offset: fate.Offset}
+		return submitEnded{number: number, offset: outcome.Offset}
 	})
 }
 
-// announce tells the other nodes what was decided off the log. Each gets a call
-// of its own, so that a silent one holds up none.
+// announce sends the decisions made off the log to the other nodes. Each node gets a
+// separate call, so that an unresponsive one does not delay the others.
 func (w *worker) announce(ctx context.Context, now time.Duration) {
 	announcement, due := w.member.BeginAnnounce(now)
 	if !due {
 		return
 	}
-	w.module.announced(w.group, w.module.self, announcement)
+	w.module.publishAnnouncement(w.group, w.module.self, announcement)
 	req := &bspb.AnnounceRequest{
 		Sender: w.module.caller.Sender(),
 		Group:  string(w.group),
@@ -199,11 +199,11 @@
 		})
 	}
 	for _, id := range w.module.caller.Known() {
-		if !w.announcements.room() {
+		if !w.announcements.hasSlot() {
 			return
 		}
 		w.announcements.begin(ctx, w.module.timing.SuspectAfter, func(ctx context.Context) input {
-			_ = w.module.caller.Announce(ctx, id, req) // told again soon
+			_ = w.module.caller.Announce(ctx, id, req) // the announcement is repeated
 			return nil
 		})
 	}
--- a/modules/lessor/calls.go
+++ b/modules/lessor/calls.go
@@ -7,69 +7,69 @@
 )
 
 const (
-	// callsMost bounds the calls of one group that are under way. A member has
-	// at most one with each server and probed node, and heartbeats end after
-	// SuspectAfter.
-	callsMost = 256
-	// announcementsMost bounds the announcements of one group under way.
-	announcementsMost = 64
-	// writesMost bounds the records under way: one claim and one record of
+	// maxCalls bounds the calls in flight of one group. A member has at most one
+	// with each server and probed node, and heartbeats time out after SuspectAfter.
+	maxCalls = 256
+	// maxAnnouncements bounds the announcements in flight of one group.
+	maxAnnouncements = 64
+	// maxWrites bounds the records in flight: one claim and one record of
 	// assignments, and as many of an earlier term.
-	writesMost = 4
-	// probesPerSuspicion is how many probes fit in the suspicion time.
+	maxWrites = 4
+	// probesPerSuspicion is how many probes fit in SuspectAfter.
 	probesPerSuspicion = 2
 )
 
-// calls runs the calls that a worker has begun, each in a goroutine of its own,
-// so that a silent other end holds up nothing else.
+// calls runs the calls that a worker has begun, each in a separate goroutine, so that
+// an unresponsive peer does not delay anything else.
 type calls struct {
 	running sync.WaitGroup
-	places  chan struct{}
-	// ended has room for every call and record, so that no call waits for the
-	// worker.
-	ended chan input
+	slots   chan struct{}
+	// results has capacity for the result of every call and record, so that no call
+	// waits for the worker.
+	results chan input
 }
 
-func newCalls(most int) *calls {
+func newCalls(limit int) *calls {
 	return &calls{
-		places: make(chan struct{}, most),
-		ended:  make(chan input, most+writesMost),
+		slots:   make(chan struct{}, limit),
+		results: make(chan input, limit+maxWrites),
 	}
 }
 
-// room reports whether another call can begin; one that cannot is counted and
-// begun later, since it stays due.
-func (c *calls) room() bool {
-	if len(c.places) < cap(c.places) {
+// hasSlot reports whether another call can begin. A call that cannot begin is counted
+// in metricCallsDeferred and begins later, because it remains due.
+func (c *calls) hasSlot() bool {
+	if len(c.slots) < cap(c.slots) {
 		return true
 	}
-	metricCallsFull.Add(1)
+	metricCallsDeferred.Add(1)
 	return false
 }
 
-// begin runs a call for at most timeout. Its end, unless nil, is told to the
-// worker. Only the worker's goroutine begins calls, after room.
+// begin runs a call for at most timeout. Its result, unless nil, is sent to the
+// worker. Only the worker's goroutine may call begin, after hasSlot has returned true.
 func (c *calls) begin(ctx context.Context, timeout time.Duration, call func(context.Context) input) {
-	c.places <- struct{}{}
+	c.slots <- struct{}{}
 	c.running.Go(func() {
-		defer func() { <-c.places }()
+		defer func() { <-c.slots }()
 		limited, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
-		c.tell(ctx, call(limited))
+		c.sendResult(ctx, call(limited))
 	})
 }
 
-// write runs a call that ends when the fate of a record is known.
+// write runs a call without a timeout. It ends when the outcome of a record is
+// known.
 func (c *calls) write(ctx context.Context, call func(context.Context) input) {
-	c.running.Go(func() { c.tell(ctx, call(ctx)) })
+	c.running.Go(func() { c.sendResult(ctx, call(ctx)) })
 }
 
-func (c *calls) tell(ctx context.Context, end input) {
-	if end == nil {
+func (c *calls) sendResult(ctx context.Context, result input) {
+	if result == nil {
 		return
 	}
 	select {
-	case c.ended <- end:
+	case c.results <- result:
 	case <-ctx.Done():
 	}
 }
--- a/modules/lessor/convert.go
+++ b/modules/lessor/convert.go
@@ -63,7 +63,7 @@
 	return core.ModeConnected
 }
 
-func runOf(sender *bspb.Sender) core.Run {
+func incarnationOf(sender *bspb.Sender) core.Run {
 	return core.Run{Node: topo.NodeID(sender.GetNode()), Boot: topo.BootID(sender.GetBoot())}
 }
 
@@ -86,7 +86,7 @@
 
 func heartbeatFromProto(req *bspb.HeartbeatRequest) core.Heartbeat {
 	return core.Heartbeat{
-		From:      runOf(req.GetSender()),
+		From:      incarnationOf(req.GetSender()),
 		Term:      termFromProto(req.GetTerm()),
 		Round:     req.GetRound(),
 		Mode:      modeFromProto(req.GetMode()),
@@ -122,7 +122,7 @@
 
 func replyFromProto(resp *bspb.HeartbeatResponse) core.HeartbeatReply {
 	return core.HeartbeatReply{
-		From:        runOf(resp.GetSender()),
+		From:        incarnationOf(resp.GetSender()),
 		Term:        termFromProto(resp.GetTerm()),
 		Round:       resp.GetRound(),
 		Promised:    resp.GetPromised(),
@@ -155,8 +155,8 @@
 func askedFromProto(list []*bspb.AskedStandby) []core.AskedStandby {
 	var asked []core.AskedStandby
 	for _, a := range list {
-		run := core.Run{Node: topo.NodeID(a.GetNode()), Boot: topo.BootID(a.GetBoot())}
-		asked = append(asked, core.AskedStandby{Run: run, Term: termFromProto(a.GetTerm())})
+		incarnation := core.Run{Node: topo.NodeID(a.GetNode()), Boot: topo.BootID(a.GetBoot())}
+		asked = append(asked, core.AskedStandby{Run: incarnation, Term: termFromProto(a.GetTerm())})
 	}
 	return asked
 }
@@ -223,8 +223,10 @@
 	}
 }
 
-// lessorName is how a lessor's run is known to servers.
-func lessorName(run core.Run) string { return string(run.Node) + "@" + string(run.Boot) }
+// lessorName returns the name of a lessor's incarnation in lease requests.
+func lessorName(incarnation core.Run) string {
+	return string(incarnation.Node) + "@" + string(incarnation.Boot)
+}
 
 func grantsToAPI(grants []core.Grant) []serverapi.Grant {
 	list := make([]serverapi.Grant, 0, len(grants))
@@ -234,7 +236,7 @@
 	return list
 }
 
-// reportFromReply reads a server's reply. Errors are *topo.ParseError.
+// reportFromReply parses a server's reply. Errors are *topo.ParseError.
 func reportFromReply(reply serverapi.LeaseReply, withActive bool) (core.LeaseReport, error) {
 	report := core.LeaseReport{
 		Refused:    reply.Refused,
--- a/modules/lessor/inputs.go
+++ b/modules/lessor/inputs.go
@@ -7,20 +7,20 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// input is something that a worker's member is told. Each kind is applied by
-// the worker's goroutine.
+// input is an event that a worker passes to its member. The worker's goroutine
+// applies it.
 type input interface {
 	apply(m *core.Member, now time.Duration)
 }
 
-// heartbeatReceived asks for the answer to a lessor's heartbeat.
+// heartbeatReceived is a lessor's heartbeat that this node has to answer.
 type heartbeatReceived struct {
 	heartbeat core.Heartbeat
 	reply     chan core.HeartbeatReply // size 1
 }
 
 func (in heartbeatReceived) apply(m *core.Member, now time.Duration) {
-	metricHeartReceived.Add(1)
+	metricHeartbeatsReceived.Add(1)
 	reply := m.HeartbeatReceived(now, in.heartbeat)
 	if reply.Promised {
 		metricPromises.Add(1)
@@ -28,14 +28,14 @@
 	in.reply <- reply
 }
 
-// heartbeatAnswered is the standby lessor's reply to this lessor.
+// heartbeatAnswered is a reply to a heartbeat of this lessor.
 type heartbeatAnswered struct{ reply core.HeartbeatReply }
 
 func (in heartbeatAnswered) apply(m *core.Member, now time.Duration) {
 	m.HeartbeatAnswered(now, in.reply)
 }
 
-// leaseAnswered is the end of a lease or acknowledgement call.
+// leaseAnswered is the result of a lease or acknowledgement call.
 type leaseAnswered struct {
 	server  topo.ServerID
 	attempt uint64
@@ -56,11 +56,11 @@
 	m.LeaseReplied(now, in.server, in.attempt, in.report)
 }
 
-// probeEnded is the end of a probe.
+// probeEnded is the result of a probe.
 type probeEnded struct {
-	node   topo.NodeID
-	run    core.Run
-	failed bool
+	node        topo.NodeID
+	incarnation core.Run
+	failed      bool
 }
 
 func (in probeEnded) apply(m *core.Member, now time.Duration) {
@@ -68,10 +68,10 @@
 		m.ProbeFailed(in.node)
 		return
 	}
-	m.ProbeAnswered(now, in.run)
+	m.ProbeAnswered(now, in.incarnation)
 }
 
-// claimEnded is the fate of a claim.
+// claimEnded is the outcome of a claim.
 type claimEnded struct {
 	number   uint64
 	accepted bool
@@ -87,7 +87,7 @@
 	m.ClaimDone(now, in.number, in.accepted)
 }
 
-// submitEnded is the fate of a record of assignments.
+// submitEnded is the outcome of a record of assignments.
 type submitEnded struct {
 	number  uint64
 	offset  topo.Offset
@@ -103,7 +103,7 @@
 	m.SubmitDone(now, in.number, in.offset)
 }
 
-// movesRequested asks for planned moves.
+// movesRequested is a request for planned moves.
 type movesRequested struct {
 	moves    []core.Move
 	accepted chan int // size 1
@@ -113,7 +113,7 @@
 	in.accepted <- m.RequestMove(now, in.moves)
 }
 
-// drainRequested makes the member give its term away.
+// drainRequested makes the member hand its term over.
 type drainRequested struct{}
 
 func (drainRequested) apply(m *core.Member, _ time.Duration) { m.SetDraining() }
--- a/modules/lessor/lessor_test.go
+++ b/modules/lessor/lessor_test.go
@@ -17,25 +17,25 @@
 
 var oneZone = []string{"a"}
 
-const limit = 10 * time.Minute
+const defaultLimit = 10 * time.Minute
 
-// start is how long a new site may take until every shard is served.
-const start = 2 * time.Second
+// startupTime is the longest time until a new site serves every shard.
+const startupTime = 2 * time.Second
 
 func TestNewSiteIsServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, []string{"a", "b", "c"}, 2, limit)
-		took := w.until(start, "every shard served", w.allServed)
+		w := newWorld(t, []string{"a", "b", "c"}, 2, defaultLimit)
+		took := w.waitFor(startupTime, "every shard served", w.allServed)
 		t.Logf("every shard served after %v", took)
-		w.until(start, "standby lessors", func() bool { return w.standby("a/0") != nil })
+		w.waitFor(startupTime, "standby lessors", func() bool { return w.standby("a/0") != nil })
 	})
 }
 
 func TestLostServerIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newWorld(t, oneZone, 2, limit)
-		w.until(start, "every shard served", w.allServed)
+		w := newWorld(t, oneZone, 2, defaultLimit)
+		w.waitFor(startupTime, "every shard served", w.allServed)
 		time.Sleep(time.Second)
 		w.reset()
 		lost := w.shardsOn("sa1")
@@ -54,16 +54,16 @@
 func TestLostLessorLeavesNoGap(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newWorld(t, oneZone, 3, limit)
-		w.until(start, "every shard served", w.allServed)
+		w := newWorld(t, oneZone, 3, defaultLimit)
+		w.waitFor(startupTime, "every shard served", w.allServed)
 		time.Sleep(time.Second)
 		w.reset()
 		old := w.lessorOfA()
 		old.kill()
-		w.until(2*time.Second, "another lessor", func() bool { return w.lessorOfA() != nil })
+		w.waitFor(2*time.Second, "another lessor", func() bool { return w.lessorOfA() != nil })
 		time.Sleep(5 * time.Second)
 		g.Expect(w.allServed()).To(BeTrue())
 		g.Expect(w.gaps(nil)).To(BeZero())
-		w.until(5*time.Second, "another standby lessor", func() bool { return w.standby("a/0") != nil })
+		w.waitFor(5*time.Second, "another standby lessor", func() bool { return w.standby("a/0") != nil })
 	})
 }
--- a/modules/lessor/module.go
+++ b/modules/lessor/module.go
@@ -1,6 +1,6 @@
-// Package lessor is the module "duty.lessor": it drives this node's part in
-// each group of backend servers (package lessor) with the state, the log, the
-// other nodes and the servers.
+// Package lessor is the module "duty.lessor". For each group of backend servers it
+// runs this node's member (package lessor) and connects it with the state, the log,
+// the other nodes and the servers.
 package lessor
 
 import (
@@ -27,23 +27,23 @@
 )
 
 const (
-	// standInHeartbeats is how many heartbeat intervals each further node waits
-	// before it stands in for those ahead of it.
-	standInHeartbeats = 5
-	// moveTimeout bounds how long a planned move waits for the owner.
+	// successionHeartbeats is how many heartbeat intervals each further node in the
+	// order of succession waits before it claims a group in place of the earlier ones.
+	successionHeartbeats = 5
+	// moveTimeout bounds how long a planned move waits for the owner to release the
+	// shard.
 	moveTimeout = 30 * time.Second
-	// handoverTimeout bounds how long a drain waits until the terms are handed
-	// over.
-	handoverTimeout = 5 * time.Second
-	handoverPoll    = 10 * time.Millisecond
+	// handoverTimeout bounds how long a drain waits for the handover of the terms.
+	handoverTimeout      = 5 * time.Second
+	handoverPollInterval = 10 * time.Millisecond
 )
 
 func init() { kernel.Register(&Module{}) }
 
 // Module needs *settings.Settings, state.Source, follower.Appender,
 // follower.Contact, peer.Caller, *peer.Handlers and backend.Driver. It uses
-// route.ActivationSink and *membership.Words if they are provided, and provides
-// lessor.Directory.
+// route.ActivationSink and *membership.ServerReports if they are provided, and
+// provides lessor.Directory.
 type Module struct {
 	logger   hclog.Logger
 	self     core.Run
@@ -55,7 +55,7 @@
 	caller   peer.Caller
 	driver   backend.Driver
 	sink     route.ActivationSink
-	words    *membership.Words
+	reports  *membership.Words
 
 	started  time.Time // origin of the members' clock
 	draining atomic.Bool
@@ -66,7 +66,7 @@
 	workers map[topo.GroupID]*worker
 
 	nodesMu  sync.Mutex
-	nodes    []state.Node // of nodesFor, see core.NodesOf
+	nodes    []state.Node // the nodes of nodesFor, see core.NodesOf
 	nodesFor *state.View
 }
 
@@ -97,7 +97,7 @@
 	}
 	m.timing = config.Timing
 	m.sink, _ = kernel.Use[route.ActivationSink](ctx) // optional
-	m.words, _ = kernel.Use[*membership.Words](ctx)   // optional
+	m.reports, _ = kernel.Use[*membership.Words](ctx) // optional
 	handlers.Heartbeat = m.serveHeartbeat
 	handlers.Move = m.serveMove
 	handlers.Announce = m.serveAnnounce
@@ -123,14 +123,14 @@
 		RenewEvery:     m.timing.RenewEvery,
 		HeartbeatEvery: m.timing.HeartbeatEvery,
 		SuspectAfter:   m.timing.SuspectAfter,
-		StandInAfter:   standInHeartbeats * m.timing.HeartbeatEvery,
+		StandInAfter:   successionHeartbeats * m.timing.HeartbeatEvery,
 		RetryAfter:     m.timing.HeartbeatEvery,
 		MoveTimeout:    moveTimeout,
 	}
 }
 
-// now is the members' clock. It goes on while the machine is suspended, so that
-// a right to renew does not outlast a suspension.
+// now reads the members' clock. The clock advances while the machine is suspended, so
+// that a right to renew leases does not outlast a suspension.
 func (m *Module) now() time.Duration { return clock.Since(m.started) }
 
 // Start implements kernel.Starter.
@@ -141,8 +141,8 @@
 	return nil
 }
 
-// superviseGroups runs one worker for each group that the state knows, and
-// wakes those at rest for which a view has news.
+// superviseGroups runs one worker for each group in the state, and wakes idle workers
+// whose facts a new view changes.
 func (m *Module) superviseGroups(ctx context.Context) {
 	for {
 		changed := m.source.Changed()
@@ -162,7 +162,7 @@
 	}
 }
 
-// nodesOf returns the view's core.NodesOf, which all groups share.
+// nodesOf returns core.NodesOf of a view. All groups share the result.
 func (m *Module) nodesOf(view *state.View) []state.Node {
 	m.nodesMu.Lock()
 	defer m.nodesMu.Unlock()
@@ -200,35 +200,35 @@
 	return list
 }
 
-// Drain implements kernel.Drainer: this node hands its terms over while it
-// still renews, and returns when it is no group's lessor any longer, or nobody
-// has taken over in time.
+// Drain implements kernel.Drainer. The node hands its terms over while it still
+// renews leases. Drain returns when the node is no longer the lessor of a group that
+// another node could take over, or after handoverTimeout.
 func (m *Module) Drain(ctx context.Context) error {
 	m.draining.Store(true)
 	for _, w := range m.allWorkers() {
-		_ = w.inbox.Put(ctx, drainRequested{}) // repeated below
+		_ = w.inbox.Put(ctx, drainRequested{}) // a full inbox refuses it
 	}
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
-	ticker := time.NewTicker(handoverPoll)
+	ticker := time.NewTicker(handoverPollInterval)
 	defer ticker.Stop()
 	for {
-		if m.terms() == 0 {
+		if m.transferableTerms() == 0 {
 			eventHandedOver.Log(m.logger)
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			eventNotHanded.Log(m.logger, "terms", m.terms())
+			eventHandoverTimeout.Log(m.logger, "terms", m.transferableTerms())
 			return nil
 		case <-ticker.C:
 		}
 	}
 }
 
-// terms counts the groups of which this node is the lessor and that another
-// node could take over.
-func (m *Module) terms() int {
+// transferableTerms returns the number of groups of which this node is the lessor and that
+// another node could take over.
+func (m *Module) transferableTerms() int {
 	count := 0
 	for _, w := range m.allWorkers() {
 		current := w.current.Load()
--- a/modules/lessor/moves_test.go
+++ b/modules/lessor/moves_test.go
@@ -26,54 +26,54 @@
 }
 
 func TestPlannedMoveWaitsForRunsInFlight(t *testing.T) {
-	run(t, oneZone, 2, limit, func(w *world, g *WithT) {
-		to := w.other(firstShard)
+	run(t, oneZone, 2, defaultLimit, func(w *world, g *WithT) {
+		to := w.uninvolvedServer(firstShard)
 		end, err := w.begin(firstShard, keyOfFirstShard())
 		g.Expect(err).NotTo(HaveOccurred())
-		move := w.ref(firstShard)
+		move := w.currentMove(firstShard)
 		move.To = string(to)
 		g.Expect(w.move(move)).To(BeEquivalentTo(1))
-		g.Expect(w.move(move)).To(BeEquivalentTo(0), "it is under way")
+		g.Expect(w.move(move)).To(BeEquivalentTo(0), "it is in progress")
 		time.Sleep(3 * time.Second)
 		assignment, _ := w.view().Shard(firstShard)
 		g.Expect(assignment.Owner).NotTo(Equal(to), "a run is in flight")
 		end()
-		w.until(time.Second, "moved", func() bool { return w.owners()[firstShard] == to })
+		w.waitFor(time.Second, "moved", func() bool { return w.owners()[firstShard] == to })
 		moved := func(id topo.ShardID) bool { return id != firstShard }
 		g.Expect(w.gaps(moved)).To(BeZero())
 	})
 }
 
 func TestPlannedMoveWithoutRunsIsQuick(t *testing.T) {
-	run(t, oneZone, 2, limit, func(w *world, g *WithT) {
-		move := w.ref(firstShard)
-		move.To = string(w.other(firstShard))
+	run(t, oneZone, 2, defaultLimit, func(w *world, g *WithT) {
+		move := w.currentMove(firstShard)
+		move.To = string(w.uninvolvedServer(firstShard))
 		g.Expect(w.move(move)).To(BeEquivalentTo(1))
-		w.until(time.Second, "moved", func() bool { return string(w.owners()[firstShard]) == move.To })
+		w.waitFor(time.Second, "moved", func() bool { return string(w.owners()[firstShard]) == move.To })
 		t.Logf("gap %v", w.gaps(nil))
 		g.Expect(w.gaps(nil)).To(BeNumerically("<=", 50*time.Millisecond))
 	})
 }
 
 func TestMoveOfAnOldFenceIsRefused(t *testing.T) {
-	run(t, oneZone, 2, limit, func(w *world, g *WithT) {
-		move := w.ref(firstShard)
-		move.To = string(w.other(firstShard))
+	run(t, oneZone, 2, defaultLimit, func(w *world, g *WithT) {
+		move := w.currentMove(firstShard)
+		move.To = string(w.uninvolvedServer(firstShard))
 		move.Fence.Offset--
 		g.Expect(w.move(move)).To(BeEquivalentTo(0))
 	})
 }
 
 func TestHotKeyIsSplitOutAndMergedBack(t *testing.T) {
-	run(t, oneZone, 2, limit, func(w *world, g *WithT) {
+	run(t, oneZone, 2, defaultLimit, func(w *world, g *WithT) {
 		owner := w.owners()[firstShard]
 		split := firstShard
 		split.Key = keyOfFirstShard()
 		end, err := w.begin(firstShard, split.Key)
 		g.Expect(err).NotTo(HaveOccurred())
-		move := w.ref(firstShard)
+		move := w.currentMove(firstShard)
 		move.Shard = shardToProto(split)
-		move.To = string(w.other(firstShard))
+		move.To = string(w.uninvolvedServer(firstShard))
 		g.Expect(w.move(move)).To(BeEquivalentTo(1))
 		time.Sleep(time.Second)
 		_, err = w.begin(firstShard, split.Key)
@@ -81,20 +81,20 @@
 		_, exists := w.view().Shard(split)
 		g.Expect(exists).To(BeFalse(), "a run is in flight")
 		end()
-		w.until(time.Second, "split out", func() bool { return string(w.owners()[split]) == move.To })
+		w.waitFor(time.Second, "split out", func() bool { return string(w.owners()[split]) == move.To })
 		g.Expect(w.owners()).To(HaveKeyWithValue(firstShard, owner))
 		g.Expect(w.gaps(nil)).To(BeZero(), "the rest of the range is served all the time")
 
-		back := w.ref(split)
+		back := w.currentMove(split)
 		back.To, back.Merge = string(owner), true
 		g.Expect(w.move(back)).To(BeEquivalentTo(1))
-		w.until(time.Second, "moved back", func() bool { return w.owners()[split] == owner })
-		merge := w.ref(split)
+		w.waitFor(time.Second, "moved back", func() bool { return w.owners()[split] == owner })
+		merge := w.currentMove(split)
 		merge.To, merge.Merge = string(owner), true
-		w.until(time.Second, "merge taken", func() bool { return w.move(merge) == 1 })
-		w.until(time.Second, "merged", func() bool { _, still := w.view().Shard(split); return !still })
+		w.waitFor(time.Second, "merge taken", func() bool { return w.move(merge) == 1 })
+		w.waitFor(time.Second, "merged", func() bool { _, still := w.view().Shard(split); return !still })
 		// The record is applied before the owner has the grant that follows from it.
-		w.until(time.Second, "the range's owner runs the key", func() bool {
+		w.waitFor(time.Second, "the range's owner runs the key", func() bool {
 			end, err = w.begin(firstShard, split.Key)
 			return err == nil
 		})
@@ -102,18 +102,18 @@
 	})
 }
 
-func TestLostAnswerOfAnAssignment(t *testing.T) {
-	run(t, oneZone, 2, limit, func(w *world, g *WithT) {
+func TestLostResponseToAnAssignment(t *testing.T) {
+	run(t, oneZone, 2, defaultLimit, func(w *world, g *WithT) {
 		log := w.lessorOfA().log
 		log.mu.Lock()
-		log.lose = 2
+		log.loseResponses = 2
 		log.mu.Unlock()
 		w.servers["sa1"].setDown(true)
-		w.until(served, "every shard served", func() bool { return len(w.serving()) == shardCount })
+		w.waitFor(recoveryTime, "every shard served", func() bool { return len(w.serving()) == shardCount })
 	})
 }
 
-func TestSilentServerThatDoesNotCheckFencing(t *testing.T) {
+func TestUnresponsiveServerThatDoesNotCheckFencing(t *testing.T) {
 	unfenced := func(s *siteconfig.Service) { s.ChecksFencing = false }
 	accepted := func(s *siteconfig.Service) { s.ChecksFencing, s.AcceptUnfencedTakeover = false, true }
 	for _, row := range []struct {
@@ -125,8 +125,8 @@
 		{"is replaced where the operator accepts the risk", accepted, true},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			run(t, oneZone, 2, limit, func(w *world, g *WithT) {
-				w.anyNode().submit(siteRecord(1, limit, row.change))
+			run(t, oneZone, 2, defaultLimit, func(w *world, g *WithT) {
+				w.anyNode().submit(siteRecord(1, defaultLimit, row.change))
 				lost := w.shardsOn("sa1")
 				w.servers["sa1"].setDown(true)
 				time.Sleep(10 * time.Second)
@@ -139,15 +139,15 @@
 	}
 }
 
-// A new lessor knows nothing of a silent server that does not check fencing: it
-// may serve on without a lease.
-func TestNewLessorLeavesASilentServerThatDoesNotCheckFencing(t *testing.T) {
+// A new lessor has no information about an unresponsive server that does not check
+// fencing. The server may continue to serve without a lease.
+func TestNewLessorAndAnUnresponsiveServerThatDoesNotCheckFencing(t *testing.T) {
 	for _, accepted := range []bool{false, true} {
 		run(t, oneZone, 4, 0, func(w *world, g *WithT) {
 			w.anyNode().submit(siteRecord(1, 0, func(s *siteconfig.Service) {
 				s.ChecksFencing, s.AcceptUnfencedTakeover = false, accepted
 			}))
-			time.Sleep(rest)
+			time.Sleep(settleTime)
 			lost := w.shardsOn("sa1", "sa2")
 			w.servers["sa1"].setDown(true)
 			w.servers["sa2"].setDown(true)
@@ -163,30 +163,30 @@
 }
 
 func TestRetiredServiceIsReleased(t *testing.T) {
-	run(t, oneZone, 2, limit, func(w *world, g *WithT) {
+	run(t, oneZone, 2, defaultLimit, func(w *world, g *WithT) {
 		w.anyNode().submit(emptySiteRecord(1))
-		w.until(time.Second, "release taken", func() bool { return w.move(w.ref(firstShard)) == 1 })
-		w.until(time.Second, "released", func() bool { _, owned := w.owners()[firstShard]; return !owned })
+		w.waitFor(time.Second, "release taken", func() bool { return w.move(w.currentMove(firstShard)) == 1 })
+		w.waitFor(time.Second, "released", func() bool { _, owned := w.owners()[firstShard]; return !owned })
 		g.Expect(w.owners()).To(HaveLen(shardCount-1), "the others are served until they are released")
 	})
 }
 
-func TestZoneThatLostAServerWhileCutOffIsWholeSoonAfterHealing(t *testing.T) {
-	run(t, threeZones, 2, limit, func(w *world, g *WithT) {
+func TestZoneThatLostAServerWhileCutOffIsServedSoonAfterHealing(t *testing.T) {
+	run(t, threeZones, 2, defaultLimit, func(w *world, g *WithT) {
 		w.cutA(true)
 		time.Sleep(5 * time.Second)
 		w.servers["sa1"].setDown(true)
 		time.Sleep(20 * time.Second)
 		w.cutA(false)
-		took := w.until(30*time.Second, "every shard served", func() bool { return len(w.serving()) == shardCount })
+		took := w.waitFor(30*time.Second, "every shard served", func() bool { return len(w.serving()) == shardCount })
 		t.Logf("every shard served %v after healing", took)
 		time.Sleep(5 * time.Second)
 		g.Expect(w.serving()).To(HaveLen(shardCount))
 	})
 }
 
-func TestServerLostWhenItsZoneHealsIsReplacedOnTheFormerLessorsWord(t *testing.T) {
-	run(t, threeZones, 2, limit, func(w *world, g *WithT) {
+func TestServerLostWhenItsZoneHealsIsReplacedAfterThePreviousLessorsReport(t *testing.T) {
+	run(t, threeZones, 2, defaultLimit, func(w *world, g *WithT) {
 		w.cutA(true)
 		time.Sleep(25 * time.Second)
 		w.reset()
@@ -195,12 +195,12 @@
 		time.Sleep(10 * time.Second)
 		g.Expect(w.serving()).To(HaveLen(shardCount), w.dumps())
 		t.Logf("gap %v", w.gaps(nil))
-		g.Expect(w.gaps(nil)).To(BeNumerically("<", 2*served))
+		g.Expect(w.gaps(nil)).To(BeNumerically("<", 2*recoveryTime))
 	})
 }
 
-func TestActivatedServerGoesOnWhenBothLessorsAreLost(t *testing.T) {
-	run(t, oneZone, 4, limit, func(w *world, g *WithT) {
+func TestActivatedServerContinuesWhenBothLessorsAreLost(t *testing.T) {
+	run(t, oneZone, 4, defaultLimit, func(w *world, g *WithT) {
 		lost := w.shardsOn("sa1")
 		w.logDown(true)
 		time.Sleep(5 * time.Second)
@@ -217,7 +217,7 @@
 	})
 }
 
-// move asks zone a's lessor for one planned move and returns how many it took.
+// move asks zone a's lessor for one planned move and returns how many it accepted.
 func (w *world) move(move *bspb.ShardMove) uint32 {
 	req := &bspb.MoveRequest{Group: "a/0", Moves: []*bspb.ShardMove{move}, Reason: "test"}
 	answer, err := w.lessorOfA().module.serveMove(context.Background(), req)
@@ -227,15 +227,15 @@
 	return answer.Accepted
 }
 
-// ref is the assignment in force of a shard, as a move names it.
-func (w *world) ref(id topo.ShardID) *bspb.ShardMove {
+// currentMove returns a move that refers to the current assignment of a shard.
+func (w *world) currentMove(id topo.ShardID) *bspb.ShardMove {
 	assignment, _ := w.view().Shard(id)
 	return &bspb.ShardMove{Shard: shardToProto(id), Fence: ordinalToProto(assignment.Fence.Ordinal)}
 }
 
-// other returns a server of zone a that neither owns a shard nor stands by for
-// it.
-func (w *world) other(id topo.ShardID) topo.ServerID {
+// uninvolvedServer returns a server of zone a that is neither the owner nor the standby of a
+// shard.
+func (w *world) uninvolvedServer(id topo.ShardID) topo.ServerID {
 	assignment, _ := w.view().Shard(id)
 	for _, server := range []topo.ServerID{"sa1", "sa2", "sa3"} {
 		if server != assignment.Owner && server != assignment.Standby {
--- a/modules/lessor/publish.go
+++ b/modules/lessor/publish.go
@@ -8,36 +8,36 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// dumpEvery is how often the member's state is copied for the state dump.
-const dumpEvery = 200 * time.Millisecond
+// dumpInterval is how often the member's state is copied for the state dump.
+const dumpInterval = 200 * time.Millisecond
 
-// awaitedAfter is how many lease TTLs a lessor may be unsettled before it is logged.
-const awaitedAfter = 2
+// unsettledLogTTLs is how many lease TTLs a lessor may be unsettled before it is logged.
+const unsettledLogTTLs = 2
 
-// publish renews what other goroutines may know, and logs and counts what has
-// changed since the last time.
+// publish updates the member's state for other goroutines, and logs and counts the
+// changes since the last call.
 func (w *worker) publish() {
 	now := w.module.now()
 	status := w.member.Status(now)
 	w.report(status, now)
 	next := &published{role: status.Role, term: w.member.Term(), alone: w.alone()}
-	next.until, next.has = w.member.RightUntil()
-	next.ends = w.member.ServiceUntil()
+	next.rightUntil, next.hasRight = w.member.RightUntil()
+	next.serviceUntil = w.member.ServiceUntil()
 	version := w.member.ListsVersion()
 	next.granted = w.current.Load().granted
-	if version != w.lists {
-		w.lists = version
+	if version != w.listsVersion {
+		w.listsVersion = version
 		next.granted = w.member.Granted()
 	}
 	w.current.Store(next)
-	if now-w.dumpAt >= dumpEvery {
+	if now-w.dumpAt >= dumpInterval {
 		w.dumpAt = now
 		dump := w.member.Dump(now)
 		w.dump.Store(&dump)
 	}
 }
 
-// alone reports whether the state knows no other node.
+// alone reports whether there is no other node in the state.
 func (w *worker) alone() bool {
 	for _, node := range w.facts.Nodes {
 		if node.ID != w.module.self.Node {
@@ -63,9 +63,9 @@
 	}
 	switch {
 	case next.Suspected > last.Suspected:
-		eventSuspected.Log(logger, "group", w.group, "servers", next.Suspected)
+		eventUnresponsive.Log(logger, "group", w.group, "servers", next.Suspected)
 	case next.Suspected < last.Suspected:
-		eventAnswering.Log(logger, "group", w.group, "still_silent", next.Suspected)
+		eventResponsive.Log(logger, "group", w.group, "still_silent", next.Suspected)
 	}
 	w.reportServers()
 	w.last, w.lastAt = next, now
@@ -84,25 +84,25 @@
 	}
 }
 
-// reportAwaited tells, once a term, what keys without an owner wait for.
+// reportAwaited logs, once per term, what shards without an owner wait for.
 func (w *worker) reportAwaited(status core.Status, now time.Duration) {
-	if status.Term != w.awaitsTerm {
-		w.awaitsTerm, w.awaitsFrom = status.Term, now
+	if status.Term != w.unsettledTerm {
+		w.unsettledTerm, w.unsettledSince = status.Term, now
 	}
-	if status.Role != core.RoleLessor || status.Settled || now-w.awaitsFrom < awaitedAfter*w.module.timing.LeaseTTL {
+	if status.Role != core.RoleLessor || status.Settled || now-w.unsettledSince < unsettledLogTTLs*w.module.timing.LeaseTTL {
 		return
 	}
-	w.awaitsFrom = math.MaxInt64
+	w.unsettledSince = math.MaxInt64
 	awaited := w.member.Awaited(now)
 	if awaited.Shards == 0 {
 		return
 	}
-	var silent []string
-	for _, run := range awaited.Silent {
-		silent = append(silent, string(run.Node)+"@"+string(run.Boot))
+	var unresponsive []string
+	for _, incarnation := range awaited.Silent {
+		unresponsive = append(unresponsive, string(incarnation.Node)+"@"+string(incarnation.Boot))
 	}
 	eventAwaited.Log(w.module.logger, "group", w.group, "term", status.Term, "shards", awaited.Shards,
-		"silent", silent, "left", awaited.Left, "endless", awaited.Endless)
+		"silent", unresponsive, "left", awaited.Left, "endless", awaited.Endless)
 }
 
 func (w *worker) reportRight(next, last core.Status) {
@@ -112,18 +112,18 @@
 		eventMode.Log(logger, "group", w.group, "mode", next.Mode)
 	}
 	if !next.MayRenew && last.MayRenew {
-		metricRightLost.Add(1)
-		eventRightLost.Log(logger, "group", w.group, "term", next.Term)
+		metricRightExpired.Add(1)
+		eventRightExpired.Log(logger, "group", w.group, "term", next.Term)
 	}
 	if next.MayRenew && !last.MayRenew {
-		eventRightBack.Log(logger, "group", w.group, "term", next.Term)
+		eventRightRegained.Log(logger, "group", w.group, "term", next.Term)
 	}
 }
 
-// reportServers passes on what servers say of themselves.
+// reportServers passes the servers' answers on to membership.ServerReports.
 func (w *worker) reportServers() {
-	words := w.module.words
-	if words == nil {
+	reports := w.module.reports
+	if reports == nil {
 		return
 	}
 	servers := w.member.Servers()
@@ -132,16 +132,16 @@
 		kept[s.ID] = true
 		switch {
 		case s.Suspected:
-			words.Silent(s.ID, w.module.started.Add(s.HeardAt))
-		case s.Heard && s.HeardAt > w.told[s.ID]:
-			w.told[s.ID] = s.HeardAt
-			words.Heard(s.ID, s.Draining, w.module.started.Add(s.HeardAt))
+			reports.Silent(s.ID, w.module.started.Add(s.HeardAt))
+		case s.Heard && s.HeardAt > w.reportedAt[s.ID]:
+			w.reportedAt[s.ID] = s.HeardAt
+			reports.Heard(s.ID, s.Draining, w.module.started.Add(s.HeardAt))
 		}
 	}
-	for id := range w.told {
+	for id := range w.reportedAt {
 		if !kept[id] {
-			delete(w.told, id)
-			words.Forget(id)
+			delete(w.reportedAt, id)
+			reports.Forget(id)
 		}
 	}
 }
--- a/modules/lessor/serve.go
+++ b/modules/lessor/serve.go
@@ -9,7 +9,7 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// serveHeartbeat answers a lessor's heartbeat as its standby lessor.
+// serveHeartbeat handles a lessor's heartbeat as its standby lessor.
 func (m *Module) serveHeartbeat(ctx context.Context, req *bspb.HeartbeatRequest) (*bspb.HeartbeatResponse, error) {
 	w, exists := m.worker(topo.GroupID(req.GetGroup()))
 	if !exists {
@@ -23,7 +23,7 @@
 	return replyToProto(m.caller.Sender(), reply), nil
 }
 
-// serveMove takes up planned moves as the group's lessor.
+// serveMove handles a request for planned moves as the group's lessor.
 func (m *Module) serveMove(ctx context.Context, req *bspb.MoveRequest) (*bspb.MoveResponse, error) {
 	w, exists := m.worker(topo.GroupID(req.GetGroup()))
 	if !exists {
@@ -37,7 +37,7 @@
 	return &bspb.MoveResponse{Sender: m.caller.Sender(), Accepted: uint32(accepted)}, nil
 }
 
-// serveAnnounce passes on what a lessor decided off the log.
+// serveAnnounce handles a lessor's decisions that were made off the log.
 func (m *Module) serveAnnounce(_ context.Context, req *bspb.AnnounceRequest) error {
 	announcement := core.Announcement{Term: termFromProto(req.GetTerm())}
 	for _, a := range req.GetActivations() {
@@ -47,12 +47,13 @@
 			Server: topo.ServerID(a.GetOwner()),
 		})
 	}
-	m.announced(topo.GroupID(req.GetGroup()), runOf(req.GetSender()), announcement)
+	m.publishAnnouncement(topo.GroupID(req.GetGroup()), incarnationOf(req.GetSender()), announcement)
 	return nil
 }
 
-// announced gives the request path what a lessor decided off the log.
-func (m *Module) announced(group topo.GroupID, lessor core.Run, a core.Announcement) {
+// publishAnnouncement passes a lessor's decisions that were made off the log to the request
+// path.
+func (m *Module) publishAnnouncement(group topo.GroupID, lessor core.Run, a core.Announcement) {
 	if m.sink == nil {
 		return
 	}
@@ -64,8 +65,8 @@
 	}
 }
 
-// deliver hands an input of another node to the worker and waits for its answer. It
-// returns a *ring.FullError, a *StoppingError, or the context's error.
+// deliver passes an input from another node to the worker and waits for the answer.
+// Errors are a *ring.FullError, a *StoppingError or the context's error.
 func deliver[T any](ctx context.Context, w *worker, in input, answer <-chan T) (T, error) {
 	var none T
 	if err := w.put(ctx, in); err != nil {
@@ -74,14 +75,14 @@
 	select {
 	case got := <-answer:
 		return got, nil
-	case <-w.ended:
+	case <-w.stopped:
 		return none, &StoppingError{}
 	case <-ctx.Done():
 		return none, ctx.Err()
 	}
 }
 
-// put hands an input of another node to the worker; a full inbox refuses it.
+// put passes an input from another node to the worker. A full inbox refuses it.
 func (w *worker) put(ctx context.Context, in input) error {
 	err := w.inbox.Put(ctx, in)
 	if err != nil {
@@ -97,7 +98,7 @@
 		return false
 	}
 	current := w.current.Load()
-	return current.has && m.now() < current.until
+	return current.hasRight && m.now() < current.rightUntil
 }
 
 // Term implements lessor.Directory.
@@ -117,7 +118,7 @@
 		return false
 	}
 	current := w.current.Load()
-	end, known := current.ends[shard.Service]
+	end, known := current.serviceUntil[shard.Service]
 	if !known || m.now() >= end {
 		return false
 	}
--- a/modules/lessor/standby_test.go
+++ b/modules/lessor/standby_test.go
@@ -7,19 +7,20 @@
 	. "github.com/onsi/gomega"
 )
 
-// A group whose lessor and standby lessor were lost had a silent standby lessor for
-// as long as the lost nodes stood first in turn: the next lessor named the one, then
-// the other, and so on. Without a standby lessor its leases end with the log.
+// A group that lost its lessor and standby lessor kept an unresponsive standby lessor for
+// as long as the lost nodes came first in the order of succession, because the next
+// lessor named the two lost nodes alternately. Without a standby lessor that responds,
+// the leases expire when the log is unavailable.
 func TestALostNodeIsNotNamedStandbyLessorAgain(t *testing.T) {
-	run(t, oneZone, 4, limit, func(w *world, g *WithT) {
+	run(t, oneZone, 4, defaultLimit, func(w *world, g *WithT) {
 		w.lessorOfA().kill()
 		w.standby("a/0").kill()
-		took := w.until(served, "a standby lessor that answers", func() bool { return w.standby("a/0") != nil })
+		took := w.waitFor(recoveryTime, "a standby lessor that answers", func() bool { return w.standby("a/0") != nil })
 		t.Logf("standby lessor after %v", took)
-		time.Sleep(rest)
+		time.Sleep(settleTime)
 		w.logDown(true)
-		time.Sleep(rest)
-		g.Expect(w.allServed()).To(BeTrue(), "leases go on without the log")
+		time.Sleep(settleTime)
+		g.Expect(w.allServed()).To(BeTrue(), "leases are renewed without the log")
 		w.logDown(false)
 	})
 }
--- a/modules/lessor/stop_test.go
+++ b/modules/lessor/stop_test.go
@@ -11,10 +11,10 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// Messages that reach a node whose lessor duty has ended were held until their
-// deadline, since no worker took them.
+// Messages to a node whose lessor module had stopped waited until their deadline,
+// because no worker handled them.
 func TestMessagesToAStoppedModuleAreRefusedAtOnce(t *testing.T) {
-	run(t, oneZone, 2, limit, func(w *world, g *WithT) {
+	run(t, oneZone, 2, defaultLimit, func(w *world, g *WithT) {
 		n := w.standby("a/0")
 		g.Expect(n.module.Stop(context.Background())).To(Succeed())
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
--- a/modules/lessor/worker.go
+++ b/modules/lessor/worker.go
@@ -13,26 +13,27 @@
 
 const (
 	// inboxSize bounds the inputs that wait for a worker. Inputs from peers are
-	// refused when it is full; ends of this node's own calls, whose number is
-	// bounded, wait.
+	// refused when the inbox is full. Results of this node's own calls, whose
+	// number is bounded, wait in calls.results.
 	inboxSize = 256
-	// ticksPerRenewal is how often in a renewal interval a member with a part
-	// in its group looks at the time.
+	// ticksPerRenewal is how often in a renewal interval a member with a part in
+	// its group checks the time.
 	ticksPerRenewal = 10
-	// restMost is how long a member at rest goes without a look at the time.
-	restMost = 10 * time.Second
-	// batchMost bounds the inputs taken before the member acts.
-	batchMost = 64
+	// idleInterval is the longest interval between time checks of an idle member.
+	idleInterval = 10 * time.Second
+	// maxBatch bounds the inputs that are applied before the member acts.
+	maxBatch = 64
 )
 
-// worker is the one goroutine that owns this node's part in a group.
+// worker runs this node's part in a group. Its goroutine owns the member.
 type worker struct {
 	module *Module
 	group  topo.GroupID
 	member *core.Member
 	inbox  *ring.Ring[input]
 	calls  *calls
-	// announcements run apart, so that they take no room from the rest.
+	// announcements have their own limit, so that they take no slots from other
+	// calls.
 	announcements *calls
 
 	view   *state.View
@@ -40,46 +41,48 @@
 	facts  *core.Facts
 	last   core.Status
 	lastAt time.Duration
-	// awaitsFrom is since when the lessor of awaitsTerm has not been settled, or later
-	// than any time once that is logged.
-	awaitsTerm topo.Term
-	awaitsFrom time.Duration
-	lists      uint64 // version of what published.granted was made from
-	// resting has the facts of a member at rest, for whoever wakes it.
-	resting atomic.Pointer[core.Facts]
-	wake    chan struct{} // size 1
-	ended   chan struct{} // closed when no input is taken any more
-	current atomic.Pointer[published]
-	dump    atomic.Pointer[core.Dump]
-	dumpAt  time.Duration
-	told    map[topo.ServerID]time.Duration // passed on to membership.Words
+	// unsettledSince is the time since which the lessor of unsettledTerm has been unsettled,
+	// or math.MaxInt64 once that is logged.
+	unsettledTerm  topo.Term
+	unsettledSince time.Duration
+	listsVersion   uint64 // version of the lists from which published.granted was made
+	// idleFacts has the facts of an idle member, and is nil otherwise. wakeFor compares
+	// them with a new view.
+	idleFacts  atomic.Pointer[core.Facts]
+	wake       chan struct{} // size 1
+	stopped    chan struct{} // closed when the worker no longer takes input
+	current    atomic.Pointer[published]
+	dump       atomic.Pointer[core.Dump]
+	dumpAt     time.Duration
+	reportedAt map[topo.ServerID]time.Duration // time of the answer last passed to membership.ServerReports
 }
 
-// published is what other goroutines may know of the member.
+// published is the part of the member's state that other goroutines read. It is
+// immutable.
 type published struct {
-	role    core.Role
-	term    topo.Term
-	until   time.Duration
-	has     bool
-	ends    map[topo.Service]time.Duration
-	granted map[topo.ShardID]core.Holding
+	role         core.Role
+	term         topo.Term
+	rightUntil   time.Duration
+	hasRight     bool
+	serviceUntil map[topo.Service]time.Duration
+	granted      map[topo.ShardID]core.Holding
 	// alone is true if no other node could take the term over.
 	alone bool
 }
 
 func newWorker(m *Module, group topo.GroupID) *worker {
 	w := &worker{
-		module: m,
-		group:  group,
-		member: core.NewMember(m.config(group)),
-		inbox:  ring.New[input]("lessor-"+string(group), inboxSize, ring.Refuse),
-		told:   map[topo.ServerID]time.Duration{},
-		wake:   make(chan struct{}, 1),
-		ended:  make(chan struct{}),
-		facts:  &core.Facts{},
+		module:     m,
+		group:      group,
+		member:     core.NewMember(m.config(group)),
+		inbox:      ring.New[input]("lessor-"+string(group), inboxSize, ring.Refuse),
+		reportedAt: map[topo.ServerID]time.Duration{},
+		wake:       make(chan struct{}, 1),
+		stopped:    make(chan struct{}),
+		facts:      &core.Facts{},
 	}
-	w.calls = newCalls(callsMost)
-	w.announcements = newCalls(announcementsMost)
+	w.calls = newCalls(maxCalls)
+	w.announcements = newCalls(maxAnnouncements)
 	w.current.Store(&published{})
 	if m.draining.Load() {
 		w.member.SetDraining()
@@ -87,11 +90,11 @@
 	return w
 }
 
-// run ends with ctx, after the calls that it began.
+// run returns when ctx is done and the calls that it began have ended.
 func (w *worker) run(ctx context.Context) {
 	defer w.calls.running.Wait()
 	defer w.announcements.running.Wait()
-	defer close(w.ended)
+	defer close(w.stopped)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -99,10 +102,10 @@
 		w.observe()
 		w.act(ctx)
 		w.publish()
-		if w.rest() {
-			changed = nil // whoever sees a change wakes it
+		if w.markIdle() {
+			changed = nil // superviseGroups wakes this worker
 		}
-		pause := w.pause()
+		pause := w.checkInterval()
 		due := w.module.now() + pause
 		timer.Reset(pause)
 		select {
@@ -114,19 +117,19 @@
 			now := w.module.now()
 			w.member.NoteDelay(now, now-due)
 		case in := <-w.inbox.Items():
-			w.take(in)
-		case in := <-w.calls.ended:
-			w.take(in)
+			w.applyInputs(in)
+		case in := <-w.calls.results:
+			w.applyInputs(in)
 		}
 	}
 }
 
-// take applies an input and those that wait behind it.
-func (w *worker) take(in input) {
-	for range batchMost {
+// applyInputs applies an input and those that are queued after it.
+func (w *worker) applyInputs(in input) {
+	for range maxBatch {
 		in.apply(w.member, w.module.now())
 		select {
-		case in = <-w.calls.ended:
+		case in = <-w.calls.results:
 		case in = <-w.inbox.Items():
 		default:
 			return
@@ -134,35 +137,35 @@
 	}
 }
 
-// rest tells whether the member is at rest, so that only news for its group
-// need wake it: a record that others wrote for other groups costs it nothing.
-func (w *worker) rest() bool {
-	w.resting.Store(nil)
+// markIdle reports whether the member is idle, so that only a change to its group has to
+// wake it. A record for another group then costs the worker nothing.
+func (w *worker) markIdle() bool {
+	w.idleFacts.Store(nil)
 	if !w.member.Rests() {
 		return false
 	}
-	w.resting.Store(w.facts)
-	// A view that came before this was stored was not compared with these facts.
+	w.idleFacts.Store(w.facts)
+	// A view that arrived before the facts were stored was not compared with them.
 	return w.module.source.View() == w.view
 }
 
-// wakeFor wakes a member at rest if a view has news for it.
+// wakeFor wakes an idle member if a view changes its facts.
 func (w *worker) wakeFor(view *state.View, nodes []state.Node) {
-	facts := w.resting.Load()
+	facts := w.idleFacts.Load()
 	if facts == nil || facts.Current(view, nodes) {
 		return
 	}
 	select {
 	case w.wake <- struct{}{}:
-	default: // it has been woken already
+	default: // a wake-up is already pending
 	}
 }
 
-// pause is how long the member may wait for the next look at the time.
-func (w *worker) pause() time.Duration {
+// checkInterval returns how long the member may wait until its next time check.
+func (w *worker) checkInterval() time.Duration {
 	timing := w.module.timing
-	if w.resting.Load() != nil {
-		return restMost
+	if w.idleFacts.Load() != nil {
+		return idleInterval
 	}
 	if pause, watches := w.member.WatchPause(w.module.now()); watches {
 		return pause
@@ -173,14 +176,14 @@
 	return timing.RenewEvery / ticksPerRenewal
 }
 
-// observe tells the member the latest state. The contact is looked up before
-// the view, see core.Member.Observe.
+// observe passes the latest state to the member. The contact is read before the view,
+// see core.Member.Observe.
 func (w *worker) observe() {
 	contact := w.module.contact.LastContact()
 	view := w.module.source.View()
 	detail := w.needsDetail(view)
 	if view != w.view || detail != w.detail {
-		w.takeFacts(view, detail)
+		w.updateFacts(view, detail)
 	}
 	known := !contact.IsZero()
 	var askedAt time.Duration
@@ -191,9 +194,9 @@
 	w.member.LogFailing(w.module.now(), w.module.contact.Failing())
 }
 
-// takeFacts derives the facts from a newer view. A member without a part keeps
-// those that it has if they would say the same.
-func (w *worker) takeFacts(view *state.View, detail bool) {
+// updateFacts derives the facts from a newer view. A member without a part in its group
+// keeps the existing facts if the view does not change them.
+func (w *worker) updateFacts(view *state.View, detail bool) {
 	nodes := w.module.nodesOf(view)
 	same := w.view != nil && !detail && !w.detail && w.facts.Current(view, nodes)
 	w.view, w.detail = view, detail
@@ -202,8 +205,8 @@
 	}
 }
 
-// needsDetail reports whether the view names this run as lessor or standby
-// lessor of the group.
+// needsDetail reports whether this incarnation is the lessor or standby lessor of the
+// group in the view.
 func (w *worker) needsDetail(view *state.View) bool {
 	group, exists := view.Group(w.group)
 	if !exists {
@@ -215,15 +218,15 @@
 	return self == lessor || self == standby
 }
 
-// act starts what is due.
+// act starts the actions that are due.
 func (w *worker) act(ctx context.Context) {
 	for _, action := range w.member.Plan(w.module.now()) {
 		w.start(ctx, action)
 	}
 }
 
-// start begins one action. Each Begin method checks once more that the action
-// is allowed at that moment.
+// start begins one action. Each Begin method checks again whether the action is
+// allowed at that time.
 func (w *worker) start(ctx context.Context, action core.Action) {
 	now := w.module.now()
 	switch a := action.(type) {
@@ -234,7 +237,7 @@
 	case core.SendHeartbeat:
 		w.heartbeat(ctx, now, a.To)
 	case core.Ask:
-		w.ask(ctx, now, a.Node)
+		w.askPrevious(ctx, now, a.Node)
 	case core.Probe:
 		w.probe(ctx, now, a.Node)
 	case core.ClaimTerm:
@@ -245,8 +248,8 @@
 		w.announce(ctx, now)
 	case core.GoOn:
 		if w.member.BeginGoOn(now) {
-			metricWentOn.Add(1)
-			eventWentOn.Log(w.module.logger, "group", w.group, "term", w.member.Term())
+			metricTakeoversOffLog.Add(1)
+			eventTookOverOffLog.Log(w.module.logger, "group", w.group, "term", w.member.Term())
 		}
 	case core.Activate:
 		if w.member.BeginActivate(now, a.Shard) {
--- a/modules/lessor/world_checks_test.go
+++ b/modules/lessor/world_checks_test.go
@@ -15,7 +15,7 @@
 
 const checkEvery = 2 * time.Millisecond
 
-// check looks at who owns what, as the servers see it.
+// check repeatedly checks the ownership of all shards as the servers see it.
 func (w *world) check(ctx context.Context) {
 	ticker := time.NewTicker(checkEvery)
 	defer ticker.Stop()
@@ -45,43 +45,43 @@
 	for i := range shardCount {
 		id := topo.ShardID{Service: "wells", Index: uint32(i)}
 		list := owners[id]
-		if len(list) > 1 && len(w.dual) < 5 {
-			w.dual = append(w.dual, fmt.Sprintf("%v %v %v", time.Since(w.began), id, list))
+		if len(list) > 1 && len(w.dualOwners) < 5 {
+			w.dualOwners = append(w.dualOwners, fmt.Sprintf("%v %v %v", time.Since(w.began), id, list))
 		}
-		w.note(id, serving[id], now)
+		w.recordOwners(id, serving[id], now)
 	}
 }
 
-func (w *world) note(id topo.ShardID, owners []topo.ServerID, now time.Time) {
-	since, free := w.freeAt[id]
+func (w *world) recordOwners(id topo.ShardID, owners []topo.ServerID, now time.Time) {
+	since, unowned := w.unownedSince[id]
 	if len(owners) == 0 {
-		if !free {
-			w.freeAt[id] = now
+		if !unowned {
+			w.unownedSince[id] = now
 			since = now
 		}
 		if _, everOwned := w.ownedBy[id]; everOwned {
-			w.gap[id] = max(w.gap[id], now.Sub(since))
+			w.longestGap[id] = max(w.longestGap[id], now.Sub(since))
 		}
 		return
 	}
-	delete(w.freeAt, id)
+	delete(w.unownedSince, id)
 	w.ownedBy[id] = owners[0]
 }
 
-// reset forgets the gaps so far.
+// reset clears the gaps measured so far.
 func (w *world) reset() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	clear(w.gap)
-	clear(w.freeAt)
+	clear(w.longestGap)
+	clear(w.unownedSince)
 }
 
-// gaps returns the longest time without an owner among the shards chosen.
+// gaps returns the longest time without an owner among the chosen shards.
 func (w *world) gaps(chosen func(topo.ShardID) bool) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	longest := time.Duration(0)
-	for id, gap := range w.gap {
+	for id, gap := range w.longestGap {
 		if chosen == nil || chosen(id) {
 			longest = max(longest, gap)
 		}
@@ -89,7 +89,7 @@
 	return longest
 }
 
-// owners returns who serves each shard now.
+// owners returns the server that owns each shard now.
 func (w *world) owners() map[topo.ShardID]topo.ServerID {
 	owners := map[topo.ShardID]topo.ServerID{}
 	for _, s := range w.servers {
@@ -100,7 +100,7 @@
 	return owners
 }
 
-// shardsOn lists the shards that a server serves now.
+// shardsOn lists the shards that the given servers own now.
 func (w *world) shardsOn(ids ...topo.ServerID) map[topo.ShardID]bool {
 	shards := map[topo.ShardID]bool{}
 	for shard, owner := range w.owners() {
@@ -111,19 +111,18 @@
 	return shards
 }
 
-// until lets time pass until a condition holds, and fails after limit.
-func (w *world) until(limit time.Duration, what string, holds func() bool) time.Duration {
+// waitFor waits until a condition holds, and fails the test after limit.
+func (w *world) waitFor(limit time.Duration, what string, holds func() bool) time.Duration {
 	w.t.Helper()
 	began := time.Now()
-	if !w.within(limit, holds) {
+	if !w.waitWithin(limit, holds) {
 		w.t.Fatalf("not within %v: %s; owners %v\n%s", limit, what, w.owners(), w.dumps())
 	}
 	return time.Since(began)
 }
 
-// within lets time pass until a condition holds, and reports whether it did before
-// limit had passed.
-func (w *world) within(limit time.Duration, holds func() bool) bool {
+// waitWithin waits until a condition holds, and reports whether it did so within limit.
+func (w *world) waitWithin(limit time.Duration, holds func() bool) bool {
 	began := time.Now()
 	for !holds() {
 		if time.Since(began) > limit {
@@ -179,7 +178,7 @@
 	return nil
 }
 
-// testOutput passes log lines on with the fake time.
+// testOutput writes log lines to the test's log with the fake time.
 type testOutput struct{ world *world }
 
 func (o testOutput) Write(line []byte) (int, error) {
@@ -187,7 +186,7 @@
 	return len(line), nil
 }
 
-// serving returns which server answers for each shard now.
+// serving returns the server that owns each shard now and responds.
 func (w *world) serving() map[topo.ShardID]topo.ServerID {
 	serving := w.owners()
 	for shard, id := range serving {
@@ -209,7 +208,7 @@
 	return fences
 }
 
-// zoneA is the zone that the scenarios hurt.
+// zoneA is the zone in which the scenarios inject faults.
 const zoneA topo.Zone = "a"
 
 // shardsInA lists the shards that the servers of zone a own now.
@@ -232,15 +231,15 @@
 	return nil
 }
 
-// logDown takes the log away from every node, or gives it back.
+// logDown sets whether the log is unavailable to all nodes.
 func (w *world) logDown(down bool) {
 	for _, n := range w.nodes {
-		n.log.set(down)
+		n.log.setDown(down)
 	}
 }
 
-// cutA cuts zone a's nodes off from the log and from the nodes and servers
-// of other zones, and its servers from the nodes of other zones.
+// cutA sets whether zone a's nodes are cut off from the log and from the nodes and
+// servers of other zones, and its servers from the nodes of other zones.
 func (w *world) cutA(cut bool) {
 	if cut {
 		w.network.CutZone(zoneA)
@@ -249,7 +248,7 @@
 	}
 	for _, n := range w.nodes {
 		if n.zone == zoneA {
-			n.log.set(cut)
+			n.log.setDown(cut)
 		}
 		for _, s := range w.servers {
 			if (s.zone == zoneA) != (n.zone == zoneA) {
--- a/modules/lessor/world_nodes_test.go
+++ b/modules/lessor/world_nodes_test.go
@@ -44,8 +44,8 @@
 	}}}
 }
 
-// lateCaller is the node's access to the others. The node joins the network
-// when every handler is in place.
+// lateCaller is the node's connection to the other nodes. The node joins the network
+// after every handler has been registered.
 type lateCaller struct{ *peermem.Node }
 
 // start runs the node's follower and lessor module.
@@ -87,7 +87,7 @@
 	n.running = true
 }
 
-// kill ends the node without any goodbye.
+// kill stops the node without a graceful shutdown.
 func (n *testNode) kill() {
 	if !n.running {
 		return
@@ -98,10 +98,10 @@
 	_ = n.module.Stop(context.Background())
 }
 
-// restart begins another run of the node.
-func (n *testNode) restart(run int) {
+// restart starts another incarnation of the node.
+func (n *testNode) restart(incarnation int) {
 	n.kill()
-	n.boot = topo.BootID(fmt.Sprintf("%s-boot-%d", n.id, run))
+	n.boot = topo.BootID(fmt.Sprintf("%s-boot-%d", n.id, incarnation))
 	n.start()
 	n.submit(n.joinRecord())
 }
@@ -109,9 +109,9 @@
 func (n *testNode) submit(record *bspb.Record) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	fate, err := n.follower.Submit(ctx, record)
-	if err != nil || !fate.Accepted {
-		n.world.t.Errorf("record not accepted: %v %v", fate.Conflict, err)
+	outcome, err := n.follower.Submit(ctx, record)
+	if err != nil || !outcome.Accepted {
+		n.world.t.Errorf("record not accepted: %v %v", outcome.Conflict, err)
 	}
 }
 
--- a/modules/lessor/world_servers_test.go
+++ b/modules/lessor/world_servers_test.go
@@ -13,7 +13,7 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// testServer follows the protocol by lease.Holder on a clock of its own.
+// testServer implements the lease protocol with a lease.Holder and its own clock.
 type testServer struct {
 	id      topo.ServerID
 	zone    topo.Zone
@@ -21,7 +21,7 @@
 	holder  *lease.Holder
 	boots   int
 	started time.Time
-	down    bool // does not answer; its clock goes on
+	down    bool // does not respond; its clock continues
 }
 
 func (s *testServer) restart() {
@@ -32,7 +32,7 @@
 	s.holder = lease.NewHolder(topo.BootID(fmt.Sprintf("%s-boot-%d", s.id, s.boots)))
 }
 
-// stop ends the server for good.
+// stop stops the server permanently.
 func (s *testServer) stop() {
 	s.restart()
 	s.setDown(true)
@@ -56,7 +56,7 @@
 	s.holder.SetDraining(true)
 }
 
-// owns lists the shards that the server would serve now.
+// owns lists the grants that the server would serve now.
 func (s *testServer) owns() []lease.Held {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,27 +66,27 @@
 	return s.holder.Grants()
 }
 
-// testLog is a node's access to the log.
+// testLog is a node's connection to the log.
 type testLog struct {
-	log  platlog.Log
-	mu   sync.Mutex
-	down bool
-	lose int // answers of appends to lose
+	log           platlog.Log
+	mu            sync.Mutex
+	down          bool
+	loseResponses int // number of responses to appends to lose
 }
 
-func (l *testLog) set(down bool) {
+func (l *testLog) setDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.down = down
 }
 
-func (l *testLog) loseAnswer() bool {
+func (l *testLog) loseResponse() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.lose == 0 {
+	if l.loseResponses == 0 {
 		return false
 	}
-	l.lose--
+	l.loseResponses--
 	return true
 }
 
@@ -101,7 +101,7 @@
 		return 0, &platlog.UnavailableError{Op: "append", Cause: errDown}
 	}
 	offset, err := l.log.Append(ctx, data)
-	if err == nil && l.loseAnswer() {
+	if err == nil && l.loseResponse() {
 		return 0, &platlog.UncertainError{Cause: errDown}
 	}
 	return offset, err
@@ -118,7 +118,7 @@
 	return batch, err
 }
 
-// testDriver is a node's access to the servers.
+// testDriver is a node's connection to the servers.
 type testDriver struct{ node *testNode }
 
 const serverDelay = time.Millisecond
@@ -148,7 +148,7 @@
 	s.mu.Lock()
 	reply := s.holder.Lease(time.Since(s.started), req)
 	s.mu.Unlock()
-	return d.back(ctx, to, reply)
+	return d.respond(ctx, to, reply)
 }
 
 func (d *testDriver) Acknowledge(ctx context.Context, to backend.Target, req serverapi.AcknowledgeRequest) (serverapi.LeaseReply, error) {
@@ -159,10 +159,10 @@
 	s.mu.Lock()
 	reply := s.holder.Acknowledge(time.Since(s.started), req)
 	s.mu.Unlock()
-	return d.back(ctx, to, reply)
+	return d.respond(ctx, to, reply)
 }
 
-func (d *testDriver) back(ctx context.Context, to backend.Target, reply serverapi.LeaseReply) (serverapi.LeaseReply, error) {
+func (d *testDriver) respond(ctx context.Context, to backend.Target, reply serverapi.LeaseReply) (serverapi.LeaseReply, error) {
 	time.Sleep(serverDelay)
 	d.node.whileRunning()
 	if ctx.Err() != nil {
--- a/modules/lessor/world_test.go
+++ b/modules/lessor/world_test.go
@@ -22,8 +22,9 @@
 
 var errDown = errors.New("down") //nolint:err113 // a test's own
 
-// world is a site of entry nodes and backend servers in one process under fake
-// time, joined by a memory log and an in-memory network with faults.
+// world is a simulated site of entry nodes and backend servers in one process with
+// fake time. They share an in-memory log and an in-memory network with injected
+// faults.
 type world struct {
 	t       *testing.T
 	store   *memlog.Store
@@ -32,13 +33,13 @@
 	servers map[topo.ServerID]*testServer
 	began   time.Time
 
-	mu      sync.Mutex
-	dual    []string                       // moments with two owners
-	gap     map[topo.ShardID]time.Duration // longest time without an owner, once owned
-	freeAt  map[topo.ShardID]time.Time     // since when without an owner
-	ownedBy map[topo.ShardID]topo.ServerID // latest owner
-	stop    context.CancelFunc
-	checked sync.WaitGroup
+	mu           sync.Mutex
+	dualOwners   []string                       // times at which a shard had two owners
+	longestGap   map[topo.ShardID]time.Duration // longest time without an owner, once owned
+	unownedSince map[topo.ShardID]time.Time     // start of the present time without an owner
+	ownedBy      map[topo.ShardID]topo.ServerID // latest owner
+	stop         context.CancelFunc
+	checked      sync.WaitGroup
 }
 
 type testNode struct {
@@ -54,26 +55,26 @@
 	running  bool
 
 	mu     sync.Mutex
-	paused chan struct{}          // closed when it goes on; nil while it runs
-	cut    map[topo.ServerID]bool // servers that it cannot reach
+	paused chan struct{}          // closed when the node resumes; nil while it runs
+	cut    map[topo.ServerID]bool // servers that the node cannot reach
 }
 
-// timing is the default one.
+// timing returns the default timing.
 func timing() settings.Timing { return settings.DefaultTiming() }
 
 // newWorld starts nodes "a1", "a2", … in each zone and servers "sa1", … of the
 // service "wells" in each zone.
 func newWorld(t *testing.T, zones []string, nodes int, limit time.Duration) *world {
 	w := &world{
-		t:       t,
-		store:   memlog.New(memlog.Retention{}),
-		network: peermem.New(1),
-		nodes:   map[topo.NodeID]*testNode{},
-		servers: map[topo.ServerID]*testServer{},
-		gap:     map[topo.ShardID]time.Duration{},
-		freeAt:  map[topo.ShardID]time.Time{},
-		ownedBy: map[topo.ShardID]topo.ServerID{},
-		began:   time.Now(),
+		t:            t,
+		store:        memlog.New(memlog.Retention{}),
+		network:      peermem.New(1),
+		nodes:        map[topo.NodeID]*testNode{},
+		servers:      map[topo.ServerID]*testServer{},
+		longestGap:   map[topo.ShardID]time.Duration{},
+		unownedSince: map[topo.ShardID]time.Time{},
+		ownedBy:      map[topo.ShardID]topo.ServerID{},
+		began:        time.Now(),
 	}
 	var records []*bspb.Record
 	records = append(records, siteRecord(0, limit))
@@ -111,8 +112,8 @@
 	return w
 }
 
-// siteRecord publishes the site configuration on a base version, changed by the
-// functions given.
+// siteRecord publishes the site configuration on top of a base version, modified by
+// the given functions.
 func siteRecord(base uint64, limit time.Duration, changes ...func(*siteconfig.Service)) *bspb.Record {
 	site := &siteconfig.Site{
 		GroupsPerZone: 1,
@@ -181,7 +182,7 @@
 		w.nodes[id].kill()
 	}
 	w.network.Close()
-	for _, moment := range w.dual {
+	for _, moment := range w.dualOwners {
 		w.t.Errorf("two owners: %s", moment)
 	}
 }
