--- a/lease/moves_test.go
+++ b/lease/moves_test.go
@@ -41,7 +41,7 @@
 	key string
 }
 
-// ownership is the owner of a shard. While the shard moves, without is the first
+// ownership is the owner of a shard. While the shard moves, revokedIn is the first
 // generation of the owner's grant list that does not contain it.
 type ownership struct {
 	server    int
