--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -25,11 +25,11 @@
 	}
 }
 
-func byLoad() []balance.Policy { return policies()[1:] }
+func loadPolicies() []balance.Policy { return policies()[1:] }
 
-// site builds an input: one live server of capacity 4 for each list of shard
+// newInput builds an input: one live server of capacity 4 for each list of shard
 // loads.
-func site(loads ...[]float64) *balance.Input {
+func newInput(loads ...[]float64) *balance.Input {
 	in := &balance.Input{
 		Service:   service,
 		Now:       start,
@@ -130,10 +130,10 @@
 }
 
 func TestPoliciesRelieveAnOverloadedServer(t *testing.T) {
-	for _, policy := range byLoad() {
+	for _, policy := range loadPolicies() {
 		t.Run(policy.Name(), func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			in := site([]float64{1, 1, 1, 0.5}, []float64{0.5}, []float64{0.5}, []float64{0.5})
+			in := newInput([]float64{1, 1, 1, 0.5}, []float64{0.5}, []float64{0.5}, []float64{0.5})
 			moves := policy.Decide(in)
 			g.Expect(moves).NotTo(gomega.BeEmpty())
 			g.Expect(moves[0].From).To(gomega.Equal(topo.ServerID("s0")))
@@ -144,21 +144,21 @@
 	}
 }
 
-func TestPoliciesLeaveAnEvenSiteAlone(t *testing.T) {
-	for _, policy := range byLoad() {
+func TestPoliciesMakeNoMovesWhenLoadIsEven(t *testing.T) {
+	for _, policy := range loadPolicies() {
 		t.Run(policy.Name(), func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			in := site([]float64{1, 0.5}, []float64{0.5, 1}, []float64{1.5})
+			in := newInput([]float64{1, 0.5}, []float64{0.5, 1}, []float64{1.5})
 			g.Expect(policy.Decide(in)).To(gomega.BeEmpty())
 		})
 	}
 }
 
 func TestPoliciesSplitAHotKeyOutOfItsShard(t *testing.T) {
-	for _, policy := range byLoad() {
+	for _, policy := range loadPolicies() {
 		t.Run(policy.Name(), func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			in := site([]float64{3}, []float64{0.2}, []float64{0.2})
+			in := newInput([]float64{3}, []float64{0.2}, []float64{0.2})
 			in.HotKeys = []balance.HotKey{{Shard: 0, Key: "q-7", Rate: 60, Load: 1.2}}
 			moves := policy.Decide(in)
 			g.Expect(moves).NotTo(gomega.BeEmpty())
@@ -170,19 +170,19 @@
 }
 
 func TestPoliciesMergeAKeyThatCooled(t *testing.T) {
-	for _, policy := range byLoad() {
+	for _, policy := range loadPolicies() {
 		t.Run(policy.Name(), func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			in := site([]float64{1}, []float64{1})
+			in := newInput([]float64{1}, []float64{1})
 			cold := addShard(in, 1, 0.001)
 			in.Shards[cold].ID = topo.ShardID{Service: service, Index: 0, Key: "q-7"}
 			warm := addShard(in, 1, 0.05)
 			in.Shards[warm].ID = topo.ShardID{Service: service, Index: 0, Key: "q-8"}
-			home := []balance.Move{{
+			moveHome := []balance.Move{{
 				Kind: balance.MoveShard, Shard: in.Shards[cold].ID, From: "s1", To: "s0", Cause: balance.CauseCooled,
 			}}
-			g.Expect(policy.Decide(in)).To(gomega.Equal(home))
-			apply(in, home)
+			g.Expect(policy.Decide(in)).To(gomega.Equal(moveHome))
+			apply(in, moveHome)
 			in.Now = in.Now.Add(time.Minute)
 			g.Expect(policy.Decide(in)).To(gomega.Equal([]balance.Move{{
 				Kind: balance.MergeKey, Shard: in.Shards[cold].ID, From: "s0", To: "s0", Cause: balance.CauseCooled,
@@ -195,7 +195,7 @@
 	for _, policy := range policies() {
 		t.Run(policy.Name(), func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			in := site([]float64{0.1, 0.1, 0.1}, []float64{0.1}, []float64{0.1}, []float64{0.1, 0.1})
+			in := newInput([]float64{0.1, 0.1, 0.1}, []float64{0.1}, []float64{0.1}, []float64{0.1, 0.1})
 			in.Servers[0].Phase = state.PhaseDraining
 			in.Servers[3].Phase = state.PhaseGone
 			addShard(in, balance.NoOwner, 0.1)
@@ -212,9 +212,9 @@
 	}
 }
 
-func TestUnobservedShardsAreSpreadByNumber(t *testing.T) {
+func TestShardsWithoutObservedLoadAreSpreadByCount(t *testing.T) {
 	g := gomega.NewWithT(t)
-	in := site(nil, nil, nil, nil)
+	in := newInput(nil, nil, nil, nil)
 	for range 40 {
 		addShard(in, balance.NoOwner, 0)
 	}
@@ -228,9 +228,9 @@
 	}
 }
 
-func TestDwellKeepsAShardThatJustMoved(t *testing.T) {
+func TestShardDoesNotMoveAgainWithinTheDwellTime(t *testing.T) {
 	g := gomega.NewWithT(t)
-	in := site([]float64{1, 1, 1}, []float64{0.2}, []float64{0.2})
+	in := newInput([]float64{1, 1, 1}, []float64{0.2}, []float64{0.2})
 	for i := range in.Shards {
 		in.Shards[i].Changed = in.Now.Add(-time.Second)
 	}
@@ -239,11 +239,11 @@
 	g.Expect((balance.Push{}).Decide(in)).NotTo(gomega.BeEmpty())
 }
 
-func TestMovingShardsAreLeftAlone(t *testing.T) {
+func TestMovingShardsGetNoFurtherMoves(t *testing.T) {
 	for _, policy := range policies() {
 		t.Run(policy.Name(), func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			in := site([]float64{1, 1, 1}, []float64{0.2})
+			in := newInput([]float64{1, 1, 1}, []float64{0.2})
 			in.Servers[0].Phase = state.PhaseDraining
 			addShard(in, balance.NoOwner, 1)
 			in.HotKeys = []balance.HotKey{{Shard: 0, Key: "k", Load: 0.9}}
@@ -255,17 +255,17 @@
 	}
 }
 
-func TestUnavailabilityWeightingMovesLess(t *testing.T) {
+func TestUnavailabilityWeightingMakesFewerMoves(t *testing.T) {
 	g := gomega.NewWithT(t)
-	in := site([]float64{0.6, 0.6, 0.6, 0.2}, []float64{0.8, 0.8}, []float64{0.7, 0.7})
+	in := newInput([]float64{0.6, 0.6, 0.6, 0.2}, []float64{0.8, 0.8}, []float64{0.7, 0.7})
 	g.Expect((balance.Push{}).Decide(in)).NotTo(gomega.BeEmpty())
 	in.Weighting = siteconfig.WeightUnavailability
 	g.Expect((balance.Push{}).Decide(in)).To(gomega.BeEmpty())
 }
 
-func TestHashRangesStayUntilTheirServerIsFull(t *testing.T) {
+func TestHashRangesLeaveOnlyAboveTheRangeFloor(t *testing.T) {
 	g := gomega.NewWithT(t)
-	in := site([]float64{0.9, 0.9, 0.9}, []float64{0.2}, []float64{0.2})
+	in := newInput([]float64{0.9, 0.9, 0.9}, []float64{0.2}, []float64{0.2})
 	in.Weighting = siteconfig.WeightUnavailability
 	g.Expect((balance.Push{}).Decide(in)).To(gomega.BeEmpty())
 	in.HotKeys = []balance.HotKey{{Shard: 0, Key: "q-7", Load: 0.6}}
@@ -277,9 +277,9 @@
 	g.Expect((balance.Push{}).Decide(in)).NotTo(gomega.BeEmpty())
 }
 
-func TestStaticChangesOnlyWhatAMembershipChangeTouches(t *testing.T) {
+func TestStaticMovesOnlyShardsOfChangedServers(t *testing.T) {
 	g := gomega.NewWithT(t)
-	in := site(nil, nil, nil, nil, nil)
+	in := newInput(nil, nil, nil, nil, nil)
 	for range 200 {
 		addShard(in, balance.NoOwner, 0)
 	}
@@ -302,7 +302,7 @@
 	g.Expect(meter.Allowed(start.Add(time.Hour))).To(gomega.Equal(5))
 }
 
-func TestAllowanceRationsRangesAndKeysApart(t *testing.T) {
+func TestAllowanceLimitsRangesAndKeysSeparately(t *testing.T) {
 	g := gomega.NewWithT(t)
 	key := balance.Move{Cause: balance.CauseLoad, Shard: topo.ShardID{Service: service, Key: "k"}}
 	whole := balance.Move{Cause: balance.CauseLoad, Shard: topo.ShardID{Service: service}}
--- a/balance/board.go
+++ b/balance/balancer.go
@@ -5,43 +5,43 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// board is the working copy of one decision: the loads as they will be once the
+// balancer is the working copy of one decision: the loads as they will be once the
 // moves decided so far are made.
-type board struct {
-	in     *Input
-	tuning Tuning
-	loads  []float64 // by server
-	owners []int     // by shard, after the moves decided
-	shards [][]int   // by server: indices of its shards
-	keys   [][]int   // by server: indices of hot keys inside its hash ranges
-	gone   []bool    // by hot key: split in this decision
-	mean   float64   // utilization of live servers if the load were even
-	share  float64   // mean load of a live server with capacity
-	splits int       // split keys after the moves decided
-	moves  []Move
-	left   Budget // what the moves decided have left over
-}
-
-func newBoard(in *Input, tuning Tuning) *board {
-	b := &board{
-		in:     in,
-		tuning: tuning,
-		loads:  make([]float64, len(in.Servers)),
-		owners: make([]int, len(in.Shards)),
-		gone:   make([]bool, len(in.HotKeys)),
-		left:   in.Budget,
+type balancer struct {
+	in              *Input
+	tuning          Tuning
+	loads           []float64 // by server
+	owners          []int     // by shard, after the moves decided
+	shards          [][]int   // by server: indices of its shards
+	keys            [][]int   // by server: indices of hot keys inside its hash ranges
+	keySplit        []bool    // by hot key: split in this decision
+	meanUtilization float64   // utilization of live servers if the load were even
+	meanLoad        float64   // mean load of a live server with capacity
+	splits          int       // split keys after the moves decided
+	moves           []Move
+	remaining       Budget // what the moves decided have left over
+}
+
+func newBalancer(in *Input, tuning Tuning) *balancer {
+	b := &balancer{
+		in:        in,
+		tuning:    tuning,
+		loads:     make([]float64, len(in.Servers)),
+		owners:    make([]int, len(in.Shards)),
+		keySplit:  make([]bool, len(in.HotKeys)),
+		remaining: in.Budget,
 	}
 	for i := range in.Servers {
 		b.loads[i] = in.Servers[i].Background
 	}
 	b.indexShards()
 	b.indexKeys()
-	b.measure()
+	b.computeMeans()
 	return b
 }
 
 // indexShards lists the shards of each server in one backing array.
-func (b *board) indexShards() {
+func (b *balancer) indexShards() {
 	counts := make([]int, len(b.in.Servers))
 	for i := range b.in.Shards {
 		shard := &b.in.Shards[i]
@@ -68,7 +68,7 @@
 	}
 }
 
-func (b *board) indexKeys() {
+func (b *balancer) indexKeys() {
 	b.keys = make([][]int, len(b.in.Servers))
 	for i := range b.in.HotKeys {
 		owner := b.owners[b.in.HotKeys[i].Shard]
@@ -78,9 +78,9 @@
 	}
 }
 
-// measure sets the mean utilization that live servers would have if the whole
+// computeMeans sets the mean utilization that live servers would have if the whole
 // load were spread evenly over them.
-func (b *board) measure() {
+func (b *balancer) computeMeans() {
 	load, capacity, usable := 0.0, 0.0, 0
 	for i := range b.in.Servers {
 		load += b.loads[i]
@@ -95,30 +95,30 @@
 		}
 	}
 	if capacity > 0 {
-		b.mean = load / capacity
-		b.share = load / float64(usable)
+		b.meanUtilization = load / capacity
+		b.meanLoad = load / float64(usable)
 	}
 }
 
 // canReceive reports whether a server may be given a shard.
-func (b *board) canReceive(server int) bool {
+func (b *balancer) canReceive(server int) bool {
 	s := &b.in.Servers[server]
 	return s.Phase == state.PhaseLive && s.Capacity > 0
 }
 
 // live reports whether a server is live, with or without capacity.
-func (b *board) live(server int) bool {
+func (b *balancer) live(server int) bool {
 	return b.in.Servers[server].Phase == state.PhaseLive
 }
 
 // utilization returns a server's load per capacity.
-func (b *board) utilization(server int) float64 {
+func (b *balancer) utilization(server int) float64 {
 	return b.utilizationWith(server, 0)
 }
 
 // utilizationWith returns the utilization if load were added. A server without
 // capacity counts as fully used, so that it sheds what it has.
-func (b *board) utilizationWith(server int, load float64) float64 {
+func (b *balancer) utilizationWith(server int, load float64) float64 {
 	capacity := b.in.Servers[server].Capacity
 	if capacity <= 0 {
 		return 1 + b.loads[server] + load
@@ -128,7 +128,7 @@
 
 // coldest returns the live server with the lowest utilization after receiving
 // load, other than except; NoOwner if there is none.
-func (b *board) coldest(load float64, except int) int {
+func (b *balancer) coldest(load float64, except int) int {
 	best, bestUtilization := NoOwner, 0.0
 	for i := range b.in.Servers {
 		if i == except || !b.canReceive(i) {
@@ -142,8 +142,8 @@
 	return best
 }
 
-// give records the move of a whole shard.
-func (b *board) give(shard, to int, cause Cause) {
+// moveShard records the move of a whole shard.
+func (b *balancer) moveShard(shard, to int, cause Cause) {
 	s := &b.in.Shards[shard]
 	from := b.owners[shard]
 	b.owners[shard] = to
@@ -158,7 +158,7 @@
 }
 
 // moveKeys lets the hot keys inside a shard follow it.
-func (b *board) moveKeys(shard, from, to int) {
+func (b *balancer) moveKeys(shard, from, to int) {
 	kept := b.keys[from][:0]
 	for _, key := range b.keys[from] {
 		if b.in.HotKeys[key].Shard == shard {
@@ -170,40 +170,40 @@
 	b.keys[from] = kept
 }
 
-// split records that a hot key gets an entry of its own at another server.
-func (b *board) split(key, to int) {
+// splitHotKey records that a hot key gets an entry of its own at another server.
+func (b *balancer) splitHotKey(key, to int) {
 	hot := &b.in.HotKeys[key]
 	from := b.owners[hot.Shard]
 	b.loads[from] -= hot.Load
 	b.loads[to] += hot.Load
-	b.gone[key] = true
+	b.keySplit[key] = true
 	b.splits++
 	id := b.in.Shards[hot.Shard].ID
 	id.Key = hot.Key
 	b.record(Move{Kind: SplitKey, Shard: id, From: b.id(from), To: b.id(to), Cause: CauseLoad})
 }
 
-func (b *board) record(move Move) {
+func (b *balancer) record(move Move) {
 	b.moves = append(b.moves, move)
-	b.left.spend(move)
+	b.remaining.spend(move)
 }
 
 // movesLeft reports whether the budget allows one more move between live
 // servers, of any kind.
-func (b *board) movesLeft() bool { return b.left.Moves > 0 || b.left.Keys > 0 }
+func (b *balancer) movesLeft() bool { return b.remaining.Moves > 0 || b.remaining.Keys > 0 }
 
-func (b *board) evacuationsLeft() bool { return b.left.Evacuations > 0 }
+func (b *balancer) evacuationsLeft() bool { return b.remaining.Evacuations > 0 }
 
-func (b *board) id(server int) topo.ServerID {
+func (b *balancer) id(server int) topo.ServerID {
 	if server == NoOwner {
 		return ""
 	}
 	return b.in.Servers[server].ID
 }
 
-// settled reports whether a shard may move for load's sake: no move of it is
+// movable reports whether a shard may move for load's sake: no move of it is
 // under way and it has stayed for the dwell time.
-func (b *board) settled(shard int) bool {
+func (b *balancer) movable(shard int) bool {
 	s := &b.in.Shards[shard]
 	if s.Moving || b.owners[shard] != s.Owner {
 		return false
--- a/balance/budget.go
+++ b/balance/budget.go
@@ -12,18 +12,18 @@
 	case move.Cause == CauseUnowned:
 		return true
 	case move.Cause == CauseDraining:
-		return take(&b.Evacuations)
+		return decrement(&b.Evacuations)
 	case move.Shard.Key != "":
-		return take(&b.Keys)
+		return decrement(&b.Keys)
 	}
-	return take(&b.Moves)
+	return decrement(&b.Moves)
 }
 
-func take(left *int) bool {
-	if *left <= 0 {
+func decrement(remaining *int) bool {
+	if *remaining <= 0 {
 		return false
 	}
-	*left--
+	*remaining--
 	return true
 }
 
--- a/balance/greedy.go
+++ b/balance/greedy.go
@@ -19,11 +19,11 @@
 	tuning := DefaultTuning(siteconfig.WeightImbalance)
 	tuning.MinGain = greedyMinGain
 	tuning.Dwell = 0
-	b := newBoard(in, tuning)
-	b.duties()
-	stuck := make([]bool, len(in.Servers))
+	b := newBalancer(in, tuning)
+	b.mandatoryMoves()
+	exhausted := make([]bool, len(in.Servers))
 	for b.movesLeft() {
-		from := b.hottest(stuck)
+		from := b.hottest(exhausted)
 		if from == NoOwner {
 			break
 		}
@@ -31,19 +31,19 @@
 		if to == NoOwner {
 			break
 		}
-		best, found := b.bestPiece(from, to)
+		best, found := b.bestCandidate(from, to)
 		if !found {
-			stuck[from] = true
+			exhausted[from] = true
 			continue
 		}
-		b.take(best, to)
+		b.moveCandidate(best, to)
 	}
 	return b.moves
 }
 
 // hottest returns the live server with the highest utilization that is not
 // excluded; NoOwner if there is none.
-func (b *board) hottest(excluded []bool) int {
+func (b *balancer) hottest(excluded []bool) int {
 	best := NoOwner
 	for i := range b.in.Servers {
 		if excluded[i] || !b.live(i) {
--- a/balance/duties.go
+++ b/balance/mandatory.go
@@ -6,10 +6,10 @@
 	"github.com/burdockspindle/burdockspindle/state"
 )
 
-// duties decides what every load-driven policy must do before it evens out
+// mandatoryMoves decides what every load-driven policy must do before it evens out
 // loads: give shards without an owner to someone, empty the servers that are
 // leaving, and merge back split keys that have cooled.
-func (b *board) duties() {
+func (b *balancer) mandatoryMoves() {
 	b.placeUnowned()
 	b.evacuate()
 	b.mergeCooled()
@@ -17,17 +17,17 @@
 
 // placeUnowned gives every shard without an owner, heaviest first, to the
 // coldest server.
-func (b *board) placeUnowned() {
+func (b *balancer) placeUnowned() {
 	b.placeAll(b.shardsWith(CauseUnowned), CauseUnowned)
 }
 
 // evacuate gives the shards of draining servers to the coldest live ones.
-func (b *board) evacuate() {
+func (b *balancer) evacuate() {
 	b.placeAll(b.shardsWith(CauseDraining), CauseDraining)
 }
 
 // shardsWith lists the shards that must get a new owner for a cause.
-func (b *board) shardsWith(cause Cause) []int {
+func (b *balancer) shardsWith(cause Cause) []int {
 	var list []int
 	for i := range b.owners {
 		if !b.in.Shards[i].Moving && mustMove(b.in.Servers, b.owners[i]) == cause {
@@ -52,71 +52,71 @@
 	return CauseUnowned
 }
 
-func (b *board) placeAll(shards []int, cause Cause) {
+func (b *balancer) placeAll(shards []int, cause Cause) {
 	if len(shards) == 0 {
 		return
 	}
 	sort.SliceStable(shards, func(i, j int) bool {
 		return b.in.Shards[shards[i]].Load > b.in.Shards[shards[j]].Load
 	})
-	receivers := newReceivers(b)
+	receivers := newReceiverHeap(b)
 	for _, shard := range shards {
 		if cause == CauseDraining && !b.evacuationsLeft() {
 			return
 		}
-		to, exists := receivers.take(b.in.Shards[shard].Load)
+		to, exists := receivers.pickColdest(b.in.Shards[shard].Load)
 		if !exists {
 			return
 		}
-		b.give(shard, to, cause)
+		b.moveShard(shard, to, cause)
 	}
 }
 
 // mergeCooled returns split keys to their hash range once they are no longer
 // hot, as far as the move budget goes. A key can be merged only where its range
 // is, so it goes there first; a later decision merges it.
-func (b *board) mergeCooled() {
+func (b *balancer) mergeCooled() {
 	if b.splits == 0 {
 		return
 	}
 	parents := b.rangeOwners()
 	for i := range b.in.Shards {
-		if b.left.Keys <= 0 {
+		if b.remaining.Keys <= 0 {
 			return
 		}
-		if !b.cooled(i) || !b.settled(i) || b.owners[i] == NoOwner {
+		if !b.cooled(i) || !b.movable(i) || b.owners[i] == NoOwner {
 			continue
 		}
 		to, known := parents[b.in.Shards[i].ID.Index]
 		switch {
 		case !known || !b.canReceive(to):
 		case to == b.owners[i]:
-			b.merge(i)
+			b.mergeSplitKey(i)
 		default:
-			b.give(i, to, CauseCooled)
+			b.moveShard(i, to, CauseCooled)
 		}
 	}
 }
 
 // cooled reports whether a shard is a split key that is no longer hot.
-func (b *board) cooled(shard int) bool {
+func (b *balancer) cooled(shard int) bool {
 	s := &b.in.Shards[shard]
-	return s.ID.Key != "" && s.Load < b.tuning.MergeBelow*b.share
+	return s.ID.Key != "" && s.Load < b.tuning.MergeBelow*b.meanLoad
 }
 
 // rangeOwners maps the hash ranges of split keys to their owners, leaving out
 // ranges that are moving themselves.
-func (b *board) rangeOwners() map[uint32]int {
-	wanted := make(map[uint32]bool, b.splits)
+func (b *balancer) rangeOwners() map[uint32]int {
+	splitRanges := make(map[uint32]bool, b.splits)
 	for i := range b.in.Shards {
 		if b.in.Shards[i].ID.Key != "" {
-			wanted[b.in.Shards[i].ID.Index] = true
+			splitRanges[b.in.Shards[i].ID.Index] = true
 		}
 	}
-	owners := make(map[uint32]int, len(wanted))
+	owners := make(map[uint32]int, len(splitRanges))
 	for i := range b.in.Shards {
 		shard := &b.in.Shards[i]
-		if shard.ID.Key != "" || !wanted[shard.ID.Index] {
+		if shard.ID.Key != "" || !splitRanges[shard.ID.Index] {
 			continue
 		}
 		if !shard.Moving && b.owners[i] != NoOwner && b.owners[i] == shard.Owner {
@@ -126,7 +126,7 @@
 	return owners
 }
 
-func (b *board) merge(shard int) {
+func (b *balancer) mergeSplitKey(shard int) {
 	s := &b.in.Shards[shard]
 	owner := b.owners[shard]
 	b.shards[owner] = remove(b.shards[owner], shard)
--- a/balance/meter.go
+++ b/balance/meter.go
@@ -5,22 +5,22 @@
 // Meter turns a rate of moves into the budget of each decision: a token bucket
 // that holds at most Burst moves. The zero Meter allows nothing.
 type Meter struct {
-	PerMinute float64 // moves per minute
-	Burst     float64 // most moves that may be saved up
-	tokens    float64
-	last      time.Time
+	PerMinute  float64 // moves per minute
+	Burst      float64 // most moves that may be saved up
+	tokens     float64
+	lastRefill time.Time
 }
 
 // NewMeter returns a full meter.
 func NewMeter(perMinute, burst float64, now time.Time) *Meter {
-	return &Meter{PerMinute: perMinute, Burst: burst, tokens: burst, last: now}
+	return &Meter{PerMinute: perMinute, Burst: burst, tokens: burst, lastRefill: now}
 }
 
 // Allowed returns how many moves may be made now.
 func (m *Meter) Allowed(now time.Time) int {
-	if passed := now.Sub(m.last); passed > 0 {
+	if passed := now.Sub(m.lastRefill); passed > 0 {
 		m.tokens = min(m.Burst, m.tokens+m.PerMinute*passed.Minutes())
-		m.last = now
+		m.lastRefill = now
 	}
 	return int(m.tokens)
 }
--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -14,7 +14,7 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-func anyInput(t *rapid.T) *balance.Input {
+func drawInput(t *rapid.T) *balance.Input {
 	servers := rapid.IntRange(1, 8).Draw(t, "servers")
 	shards := rapid.IntRange(1, 60).Draw(t, "shards")
 	in := &balance.Input{
@@ -40,11 +40,11 @@
 		at := addShard(in, rapid.IntRange(-1, servers-1).Draw(t, "owner"), rapid.Float64Range(0, 1).Draw(t, "load"))
 		in.Shards[at].Moving = rapid.IntRange(0, 9).Draw(t, "moving") == 0
 	}
-	addKeys(t, in, shards)
+	addDrawnKeys(t, in, shards)
 	return in
 }
 
-func addKeys(t *rapid.T, in *balance.Input, shards int) {
+func addDrawnKeys(t *rapid.T, in *balance.Input, shards int) {
 	for i := range rapid.IntRange(0, 5).Draw(t, "hot") {
 		shard := rapid.IntRange(0, shards-1).Draw(t, "shard")
 		load := in.Shards[shard].Load * 0.15
@@ -57,17 +57,17 @@
 	}
 }
 
-func anyPolicy(t *rapid.T) balance.Policy {
+func drawPolicy(t *rapid.T) balance.Policy {
 	return rapid.SampledFrom(policies()).Draw(t, "policy")
 }
 
 func TestPropertyMovesAreAllowed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		in := anyInput(t)
+		in := drawInput(t)
 		budget := in.Budget
 		used := balance.Budget{}
 		touched := map[topo.ShardID]bool{}
-		for _, move := range anyPolicy(t).Decide(in) {
+		for _, move := range drawPolicy(t).Decide(in) {
 			checkMove(t, in, move)
 			if touched[move.Shard] {
 				t.Fatalf("%v is moved twice", move.Shard)
@@ -113,15 +113,15 @@
 }
 
 // Under a constant load every policy comes to rest: no shard travels for ever.
-func TestPropertyConstantLoadComesToRest(t *testing.T) {
+func TestPropertyMovesStopUnderConstantLoad(t *testing.T) {
 	const rounds = 400
 	rapid.Check(t, func(t *rapid.T) {
-		in := anyInput(t)
+		in := drawInput(t)
 		for i := range in.Shards {
 			in.Shards[i].Moving = false
 		}
 		in.Budget = balance.Budget{Moves: 10, Keys: 10, Evacuations: 100, Probes: 10}
-		policy := anyPolicy(t)
+		policy := drawPolicy(t)
 		last := 0
 		for round := range rounds {
 			in.Now = in.Now.Add(time.Minute)
@@ -137,10 +137,10 @@
 	})
 }
 
-func TestPropertySameInputSameMoves(t *testing.T) {
+func TestPropertySameInputGivesSameMoves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		in := anyInput(t)
-		policy := anyPolicy(t)
+		in := drawInput(t)
+		policy := drawPolicy(t)
 		in.Rand = rand.New(rand.NewPCG(7, 7))
 		first := policy.Decide(in)
 		in.Rand = rand.New(rand.NewPCG(7, 7))
--- a/balance/rate.go
+++ b/balance/rate.go
@@ -27,11 +27,11 @@
 
 // Decide implements Policy.
 func (p RatePush) Decide(in *Input) []Move {
-	b := newBoard(in, tuningFor(in, p.Tuning))
-	b.duties()
+	b := newBalancer(in, tuningFor(in, p.Tuning))
+	b.mandatoryMoves()
 	b.probe(b.overloaded, func(prober, probed int) {
 		if b.underloaded(probed) {
-			b.moveBetween(prober, probed)
+			b.moveProbed(prober, probed)
 		}
 	})
 	return b.moves
@@ -39,32 +39,32 @@
 
 // Decide implements Policy.
 func (p RatePull) Decide(in *Input) []Move {
-	b := newBoard(in, tuningFor(in, p.Tuning))
-	b.duties()
+	b := newBalancer(in, tuningFor(in, p.Tuning))
+	b.mandatoryMoves()
 	b.probe(b.underloaded, func(prober, probed int) {
 		if b.overloaded(probed) {
-			b.moveBetween(probed, prober)
+			b.moveProbed(probed, prober)
 		}
 	})
 	return b.moves
 }
 
-func (b *board) moveBetween(from, to int) {
-	if best, found := b.bestPiece(from, to); found {
-		b.take(best, to)
+func (b *balancer) moveProbed(from, to int) {
+	if best, found := b.bestCandidate(from, to); found {
+		b.moveCandidate(best, to)
 	}
 }
 
 // probe spends the probe budget: a random server for which sends holds, looks
 // at a random other live one, and migrate decides what to make of it.
-func (b *board) probe(sends func(int) bool, migrate func(prober, probed int)) {
+func (b *balancer) probe(isProber func(int) bool, migrate func(prober, probed int)) {
 	b.in.Probed = 0
 	live := b.byUtilization(b.live, false)
 	if len(live) < 2 {
 		return
 	}
 	for b.in.Probed < b.in.Budget.Probes && b.movesLeft() {
-		probers := b.byUtilization(sends, false)
+		probers := b.byUtilization(isProber, false)
 		if len(probers) == 0 {
 			return
 		}
--- a/balance/static.go
+++ b/balance/static.go
@@ -19,7 +19,7 @@
 	in.Probed = 0
 	hashes := serverHashes(in.Servers)
 	var moves []Move
-	left := in.Budget
+	remaining := in.Budget
 	for i := range in.Shards {
 		shard := &in.Shards[i]
 		to := rendezvous(in.Servers, hashes, shard.ID)
@@ -33,7 +33,7 @@
 		if shard.Owner != NoOwner {
 			move.From = in.Servers[shard.Owner].ID
 		}
-		if left.spend(move) {
+		if remaining.spend(move) {
 			moves = append(moves, move)
 		}
 	}
--- a/balance/threshold.go
+++ b/balance/threshold.go
@@ -29,8 +29,8 @@
 
 // Decide implements Policy.
 func (p Push) Decide(in *Input) []Move {
-	b := newBoard(in, tuningFor(in, p.Tuning))
-	b.duties()
+	b := newBalancer(in, tuningFor(in, p.Tuning))
+	b.mandatoryMoves()
 	in.Probed = 0
 	for _, from := range b.byUtilization(b.overloaded, true) {
 		for b.movesLeft() && b.overloaded(from) && b.pushOne(from) {
@@ -41,18 +41,18 @@
 
 // pushOne moves one piece to the coldest server that may receive; it reports
 // whether there was one.
-func (b *board) pushOne(from int) bool {
+func (b *balancer) pushOne(from int) bool {
 	to := b.coldest(0, from)
 	if to == NoOwner || !b.underloaded(to) {
 		return false
 	}
-	return b.transfer(from, to)
+	return b.moveBest(from, to)
 }
 
 // Decide implements Policy.
 func (p Pull) Decide(in *Input) []Move {
-	b := newBoard(in, tuningFor(in, p.Tuning))
-	b.duties()
+	b := newBalancer(in, tuningFor(in, p.Tuning))
+	b.mandatoryMoves()
 	in.Probed = 0
 	for _, to := range b.byUtilization(b.underloaded, false) {
 		for b.movesLeft() && b.underloaded(to) && b.pullOne(to) {
@@ -63,24 +63,24 @@
 
 // pullOne takes one piece from the hottest overloaded server that has one worth
 // a move; it reports whether there was one.
-func (b *board) pullOne(to int) bool {
+func (b *balancer) pullOne(to int) bool {
 	for _, from := range b.byUtilization(b.overloaded, true) {
-		if b.transfer(from, to) {
+		if b.moveBest(from, to) {
 			return true
 		}
 	}
 	return false
 }
 
-// transfer moves the best piece between two servers and counts the look at the
+// moveBest moves the best piece between two servers and counts the look at the
 // partner. It reports whether a piece was worth it.
-func (b *board) transfer(from, to int) bool {
+func (b *balancer) moveBest(from, to int) bool {
 	b.in.Probed++
-	best, found := b.bestPiece(from, to)
+	best, found := b.bestCandidate(from, to)
 	if !found {
 		return false
 	}
-	b.take(best, to)
+	b.moveCandidate(best, to)
 	return true
 }
 
@@ -92,21 +92,21 @@
 }
 
 // overloaded reports whether a live server is above the high threshold.
-func (b *board) overloaded(server int) bool {
+func (b *balancer) overloaded(server int) bool {
 	if !b.live(server) {
 		return false
 	}
 	utilization := b.utilization(server)
-	return utilization > b.tuning.High*b.mean && utilization > b.tuning.Floor
+	return utilization > b.tuning.High*b.meanUtilization && utilization > b.tuning.Floor
 }
 
 // underloaded reports whether a live server is at or below the low threshold.
-func (b *board) underloaded(server int) bool {
-	return b.canReceive(server) && b.utilization(server) <= b.tuning.Low*b.mean
+func (b *balancer) underloaded(server int) bool {
+	return b.canReceive(server) && b.utilization(server) <= b.tuning.Low*b.meanUtilization
 }
 
 // byUtilization lists the servers for which keep holds, in order of utilization.
-func (b *board) byUtilization(keep func(int) bool, descending bool) []int {
+func (b *balancer) byUtilization(keep func(int) bool, descending bool) []int {
 	var list []int
 	for i := range b.in.Servers {
 		if keep(i) {
--- a/balance/tuning_test.go
+++ b/balance/tuning_test.go
@@ -11,23 +11,23 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// tuned returns the thresholds for imbalance with a change.
-func tuned(change func(*balance.Tuning)) balance.Push {
+// pushWith returns the thresholds for imbalance with a change.
+func pushWith(change func(*balance.Tuning)) balance.Push {
 	tuning := balance.DefaultTuning(siteconfig.WeightImbalance)
 	change(&tuning)
 	return balance.Push{Tuning: &tuning}
 }
 
-func TestCooledKeysLeaveForTheirRangeOnly(t *testing.T) {
+func TestCooledKeysMoveOnlyToTheirHashRange(t *testing.T) {
 	g := gomega.NewWithT(t)
-	in := site([]float64{2, 0.1}, []float64{1.9}, []float64{0.5})
+	in := newInput([]float64{2, 0.1}, []float64{1.9}, []float64{0.5})
 	key := addShard(in, 0, 0.02)
 	in.Shards[key].ID = topo.ShardID{Service: service, Index: 0, Key: "q-7"}
 	for i := range in.Shards[:key] {
 		in.Shards[i].Changed = in.Now // nothing else may move
 	}
 	in.Budget.Keys = 1
-	policy := tuned(func(t *balance.Tuning) { t.MinGain, t.MergeBelow, t.Dwell = 0, 0.05, time.Second })
+	policy := pushWith(func(t *balance.Tuning) { t.MinGain, t.MergeBelow, t.Dwell = 0, 0.05, time.Second })
 	moves := policy.Decide(in)
 	g.Expect(moves).To(gomega.HaveLen(1))
 	g.Expect(moves[0].Kind).To(gomega.Equal(balance.MergeKey))
@@ -35,13 +35,13 @@
 	g.Expect(policy.Decide(in)).To(gomega.BeEmpty())
 }
 
-func TestSplitsAreBounded(t *testing.T) {
+func TestSplitKeysAreLimited(t *testing.T) {
 	g := gomega.NewWithT(t)
-	in := site([]float64{3}, []float64{0.2}, []float64{0.2})
+	in := newInput([]float64{3}, []float64{0.2}, []float64{0.2})
 	in.HotKeys = []balance.HotKey{{Shard: 0, Key: "a", Load: 0.5}, {Shard: 0, Key: "b", Load: 0.5}, {Shard: 0, Key: "c", Load: 0.5}}
 	splits := func(most int) int {
 		count := 0
-		for _, move := range tuned(func(t *balance.Tuning) { t.MaxSplit = most }).Decide(in) {
+		for _, move := range pushWith(func(t *balance.Tuning) { t.MaxSplit = most }).Decide(in) {
 			if move.Kind == balance.SplitKey {
 				count++
 			}
@@ -53,9 +53,9 @@
 	g.Expect(splits(0)).To(gomega.BeZero())
 }
 
-func TestMovesThatGainLittleAreNotMade(t *testing.T) {
+func TestMovesBelowMinGainAreNotMade(t *testing.T) {
 	g := gomega.NewWithT(t)
-	in := site([]float64{2, 0.08}, []float64{1.2}, []float64{1.2})
-	g.Expect(tuned(func(t *balance.Tuning) { t.MinGain = 0.01 }).Decide(in)).NotTo(gomega.BeEmpty())
-	g.Expect(tuned(func(t *balance.Tuning) { t.MinGain = 0.03 }).Decide(in)).To(gomega.BeEmpty())
+	in := newInput([]float64{2, 0.08}, []float64{1.2}, []float64{1.2})
+	g.Expect(pushWith(func(t *balance.Tuning) { t.MinGain = 0.01 }).Decide(in)).NotTo(gomega.BeEmpty())
+	g.Expect(pushWith(func(t *balance.Tuning) { t.MinGain = 0.03 }).Decide(in)).To(gomega.BeEmpty())
 }
