--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -27,8 +27,8 @@
 
 func loadPolicies() []balance.Policy { return policies()[1:] }
 
-// newInput builds an input: one live server of capacity 4 for each list of shard
-// loads.
+// newInput builds an input with one live server of capacity 4 for each list of
+// shard loads.
 func newInput(loads ...[]float64) *balance.Input {
 	in := &balance.Input{
 		Service:   service,
@@ -56,7 +56,7 @@
 	return index
 }
 
-// apply makes the moves as the planner would.
+// apply carries out the moves as the planner does.
 func apply(in *balance.Input, moves []balance.Move) {
 	for _, move := range moves {
 		to := serverIndex(in, move.To)
@@ -90,7 +90,7 @@
 	in.Shards = append(in.Shards[:at:at], in.Shards[at+1:]...)
 	parent := shardIndex(in, topo.ShardID{Service: service, Index: key.ID.Index})
 	if in.Shards[parent].Owner != key.Owner {
-		panic("merged elsewhere than at the range's owner")
+		panic("key was merged at a server that does not own its hash range")
 	}
 	in.Shards[parent].Load += key.Load
 	in.Shards[parent].Changed = in.Now
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -5,21 +5,21 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// balancer is the working copy of one decision: the loads as they will be once the
-// moves decided so far are made.
+// balancer computes one decision on a working copy of the input: owners and
+// loads include the effect of the moves decided so far.
 type balancer struct {
 	in              *Input
 	tuning          Tuning
 	loads           []float64 // by server
 	owners          []int     // by shard, after the moves decided
-	shards          [][]int   // by server: indices of its shards
+	shards          [][]int   // by server: indices of the shards that it owns
 	keys            [][]int   // by server: indices of hot keys inside its hash ranges
 	keySplit        []bool    // by hot key: split in this decision
 	meanUtilization float64   // utilization of live servers if the load were even
 	meanLoad        float64   // mean load of a live server with capacity
 	splits          int       // split keys after the moves decided
 	moves           []Move
-	remaining       Budget // what the moves decided have left over
+	remaining       Budget // budget that the moves decided have not used
 }
 
 func newBalancer(in *Input, tuning Tuning) *balancer {
@@ -78,8 +78,8 @@
 	}
 }
 
-// computeMeans sets the mean utilization that live servers would have if the whole
-// load were spread evenly over them.
+// computeMeans sets the mean utilization and the mean load that live servers
+// would have if the whole load were spread evenly over them.
 func (b *balancer) computeMeans() {
 	load, capacity, usable := 0.0, 0.0, 0
 	for i := range b.in.Servers {
@@ -100,7 +100,7 @@
 	}
 }
 
-// canReceive reports whether a server may be given a shard.
+// canReceive reports whether a server may be assigned a shard.
 func (b *balancer) canReceive(server int) bool {
 	s := &b.in.Servers[server]
 	return s.Phase == state.PhaseLive && s.Capacity > 0
@@ -111,13 +111,14 @@
 	return b.in.Servers[server].Phase == state.PhaseLive
 }
 
-// utilization returns a server's load per capacity.
+// utilization returns a server's load divided by its capacity.
 func (b *balancer) utilization(server int) float64 {
 	return b.utilizationWith(server, 0)
 }
 
-// utilizationWith returns the utilization if load were added. A server without
-// capacity counts as fully used, so that it sheds what it has.
+// utilizationWith returns the utilization that a server would have with
+// additional load. A server without capacity is treated as more than fully
+// utilized, so that its shards are moved away.
 func (b *balancer) utilizationWith(server int, load float64) float64 {
 	capacity := b.in.Servers[server].Capacity
 	if capacity <= 0 {
@@ -126,8 +127,8 @@
 	return (b.loads[server] + load) / capacity
 }
 
-// coldest returns the live server with the lowest utilization after receiving
-// load, other than except; NoOwner if there is none.
+// coldest returns the server, other than except, that would have the lowest
+// utilization after receiving load. It returns NoOwner if no server can receive.
 func (b *balancer) coldest(load float64, except int) int {
 	best, bestUtilization := NoOwner, 0.0
 	for i := range b.in.Servers {
@@ -157,7 +158,7 @@
 	b.record(Move{Kind: MoveShard, Shard: s.ID, From: b.id(from), To: b.id(to), Cause: cause})
 }
 
-// moveKeys lets the hot keys inside a shard follow it.
+// moveKeys assigns the hot keys inside a shard to the shard's new owner.
 func (b *balancer) moveKeys(shard, from, to int) {
 	kept := b.keys[from][:0]
 	for _, key := range b.keys[from] {
@@ -170,7 +171,8 @@
 	b.keys[from] = kept
 }
 
-// splitHotKey records that a hot key gets an entry of its own at another server.
+// splitHotKey records that a hot key becomes a shard of its own at another
+// server.
 func (b *balancer) splitHotKey(key, to int) {
 	hot := &b.in.HotKeys[key]
 	from := b.owners[hot.Shard]
@@ -201,8 +203,8 @@
 	return b.in.Servers[server].ID
 }
 
-// movable reports whether a shard may move for load's sake: no move of it is
-// under way and it has stayed for the dwell time.
+// movable reports whether a shard may move because of load: no move of it is in
+// flight or decided, and its owner has not changed for the dwell time.
 func (b *balancer) movable(shard int) bool {
 	s := &b.in.Shards[shard]
 	if s.Moving || b.owners[shard] != s.Owner {
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -41,7 +41,7 @@
 	return in
 }
 
-// BenchmarkDecide measures one decision at 1,000 servers and 100,000 shards.
+// BenchmarkDecide measures one decision for 1,000 servers and 100,000 shards.
 func BenchmarkDecide(b *testing.B) {
 	for _, policy := range policies() {
 		b.Run(policy.Name(), func(b *testing.B) {
--- a/balance/budget.go
+++ b/balance/budget.go
@@ -6,7 +6,8 @@
 	"github.com/burdockspindle/burdockspindle/siteconfig"
 )
 
-// spend takes a move out of what is left, and reports whether it was there.
+// spend subtracts a move from the budget and reports whether the budget allowed
+// it.
 func (b *Budget) spend(move Move) bool {
 	switch {
 	case move.Cause == CauseUnowned:
@@ -27,8 +28,9 @@
 	return true
 }
 
-// Rates of moves for load. A hash range makes all of its keys unavailable while
-// it moves, a single key only itself.
+// Rates and bursts of moves because of load. The limits for ranges are lower
+// because the move of a hash range makes all of its keys unavailable, the move
+// of a single key only that key.
 const (
 	rangesPerMinuteUnavailability = 15
 	rangesBurstUnavailability     = 5
@@ -41,8 +43,8 @@
 	keysBurstImbalance       = 40
 )
 
-// Allowance rations a service's moves for load over time. It is not safe for
-// concurrent use.
+// Allowance limits the rate of a service's moves because of load. It is not safe
+// for concurrent use.
 type Allowance struct {
 	ranges *Meter
 	keys   *Meter
@@ -62,14 +64,15 @@
 	}
 }
 
-// Budget returns what may be spent now. The caller adds what is not rationed
-// over time.
+// Budget returns the moves that are allowed now. The caller sets the fields that
+// are not rate-limited.
 func (a *Allowance) Budget(now time.Time) Budget {
 	return Budget{Moves: a.ranges.Allowed(now), Keys: a.keys.Allowed(now)}
 }
 
-// Spend takes a move that was made out of the allowance. Moves that nobody
-// chose, of shards without an owner or whose owner leaves, are free.
+// Spend subtracts a move that was made from the allowance. Moves of shards that
+// have no owner or whose owner is draining are not limited, because they are not
+// optional.
 func (a *Allowance) Spend(move Move) {
 	switch {
 	case move.Cause == CauseUnowned || move.Cause == CauseDraining:
--- a/balance/candidates.go
+++ b/balance/candidates.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// candidate is something that can leave a server to relieve it: a whole shard, or a
-// hot key that is split out of one.
+// candidate is a unit of load that can leave a server: a whole shard, or a hot
+// key that is split out of a hash range.
 type candidate struct {
 	shard int // index of the shard, or NoOwner for a hot key
 	key   int // index of the hot key
 	load  float64
 }
 
-// bestCandidate returns the piece of a server whose move to another server lowers
-// the higher of the two utilizations most for its cost. The second result is
-// false if no piece is worth a move. Each move thus lowers the larger of two
-// utilizations, so that under a constant load no sequence of moves comes back
-// to where it started.
+// bestCandidate returns the candidate of a server whose move to another server
+// lowers the higher of the two utilizations most in relation to its cost. The
+// second result is false if no candidate is worth a move. Because each move
+// lowers the higher of two utilizations, no sequence of moves returns to its
+// initial placement under a constant load.
 func (b *balancer) bestCandidate(from, to int) (candidate, bool) {
 	best, found := candidate{}, false
 	bestWorth := 0.0
@@ -49,18 +49,19 @@
 	return b.remaining.Moves > 0
 }
 
-// highEnough reports whether a server's utilization is high enough for a shard to
-// leave: always for a single key, from a threshold on for a hash range.
+// highEnough reports whether a server's utilization is high enough for a shard
+// to leave. A single key may always leave, a hash range only at or above
+// Tuning.RangeFloor.
 func (b *balancer) highEnough(shard int, utilization float64) bool {
 	return b.in.Shards[shard].ID.Key != "" || utilization >= b.tuning.RangeFloor
 }
 
-// referenceMoveCost is the unavailable time of a move for which Tuning.ShardCost is
-// meant.
+// referenceMoveCost is the unavailable time per move to which Tuning.ShardCost
+// refers.
 const referenceMoveCost = 100 * time.Millisecond
 
-// cost returns what the move of a shard costs against that of a single key: it
-// makes all of the shard's keys unavailable.
+// cost returns the cost of moving a shard relative to the move of a single key.
+// A hash range costs more because all of its keys are unavailable meanwhile.
 func (b *balancer) cost(shard int) float64 {
 	if b.in.Shards[shard].ID.Key != "" {
 		return 1
@@ -72,8 +73,8 @@
 	return max(cost, 1)
 }
 
-// peakAfter returns the higher utilization of two servers after load has moved
-// from one to the other.
+// peakAfter returns the higher of two servers' utilizations after load has moved
+// between them.
 func (b *balancer) peakAfter(from, to int, load float64) float64 {
 	after := b.utilizationWith(to, load)
 	if rest := b.utilizationWith(from, -load); rest > after {
@@ -82,7 +83,8 @@
 	return after
 }
 
-// splittable reports whether a hot key is hot enough to get its own entry.
+// splittable reports whether a hot key may be split out: it is hot enough, the
+// limits allow it, and no move of its hash range is in flight or decided.
 func (b *balancer) splittable(key int) bool {
 	hot := &b.in.HotKeys[key]
 	if b.remaining.Keys <= 0 || b.keySplit[key] || b.splits >= b.tuning.MaxSplit || b.in.Shards[hot.Shard].Moving {
@@ -94,7 +96,7 @@
 	return hot.Load >= b.tuning.SplitAbove*b.meanLoad
 }
 
-// moveCandidate records the move of a piece.
+// moveCandidate records the move of a candidate.
 func (b *balancer) moveCandidate(p candidate, to int) {
 	if p.shard == NoOwner {
 		b.splitHotKey(p.key, to)
--- a/balance/greedy.go
+++ b/balance/greedy.go
@@ -3,11 +3,12 @@
 import "github.com/burdockspindle/burdockspindle/siteconfig"
 
 // Greedy moves load from the hottest server to the coldest until no move helps
-// or the budget is used. It has no thresholds and no dwell time, takes no notice
-// of the weighting, and is the baseline for balancing by load.
+// or the budget is used. It has no thresholds and no dwell time and ignores the
+// weighting. It is the baseline for policies that balance by load.
 type Greedy struct{}
 
-// greedyMinGain keeps greedy from moves that change nothing measurable.
+// greedyMinGain is the smallest drop in utilization that is worth a move. It
+// prevents moves without a measurable effect.
 const greedyMinGain = 0.005
 
 // Name implements Policy.
@@ -42,7 +43,7 @@
 }
 
 // hottest returns the live server with the highest utilization that is not
-// excluded; NoOwner if there is none.
+// excluded, or NoOwner if there is none.
 func (b *balancer) hottest(excluded []bool) int {
 	best := NoOwner
 	for i := range b.in.Servers {
--- a/balance/mandatory.go
+++ b/balance/mandatory.go
@@ -6,27 +6,28 @@
 	"github.com/burdockspindle/burdockspindle/state"
 )
 
-// mandatoryMoves decides what every load-driven policy must do before it evens out
-// loads: give shards without an owner to someone, empty the servers that are
-// leaving, and merge back split keys that have cooled.
+// mandatoryMoves decides the moves that every load-driven policy makes before it
+// balances load: it assigns shards without an owner, empties draining servers
+// and merges back split keys that have cooled.
 func (b *balancer) mandatoryMoves() {
 	b.placeUnowned()
 	b.evacuate()
 	b.mergeCooled()
 }
 
-// placeUnowned gives every shard without an owner, heaviest first, to the
+// placeUnowned assigns every shard without an owner, heaviest first, to the
 // coldest server.
 func (b *balancer) placeUnowned() {
 	b.placeAll(b.shardsWith(CauseUnowned), CauseUnowned)
 }
 
-// evacuate gives the shards of draining servers to the coldest live ones.
+// evacuate moves the shards of draining servers to the coldest live servers.
 func (b *balancer) evacuate() {
 	b.placeAll(b.shardsWith(CauseDraining), CauseDraining)
 }
 
-// shardsWith lists the shards that must get a new owner for a cause.
+// shardsWith lists the shards that need a new owner for the given cause and are
+// not moving already.
 func (b *balancer) shardsWith(cause Cause) []int {
 	var list []int
 	for i := range b.owners {
@@ -37,8 +38,8 @@
 	return list
 }
 
-// mustMove returns why a shard of an owner must get another one, or 0. A server
-// that is gone owns nothing.
+// mustMove returns why a shard with the given owner needs another owner, or 0 if
+// it does not. A shard of a server that is gone is treated as unowned.
 func mustMove(servers []Server, owner int) Cause {
 	if owner == NoOwner {
 		return CauseUnowned
@@ -72,9 +73,10 @@
 	}
 }
 
-// mergeCooled returns split keys to their hash range once they are no longer
-// hot, as far as the move budget goes. A key can be merged only where its range
-// is, so it goes there first; a later decision merges it.
+// mergeCooled returns split keys that are no longer hot to their hash range, as
+// far as the budget allows. A key can be merged only at the owner of its range.
+// A key with another owner is moved to that server first, and a later decision
+// merges it.
 func (b *balancer) mergeCooled() {
 	if b.splits == 0 {
 		return
@@ -104,8 +106,8 @@
 	return s.ID.Key != "" && s.Load < b.tuning.MergeBelow*b.meanLoad
 }
 
-// rangeOwners maps the hash ranges of split keys to their owners, leaving out
-// ranges that are moving themselves.
+// rangeOwners maps the hash ranges of split keys to their owners. It omits
+// ranges that are moving.
 func (b *balancer) rangeOwners() map[uint32]int {
 	splitRanges := make(map[uint32]bool, b.splits)
 	for i := range b.in.Shards {
--- a/balance/meter.go
+++ b/balance/meter.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Meter turns a rate of moves into the budget of each decision: a token bucket
-// that holds at most Burst moves. The zero Meter allows nothing.
+// Meter is a token bucket that turns a rate of moves into the budget of each
+// decision. It holds at most Burst tokens. The zero Meter allows nothing.
 type Meter struct {
 	PerMinute  float64 // moves per minute
-	Burst      float64 // most moves that may be saved up
+	Burst      float64 // maximum number of moves in the bucket
 	tokens     float64
 	lastRefill time.Time
 }
@@ -25,5 +25,5 @@
 	return int(m.tokens)
 }
 
-// Spend takes moves that were made out of the bucket.
+// Spend subtracts moves that were made from the bucket.
 func (m *Meter) Spend(moves int) { m.tokens -= float64(moves) }
--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -84,7 +84,7 @@
 			}
 		}
 		if used.Moves > budget.Moves || used.Keys > budget.Keys || used.Evacuations > budget.Evacuations {
-			t.Fatalf("used %+v of %+v", used, budget)
+			t.Fatalf("moves use %+v, more than the budget %+v", used, budget)
 		}
 		if in.Probed > budget.Probes && budget.Moves+budget.Keys == 0 {
 			t.Fatalf("%d probes without a budget", in.Probed)
@@ -95,10 +95,10 @@
 func checkMove(t *rapid.T, in *balance.Input, move balance.Move) {
 	to := serverIndex(in, move.To)
 	if to == balance.NoOwner || in.Servers[to].Phase != state.PhaseLive {
-		t.Fatalf("%v goes to a server that is not live", move)
+		t.Fatalf("%v has a target that is not live", move)
 	}
 	if move.Kind != balance.MergeKey && move.From == move.To {
-		t.Fatalf("%v goes nowhere", move)
+		t.Fatalf("%v has the same source and target", move)
 	}
 	at := shardIndex(in, move.Shard)
 	if move.Kind == balance.SplitKey {
@@ -108,11 +108,13 @@
 		t.Fatalf("%v is moving already", move)
 	}
 	if in.Shards[at].Owner != serverIndex(in, move.From) {
-		t.Fatalf("%v does not start at the owner", move)
+		t.Fatalf("%v has a source that is not the shard's owner", move)
 	}
 }
 
-// Under a constant load every policy comes to rest: no shard travels for ever.
+// TestPropertyMovesStopUnderConstantLoad guards against policies that move
+// shards in cycles: under a constant load, moves stop in the first half of the
+// rounds.
 func TestPropertyMovesStopUnderConstantLoad(t *testing.T) {
 	const rounds = 400
 	rapid.Check(t, func(t *rapid.T) {
@@ -145,7 +147,7 @@
 		first := policy.Decide(in)
 		in.Rand = rand.New(rand.NewPCG(7, 7))
 		if second := policy.Decide(in); fmt.Sprint(first) != fmt.Sprint(second) {
-			t.Fatalf("%v, then %v", first, second)
+			t.Fatalf("same input gave moves %v, then %v", first, second)
 		}
 	})
 }
--- a/balance/rate.go
+++ b/balance/rate.go
@@ -1,19 +1,20 @@
 package balance
 
-// RatePush is Push under a fixed budget of probes. Each probe lets one random
-// overloaded server look at one random other server, and moves a single piece
-// if that one is at or below the low threshold. No probe is sent while no
-// server is overloaded. This is the rate-based push of "On a Class of Push and
-// Pull Strategies with Single Migrations and Limited Probe Rate", with the
-// budget of a decision in the role of its overall probe rate.
+// RatePush is Push with a fixed budget of probes. In each probe, one random
+// overloaded server examines one random other server and moves a single
+// candidate to it if the other server is at or below the low threshold. No probe
+// is made while no server is overloaded. This is the rate-based push of "On a
+// Class of Push and Pull Strategies with Single Migrations and Limited Probe
+// Rate", with the budget of a decision in place of its overall probe rate.
 type RatePush struct {
 	// Tuning replaces the defaults of the input's weighting when not nil.
 	Tuning *Tuning
 }
 
-// RatePull is Pull under a fixed budget of probes. Each probe lets one random
-// underloaded server look at one random other server, and moves a single piece
-// if that one is overloaded. See RatePush for the source of the idea.
+// RatePull is Pull with a fixed budget of probes. In each probe, one random
+// underloaded server examines one random other server and takes a single
+// candidate from it if the other server is overloaded. See RatePush for the
+// source of the algorithm.
 type RatePull struct {
 	// Tuning replaces the defaults of the input's weighting when not nil.
 	Tuning *Tuning
@@ -55,8 +56,9 @@
 	}
 }
 
-// probe spends the probe budget: a random server for which sends holds, looks
-// at a random other live one, and migrate decides what to make of it.
+// probe uses up the probe budget. In each probe, a random server that satisfies
+// isProber examines a random other live server, and migrate moves load between
+// the two if appropriate.
 func (b *balancer) probe(isProber func(int) bool, migrate func(prober, probed int)) {
 	b.in.Probed = 0
 	live := b.byUtilization(b.live, false)
--- a/balance/receiver_heap.go
+++ b/balance/receiver_heap.go
@@ -2,15 +2,16 @@
 
 import "container/heap"
 
-// receiverHeap is a heap of the servers that may be given shards, coldest first,
-// so that placing many shards does not look at every server for each.
+// receiverHeap is a heap of the servers that may be assigned shards, coldest
+// first, so that placing many shards does not scan all servers for each shard.
 type receiverHeap struct {
 	balancer *balancer
 	servers  []int
-	reserved map[int]int // by server: taken but not yet given
+	reserved map[int]int // by server: shards picked but not yet in balancer.shards
 }
 
-// unobservedShardLoad is the load assumed of a shard in addition to what was observed.
+// unobservedShardLoad is the load assumed for each shard in addition to its
+// observed load.
 const unobservedShardLoad = 1e-6
 
 func newReceiverHeap(b *balancer) *receiverHeap {
@@ -24,8 +25,9 @@
 	return r
 }
 
-// pickColdest returns the coldest server and counts load towards it until the board
-// does. The second result is false if there is no server.
+// pickColdest returns the coldest server and orders the heap as if the server
+// already had the additional load, which the caller then adds to the balancer.
+// The second result is false if there is no server.
 func (r *receiverHeap) pickColdest(load float64) (int, bool) {
 	if len(r.servers) == 0 {
 		return NoOwner, false
@@ -39,8 +41,9 @@
 	return coldest, true
 }
 
-// effectiveUtilization is a server's utilization plus a little for each shard that it holds, so
-// that shards whose load is not known yet are spread by their number.
+// effectiveUtilization returns a server's utilization with a small additional
+// load for each shard that it owns, so that shards without an observed load are
+// spread evenly by their number.
 func (r *receiverHeap) effectiveUtilization(server int) float64 {
 	unknown := unobservedShardLoad * float64(len(r.balancer.shards[server])+r.reserved[server])
 	return r.balancer.utilizationWith(server, unknown)
--- a/balance/static.go
+++ b/balance/static.go
@@ -8,7 +8,7 @@
 )
 
 // Static places every shard by rendezvous hashing over the live servers and
-// takes no notice of loads. It is the baseline that others are measured against.
+// ignores load. It is the baseline against which other policies are measured.
 type Static struct{}
 
 // Name implements Policy.
@@ -28,7 +28,7 @@
 		}
 		move := Move{Kind: MoveShard, Shard: shard.ID, To: in.Servers[to].ID, Cause: mustMove(in.Servers, shard.Owner)}
 		if move.Cause == 0 {
-			move.Cause = CausePlace
+			move.Cause = CausePlacement
 		}
 		if shard.Owner != NoOwner {
 			move.From = in.Servers[shard.Owner].ID
@@ -48,9 +48,10 @@
 	return hashes
 }
 
-// rendezvous returns the live server with the highest weight for a shard; it
-// changes only when that server leaves or a server of higher weight arrives.
-// A split key stays where its hash range is placed.
+// rendezvous returns the live server with the highest weight for a shard, or
+// NoOwner if no server is live. The result changes only when that server leaves
+// or a server with a higher weight joins. A split key is placed with its hash
+// range.
 func rendezvous(servers []Server, hashes []uint64, id topo.ShardID) int {
 	shardHash := mix(xxhash.Sum64String(string(id.Service)) + uint64(id.Index))
 	best, bestWeight := NoOwner, uint64(0)
@@ -66,8 +67,8 @@
 	return best
 }
 
-// mix is the finalizer of SplitMix64, which spreads every input bit over the
-// result.
+// mix is the finalizer of SplitMix64, which makes every bit of the result depend
+// on every input bit.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/balance/threshold.go
+++ b/balance/threshold.go
@@ -2,20 +2,20 @@
 
 import "sort"
 
-// Push relieves every overloaded server: it gives its best pieces to the
-// coldest servers that are at or below the low threshold, until it is no longer
-// overloaded. All loads are known to it.
+// Push relieves every overloaded server: it moves the server's best candidates
+// to the coldest servers at or below the low threshold, until the server is no
+// longer overloaded. It uses the loads of all servers.
 //
-// The two thresholds, and the names push and pull, are after "On a Class of
-// Push and Pull Strategies with Single Migrations and Limited Probe Rate".
+// The two thresholds and the names push and pull are from "On a Class of Push
+// and Pull Strategies with Single Migrations and Limited Probe Rate".
 type Push struct {
 	// Tuning replaces the defaults of the input's weighting when not nil.
 	Tuning *Tuning
 }
 
-// Pull fills every underloaded server: it takes the best piece of the hottest
-// server that is overloaded, until it is no longer underloaded. All loads are
-// known to it. See Push for the source of the idea.
+// Pull fills every underloaded server: it takes the best candidates of the
+// hottest overloaded servers, until the server is no longer underloaded. It uses
+// the loads of all servers. See Push for the source of the algorithm.
 type Pull struct {
 	// Tuning replaces the defaults of the input's weighting when not nil.
 	Tuning *Tuning
@@ -39,8 +39,8 @@
 	return b.moves
 }
 
-// pushOne moves one piece to the coldest server that may receive; it reports
-// whether there was one.
+// pushOne moves the best candidate to the coldest other server if that server is
+// underloaded. It reports whether a move was made.
 func (b *balancer) pushOne(from int) bool {
 	to := b.coldest(0, from)
 	if to == NoOwner || !b.underloaded(to) {
@@ -61,8 +61,8 @@
 	return b.moves
 }
 
-// pullOne takes one piece from the hottest overloaded server that has one worth
-// a move; it reports whether there was one.
+// pullOne takes one candidate from the hottest overloaded server that has one
+// worth a move. It reports whether a move was made.
 func (b *balancer) pullOne(to int) bool {
 	for _, from := range b.byUtilization(b.overloaded, true) {
 		if b.moveBest(from, to) {
@@ -72,8 +72,8 @@
 	return false
 }
 
-// moveBest moves the best piece between two servers and counts the look at the
-// partner. It reports whether a piece was worth it.
+// moveBest moves the best candidate between two servers and counts the pair in
+// Input.Probed. It reports whether a candidate was worth a move.
 func (b *balancer) moveBest(from, to int) bool {
 	b.in.Probed++
 	best, found := b.bestCandidate(from, to)
@@ -105,7 +105,7 @@
 	return b.canReceive(server) && b.utilization(server) <= b.tuning.Low*b.meanUtilization
 }
 
-// byUtilization lists the servers for which keep holds, in order of utilization.
+// byUtilization lists the servers that satisfy keep, sorted by utilization.
 func (b *balancer) byUtilization(keep func(int) bool, descending bool) []int {
 	var list []int
 	for i := range b.in.Servers {
--- a/balance/tuning.go
+++ b/balance/tuning.go
@@ -6,31 +6,32 @@
 	"github.com/burdockspindle/burdockspindle/siteconfig"
 )
 
-// Tuning holds the thresholds of a policy. High and Low are multiples of the
-// service's mean utilization, and play the parts of T and B in "On a Class of
-// Push and Pull Strategies with Single Migrations and Limited Probe Rate": load
-// leaves servers above T for servers at or below B.
+// Tuning contains the thresholds of a policy. High and Low are multiples of the
+// service's mean utilization. They correspond to T and B in "On a Class of Push
+// and Pull Strategies with Single Migrations and Limited Probe Rate": load moves
+// from servers above T to servers at or below B.
 type Tuning struct {
 	High float64 // a server above this is overloaded
 	Low  float64 // a server at or below this may receive
-	// Floor is the utilization below which no server counts as overloaded,
+	// Floor is the utilization up to which no server is treated as overloaded,
 	// however uneven the load is.
 	Floor float64
-	// Dwell is how long a shard stays after it moved.
+	// Dwell is the minimum time between a change of a shard's owner and a move of
+	// the shard because of load.
 	Dwell time.Duration
-	// MinGain is the smallest drop of the higher of two utilizations that is
-	// worth a move.
+	// MinGain is the reduction of the higher of two utilizations that a move must
+	// exceed.
 	MinGain float64
-	// ShardCost is how many times the drop of a single key's move the move of a
-	// whole hash range must bring to be preferred, since it makes all of its keys
-	// unavailable.
+	// ShardCost is the cost of moving a hash range in relation to moving a single
+	// key. A range is preferred to a key only if its move reduces utilization more
+	// than ShardCost times as much, because it makes all of its keys unavailable.
 	ShardCost float64
 	// RangeFloor is the utilization below which no hash range leaves a server
-	// for load's sake.
+	// because of load.
 	RangeFloor float64
-	// SplitAbove is the load of a key, as a share of the mean server's load,
-	// from which it may be split out; MergeBelow is the one below which it is
-	// merged back. The distance between them is the hysteresis.
+	// SplitAbove is the load at or above which a key may be split out, and
+	// MergeBelow the load below which it is merged back, both as fractions of the
+	// mean load of a server. The difference between them is the hysteresis.
 	SplitAbove float64
 	MergeBelow float64
 	// MaxSplit bounds the number of split keys of the service.
--- a/balance/tuning_test.go
+++ b/balance/tuning_test.go
@@ -11,7 +11,8 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// pushWith returns the thresholds for imbalance with a change.
+// pushWith returns a Push policy with a changed copy of the default thresholds
+// for imbalance.
 func pushWith(change func(*balance.Tuning)) balance.Push {
 	tuning := balance.DefaultTuning(siteconfig.WeightImbalance)
 	change(&tuning)
@@ -24,14 +25,14 @@
 	key := addShard(in, 0, 0.02)
 	in.Shards[key].ID = topo.ShardID{Service: service, Index: 0, Key: "q-7"}
 	for i := range in.Shards[:key] {
-		in.Shards[i].Changed = in.Now // nothing else may move
+		in.Shards[i].Changed = in.Now // no other shard may move
 	}
 	in.Budget.Keys = 1
 	policy := pushWith(func(t *balance.Tuning) { t.MinGain, t.MergeBelow, t.Dwell = 0, 0.05, time.Second })
 	moves := policy.Decide(in)
 	g.Expect(moves).To(gomega.HaveLen(1))
 	g.Expect(moves[0].Kind).To(gomega.Equal(balance.MergeKey))
-	in.Shards[0].Moving = true // its range cannot take it now
+	in.Shards[0].Moving = true // the hash range cannot take the key while it moves
 	g.Expect(policy.Decide(in)).To(gomega.BeEmpty())
 }
 
