--- a/planner/balance.go
+++ b/planner/balance.go
@@ -12,43 +12,43 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// moveCost is how long a shard is unavailable while it moves by agreement.
-const moveCost = 100 * time.Millisecond
+// agreedMoveCost is how long a shard is unavailable while it moves by agreement.
+const agreedMoveCost = 100 * time.Millisecond
 
 // balance asks the policy for moves and adds them to the plan.
-func (d *decision) balance(b *board) {
-	service := b.service.Name
-	allowance := d.in.Tracker.allowance(b.service, d.in.Now)
+func (d *decision) balance(pool *serverPool) {
+	service := pool.service.Name
+	allowance := d.in.Tracker.allowance(pool.service, d.in.Now)
 	budget := allowance.Budget(d.in.Now)
-	budget.Evacuations = MaxUnderWay - d.in.Tracker.underWay(service)
+	budget.Evacuations = MaxInFlightMoves - d.in.Tracker.inFlight(service)
 	budget.Probes = MaxProbes
 	sources := load.Sources{
 		View:     d.in.View,
-		Service:  b.service,
+		Service:  pool.service,
 		Picture:  d.in.Picture(service),
 		Planned:  d.in.Tracker,
-		MoveCost: moveCost,
+		MoveCost: agreedMoveCost,
 		Budget:   budget,
 		Rand:     d.in.Rand,
 	}
 	for _, move := range d.in.Policy.Decide(sources.Input(d.in.Now)) {
-		current, exists := covering(d.in.View, move.Shard)
-		if !exists || !b.usable(move.To) {
+		current, exists := coveringAssignment(d.in.View, move.Shard)
+		if !exists || !pool.usable(move.To) {
 			continue
 		}
 		if current.Fence.IsZero() {
-			d.assign(b, current.Shard, move.To)
+			d.assign(pool, current.Shard, move.To)
 			continue
 		}
-		if d.makeMove(b, current, move) {
+		if d.makeMove(pool, current, move) {
 			allowance.Spend(move)
 		}
 	}
 }
 
-// covering returns the assignment that now covers a shard's keys: for a key
+// coveringAssignment returns the assignment that now covers a shard's keys: for a key
 // that is not split out, its hash range's.
-func covering(view *state.View, id topo.ShardID) (state.Assignment, bool) {
+func coveringAssignment(view *state.View, id topo.ShardID) (state.Assignment, bool) {
 	if assignment, exists := view.Shard(id); exists {
 		return assignment, true
 	}
@@ -56,23 +56,23 @@
 }
 
 // assign gives a shard without an owner to a server.
-func (d *decision) assign(b *board, shard topo.ShardID, to topo.ServerID) {
+func (d *decision) assign(pool *serverPool, shard topo.ShardID, to topo.ServerID) {
 	if len(d.plan.Assign) >= MaxAssignments {
 		return
 	}
-	b.owned[to]++
+	pool.ownedCount[to]++
 	d.plan.Assign = append(d.plan.Assign, &bspb.Assignment{
 		Shard:   shardToProto(shard),
 		Owner:   string(to),
-		Standby: string(b.chooseStandby(to)),
+		Standby: string(pool.chooseStandby(to)),
 	})
 }
 
 // makeMove asks for one move of an owned shard or key.
-func (d *decision) makeMove(b *board, current state.Assignment, move balance.Move) bool {
+func (d *decision) makeMove(pool *serverPool, current state.Assignment, move balance.Move) bool {
 	to := move.To
 	if move.Cause == balance.CauseDraining {
-		to = b.evacuateTo(current, to)
+		to = pool.evacuationTarget(current, to)
 	}
 	next := &bspb.ShardMove{Shard: shardToProto(move.Shard), To: string(to)}
 	if move.Kind == balance.MergeKey {
@@ -87,16 +87,16 @@
 		to = parent.Owner
 	}
 	if !next.Merge {
-		next.Standby = string(b.standbyAfterMove(current, to))
+		next.Standby = string(pool.standbyAfterMove(current, to))
 	}
-	return d.move(current, next, move.Cause.String())
+	return d.addMove(current, next, move.Cause.String())
 }
 
-// evacuateTo chooses who takes a shard off a server that leaves: for services
+// evacuationTarget chooses who takes a shard off a server that leaves: for services
 // that weigh unavailable time most the standby, which has been told to warm the
 // shard, else the policy's choice.
-func (b *board) evacuateTo(current state.Assignment, chosen topo.ServerID) topo.ServerID {
-	if b.service.Weighting == siteconfig.WeightUnavailability && b.usable(current.Standby) {
+func (pool *serverPool) evacuationTarget(current state.Assignment, chosen topo.ServerID) topo.ServerID {
+	if pool.service.Weighting == siteconfig.WeightUnavailability && pool.usable(current.Standby) {
 		return current.Standby
 	}
 	return chosen
--- a/planner/order.go
+++ b/planner/dependencies.go
@@ -9,9 +9,9 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// StartPatience is how long a service waits for those that it depends on
+// DependencyTimeout is how long a service waits for those that it depends on
 // before it is started without them.
-const StartPatience = 30 * time.Second
+const DependencyTimeout = 30 * time.Second
 
 // startOrder lists the services with each after those that it depends on, and
 // by name where that leaves a choice. The site configuration has no cycles.
@@ -44,8 +44,8 @@
 	return ordered
 }
 
-// started reports whether any shard of a service has an owner.
-func started(view *state.View, service topo.Service) bool {
+// hasOwnedShards reports whether any shard of a service has an owner.
+func hasOwnedShards(view *state.View, service topo.Service) bool {
 	owned := false
 	view.EachShard(service, func(a state.Assignment) bool {
 		owned = !a.Fence.IsZero()
@@ -59,14 +59,14 @@
 func dependenciesReady(view *state.View, service *siteconfig.Service) bool {
 	for _, name := range service.DependsOn {
 		dependency, exists := view.Service(name)
-		if exists && !ready(view, dependency) {
+		if exists && !canServe(view, dependency) {
 			return false
 		}
 	}
 	return true
 }
 
-func ready(view *state.View, service *siteconfig.Service) bool {
+func canServe(view *state.View, service *siteconfig.Service) bool {
 	if !service.Keyed {
 		for id, server := range view.Servers() {
 			if server.Service == service.Name && usable(view, id, server) {
@@ -88,21 +88,21 @@
 	return server.Phase == state.PhaseLive && !view.ServerLost(id)
 }
 
-// drainable lists the retiring services whose shards may be released now:
+// releasableServices lists the retiring services whose shards may be released now:
 // those on which no other retiring service with owned shards depends.
-func drainable(view *state.View) []topo.Service {
-	needed := map[topo.Service]bool{}
+func releasableServices(view *state.View) []topo.Service {
+	dependencies := map[topo.Service]bool{}
 	for name, service := range view.Retiring() {
-		if !started(view, name) {
+		if !hasOwnedShards(view, name) {
 			continue
 		}
 		for _, dependency := range service.DependsOn {
-			needed[dependency] = true
+			dependencies[dependency] = true
 		}
 	}
 	var names []topo.Service
 	for name := range view.Retiring() {
-		if !needed[name] {
+		if !dependencies[name] {
 			names = append(names, name)
 		}
 	}
--- a/planner/merge.go
+++ b/planner/merge.go
@@ -16,7 +16,7 @@
 // of the room, the hottest keys in a third of what is left, then the busiest
 // shards.
 func Merge(reports []*bspb.ReportLoadRequest, limit int) *bspb.ReportLoadRequest {
-	m := &merge{
+	m := &merger{
 		servers: map[string]*bspb.ServerLoad{},
 		keys:    map[topo.ShardID]*bspb.KeyLoad{},
 		shards:  map[topo.ShardID]*bspb.ShardLoad{},
@@ -26,29 +26,29 @@
 		merged.WindowSeconds = max(merged.WindowSeconds, report.GetWindowSeconds())
 		m.add(report)
 	}
-	left := limit
-	merged.Servers = takeShare(&left, serverShare, m.serverList())
-	merged.Keys = takeShare(&left, keyShare, m.keyList())
-	merged.Shards = takeShare(&left, 1, m.shardList())
+	remaining := limit
+	merged.Servers = takeFitting(&remaining, serverDivisor, m.serverList())
+	merged.Keys = takeFitting(&remaining, keyDivisor, m.keyList())
+	merged.Shards = takeFitting(&remaining, 1, m.shardList())
 	return merged
 }
 
 const (
-	// serverShare and keyShare are the parts of the room that is left, one in so
+	// serverDivisor and keyShare are the parts of the room that is left, one in so
 	// many, which servers and then keys may take.
-	serverShare = 2
-	keyShare    = 3
-	// entryOverhead is the most bytes of an entry's tag and length.
-	entryOverhead = 4
+	serverDivisor = 2
+	keyDivisor    = 3
+	// entryOverheadBytes is the most bytes of an entry's tag and length.
+	entryOverheadBytes = 4
 )
 
-type merge struct {
+type merger struct {
 	servers map[string]*bspb.ServerLoad
 	keys    map[topo.ShardID]*bspb.KeyLoad
 	shards  map[topo.ShardID]*bspb.ShardLoad
 }
 
-func (m *merge) add(report *bspb.ReportLoadRequest) {
+func (m *merger) add(report *bspb.ReportLoadRequest) {
 	for _, entry := range report.GetServers() {
 		m.addServer(entry)
 	}
@@ -62,13 +62,13 @@
 
 // addServer adds a node's view of a server; mean latencies are weighted by the
 // requests that they are means of.
-func (m *merge) addServer(entry *bspb.ServerLoad) {
+func (m *merger) addServer(entry *bspb.ServerLoad) {
 	sum, exists := m.servers[entry.GetServer()]
 	if !exists {
 		m.servers[entry.GetServer()] = proto.CloneOf(entry)
 		return
 	}
-	rate := served(sum) + served(entry)
+	rate := requestsPerMs(sum) + requestsPerMs(entry)
 	sum.InFlight += entry.GetInFlight()
 	sum.MeanLatencyMs = 0
 	if rate > 0 {
@@ -78,15 +78,15 @@
 	sum.ErrorPerSecond += entry.GetErrorPerSecond()
 }
 
-// served returns a server's requests per millisecond, by Little's law.
-func served(entry *bspb.ServerLoad) float64 {
+// requestsPerMs returns a server's requests per millisecond, by Little's law.
+func requestsPerMs(entry *bspb.ServerLoad) float64 {
 	if entry.GetMeanLatencyMs() <= 0 {
 		return 0
 	}
 	return entry.GetInFlight() / entry.GetMeanLatencyMs()
 }
 
-func (m *merge) addKey(entry *bspb.KeyLoad) {
+func (m *merger) addKey(entry *bspb.KeyLoad) {
 	id := ShardFromProto(entry.GetShard())
 	id.Key = entry.GetKey()
 	if sum, exists := m.keys[id]; exists {
@@ -97,7 +97,7 @@
 	m.keys[id] = proto.CloneOf(entry)
 }
 
-func (m *merge) addShard(entry *bspb.ShardLoad) {
+func (m *merger) addShard(entry *bspb.ShardLoad) {
 	id := ShardFromProto(entry.GetShard())
 	if sum, exists := m.shards[id]; exists {
 		sum.PerSecond += entry.GetPerSecond()
@@ -107,16 +107,16 @@
 	m.shards[id] = proto.CloneOf(entry)
 }
 
-func (m *merge) serverList() []*bspb.ServerLoad {
-	list := values(m.servers)
+func (m *merger) serverList() []*bspb.ServerLoad {
+	list := mapValues(m.servers)
 	slices.SortFunc(list, func(a, b *bspb.ServerLoad) int {
 		return cmp.Or(cmp.Compare(b.GetInFlight(), a.GetInFlight()), cmp.Compare(a.GetServer(), b.GetServer()))
 	})
 	return list
 }
 
-func (m *merge) keyList() []*bspb.KeyLoad {
-	list := values(m.keys)
+func (m *merger) keyList() []*bspb.KeyLoad {
+	list := mapValues(m.keys)
 	slices.SortFunc(list, func(a, b *bspb.KeyLoad) int {
 		return cmp.Or(
 			cmp.Compare(b.GetPerSecond()-b.GetErrorPerSecond(), a.GetPerSecond()-a.GetErrorPerSecond()),
@@ -127,8 +127,8 @@
 	return list
 }
 
-func (m *merge) shardList() []*bspb.ShardLoad {
-	list := values(m.shards)
+func (m *merger) shardList() []*bspb.ShardLoad {
+	list := mapValues(m.shards)
 	slices.SortFunc(list, func(a, b *bspb.ShardLoad) int {
 		return cmp.Or(
 			cmp.Compare(b.GetBusy(), a.GetBusy()),
@@ -140,7 +140,7 @@
 	return list
 }
 
-func values[K comparable, V any](byKey map[K]V) []V {
+func mapValues[K comparable, V any](byKey map[K]V) []V {
 	list := make([]V, 0, len(byKey))
 	for _, value := range byKey {
 		list = append(list, value)
@@ -148,17 +148,17 @@
 	return list
 }
 
-// takeShare returns the entries, from the first on, that fit one part in share
+// takeFitting returns the entries, from the first on, that fit one part in share
 // of what is left.
-func takeShare[M proto.Message](left *int, share int, list []M) []M {
-	room := *left / share
+func takeFitting[M proto.Message](remaining *int, divisor int, list []M) []M {
+	room := *remaining / divisor
 	for i, entry := range list {
-		size := proto.Size(entry) + entryOverhead
+		size := proto.Size(entry) + entryOverheadBytes
 		if size > room {
 			return list[:i]
 		}
 		room -= size
-		*left -= size
+		*remaining -= size
 	}
 	return list
 }
--- a/planner/merge_test.go
+++ b/planner/merge_test.go
@@ -18,7 +18,7 @@
 
 func ref(index uint32) *bspb.ShardRef { return &bspb.ShardRef{Service: "logs", Index: index} }
 
-func TestMergedReportsAddUp(t *testing.T) {
+func TestMergeSumsReports(t *testing.T) {
 	g := gomega.NewWithT(t)
 	one := &bspb.ReportLoadRequest{
 		WindowSeconds: 3,
@@ -48,7 +48,7 @@
 	g.Expect([]float64{server.ShedPerSecond, server.ErrorPerSecond}).To(gomega.Equal([]float64{1, 2}))
 }
 
-func TestAMergedReportKeepsTheHottestWithinItsLimit(t *testing.T) {
+func TestMergeKeepsTheHottestEntriesWithinTheSizeLimit(t *testing.T) {
 	g := gomega.NewWithT(t)
 	report := &bspb.ReportLoadRequest{}
 	for i := range uint32(1000) {
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestManyServersLeaveRoomForKeysAndShards merges reports of a large site.
-func TestManyServersLeaveRoomForKeysAndShards(t *testing.T) {
+// TestMergeOfManyServersKeepsKeysAndShards merges reports of a large site.
+func TestMergeOfManyServersKeepsKeysAndShards(t *testing.T) {
 	g := gomega.NewWithT(t)
 	report := &bspb.ReportLoadRequest{}
 	for i := range uint32(1000) {
@@ -85,8 +85,8 @@
 	g.Expect(len(merged.Shards)).To(gomega.BeNumerically(">", 20))
 }
 
-// TestReportsStayWithinTheBudget adds up what a node takes in and sends on.
-func TestReportsStayWithinTheBudget(t *testing.T) {
+// TestReportTrafficStaysWithinTheBudget adds up what a node takes in and sends on.
+func TestReportTrafficStaysWithinTheBudget(t *testing.T) {
 	g := gomega.NewWithT(t)
 	large := planner.ReportingFor(660)
 	perSecond := float64((planner.FanIn+1)*large.Bytes) / large.Every.Seconds()
@@ -121,39 +121,39 @@
 // TestAKeyWithAnotherOwnerIsMovedBeforeItIsMerged has a policy that wants the
 // key back in its hash range.
 func TestAKeyWithAnotherOwnerIsMovedBeforeItIsMerged(t *testing.T) {
-	b := newBench(t, sitefake.Keyed("logs", 4))
-	b.servers("logs", 1)
-	b.settle()
+	h := newHarness(t, sitefake.Keyed("logs", 4))
+	h.addLiveServers("logs", 1)
+	h.decideUntilIdle()
 	const key = "k"
-	parent := b.shards("logs")[topo.ShardIndex(key, 4)]
-	other := b.shards("logs")[(parent.Shard.Index+1)%4].Owner
+	parent := h.shards("logs")[topo.ShardIndex(key, 4)]
+	other := h.shards("logs")[(parent.Shard.Index+1)%4].Owner
 	if other == parent.Owner {
-		other = b.shards("logs")[(parent.Shard.Index+2)%4].Owner
+		other = h.shards("logs")[(parent.Shard.Index+2)%4].Owner
 	}
 	id := topo.ShardID{Service: "logs", Index: parent.Shard.Index, Key: key}
-	b.accepted(b.site.Make(&bspb.ShardMove{
+	h.expectAccepted(h.site.Make(&bspb.ShardMove{
 		Shard: &bspb.ShardRef{Service: "logs", Index: id.Index, Key: key}, To: string(other),
 		Fence: &bspb.Ordinal{Offset: uint64(parent.Fence.Offset)},
 	}))
-	b.policy = merging{id}
-	first := b.decide()
-	b.g.Expect(moves(first, "cooled")).To(gomega.HaveLen(1))
-	b.g.Expect(moves(first, "cooled")[0].Merge).To(gomega.BeFalse())
-	b.g.Expect(moves(first, "cooled")[0].To).To(gomega.BeEquivalentTo(parent.Owner))
-	b.carryOut(first)
-	second := b.decide()
-	b.g.Expect(moves(second, "cooled")[0].Merge).To(gomega.BeTrue())
-	b.carryOut(second)
-	_, exists := b.site.View().Shard(id)
-	b.g.Expect(exists).To(gomega.BeFalse())
+	h.policy = mergePolicy{id}
+	first := h.decide()
+	h.g.Expect(moves(first, "cooled")).To(gomega.HaveLen(1))
+	h.g.Expect(moves(first, "cooled")[0].Merge).To(gomega.BeFalse())
+	h.g.Expect(moves(first, "cooled")[0].To).To(gomega.BeEquivalentTo(parent.Owner))
+	h.apply(first)
+	second := h.decide()
+	h.g.Expect(moves(second, "cooled")[0].Merge).To(gomega.BeTrue())
+	h.apply(second)
+	_, exists := h.site.View().Shard(id)
+	h.g.Expect(exists).To(gomega.BeFalse())
 }
 
-// merging is a policy that always wants one key merged.
-type merging struct{ id topo.ShardID }
+// mergePolicy is a policy that always wants one key merged.
+type mergePolicy struct{ id topo.ShardID }
 
-func (merging) Name() string { return "merging" }
+func (mergePolicy) Name() string { return "merging" }
 
-func (m merging) Decide(in *balance.Input) []balance.Move {
+func (m mergePolicy) Decide(in *balance.Input) []balance.Move {
 	for _, shard := range in.Shards {
 		if shard.ID == m.id {
 			to := in.Servers[shard.Owner].ID
@@ -163,29 +163,29 @@
 	return nil
 }
 
-// TestMovesForLoadAreRationed has a policy that moves as much as it may.
-func TestMovesForLoadAreRationed(t *testing.T) {
-	b := newBench(t, sitefake.Keyed("logs", 60))
-	b.servers("logs", 2)
-	b.settle()
-	b.policy = restless{}
-	made := 0
+// TestMovesForLoadAreRateLimited has a policy that moves as much as it may.
+func TestMovesForLoadAreRateLimited(t *testing.T) {
+	h := newHarness(t, sitefake.Keyed("logs", 60))
+	h.addLiveServers("logs", 2)
+	h.decideUntilIdle()
+	h.policy = exhaustBudgetPolicy{}
+	moveCount := 0
 	for range 300 {
-		plan := b.decide()
-		made += len(moves(plan, "load"))
-		b.carryOut(plan)
-		b.now = b.now.Add(time.Second)
+		plan := h.decide()
+		moveCount += len(moves(plan, "load"))
+		h.apply(plan)
+		h.now = h.now.Add(time.Second)
 	}
-	b.g.Expect(made).To(gomega.BeNumerically("~", 5*15+5, 3), "15 a minute and a burst of 5")
+	h.g.Expect(moveCount).To(gomega.BeNumerically("~", 5*15+5, 3), "15 a minute and a burst of 5")
 }
 
-// restless is a policy that moves ranges to the next server while its budget
+// exhaustBudgetPolicy is a policy that moves ranges to the next server while its budget
 // lasts.
-type restless struct{}
+type exhaustBudgetPolicy struct{}
 
-func (restless) Name() string { return "restless" }
+func (exhaustBudgetPolicy) Name() string { return "restless" }
 
-func (restless) Decide(in *balance.Input) []balance.Move {
+func (exhaustBudgetPolicy) Decide(in *balance.Input) []balance.Move {
 	var list []balance.Move
 	for _, shard := range in.Shards {
 		if len(list) < in.Budget.Moves && !shard.Moving {
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -24,9 +24,9 @@
 	MaxAssignments = 4096 // shards without an owner, over all services
 	MaxPerRecord   = 1024 // assignments in one record
 	MaxPerRequest  = 256  // moves in one request to a lessor
-	// MaxUnderWay is the most moves of one service under way at a time, for all
+	// MaxInFlightMoves is the most moves of one service under way at a time, for all
 	// causes but load, which the meter limits.
-	MaxUnderWay = 256
+	MaxInFlightMoves = 256
 	// MaxProbes is the most servers that a probe-limited policy may look at.
 	MaxProbes = 64
 )
@@ -77,10 +77,10 @@
 	in.Tracker.Observe(in.Now, in.View)
 	d := &decision{in: in, requests: map[requestKey]*Request{}, planned: map[topo.ShardID]bool{}}
 	for _, service := range startOrder(in.View.Site()) {
-		d.place(service)
+		d.planService(service)
 	}
-	for _, name := range drainable(in.View) {
-		d.retire(name)
+	for _, name := range releasableServices(in.View) {
+		d.releaseService(name)
 	}
 	d.plan.Requests = d.sortedRequests()
 	return d.plan
@@ -99,36 +99,36 @@
 	reason string
 }
 
-// place makes the plan for one keyed service of the site configuration.
-func (d *decision) place(service *siteconfig.Service) {
+// planService makes the plan for one keyed service of the site configuration.
+func (d *decision) planService(service *siteconfig.Service) {
 	if !service.Keyed {
 		return
 	}
-	if !d.mayStart(service) {
+	if !d.mayAssign(service) {
 		d.plan.Waiting = append(d.plan.Waiting, service.Name)
 		return
 	}
-	b := newBoard(d.in.View, service)
-	if len(b.live) == 0 {
+	pool := newServerPool(d.in.View, service)
+	if len(pool.live) == 0 {
 		return
 	}
-	d.balance(b)
-	d.repairStandbys(b)
+	d.balance(pool)
+	d.replaceMissingStandbys(pool)
 }
 
-// mayStart reports whether a service's shards may be assigned: it has started,
+// mayAssign reports whether a service's shards may be assigned: it has started,
 // or what it depends on is ready, or that has been waited for long enough.
-func (d *decision) mayStart(service *siteconfig.Service) bool {
-	if started(d.in.View, service.Name) || dependenciesReady(d.in.View, service) {
-		d.in.Tracker.unblocked(service.Name)
+func (d *decision) mayAssign(service *siteconfig.Service) bool {
+	if hasOwnedShards(d.in.View, service.Name) || dependenciesReady(d.in.View, service) {
+		d.in.Tracker.clearBlocked(service.Name)
 		return true
 	}
-	return d.in.Tracker.blockedFor(service.Name, d.in.Now) >= StartPatience
+	return d.in.Tracker.blockedFor(service.Name, d.in.Now) >= DependencyTimeout
 }
 
-// move adds a move of an owned shard to the request for its owner's lessor. A
+// addMove adds a move of an owned shard to the request for its owner's lessor. A
 // shard is moved for one reason at a time.
-func (d *decision) move(current state.Assignment, next *bspb.ShardMove, reason string) bool {
+func (d *decision) addMove(current state.Assignment, next *bspb.ShardMove, reason string) bool {
 	id := ShardFromProto(next.GetShard())
 	if d.planned[id] {
 		return false
--- a/planner/tree.go
+++ b/planner/reporting.go
@@ -38,14 +38,14 @@
 // MaxAge is how long a report counts.
 func (r Reporting) MaxAge() time.Duration { return r.Every * 5 / 2 }
 
-// smallSite is the number of nodes up to which reports may be frequent.
-const smallSite = 24
+// smallSiteNodes is the number of nodes up to which reports may be frequent.
+const smallSiteNodes = 24
 
 // ReportingFor returns how a site of some nodes reports. A node takes the
 // reports of up to FanIn others: on a large site that is 9 times 4 KiB in 5 s,
 // 7.4 KB of the 19 KB a second that a node may spend on control.
 func ReportingFor(nodes int) Reporting {
-	if nodes <= smallSite {
+	if nodes <= smallSiteNodes {
 		return Reporting{Every: time.Second, Bytes: 4 << 10}
 	}
 	return Reporting{Every: 5 * time.Second, Bytes: 4 << 10}
--- a/planner/retire.go
+++ b/planner/retire.go
@@ -7,19 +7,19 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// retire asks for the release of a retiring service's shards: their owners
+// releaseService asks for the release of a retiring service's shards: their owners
 // finish what is in flight and nobody gets them.
-func (d *decision) retire(name topo.Service) {
-	left := MaxUnderWay - d.in.Tracker.underWay(name)
+func (d *decision) releaseService(name topo.Service) {
+	remaining := MaxInFlightMoves - d.in.Tracker.inFlight(name)
 	d.in.View.EachShard(name, func(a state.Assignment) bool {
 		if a.Fence.IsZero() || d.in.Tracker.Moving(a.Shard) {
 			return true
 		}
-		if left <= 0 {
+		if remaining <= 0 {
 			return false
 		}
-		if d.move(a, &bspb.ShardMove{Shard: shardToProto(a.Shard)}, ReasonRetire) {
-			left--
+		if d.addMove(a, &bspb.ShardMove{Shard: shardToProto(a.Shard)}, ReasonRetire) {
+			remaining--
 		}
 		return true
 	})
