--- a/planner/balance.go
+++ b/planner/balance.go
@@ -12,10 +12,11 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// agreedMoveCost is how long a shard is unavailable while it moves by agreement.
+// agreedMoveCost is how long a shard is unavailable during a handover to which
+// its previous owner agrees.
 const agreedMoveCost = 100 * time.Millisecond
 
-// balance asks the policy for moves and adds them to the plan.
+// balance requests moves from the policy and adds them to the plan.
 func (d *decision) balance(pool *serverPool) {
 	service := pool.service.Name
 	allowance := d.in.Tracker.allowance(pool.service, d.in.Now)
@@ -46,8 +47,8 @@
 	}
 }
 
-// coveringAssignment returns the assignment that now covers a shard's keys: for a key
-// that is not split out, its hash range's.
+// coveringAssignment returns the assignment that covers a shard's keys now. For a
+// key that is not split out, this is the assignment of its hash range.
 func coveringAssignment(view *state.View, id topo.ShardID) (state.Assignment, bool) {
 	if assignment, exists := view.Shard(id); exists {
 		return assignment, true
@@ -55,7 +56,7 @@
 	return view.Shard(topo.ShardID{Service: id.Service, Index: id.Index})
 }
 
-// assign gives a shard without an owner to a server.
+// assign assigns a shard without an owner to a server.
 func (d *decision) assign(pool *serverPool, shard topo.ShardID, to topo.ServerID) {
 	if len(d.plan.Assign) >= MaxAssignments {
 		return
@@ -68,7 +69,8 @@
 	})
 }
 
-// makeMove asks for one move of an owned shard or key.
+// makeMove adds one move of an owned shard or key to the plan and reports
+// whether it was added.
 func (d *decision) makeMove(pool *serverPool, current state.Assignment, move balance.Move) bool {
 	to := move.To
 	if move.Cause == balance.CauseDraining {
@@ -80,8 +82,8 @@
 		if !exists || parent.Fence.IsZero() {
 			return false
 		}
-		// The key's owner and its hash range's have to be the same; otherwise
-		// the key moves there first and is merged later.
+		// A merge requires that the same server owns the key and its hash range.
+		// Otherwise the key moves to the range's owner first and is merged later.
 		next.To = string(parent.Owner)
 		next.Merge = parent.Owner == current.Owner && parent.OwnerBoot == current.OwnerBoot
 		to = parent.Owner
@@ -92,9 +94,10 @@
 	return d.addMove(current, next, move.Cause.String())
 }
 
-// evacuationTarget chooses who takes a shard off a server that leaves: for services
-// that weigh unavailable time most the standby, which has been told to warm the
-// shard, else the policy's choice.
+// evacuationTarget returns the new owner of a shard whose owner is draining. For
+// services whose weighting is unavailability this is the standby, which was
+// instructed to warm the shard, if it is usable; otherwise it is the policy's
+// choice.
 func (pool *serverPool) evacuationTarget(current state.Assignment, chosen topo.ServerID) topo.ServerID {
 	if pool.service.Weighting == siteconfig.WeightUnavailability && pool.usable(current.Standby) {
 		return current.Standby
--- a/planner/bench_test.go
+++ b/planner/bench_test.go
@@ -16,8 +16,8 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// BenchmarkDecideAtRest measures one decision of the planner on a site in which
-// nothing is to be done, with 500 busy shards reported.
+// BenchmarkDecideAtRest measures one decision of the planner for a site that
+// needs no changes, with load reports for 500 busy shards.
 func BenchmarkDecideAtRest(b *testing.B) {
 	for _, size := range []struct {
 		servers int
--- a/planner/dependencies.go
+++ b/planner/dependencies.go
@@ -9,12 +9,13 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// DependencyTimeout is how long a service waits for those that it depends on
-// before it is started without them.
+// DependencyTimeout is how long a service waits for its dependencies before it is
+// started without them.
 const DependencyTimeout = 30 * time.Second
 
-// startOrder lists the services with each after those that it depends on, and
-// by name where that leaves a choice. The site configuration has no cycles.
+// startOrder lists the services in topological order: each follows its
+// dependencies, and independent services are sorted by name. The site
+// configuration has no dependency cycles.
 func startOrder(site *siteconfig.Site) []*siteconfig.Service {
 	if site == nil {
 		return nil
@@ -54,8 +55,9 @@
 	return owned
 }
 
-// dependenciesReady reports whether each service that this one depends on can
-// answer: every shard has an owner or, without shards, some server is live.
+// dependenciesReady reports whether each dependency of a service can serve
+// requests: every shard has an owner or, for a service that is not keyed, at
+// least one server is usable.
 func dependenciesReady(view *state.View, service *siteconfig.Service) bool {
 	for _, name := range service.DependsOn {
 		dependency, exists := view.Service(name)
@@ -83,13 +85,13 @@
 	return all
 }
 
-// usable reports whether a server may get new work.
+// usable reports whether a server may be assigned shards.
 func usable(view *state.View, id topo.ServerID, server state.Server) bool {
 	return server.Phase == state.PhaseLive && !view.ServerLost(id)
 }
 
-// releasableServices lists the retiring services whose shards may be released now:
-// those on which no other retiring service with owned shards depends.
+// releasableServices lists the retiring services whose shards may be released
+// now: no retiring service that still has owned shards depends on them.
 func releasableServices(view *state.View) []topo.Service {
 	dependencies := map[topo.Service]bool{}
 	for name, service := range view.Retiring() {
--- a/planner/merge.go
+++ b/planner/merge.go
@@ -11,10 +11,10 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// Merge sums the load reports of several nodes into one of at most limit bytes,
-// the envelope's own fields left out of the count: the busiest servers in half
-// of the room, the hottest keys in a third of what is left, then the busiest
-// shards.
+// Merge sums the load reports of several nodes into one report whose entries take
+// at most limit bytes; the envelope's own fields are not counted. The busiest
+// servers get up to half of the limit, the hottest keys up to a third of the
+// remaining bytes and the busiest shards the rest.
 func Merge(reports []*bspb.ReportLoadRequest, limit int) *bspb.ReportLoadRequest {
 	m := &merger{
 		servers: map[string]*bspb.ServerLoad{},
@@ -34,11 +34,11 @@
 }
 
 const (
-	// serverDivisor and keyShare are the parts of the room that is left, one in so
-	// many, which servers and then keys may take.
+	// serverDivisor and keyDivisor divide the remaining bytes: servers may take
+	// 1/serverDivisor of them, and after that keys 1/keyDivisor.
 	serverDivisor = 2
 	keyDivisor    = 3
-	// entryOverheadBytes is the most bytes of an entry's tag and length.
+	// entryOverheadBytes is the maximum size of an entry's tag and length.
 	entryOverheadBytes = 4
 )
 
@@ -60,8 +60,8 @@
 	}
 }
 
-// addServer adds a node's view of a server; mean latencies are weighted by the
-// requests that they are means of.
+// addServer adds what a node observed of a server. Mean latencies are weighted by
+// the number of requests that they summarize.
 func (m *merger) addServer(entry *bspb.ServerLoad) {
 	sum, exists := m.servers[entry.GetServer()]
 	if !exists {
@@ -78,7 +78,7 @@
 	sum.ErrorPerSecond += entry.GetErrorPerSecond()
 }
 
-// requestsPerMs returns a server's requests per millisecond, by Little's law.
+// requestsPerMs returns a server's request rate, computed by Little's law.
 func requestsPerMs(entry *bspb.ServerLoad) float64 {
 	if entry.GetMeanLatencyMs() <= 0 {
 		return 0
@@ -148,8 +148,8 @@
 	return list
 }
 
-// takeFitting returns the entries, from the first on, that fit one part in share
-// of what is left.
+// takeFitting returns the longest prefix of the list that fits 1/divisor of the
+// remaining bytes, and subtracts its size from them.
 func takeFitting[M proto.Message](remaining *int, divisor int, list []M) []M {
 	room := *remaining / divisor
 	for i, entry := range list {
--- a/planner/merge_test.go
+++ b/planner/merge_test.go
@@ -34,7 +34,7 @@
 	}
 	before := proto.CloneOf(one)
 	merged := planner.Merge([]*bspb.ReportLoadRequest{one, two}, 1<<20)
-	g.Expect(proto.Equal(one, before)).To(gomega.BeTrue(), "its inputs are left alone")
+	g.Expect(proto.Equal(one, before)).To(gomega.BeTrue(), "Merge does not modify its inputs")
 	g.Expect(merged.WindowSeconds).To(gomega.Equal(3.0))
 	g.Expect(merged.Shards).To(gomega.HaveLen(2))
 	g.Expect(merged.Shards[0].PerSecond).To(gomega.Equal(100.0))
@@ -43,7 +43,7 @@
 	g.Expect(merged.Keys[0].ErrorPerSecond).To(gomega.Equal(5.0))
 	server := merged.Servers[0]
 	g.Expect(server.InFlight).To(gomega.Equal(3.0))
-	// 200 requests a second of 10 ms and 25 of 40 ms.
+	// 200 requests per second of 10 ms and 25 requests per second of 40 ms.
 	g.Expect(server.MeanLatencyMs).To(gomega.BeNumerically("~", 3000.0/225, 1e-9))
 	g.Expect([]float64{server.ShedPerSecond, server.ErrorPerSecond}).To(gomega.Equal([]float64{1, 2}))
 }
@@ -69,7 +69,8 @@
 	}
 }
 
-// TestMergeOfManyServersKeepsKeysAndShards merges reports of a large site.
+// TestMergeOfManyServersKeepsKeysAndShards guards against a report in which the
+// 1,000 servers of a large site leave no space for keys and shards.
 func TestMergeOfManyServersKeepsKeysAndShards(t *testing.T) {
 	g := gomega.NewWithT(t)
 	report := &bspb.ReportLoadRequest{}
@@ -85,7 +86,8 @@
 	g.Expect(len(merged.Shards)).To(gomega.BeNumerically(">", 20))
 }
 
-// TestReportTrafficStaysWithinTheBudget adds up what a node takes in and sends on.
+// TestReportTrafficStaysWithinTheBudget sums the reports that a node receives and
+// sends.
 func TestReportTrafficStaysWithinTheBudget(t *testing.T) {
 	g := gomega.NewWithT(t)
 	large := planner.ReportingFor(660)
@@ -94,7 +96,8 @@
 	g.Expect(planner.ReportingFor(12).MaxAge()).To(gomega.BeNumerically(">", 2*planner.ReportingFor(12).Every))
 }
 
-// TestEveryReportReachesThePlanner follows the parents of each of 660 nodes.
+// TestEveryReportReachesThePlanner follows the parents of each of 660 nodes up to
+// the first candidate.
 func TestEveryReportReachesThePlanner(t *testing.T) {
 	g := gomega.NewWithT(t)
 	nodes := make([]topo.NodeID, 660)
@@ -118,8 +121,9 @@
 	g.Expect(planner.Parents(nodes, "stranger")).To(gomega.BeEmpty())
 }
 
-// TestAKeyWithAnotherOwnerIsMovedBeforeItIsMerged has a policy that wants the
-// key back in its hash range.
+// TestAKeyWithAnotherOwnerIsMovedBeforeItIsMerged uses a policy that always
+// merges the key into its hash range. A merge takes effect only if one server
+// owns both.
 func TestAKeyWithAnotherOwnerIsMovedBeforeItIsMerged(t *testing.T) {
 	h := newHarness(t, sitefake.Keyed("logs", 4))
 	h.addLiveServers("logs", 1)
@@ -148,7 +152,7 @@
 	h.g.Expect(exists).To(gomega.BeFalse())
 }
 
-// mergePolicy is a policy that always wants one key merged.
+// mergePolicy is a policy that always merges one key.
 type mergePolicy struct{ id topo.ShardID }
 
 func (mergePolicy) Name() string { return "merging" }
@@ -163,7 +167,8 @@
 	return nil
 }
 
-// TestMovesForLoadAreRateLimited has a policy that moves as much as it may.
+// TestMovesForLoadAreRateLimited uses a policy that makes as many moves as its
+// budget allows.
 func TestMovesForLoadAreRateLimited(t *testing.T) {
 	h := newHarness(t, sitefake.Keyed("logs", 60))
 	h.addLiveServers("logs", 2)
@@ -176,11 +181,11 @@
 		h.apply(plan)
 		h.now = h.now.Add(time.Second)
 	}
-	h.g.Expect(moveCount).To(gomega.BeNumerically("~", 5*15+5, 3), "15 a minute and a burst of 5")
+	h.g.Expect(moveCount).To(gomega.BeNumerically("~", 5*15+5, 3), "15 moves per minute and a burst of 5")
 }
 
-// exhaustBudgetPolicy is a policy that moves ranges to the next server while its budget
-// lasts.
+// exhaustBudgetPolicy is a policy that moves ranges to the next server until its
+// budget is used up.
 type exhaustBudgetPolicy struct{}
 
 func (exhaustBudgetPolicy) Name() string { return "restless" }
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -1,8 +1,8 @@
-// Package planner decides where shards should be: it places the unowned, takes
-// them off servers that leave, names missing standby servers, starts and
-// retires services in the order of their dependencies, and turns the balancing
-// policy's moves into requests to lessors. The decisions are pure;
-// modules/planner carries them out. See docs/design/membership.md.
+// Package planner decides where shards should be. It assigns shards without an
+// owner, moves shards off draining servers, chooses missing standby servers,
+// starts and retires services in the order of their dependencies, and turns the
+// balancing policy's moves into requests to lessors. The decisions have no side
+// effects; modules/planner carries them out. See docs/design/membership.md.
 package planner
 
 import (
@@ -19,25 +19,27 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// Limits of one decision, so that none takes long and no record grows large.
+// Limits of one decision. They bound its duration and the size of its records.
 const (
 	MaxAssignments = 4096 // shards without an owner, over all services
 	MaxPerRecord   = 1024 // assignments in one record
 	MaxPerRequest  = 256  // moves in one request to a lessor
-	// MaxInFlightMoves is the most moves of one service under way at a time, for all
-	// causes but load, which the meter limits.
+	// MaxInFlightMoves limits the concurrent moves of one service. It does not
+	// apply to moves because of load, which balance.Allowance limits.
 	MaxInFlightMoves = 256
-	// MaxProbes is the most servers that a probe-limited policy may look at.
+	// MaxProbes is the maximum number of servers that a probe-limited policy may
+	// examine.
 	MaxProbes = 64
 )
 
-// Input is what a decision depends on, beside the tracker's memory.
+// Input contains the data that a decision depends on, including the state that
+// Tracker keeps between decisions.
 type Input struct {
 	Now     time.Time
 	View    *state.View
 	Policy  balance.Policy
 	Tracker *Tracker
-	// Picture returns what the entry nodes observed of a service.
+	// Snapshot returns the load of a service that the entry nodes observed.
 	Picture func(topo.Service) load.Picture
 	Rand    *rand.Rand
 }
@@ -49,30 +51,30 @@
 	Moves  []*bspb.ShardMove
 }
 
-// Proto returns the request in the form of the peer protocol.
+// Proto returns the request as a message of the peer protocol.
 func (r *Request) Proto() *bspb.MoveRequest {
 	return &bspb.MoveRequest{Group: string(r.Group), Moves: r.Moves, Reason: r.Reason}
 }
 
-// Plan is what should be done now.
+// Plan is the result of one decision.
 type Plan struct {
-	// Assign gives shards that nobody owns to servers, in order of importance.
+	// Assign assigns shards without an owner to servers, in order of importance.
 	Assign []*bspb.Assignment
-	// Requests ask lessors to move owned shards.
+	// Requests are the requests to lessors to move owned shards.
 	Requests []Request
-	// Waiting lists services that are not started yet because a service that
-	// they depend on is not ready.
+	// Waiting lists services that are not started yet because one of their
+	// dependencies is not ready.
 	Waiting []topo.Service
 }
 
-// Reasons of moves, for people.
+// Reasons of moves that the balancing policy does not decide.
 const (
 	ReasonRetire  = "retire"
 	ReasonStandby = "standby"
 )
 
-// Decide makes one plan. Shards whose move is under way are left alone, so
-// that it may be called as often as the caller likes.
+// Decide makes one plan. It plans nothing for shards with a move in flight, so
+// that the caller may call it as often as needed.
 func Decide(in *Input) Plan {
 	in.Tracker.Observe(in.Now, in.View)
 	d := &decision{in: in, requests: map[requestKey]*Request{}, planned: map[topo.ShardID]bool{}}
@@ -86,12 +88,12 @@
 	return d.plan
 }
 
-// decision is one plan in the making.
+// decision builds one plan.
 type decision struct {
 	in       *Input
 	plan     Plan
 	requests map[requestKey]*Request
-	planned  map[topo.ShardID]bool // that the plan moves already
+	planned  map[topo.ShardID]bool // shards that the plan already moves
 }
 
 type requestKey struct {
@@ -99,7 +101,8 @@
 	reason string
 }
 
-// planService makes the plan for one keyed service of the site configuration.
+// planService adds one service of the site configuration to the plan. Services
+// that are not keyed have no shards and are skipped.
 func (d *decision) planService(service *siteconfig.Service) {
 	if !service.Keyed {
 		return
@@ -116,8 +119,8 @@
 	d.replaceMissingStandbys(pool)
 }
 
-// mayAssign reports whether a service's shards may be assigned: it has started,
-// or what it depends on is ready, or that has been waited for long enough.
+// mayAssign reports whether a service's shards may be assigned: the service has
+// started, its dependencies are ready, or it has waited for DependencyTimeout.
 func (d *decision) mayAssign(service *siteconfig.Service) bool {
 	if hasOwnedShards(d.in.View, service.Name) || dependenciesReady(d.in.View, service) {
 		d.in.Tracker.clearBlocked(service.Name)
@@ -126,8 +129,8 @@
 	return d.in.Tracker.blockedFor(service.Name, d.in.Now) >= DependencyTimeout
 }
 
-// addMove adds a move of an owned shard to the request for its owner's lessor. A
-// shard is moved for one reason at a time.
+// addMove adds a move of an owned shard to the request for its owner's lessor and
+// reports whether it was added. A plan moves each shard for one reason only.
 func (d *decision) addMove(current state.Assignment, next *bspb.ShardMove, reason string) bool {
 	id := ShardFromProto(next.GetShard())
 	if d.planned[id] {
@@ -183,7 +186,7 @@
 	return &bspb.Ordinal{Offset: uint64(f.Offset), Rank: f.Rank}
 }
 
-// Records packs assignments into records.
+// Records packs assignments into records of at most MaxPerRecord.
 func Records(assignments []*bspb.Assignment, reason string) []*bspb.Record {
 	var records []*bspb.Record
 	for chunk := range slices.Chunk(assignments, MaxPerRecord) {
@@ -197,7 +200,7 @@
 	return &bspb.ShardRef{Service: string(id.Service), Index: id.Index, Key: id.Key}
 }
 
-// ShardFromProto reads a shard reference.
+// ShardFromProto converts a shard reference to a shard ID.
 func ShardFromProto(ref *bspb.ShardRef) topo.ShardID {
 	return topo.ShardID{Service: topo.Service(ref.GetService()), Index: ref.GetIndex(), Key: ref.GetKey()}
 }
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -20,7 +20,7 @@
 
 var zones = []string{"zone-a", "zone-b", "zone-c"}
 
-// harness is a site with a planner that decides at moments the test names.
+// harness is a simulated site with a planner that decides when the test calls it.
 type harness struct {
 	*testing.T
 	g       *gomega.WithT
@@ -49,7 +49,7 @@
 	h.g.Expect(result.Accepted).To(gomega.BeTrue(), "%v", result.Conflict)
 }
 
-// addLiveServers adds live servers of a service to each zone.
+// addLiveServers adds live servers of a service in each zone.
 func (h *harness) addLiveServers(service string, perZone int) {
 	for _, zone := range zones {
 		for i := range perZone {
@@ -66,7 +66,7 @@
 	})
 }
 
-// apply makes a plan's assignments and moves, as the log and the lessors do.
+// apply carries out a plan's assignments and moves as the log and the lessors do.
 func (h *harness) apply(plan planner.Plan) {
 	h.Helper()
 	for _, record := range planner.Records(plan.Assign, "test") {
@@ -80,7 +80,7 @@
 	}
 }
 
-// decideUntilIdle decides and carries out until nothing is left to do.
+// decideUntilIdle decides and applies plans until a plan is empty.
 func (h *harness) decideUntilIdle() {
 	h.Helper()
 	for range 50 {
@@ -91,7 +91,7 @@
 		h.apply(plan)
 		h.now = h.now.Add(time.Second)
 	}
-	h.Fatal("the planner never came to rest")
+	h.Fatal("the planner still made changes after 50 decisions")
 }
 
 func (h *harness) shards(service string) []state.Assignment {
@@ -197,7 +197,7 @@
 				h.g.Expect(move.To).NotTo(gomega.Equal(leaving))
 				h.g.Expect(move.Standby).NotTo(gomega.Equal(leaving))
 				if weighting == bspb.Weighting_WEIGHTING_UNAVAILABILITY {
-					h.g.Expect(move.To).To(gomega.BeEquivalentTo(standbys[move.Shard.Index]), "the warm one takes over")
+					h.g.Expect(move.To).To(gomega.BeEquivalentTo(standbys[move.Shard.Index]), "the standby, which is warm, becomes the owner")
 				}
 			}
 			h.decideUntilIdle()
@@ -217,7 +217,7 @@
 
 	h.addLiveServers("archive", 1)
 	h.apply(h.decide())
-	h.g.Expect(h.decide().Waiting).To(gomega.ConsistOf(topo.Service("licensing")), "search has no server yet")
+	h.g.Expect(h.decide().Waiting).To(gomega.ConsistOf(topo.Service("licensing")), "search has no live server yet")
 
 	h.addLiveServers("search", 1)
 	plan = h.decide()
@@ -259,7 +259,7 @@
 	released := moves(plan, planner.ReasonRetire)
 	h.g.Expect(released).To(gomega.HaveLen(4))
 	for _, move := range released {
-		h.g.Expect(move.Shard.Service).To(gomega.Equal("licensing"), "archive is needed until licensing is empty")
+		h.g.Expect(move.Shard.Service).To(gomega.Equal("licensing"), "licensing depends on archive until its shards are released")
 		h.g.Expect(move.To).To(gomega.BeEmpty())
 	}
 	h.apply(plan)
@@ -287,7 +287,7 @@
 	h.g.Expect(moves(again, "draining")).To(gomega.HaveLen(1))
 	h.tracker.Started(&again.Requests[0], h.now)
 	h.tracker.Answered(&again.Requests[0], 0, h.now)
-	h.g.Expect(moves(h.decide(), "draining")).To(gomega.BeEmpty(), "a lessor that did not take it is not asked in haste")
+	h.g.Expect(moves(h.decide(), "draining")).To(gomega.BeEmpty(), "a lessor that refused the move gets no immediate retry")
 	h.now = h.now.Add(planner.RetryRefusedAfter)
 	h.g.Expect(moves(h.decide(), "draining")).To(gomega.HaveLen(1))
 }
@@ -305,7 +305,7 @@
 	h.now = h.now.Add(planner.RetryPartialAfter - 1)
 	h.g.Expect(moves(h.decide(), "draining")).To(gomega.BeEmpty())
 	h.now = h.now.Add(1)
-	h.g.Expect(moves(h.decide(), "draining")).To(gomega.HaveLen(1), "only the other one is left")
+	h.g.Expect(moves(h.decide(), "draining")).To(gomega.HaveLen(1), "only the move that was not made is retried")
 }
 
 func TestMovesWaitForALessorOfTheGroup(t *testing.T) {
@@ -320,8 +320,8 @@
 	h.g.Expect(moves(h.decide(), "draining")).To(gomega.HaveLen(4))
 }
 
-// TestASecondPlannersAssignmentsHaveNoEffect lets two decide on the same view, one of them
-// late: each assignment takes effect once.
+// TestASecondPlannersAssignmentsHaveNoEffect applies the assignments of two
+// planners that decided on the same view: each shard is assigned only once.
 func TestASecondPlannersAssignmentsHaveNoEffect(t *testing.T) {
 	h := newHarness(t, sitefake.Keyed("logs", 32))
 	h.addLiveServers("logs", 1)
@@ -334,8 +334,7 @@
 	h.g.Expect(h.shards("logs")).To(gomega.Equal(before))
 }
 
-// TestAHotKeyIsSplitOutAndMergedBack follows one key through both, as reported
-// by the nodes.
+// TestAHotKeyIsSplitOutAndMergedBack reports one key as hot, then as cold.
 func TestAHotKeyIsSplitOutAndMergedBack(t *testing.T) {
 	service := sitefake.Keyed("quotes", 12)
 	service.Weighting = bspb.Weighting_WEIGHTING_IMBALANCE
@@ -355,7 +354,7 @@
 	for i := range plan.Requests {
 		h.tracker.Started(&plan.Requests[i], h.now)
 	}
-	h.g.Expect(moves(h.decide(), "load")).To(gomega.BeEmpty(), "the split is under way")
+	h.g.Expect(moves(h.decide(), "load")).To(gomega.BeEmpty(), "the split is in flight")
 	for _, move := range split {
 		h.expectAccepted(h.site.Make(move))
 	}
@@ -371,7 +370,8 @@
 	h.g.Expect(exists).To(gomega.BeFalse(), "a key that cooled returns to its hash range")
 }
 
-// report tells of one busy hash range among idle ones.
+// report adds a load report with one busy hash range; part is the fraction of its
+// requests that are for the key.
 func (h *harness) report(index uint32, owner topo.ServerID, busy float64, key string, part float64) {
 	report := &bspb.ReportLoadRequest{Sender: &bspb.Sender{Node: "node-zone-a", Boot: "1"}}
 	shard := &bspb.ShardRef{Service: "quotes", Index: index}
--- a/planner/reporting.go
+++ b/planner/reporting.go
@@ -7,14 +7,15 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// FanIn is how many nodes report their load to one. With 9, 660 nodes are three
-// steps below the planner.
+// FanIn is the number of nodes that report their load to one parent. With 9, all
+// of 660 nodes are at most three steps below the planner.
 const FanIn = 9
 
-// Parents lists whom a node reports its load to, best first: the candidates of
-// the planner's role form a heap of FanIn children each, and a node whose
-// parent does not answer tries those further up. The first candidate, and a
-// node that is none, has no parent.
+// Parents lists the nodes to which a node may report its load, in order of
+// preference. The candidates for the planner's role form a heap with FanIn
+// children per node, and a node whose parent does not respond tries the ancestors
+// above it. The first candidate has no parent, nor has a node that is not a
+// candidate.
 func Parents(candidates []topo.NodeID, self topo.NodeID) []topo.NodeID {
 	at := slices.Index(candidates, self)
 	if at < 0 {
@@ -28,22 +29,23 @@
 	return parents
 }
 
-// Reporting says how often nodes report their load and how large a report may
-// be.
+// Reporting is the interval at which nodes report their load and the maximum size
+// of a report.
 type Reporting struct {
 	Every time.Duration
 	Bytes int // of one report
 }
 
-// MaxAge is how long a report counts.
+// MaxAge returns how long a report is valid.
 func (r Reporting) MaxAge() time.Duration { return r.Every * 5 / 2 }
 
 // smallSiteNodes is the number of nodes up to which reports may be frequent.
 const smallSiteNodes = 24
 
-// ReportingFor returns how a site of some nodes reports. A node takes the
-// reports of up to FanIn others: on a large site that is 9 times 4 KiB in 5 s,
-// 7.4 KB of the 19 KB a second that a node may spend on control.
+// ReportingFor returns the reporting parameters for a site with the given number
+// of nodes. A node receives the reports of up to FanIn others: on a large site
+// these are 9 reports of 4 KiB in 5 s, which is 7.4 KB/s of the 19 KB/s that a
+// node may use for control traffic.
 func ReportingFor(nodes int) Reporting {
 	if nodes <= smallSiteNodes {
 		return Reporting{Every: time.Second, Bytes: 4 << 10}
--- a/planner/retire.go
+++ b/planner/retire.go
@@ -7,8 +7,8 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// releaseService asks for the release of a retiring service's shards: their owners
-// finish what is in flight and nobody gets them.
+// releaseService requests the release of a retiring service's shards. Their
+// owners complete the requests in flight, and the shards get no new owner.
 func (d *decision) releaseService(name topo.Service) {
 	remaining := MaxInFlightMoves - d.in.Tracker.inFlight(name)
 	d.in.View.EachShard(name, func(a state.Assignment) bool {
--- a/planner/server_pool.go
+++ b/planner/server_pool.go
@@ -8,12 +8,12 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// serverPool is one service's servers with what each owns and stands by for, as it
-// will be once the plan is carried out.
+// serverPool contains one service's servers and the number of shards that each
+// owns and is the standby of. The numbers include the effect of the plan so far.
 type serverPool struct {
 	view         *state.View
 	service      *siteconfig.Service
-	live         []state.Server // may get new work, by ID
+	live         []state.Server // may be assigned shards; sorted by ID
 	ownedCount   map[topo.ServerID]int
 	standbyCount map[topo.ServerID]int
 }
@@ -39,16 +39,18 @@
 	return pool
 }
 
-// usable reports whether a server of the service may get new work.
+// usable reports whether a server belongs to the service and may be assigned
+// shards.
 func (pool *serverPool) usable(id topo.ServerID) bool {
 	server, exists := pool.view.Server(id)
 	return exists && server.Service == pool.service.Name && usable(pool.view, id, server)
 }
 
-// proximity orders standby servers: one in the owner's group can be activated
-// by the pair of lessors that the owner has, also while the zone is cut off
-// from the log; one in the owner's zone may be reached then; one elsewhere
-// serves only while the zones can reach each other.
+// proximity ranks standby servers by their distance from the owner. A standby in
+// the owner's group can be activated by the owner's pair of lessors, even while
+// the zone is partitioned from the log. A standby in another group of the owner's
+// zone may still be reachable then. A standby in another zone can serve only
+// while the zones can reach each other.
 type proximity int
 
 const (
@@ -67,9 +69,10 @@
 	return otherZone
 }
 
-// chooseStandby returns the nearest live server beside the owner, and among
-// equally near ones the one that stands by for least; empty when there is none.
-// It counts the choice.
+// chooseStandby returns the closest live server other than the owner and adds the
+// choice to the standby counts. Among equally close servers it prefers the one
+// that is the standby of the fewest shards, then the one that owns the fewest.
+// The result is empty if there is no other live server.
 func (pool *serverPool) chooseStandby(ownerID topo.ServerID) topo.ServerID {
 	owner, _ := pool.view.Server(ownerID)
 	var best *state.Server
@@ -95,9 +98,10 @@
 	return pool.ownedCount[x.ID] < pool.ownedCount[than.ID]
 }
 
-// standbyAfterMove returns the standby of a shard that moves: its earlier owner
-// if that stays and is in the new owner's group, since it has the state still,
-// else a new choice.
+// standbyAfterMove returns the standby of a shard that moves. It prefers the
+// previous owner, because that server still has the shard's state, then the
+// current standby, if the server is usable and in the new owner's group.
+// Otherwise it chooses a new standby.
 func (pool *serverPool) standbyAfterMove(current state.Assignment, to topo.ServerID) topo.ServerID {
 	previous, _ := pool.view.Server(current.Owner)
 	next, _ := pool.view.Server(to)
--- a/planner/standby.go
+++ b/planner/standby.go
@@ -6,10 +6,9 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// replaceMissingStandbys names a new standby server for shards whose standby is
-// missing or may get nothing new. The owner stays; but the shard gets a new
-// fence, so nothing is changed for a standby that is merely farther than it
-// could be.
+// replaceMissingStandbys chooses a new standby server for shards whose standby is
+// missing or not usable. The owner does not change, but the shard gets a new
+// fence. A usable standby is therefore kept even if a closer server exists.
 func (d *decision) replaceMissingStandbys(pool *serverPool) {
 	remaining := MaxInFlightMoves - d.in.Tracker.inFlight(pool.service.Name)
 	d.in.View.EachShard(pool.service.Name, func(a state.Assignment) bool {
@@ -24,7 +23,7 @@
 		}
 		standby := pool.chooseStandby(a.Owner)
 		if standby == "" {
-			return false // nobody else is there
+			return false // the owner is the only live server
 		}
 		next := &bspb.ShardMove{Shard: shardToProto(a.Shard), To: string(a.Owner), Standby: string(standby)}
 		if d.addMove(a, next, ReasonStandby) {
--- a/planner/tracker.go
+++ b/planner/tracker.go
@@ -10,41 +10,45 @@
 )
 
 const (
-	// MoveTimeout is how long a move may be under way before it is planned anew.
+	// MoveTimeout is how long a move may be in flight before it is planned again.
 	MoveTimeout = 15 * time.Second
-	// RetryRefusedAfter is how long a move that the lessor did not take is left
-	// alone.
+	// RetryRefusedAfter is the delay before moves are planned again when the lessor
+	// accepted none of their request.
 	RetryRefusedAfter = time.Second
-	// RetryPartialAfter is the same when the lessor took some of a request's moves: it
-	// says how many, not which, and refuses those that are under way.
+	// RetryPartialAfter is the delay when the lessor accepted only some of a
+	// request's moves. It is longer because the response contains the number of
+	// accepted moves, not which they are, and the lessor refuses moves that are
+	// already in flight.
 	RetryPartialAfter = 3 * time.Second
-	// maxAppliedSamples is how many moments the tracker remembers, and markEvery how far
-	// they are apart; together they reach back over the longest dwell of a policy.
+	// maxAppliedSamples is the number of samples of the applied offset that the
+	// tracker keeps, and appliedSampleInterval the time between two of them.
+	// Together they cover the longest dwell time of a policy.
 	maxAppliedSamples     = 64
 	appliedSampleInterval = time.Second
 )
 
-// Tracker remembers, between decisions, which moves are under way, when owners
-// changed and how many moves were made. It is not safe for concurrent use.
+// Tracker keeps, between decisions, the moves in flight, the times at which
+// owners changed and the remaining allowances for moves. It is not safe for
+// concurrent use.
 type Tracker struct {
 	view              *state.View
 	now               time.Time
 	moving            map[topo.ShardID]pendingMove
-	inFlightByService map[topo.Service]int // of moving
-	splitsByRange     map[topo.ShardID]int // of moving that split a key out, by hash range
+	inFlightByService map[topo.Service]int // number of entries in moving
+	splitsByRange     map[topo.ShardID]int // entries in moving that split a key out, by hash range
 	appliedSamples    []appliedSample      // oldest first
 	blockedSince      map[topo.Service]time.Time
 	allowances        map[topo.Service]*serviceAllowance
 }
 
-// pendingMove is a move that a lessor accepted.
+// pendingMove is a move that was requested from a lessor.
 type pendingMove struct {
-	fence topo.Fence // in force when it was asked for
-	split bool       // makes a key an entry of its own
+	fence topo.Fence // the shard's fence at the time of the request
+	split bool       // makes a key a shard of its own
 	since time.Time
 }
 
-// appliedSample says how far the log was applied at a moment.
+// appliedSample is the offset up to which the log was applied at a time.
 type appliedSample struct {
 	at      time.Time
 	applied topo.Offset
@@ -55,7 +59,7 @@
 	allowance *balance.Allowance
 }
 
-// NewTracker returns a tracker without memory.
+// NewTracker returns an empty tracker.
 func NewTracker() *Tracker {
 	return &Tracker{
 		moving:            map[topo.ShardID]pendingMove{},
@@ -66,8 +70,8 @@
 	}
 }
 
-// Observe takes the state as of now: moves that were made, or have taken too
-// long, are no longer under way.
+// Observe updates the tracker from the current view. Moves that were made or
+// have timed out are no longer in flight.
 func (t *Tracker) Observe(now time.Time, view *state.View) {
 	t.now, t.view = now, view
 	if len(t.appliedSamples) == 0 || now.Sub(t.appliedSamples[len(t.appliedSamples)-1].at) >= appliedSampleInterval {
@@ -109,10 +113,11 @@
 	return topo.ShardID{Service: id.Service, Index: id.Index}
 }
 
-// Failed notes that no lessor took any of a request's moves.
+// Failed records that no lessor accepted any of a request's moves.
 func (t *Tracker) Failed(request *Request, now time.Time) { t.Answered(request, 0, now) }
 
-// resolved reports whether a move took effect, or another change came before it.
+// resolved reports whether a move took effect or was superseded by another change
+// of the shard.
 func (p pendingMove) resolved(view *state.View, id topo.ShardID) bool {
 	current, exists := view.Shard(id)
 	if p.split {
@@ -121,7 +126,7 @@
 	return !exists || current.Fence != p.fence
 }
 
-// Started notes the moves of a request as under way.
+// Started records the moves of a request as in flight.
 func (t *Tracker) Started(request *Request, now time.Time) {
 	for _, move := range request.Moves {
 		id := ShardFromProto(move.GetShard())
@@ -131,8 +136,9 @@
 	}
 }
 
-// Answered notes how many of a request's moves the lessor took. Those that it
-// did not take are planned anew after a while.
+// Answered records how many of a request's moves the lessor accepted. If it did
+// not accept all of them, those still in flight are planned again after
+// RetryRefusedAfter or RetryPartialAfter.
 func (t *Tracker) Answered(request *Request, accepted int, now time.Time) {
 	retry := RetryPartialAfter
 	switch {
@@ -150,15 +156,16 @@
 	}
 }
 
-// Moving implements load.Planned. A hash range out of which a key is being
-// split counts as moving too.
+// Moving implements load.Planned. A hash range from which a key is being split
+// out is treated as moving too.
 func (t *Tracker) Moving(id topo.ShardID) bool {
 	_, inFlight := t.moving[id]
 	return inFlight || t.splitsByRange[id] > 0
 }
 
-// Changed implements load.Planned: the first remembered moment at which the
-// record that made the present fence was applied.
+// Changed implements load.Planned. It returns the time of the first sample at
+// which the record that set the current fence was applied, or the zero time if
+// that record is older than the samples.
 func (t *Tracker) Changed(id topo.ShardID) time.Time {
 	current, exists := t.view.Shard(id)
 	if !exists || len(t.appliedSamples) == 0 || current.Fence.Offset <= t.appliedSamples[0].applied {
@@ -172,10 +179,11 @@
 	return t.now
 }
 
-// inFlight returns how many moves of a service are under way.
+// inFlight returns the number of a service's moves in flight.
 func (t *Tracker) inFlight(service topo.Service) int { return t.inFlightByService[service] }
 
-// blockedFor returns for how long a service has waited for others.
+// blockedFor returns how long a service has waited for its dependencies. The
+// first call for a service starts the wait.
 func (t *Tracker) blockedFor(service topo.Service, now time.Time) time.Duration {
 	since, waiting := t.blockedSince[service]
 	if !waiting {
@@ -187,7 +195,8 @@
 
 func (t *Tracker) clearBlocked(service topo.Service) { delete(t.blockedSince, service) }
 
-// allowance returns what rations a service's moves for load.
+// allowance returns the allowance for a service's moves because of load. It
+// starts a new one when the service's weighting changes.
 func (t *Tracker) allowance(service *siteconfig.Service, now time.Time) *balance.Allowance {
 	known, exists := t.allowances[service.Name]
 	if !exists || known.weighting != service.Weighting {
@@ -206,7 +215,7 @@
 	WaitingSince map[topo.Service]time.Time `json:"waitingSince"`
 }
 
-// Dump returns a copy of what is under way and waiting.
+// Dump returns the number of moves in flight and the start of waits, by service.
 func (t *Tracker) Dump() Dump {
 	d := Dump{InFlight: map[topo.Service]int{}, WaitingSince: map[topo.Service]time.Time{}}
 	for service, count := range t.inFlightByService {
