--- a/limit/estimate.go
+++ b/limit/estimate.go
@@ -5,8 +5,8 @@
 // Weights of a new observation, as for round-trip times in TCP: the mean moves
 // by an eighth of the difference, the deviation by a quarter.
 const (
-	meanShare      = 8
-	deviationShare = 4
+	meanDivisor      = 8
+	deviationDivisor = 4
 	// minSamples is how many observations an estimate needs before anything is
 	// refused because of it.
 	minSamples = 4
@@ -31,11 +31,11 @@
 		return
 	}
 	difference := busy - e.mean
-	e.mean += difference / meanShare
+	e.mean += difference / meanDivisor
 	if difference < 0 {
 		difference = -difference
 	}
-	e.deviation += (difference - e.deviation) / deviationShare
+	e.deviation += (difference - e.deviation) / deviationDivisor
 }
 
 // Known reports whether there are enough observations to rely on.
@@ -49,8 +49,8 @@
 	return e.mean
 }
 
-// Fast is a busy time that few requests beat; 0 while not known.
-func (e *Estimate) Fast() time.Duration {
+// MinBusy is a busy time that few requests beat; 0 while not known.
+func (e *Estimate) MinBusy() time.Duration {
 	if !e.Known() {
 		return 0
 	}
@@ -60,18 +60,18 @@
 // Residual is how much longer a request is expected to hold its place that has
 // held it for a while. One that has taken far longer than usual is expected to
 // take as long again.
-func (e *Estimate) Residual(held time.Duration) time.Duration {
+func (e *Estimate) Residual(elapsed time.Duration) time.Duration {
 	switch {
 	case !e.Known():
 		return 0
-	case held <= e.mean/2:
-		return e.mean - held
-	case held <= e.mean+stalledDeviations*e.deviation+minStall:
+	case elapsed <= e.mean/2:
+		return e.mean - elapsed
+	case elapsed <= e.mean+stalledDeviations*e.deviation+minStallMargin:
 		return e.mean / 2
 	}
-	return held
+	return elapsed
 }
 
-// minStall keeps a very even server's scheduling noise from counting as a
+// minStallMargin keeps a very even server's scheduling noise from counting as a
 // stall.
-const minStall = 5 * time.Millisecond
+const minStallMargin = 5 * time.Millisecond
--- a/limit/gate.go
+++ b/limit/gate.go
@@ -26,7 +26,7 @@
 // serviceCount bounds how many requests of a service wait on this node.
 type serviceCount struct {
 	waiting atomic.Int64
-	most    atomic.Int64
+	max     atomic.Int64
 }
 
 // Counts are a gate's running totals.
@@ -62,14 +62,14 @@
 
 // Release gives the place back.
 func (p *Permit) Release(result Result) {
-	p.once.Do(func() { p.gate.finish(p.id, result) })
+	p.once.Do(func() { p.gate.release(p.id, result) })
 }
 
 // Acquire waits for a place for an entry, whose ID the gate gives. It returns a
 // *RefusedError as soon as it is known that there will be none in time, or the
 // context's error.
 func (g *Gate) Acquire(ctx context.Context, entry Entry) (*Permit, error) {
-	entry, answer := g.offer(entry)
+	entry, answer := g.enqueue(entry)
 	select {
 	case refused := <-answer:
 		return g.permit(entry, refused)
@@ -79,7 +79,7 @@
 	case refused := <-answer:
 		return g.permit(entry, refused)
 	case <-ctx.Done():
-		return g.abandon(ctx, entry, answer)
+		return g.cancelWait(ctx, entry, answer)
 	}
 }
 
@@ -90,8 +90,8 @@
 	return &Permit{gate: g, id: entry.ID}, nil
 }
 
-// abandon gives up waiting. A grant that came meanwhile is given back.
-func (g *Gate) abandon(ctx context.Context, entry Entry, answer chan *RefusedError) (*Permit, error) {
+// cancelWait gives up waiting. A grant that came meanwhile is given back.
+func (g *Gate) cancelWait(ctx context.Context, entry Entry, answer chan *RefusedError) (*Permit, error) {
 	g.mu.Lock()
 	waited := g.queue.Cancel(entry)
 	if waited {
@@ -101,12 +101,12 @@
 	}
 	g.mu.Unlock()
 	if !waited && <-answer == nil {
-		g.finish(entry.ID, Result{})
+		g.release(entry.ID, Result{})
 	}
 	return nil, ctx.Err()
 }
 
-func (g *Gate) offer(entry Entry) (Entry, chan *RefusedError) {
+func (g *Gate) enqueue(entry Entry) (Entry, chan *RefusedError) {
 	answer := make(chan *RefusedError, 1)
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -114,11 +114,11 @@
 	entry.ID = g.sequence
 	g.waiters[entry.ID] = answer
 	g.service.waiting.Add(1)
-	g.apply(g.queue.Offer(time.Now(), entry, g.service.waiting.Load() > g.service.most.Load()))
+	g.deliver(g.queue.Offer(time.Now(), entry, g.service.waiting.Load() > g.service.max.Load()))
 	return entry, answer
 }
 
-func (g *Gate) finish(id uint64, result Result) {
+func (g *Gate) release(id uint64, result Result) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if result.Overloaded {
@@ -130,7 +130,7 @@
 	if result.Failed {
 		g.counts.Failed++
 	}
-	g.apply(g.queue.Finish(time.Now(), id, result))
+	g.deliver(g.queue.Finish(time.Now(), id, result))
 }
 
 // sweep refuses what cannot be served in time any more.
@@ -140,23 +140,23 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.apply(g.queue.Sweep(now))
+	g.deliver(g.queue.Sweep(now))
 }
 
-// apply tells waiting requests what became of them.
-func (g *Gate) apply(changes Changes) {
+// deliver tells waiting requests what became of them.
+func (g *Gate) deliver(changes Changes) {
 	for _, id := range changes.Granted {
 		g.counts.Granted++
-		g.tell(id, nil)
+		g.notify(id, nil)
 	}
 	for _, refused := range changes.Refused {
 		g.counts.Refused[refused.Reason]++
-		g.tell(refused.ID, &RefusedError{Refusal: refused.Refusal})
+		g.notify(refused.ID, &RefusedError{Refusal: refused.Refusal})
 	}
 	g.queued.Store(int64(g.queue.Queued()))
 }
 
-func (g *Gate) tell(id uint64, refused *RefusedError) {
+func (g *Gate) notify(id uint64, refused *RefusedError) {
 	answer, waits := g.waiters[id]
 	if !waits {
 		return
@@ -170,7 +170,7 @@
 func (g *Gate) Cold() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.queue.Cold(time.Now())
+	g.queue.RestartRamp(time.Now())
 }
 
 // Stats is a gate's state for dumps, metrics and the picker.
--- a/limit/gate_test.go
+++ b/limit/gate_test.go
@@ -17,9 +17,9 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// TestGateUnderConcurrency lets many requests wait, be served, be canceled and
+// TestConcurrentRequestsRespectTheLimitAndReleaseEverySlot lets many requests wait, be served, be canceled and
 // run out of time at once: the limit holds, and every place comes back.
-func TestGateUnderConcurrency(t *testing.T) {
+func TestConcurrentRequestsRespectTheLimitAndReleaseEverySlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		set := limit.NewSet(50)
@@ -76,8 +76,8 @@
 	})
 }
 
-// TestQueuedRequestsOfAServiceAreBounded counts over all servers of a service.
-func TestQueuedRequestsOfAServiceAreBounded(t *testing.T) {
+// TestQueuedRequestsOfAServiceAreLimited counts over all servers of a service.
+func TestQueuedRequestsOfAServiceAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		set := limit.NewSet(3)
@@ -99,10 +99,10 @@
 		g.Expect(refused).To(gomega.HaveLen(2 + 5))
 		full := 0
 		for range 7 {
-			var no *limit.RefusedError
-			if errors.As(<-refused, &no) {
-				g.Expect(no.Reason).To(gomega.Equal(callerapi.ReasonQueueFull))
-				g.Expect(no.RetryAfter).To(gomega.BeNumerically(">", 0))
+			var refusal *limit.RefusedError
+			if errors.As(<-refused, &refusal) {
+				g.Expect(refusal.Reason).To(gomega.Equal(callerapi.ReasonQueueFull))
+				g.Expect(refusal.RetryAfter).To(gomega.BeNumerically(">", 0))
 				full++
 			}
 		}
@@ -113,7 +113,7 @@
 	})
 }
 
-func TestNodeKeepsRoomForOthers(t *testing.T) {
+func TestOneServiceCannotFillTheNode(t *testing.T) {
 	g := gomega.NewWithT(t)
 	node := limit.NewNode(100)
 	held := 0
--- a/limit/turns_test.go
+++ b/limit/precedence_test.go
@@ -16,9 +16,9 @@
 	return e
 }
 
-// drain finishes what is in flight, one after another, and returns the order of
+// finishInOrder finishes what is in flight, one after another, and returns the order of
 // the grants.
-func drain(q *limit.Queue, running uint64, count int) []uint64 {
+func finishInOrder(q *limit.Queue, running uint64, count int) []uint64 {
 	var order []uint64
 	now := epoch
 	for range count {
@@ -35,27 +35,27 @@
 
 func TestNestedRequestsGoFirst(t *testing.T) {
 	g := gomega.NewWithT(t)
-	q := warm(limit.Spec{Limit: 1, MaxQueued: 100})
+	q := warmQueue(limit.Spec{Limit: 1, MaxQueued: 100})
 	q.Offer(epoch, entry(1, "a", time.Hour), false)
 	q.Offer(epoch, entry(2, "a", time.Minute), false)
 	q.Offer(epoch, entry(3, "b", time.Minute), false)
 	q.Offer(epoch, nested(4, "a", time.Hour), false)
 	q.Offer(epoch, nested(5, "server", time.Hour), false)
-	order := drain(q, 1, 10)
+	order := finishInOrder(q, 1, 10)
 	g.Expect(order).To(gomega.HaveLen(4))
 	g.Expect(order[:2]).To(gomega.ConsistOf(uint64(4), uint64(5)))
 }
 
 func TestNestedRequestsDoNotStarveCallers(t *testing.T) {
 	g := gomega.NewWithT(t)
-	q := warm(limit.Spec{Limit: 1, MaxQueued: 1000})
+	q := warmQueue(limit.Spec{Limit: 1, MaxQueued: 1000})
 	q.Offer(epoch, entry(1, "a", time.Hour), false)
 	for id := uint64(100); id < 200; id++ {
 		q.Offer(epoch, nested(id, "server", time.Hour), false)
 		q.Offer(epoch, entry(id+100, "a", time.Hour), false)
 	}
 	own := 0
-	for _, id := range drain(q, 1, 80) {
+	for _, id := range finishInOrder(q, 1, 80) {
 		if id >= 200 {
 			own++
 		}
@@ -65,7 +65,7 @@
 
 func TestForecastCountsNestedRequestsFirst(t *testing.T) {
 	g := gomega.NewWithT(t)
-	q := warm(limit.Spec{Limit: 1, MaxQueued: 1000})
+	q := warmQueue(limit.Spec{Limit: 1, MaxQueued: 1000})
 	q.Offer(epoch, entry(1, "a", time.Hour), false)
 	for id := uint64(2); id < 52; id++ {
 		q.Offer(epoch, entry(id, "a", time.Hour), false)
@@ -83,11 +83,11 @@
 
 func TestNestedRequestsCanBeCanceled(t *testing.T) {
 	g := gomega.NewWithT(t)
-	q := warm(limit.Spec{Limit: 1, MaxQueued: 100})
+	q := warmQueue(limit.Spec{Limit: 1, MaxQueued: 100})
 	q.Offer(epoch, entry(1, "a", time.Hour), false)
 	waiting := nested(2, "a", time.Hour)
 	q.Offer(epoch, waiting, false)
 	g.Expect(q.Cancel(waiting)).To(gomega.BeTrue())
 	g.Expect(q.Queued()).To(gomega.BeZero())
-	g.Expect(drain(q, 1, 1)).To(gomega.BeEmpty())
+	g.Expect(finishInOrder(q, 1, 1)).To(gomega.BeEmpty())
 }
--- a/limit/queue.go
+++ b/limit/queue.go
@@ -51,12 +51,12 @@
 	window   window
 	estimate Estimate
 	shares   shares
-	flights  map[uint64]flight
+	inFlight map[uint64]inFlightRequest
 	peak     int
 }
 
-// flight is one granted request.
-type flight struct {
+// inFlightRequest is one granted request.
+type inFlightRequest struct {
 	since   time.Time
 	share   *share
 	charged time.Duration // 0 when the place was free
@@ -64,7 +64,7 @@
 
 // NewQueue returns an empty queue of a server that is cold now.
 func NewQueue(spec Spec, now time.Time) *Queue {
-	q := &Queue{flights: map[uint64]flight{}, shares: newShares()}
+	q := &Queue{inFlight: map[uint64]inFlightRequest{}, shares: newShares()}
 	q.window.coldSince = now
 	q.Configure(spec)
 	return q
@@ -78,11 +78,11 @@
 	q.window.ramp = spec.Ramp
 }
 
-// Cold starts the ramp anew: the server was replaced, restarted or away.
-func (q *Queue) Cold(now time.Time) { q.window.coldSince = now }
+// RestartRamp starts the ramp anew: the server was replaced, restarted or away.
+func (q *Queue) RestartRamp(now time.Time) { q.window.coldSince = now }
 
 // InFlight is how many requests hold a place.
-func (q *Queue) InFlight() int { return len(q.flights) }
+func (q *Queue) InFlight() int { return len(q.inFlight) }
 
 // Queued is how many requests wait.
 func (q *Queue) Queued() int { return q.shares.queued }
@@ -91,7 +91,7 @@
 func (q *Queue) Peak() int { return q.peak }
 
 // Window is how many requests may hold a place now.
-func (q *Queue) Window(now time.Time) int { return q.window.at(now) }
+func (q *Queue) Window(now time.Time) int { return q.window.size(now) }
 
 // MeanBusy is the observed mean busy time; 0 while not known.
 func (q *Queue) MeanBusy() time.Duration { return q.estimate.Mean() }
@@ -101,20 +101,20 @@
 // no more may wait for reasons beyond this queue.
 func (q *Queue) Offer(now time.Time, entry Entry, full bool) Changes {
 	var changes Changes
-	if entry.Deadline.Sub(now) <= q.estimate.Fast() {
+	if entry.Deadline.Sub(now) <= q.estimate.MinBusy() {
 		changes.refuse(entry.ID, q.tooLate(now))
 		return changes
 	}
-	if q.shares.queued == 0 && len(q.flights) < q.window.at(now) {
-		q.grant(now, q.shares.of(entry), entry.ID, 0, &changes)
+	if q.shares.queued == 0 && len(q.inFlight) < q.window.size(now) {
+		q.grant(now, q.shares.shareFor(entry), entry.ID, 0, &changes)
 		return changes
 	}
-	if q.startOf(now, entry).Add(q.estimate.Fast()).After(entry.Deadline) {
+	if q.expectedStart(now, entry).Add(q.estimate.MinBusy()).After(entry.Deadline) {
 		changes.refuse(entry.ID, q.tooLate(now))
 		return changes
 	}
 	if full || q.shares.queued >= q.spec.MaxQueued {
-		evicted, found := q.shares.makeRoom(entry)
+		evicted, found := q.shares.evict(entry)
 		if !found {
 			changes.refuse(entry.ID, q.full(now))
 			return changes
@@ -139,23 +139,23 @@
 // Finish takes back a place and returns what became of waiting entries.
 func (q *Queue) Finish(now time.Time, id uint64, result Result) Changes {
 	var changes Changes
-	done, held := q.flights[id]
-	if !held {
+	request, known := q.inFlight[id]
+	if !known {
 		return changes
 	}
-	busy := now.Sub(done.since)
+	busy := now.Sub(request.since)
 	if result.Overloaded {
-		q.window.overloaded(now, len(q.flights))
+		q.window.reduce(now, len(q.inFlight))
 	}
 	if result.Served {
 		q.estimate.Add(busy)
-		q.window.served()
+		q.window.recover()
 	}
-	delete(q.flights, id)
-	if done.charged == 0 {
-		done.charged = busy
+	delete(q.inFlight, id)
+	if request.charged == 0 {
+		request.charged = busy
 	}
-	q.shares.settle(done.share, busy-done.charged, q.quantum())
+	q.shares.finish(request.share, busy-request.charged, q.quantum())
 	q.dispatch(now, &changes)
 	return changes
 }
@@ -175,11 +175,11 @@
 
 // dispatch fills free places.
 func (q *Queue) dispatch(now time.Time, changes *Changes) {
-	for q.shares.queued > 0 && len(q.flights) < q.window.at(now) {
+	for q.shares.queued > 0 && len(q.inFlight) < q.window.size(now) {
 		owner, entry := q.shares.next(q.quantum())
-		if entry.Deadline.Sub(now) <= q.estimate.Fast() {
+		if entry.Deadline.Sub(now) <= q.estimate.MinBusy() {
 			changes.refuse(entry.ID, q.tooLate(now))
-			q.shares.release(owner)
+			q.shares.dropIfIdle(owner)
 			continue
 		}
 		q.grant(now, owner, entry.ID, q.estimate.Mean(), changes)
@@ -191,8 +191,8 @@
 func (q *Queue) grant(now time.Time, owner *share, id uint64, charge time.Duration, changes *Changes) {
 	owner.deficit -= charge
 	owner.inFlight++
-	q.flights[id] = flight{since: now, share: owner, charged: charge}
-	q.peak = max(q.peak, len(q.flights))
+	q.inFlight[id] = inFlightRequest{since: now, share: owner, charged: charge}
+	q.peak = max(q.peak, len(q.inFlight))
 	changes.Granted = append(changes.Granted, id)
 }
 
@@ -204,9 +204,9 @@
 }
 
 func (q *Queue) tooLate(now time.Time) Refusal {
-	return Refusal{Reason: callerapi.ReasonTooLate, RetryAfter: q.drainTime(now)}
+	return Refusal{Reason: callerapi.ReasonTooLate, RetryAfter: q.drainDuration(now)}
 }
 
 func (q *Queue) full(now time.Time) Refusal {
-	return Refusal{Reason: callerapi.ReasonQueueFull, RetryAfter: q.drainTime(now)}
+	return Refusal{Reason: callerapi.ReasonQueueFull, RetryAfter: q.drainDuration(now)}
 }
--- a/limit/queue_test.go
+++ b/limit/queue_test.go
@@ -16,19 +16,19 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-// machine drives a queue with offers, ends, cancellations, sweeps and the
+// queueModel drives a queue with offers, ends, cancellations, sweeps and the
 // passing of time, and keeps what must hold.
-type machine struct {
-	passed  int // nested requests granted in a row while others wait
-	spec    limit.Spec
-	queue   *limit.Queue
-	now     time.Time
-	next    uint64
-	waiting map[uint64]limit.Entry
-	held    map[uint64]bool
+type queueModel struct {
+	nestedInRow int // nested requests granted in a row while others wait
+	spec        limit.Spec
+	queue       *limit.Queue
+	now         time.Time
+	lastID      uint64
+	waiting     map[uint64]limit.Entry
+	held        map[uint64]bool
 }
 
-func (m *machine) apply(t *rapid.T, changes limit.Changes) {
+func (m *queueModel) apply(t *rapid.T, changes limit.Changes) {
 	for _, refused := range changes.Refused {
 		if _, waits := m.waiting[refused.ID]; !waits {
 			t.Fatalf("request %d was refused after its end", refused.ID)
@@ -57,13 +57,13 @@
 	}
 }
 
-// mostPassed is how many nested requests may be granted in a row while callers'
+// maxNestedRun is how many nested requests may be granted in a row while callers'
 // own wait.
-const mostPassed = 3
+const maxNestedRun = 3
 
 // checkOrder: nobody of the same caller and kind with an earlier deadline still
 // waits, and callers' own requests are passed by a bounded number of nested ones.
-func (m *machine) checkOrder(t *rapid.T, id uint64) {
+func (m *queueModel) checkOrder(t *rapid.T, id uint64) {
 	granted := m.waiting[id]
 	ownWaits := false
 	for _, other := range m.waiting {
@@ -74,18 +74,18 @@
 		}
 	}
 	if granted.Hop == 0 || !ownWaits {
-		m.passed = 0
+		m.nestedInRow = 0
 		return
 	}
-	m.passed++
-	if m.passed > mostPassed {
-		t.Fatalf("%d nested requests in a row while callers' own wait", m.passed)
+	m.nestedInRow++
+	if m.nestedInRow > maxNestedRun {
+		t.Fatalf("%d nested requests in a row while callers' own wait", m.nestedInRow)
 	}
 }
 
 func TestQueueInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &machine{now: epoch, waiting: map[uint64]limit.Entry{}, held: map[uint64]bool{}}
+		m := &queueModel{now: epoch, waiting: map[uint64]limit.Entry{}, held: map[uint64]bool{}}
 		m.spec = limit.Spec{
 			Limit:     rapid.IntRange(1, 6).Draw(t, "limit"),
 			MaxQueued: rapid.IntRange(0, 10).Draw(t, "queue"),
@@ -99,9 +99,9 @@
 				}
 			},
 			"offer": func(t *rapid.T) {
-				m.next++
+				m.lastID++
 				entry := limit.Entry{
-					ID:       m.next,
+					ID:       m.lastID,
 					Caller:   rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "caller"),
 					Deadline: m.now.Add(time.Duration(rapid.IntRange(1, 500).Draw(t, "deadline")) * time.Millisecond),
 					Hop:      rapid.IntRange(0, 1).Draw(t, "hop"),
@@ -137,8 +137,8 @@
 	})
 }
 
-// warm returns a queue that has learned a busy time of 10 ms.
-func warm(spec limit.Spec) *limit.Queue {
+// warmQueue returns a queue that has learned a busy time of 10 ms.
+func warmQueue(spec limit.Spec) *limit.Queue {
 	q := limit.NewQueue(spec, epoch.Add(-time.Hour))
 	for i := range uint64(8) {
 		at := epoch.Add(-time.Minute)
@@ -152,24 +152,24 @@
 	return limit.Entry{ID: id, Caller: caller, Deadline: epoch.Add(in)}
 }
 
-func TestRefusesAtOnceWhatCannotMakeIt(t *testing.T) {
+func TestRequestsThatWouldMissTheirDeadlineAreRefusedAtOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
-	q := warm(limit.Spec{Limit: 1, MaxQueued: 100})
+	q := warmQueue(limit.Spec{Limit: 1, MaxQueued: 100})
 	for id := range uint64(6) {
 		g.Expect(q.Offer(epoch, entry(id, "a", time.Second), false).Refused).To(gomega.BeEmpty())
 	}
 	late := q.Offer(epoch, entry(10, "a", 20*time.Millisecond), false)
 	g.Expect(late.Refused).To(gomega.BeEmpty(), "an earlier deadline goes first and makes it")
-	hopeless := q.Offer(epoch, entry(11, "a", 3*time.Millisecond), false)
-	g.Expect(hopeless.Refused).To(gomega.HaveLen(1))
-	g.Expect(hopeless.Refused[0].Reason).To(gomega.Equal(callerapi.ReasonTooLate))
+	tooLate := q.Offer(epoch, entry(11, "a", 3*time.Millisecond), false)
+	g.Expect(tooLate.Refused).To(gomega.HaveLen(1))
+	g.Expect(tooLate.Refused[0].Reason).To(gomega.Equal(callerapi.ReasonTooLate))
 }
 
 // TestStalledServerShedsBeforeDeadlines: a server that stops answering makes the
 // queue give up requests long before their deadlines.
 func TestStalledServerShedsBeforeDeadlines(t *testing.T) {
 	g := gomega.NewWithT(t)
-	q := warm(limit.Spec{Limit: 1, MaxQueued: 100})
+	q := warmQueue(limit.Spec{Limit: 1, MaxQueued: 100})
 	q.Offer(epoch, entry(1, "a", time.Minute), false)
 	q.Offer(epoch, entry(2, "a", 300*time.Millisecond), false)
 	g.Expect(q.Sweep(epoch.Add(20 * time.Millisecond)).Refused).To(gomega.BeEmpty())
@@ -178,11 +178,11 @@
 	g.Expect(swept.Refused[0].RetryAfter).To(gomega.BeNumerically(">=", 160*time.Millisecond))
 }
 
-// TestOneCallerCannotStarveTheRest: one caller keeps a long queue, another asks
+// TestOneCallerCannotStarveOthers: one caller keeps a long queue, another asks
 // now and then; over many places each gets its half, in server time.
-func TestOneCallerCannotStarveTheRest(t *testing.T) {
+func TestOneCallerCannotStarveOthers(t *testing.T) {
 	g := gomega.NewWithT(t)
-	q := warm(limit.Spec{Limit: 1, MaxQueued: 1000})
+	q := warmQueue(limit.Spec{Limit: 1, MaxQueued: 1000})
 	now := epoch
 	id := uint64(0)
 	busy := map[string]time.Duration{"greedy": 30 * time.Millisecond, "modest": 10 * time.Millisecond}
@@ -213,9 +213,9 @@
 	g.Expect(share).To(gomega.BeNumerically("~", 0.5, 0.08))
 }
 
-func TestFullQueueGivesUpTheLongestShare(t *testing.T) {
+func TestFullQueueEvictsFromTheLongestShare(t *testing.T) {
 	g := gomega.NewWithT(t)
-	q := warm(limit.Spec{Limit: 1, MaxQueued: 4})
+	q := warmQueue(limit.Spec{Limit: 1, MaxQueued: 4})
 	q.Offer(epoch, entry(1, "greedy", time.Hour), false)
 	for id := uint64(2); id <= 5; id++ {
 		q.Offer(epoch, entry(id, "greedy", time.Hour+time.Duration(id)), false)
@@ -232,7 +232,7 @@
 	g.Expect(changes.Refused[0].ID).To(gomega.Equal(uint64(4)))
 }
 
-func TestColdServerRamps(t *testing.T) {
+func TestWindowOfAColdServerGrowsOverTheRamp(t *testing.T) {
 	g := gomega.NewWithT(t)
 	q := limit.NewQueue(limit.Spec{Limit: 4, MaxQueued: 100, Ramp: 900 * time.Millisecond}, epoch)
 	for id := range uint64(10) {
@@ -246,12 +246,12 @@
 	g.Expect(q.InFlight()).To(gomega.Equal(3))
 }
 
-// TestColdServerDoesNotShedWhatItWillServeOnceWarm: 50 requests of 10 ms take
+// TestForecastIncludesTheRampOfAColdServer: 50 requests of 10 ms take
 // 500 ms one at a time, but the server is warm in 100 ms.
-func TestColdServerDoesNotShedWhatItWillServeOnceWarm(t *testing.T) {
+func TestForecastIncludesTheRampOfAColdServer(t *testing.T) {
 	g := gomega.NewWithT(t)
-	q := warm(limit.Spec{Limit: 5, MaxQueued: 100, Ramp: 100 * time.Millisecond})
-	q.Cold(epoch)
+	q := warmQueue(limit.Spec{Limit: 5, MaxQueued: 100, Ramp: 100 * time.Millisecond})
+	q.RestartRamp(epoch)
 	for id := range uint64(50) {
 		changes := q.Offer(epoch, entry(id, "a", 300*time.Millisecond), false)
 		g.Expect(changes.Refused).To(gomega.BeEmpty(), "request %d", id)
@@ -264,9 +264,9 @@
 	g.Expect(late).To(gomega.BeNumerically(">", 20), "more than it can serve is still refused")
 }
 
-func TestOverloadedServerGetsLess(t *testing.T) {
+func TestOverloadReducesTheWindow(t *testing.T) {
 	g := gomega.NewWithT(t)
-	q := warm(limit.Spec{Limit: 6, MaxQueued: 100})
+	q := warmQueue(limit.Spec{Limit: 6, MaxQueued: 100})
 	for id := range uint64(6) {
 		q.Offer(epoch, entry(id, "a", time.Hour), false)
 	}
--- a/limit/set.go
+++ b/limit/set.go
@@ -10,14 +10,14 @@
 // Set holds the gates of every server for which this node is the admission
 // point, or to which it sends directly. Methods may be called concurrently.
 type Set struct {
-	maxQueued int // for each service
+	maxQueuedPerService int // for each service
 
 	mu       sync.RWMutex
-	gates    map[topo.ServerID]*held
+	gates    map[topo.ServerID]*gateEntry
 	services map[topo.Service]*serviceCount
 }
 
-type held struct {
+type gateEntry struct {
 	gate *Gate
 	spec Spec
 }
@@ -26,9 +26,9 @@
 // service wait.
 func NewSet(maxQueued int) *Set {
 	return &Set{
-		maxQueued: maxQueued,
-		gates:     map[topo.ServerID]*held{},
-		services:  map[topo.Service]*serviceCount{},
+		maxQueuedPerService: maxQueued,
+		gates:               map[topo.ServerID]*gateEntry{},
+		services:            map[topo.Service]*serviceCount{},
 	}
 }
 
@@ -50,7 +50,7 @@
 func (s *Set) configure(service topo.Service, server topo.ServerID, spec Spec) *Gate {
 	found, exists := s.gates[server]
 	if !exists {
-		found = &held{gate: newGate(s.count(service), spec, time.Now())}
+		found = &gateEntry{gate: newGate(s.serviceCountFor(service), spec, time.Now())}
 		s.gates[server] = found
 	}
 	if found.spec != spec {
@@ -60,11 +60,11 @@
 	return found.gate
 }
 
-func (s *Set) count(service topo.Service) *serviceCount {
+func (s *Set) serviceCountFor(service topo.Service) *serviceCount {
 	found, exists := s.services[service]
 	if !exists {
 		found = &serviceCount{}
-		found.most.Store(int64(s.maxQueued))
+		found.max.Store(int64(s.maxQueuedPerService))
 		s.services[service] = found
 	}
 	return found
--- a/limit/shares.go
+++ b/limit/shares.go
@@ -20,7 +20,7 @@
 	nested bool // asked for by a service that serves a request
 }
 
-func keyOf(entry Entry) shareKey { return shareKey{entry.Caller, entry.Hop > 0} }
+func shareKeyFor(entry Entry) shareKey { return shareKey{entry.Caller, entry.Hop > 0} }
 
 // share is one caller's part of the queue.
 type share struct {
@@ -35,18 +35,18 @@
 // real one when it gives the place back. Within a share the earliest deadline
 // goes first. Nested entries go before the others; see turns.
 type shares struct {
-	byKey  map[shareKey]*share
-	ring   []*share // those with waiting entries
-	cursor int
-	queued int
-	turns  turns
+	byKey      map[shareKey]*share
+	ring       []*share // those with waiting entries
+	cursor     int
+	queued     int
+	precedence precedence
 }
 
 func newShares() shares { return shares{byKey: map[shareKey]*share{}} }
 
-// of returns the share of an entry, made if need be.
-func (s *shares) of(entry Entry) *share {
-	key := keyOf(entry)
+// shareFor returns the share of an entry, made if need be.
+func (s *shares) shareFor(entry Entry) *share {
+	key := shareKeyFor(entry)
 	found, exists := s.byKey[key]
 	if !exists {
 		found = &share{key: key}
@@ -56,18 +56,18 @@
 }
 
 func (s *shares) insert(entry Entry) {
-	owner := s.of(entry)
+	owner := s.shareFor(entry)
 	if len(owner.waiting) == 0 {
 		s.ring = append(s.ring, owner)
 	}
-	at := owner.rank(entry.Deadline)
+	at := owner.insertPosition(entry.Deadline)
 	owner.waiting = slices.Insert(owner.waiting, at, entry)
 	s.queued++
-	s.turns.add(owner.key, 1)
+	s.precedence.add(owner.key, 1)
 }
 
-// rank is how many of the share's entries go before one with that deadline.
-func (s *share) rank(deadline time.Time) int {
+// insertPosition is how many of the share's entries go before one with that deadline.
+func (s *share) insertPosition(deadline time.Time) int {
 	return sort.Search(len(s.waiting), func(i int) bool {
 		return s.waiting[i].Deadline.After(deadline)
 	})
@@ -77,10 +77,10 @@
 // of its own share with earlier deadlines, as many rounds of the others of its
 // kind, and what the other kind gets meanwhile.
 func (s *shares) position(entry Entry) int {
-	key := keyOf(entry)
+	key := shareKeyFor(entry)
 	before := 0
 	if own, exists := s.byKey[key]; exists {
-		before = own.rank(entry.Deadline)
+		before = own.insertPosition(entry.Deadline)
 	}
 	position := before
 	for _, other := range s.ring {
@@ -88,13 +88,13 @@
 			position += min(len(other.waiting), before+1)
 		}
 	}
-	return position + s.turns.between(key.nested, position)
+	return position + s.precedence.otherKindBefore(key.nested, position)
 }
 
 // next takes the next entry of the round robin; the queue must not be empty. A
 // share without credit gets a quantum for its next turn and is passed over.
 func (s *shares) next(quantum time.Duration) (*share, Entry) {
-	nested := s.turns.next()
+	nested := s.precedence.nextNested()
 	for {
 		if s.cursor >= len(s.ring) {
 			s.cursor = 0
@@ -106,7 +106,7 @@
 		}
 		if owner.deficit > 0 {
 			entry := owner.waiting[0]
-			s.take(owner, 0)
+			s.removeAt(owner, 0)
 			return owner, entry
 		}
 		owner.deficit = max(owner.deficit, -maxRounds*quantum) + quantum
@@ -114,41 +114,41 @@
 	}
 }
 
-// take removes a waiting entry of a share. A share that has nothing more to
+// removeAt removes a waiting entry of a share. A share that has nothing more to
 // wait for leaves the ring and loses its credit.
-func (s *shares) take(owner *share, at int) {
+func (s *shares) removeAt(owner *share, at int) {
 	owner.waiting = slices.Delete(owner.waiting, at, at+1)
 	s.queued--
-	s.turns.add(owner.key, -1)
+	s.precedence.add(owner.key, -1)
 	if len(owner.waiting) > 0 {
 		return
 	}
 	owner.deficit = min(owner.deficit, 0)
-	place := slices.Index(s.ring, owner)
-	s.ring = slices.Delete(s.ring, place, place+1)
-	if place < s.cursor {
+	index := slices.Index(s.ring, owner)
+	s.ring = slices.Delete(s.ring, index, index+1)
+	if index < s.cursor {
 		s.cursor--
 	}
 }
 
-// settle ends one request of a share and charges what it took beyond what it
+// finish ends one request of a share and charges what it took beyond what it
 // paid.
-func (s *shares) settle(owner *share, difference, quantum time.Duration) {
+func (s *shares) finish(owner *share, difference, quantum time.Duration) {
 	owner.inFlight--
 	owner.deficit = max(owner.deficit-difference, -maxRounds*quantum)
 	owner.deficit = min(owner.deficit, quantum)
-	s.release(owner)
+	s.dropIfIdle(owner)
 }
 
-// release forgets a share without entries and requests in flight.
-func (s *shares) release(owner *share) {
+// dropIfIdle forgets a share without entries and requests in flight.
+func (s *shares) dropIfIdle(owner *share) {
 	if len(owner.waiting) == 0 && owner.inFlight == 0 {
 		delete(s.byKey, owner.key)
 	}
 }
 
 func (s *shares) remove(entry Entry) bool {
-	owner, exists := s.byKey[keyOf(entry)]
+	owner, exists := s.byKey[shareKeyFor(entry)]
 	if !exists {
 		return false
 	}
@@ -156,32 +156,32 @@
 	if at < 0 {
 		return false
 	}
-	s.take(owner, at)
-	s.release(owner)
+	s.removeAt(owner, at)
+	s.dropIfIdle(owner)
 	return true
 }
 
-// makeRoom chooses what a full queue gives up for a new entry: the latest
+// evict chooses what a full queue gives up for a new entry: the latest
 // deadline of the longest share if that is longer than the new entry's would
 // be, else a later deadline of the same caller. It is false when there is none:
 // then the new entry itself has to go.
-func (s *shares) makeRoom(entry Entry) (Entry, bool) {
+func (s *shares) evict(entry Entry) (Entry, bool) {
 	victim := s.longest()
-	own := s.byKey[keyOf(entry)]
+	own := s.byKey[shareKeyFor(entry)]
 	ownLength := 0
 	if own != nil {
 		ownLength = len(own.waiting)
 	}
 	if victim == nil || len(victim.waiting) <= ownLength+1 {
-		if ownLength == 0 || own.rank(entry.Deadline) == ownLength {
+		if ownLength == 0 || own.insertPosition(entry.Deadline) == ownLength {
 			return Entry{}, false
 		}
 		victim = own
 	}
 	last := len(victim.waiting) - 1
 	evicted := victim.waiting[last]
-	s.take(victim, last)
-	s.release(victim)
+	s.removeAt(victim, last)
+	s.dropIfIdle(victim)
 	return evicted, true
 }
 
@@ -200,15 +200,15 @@
 func (s *shares) filter(keep func(Entry) bool) {
 	var drop []Entry
 	for _, nested := range []bool{true, false} {
-		drop = append(drop, s.refused(nested, keep)...)
+		drop = append(drop, s.rejectedBy(nested, keep)...)
 	}
 	for _, entry := range drop {
 		s.remove(entry)
 	}
 }
 
-// refused lists the entries of one kind that keep says no to.
-func (s *shares) refused(nested bool, keep func(Entry) bool) []Entry {
+// rejectedBy lists the entries of one kind that keep says no to.
+func (s *shares) rejectedBy(nested bool, keep func(Entry) bool) []Entry {
 	var list []Entry
 	for round, left := 0, true; left; round++ {
 		left = false
--- a/limit/window.go
+++ b/limit/window.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// overloadShare is what is left of the window after the server said that it is
+// overloadFactor is what is left of the window after the server said that it is
 // overloaded.
-const overloadShare = 0.7
+const overloadFactor = 0.7
 
 // window is how many requests a server may hold now: its configured limit,
 // less while it is cold or has said that it is overloaded.
@@ -15,9 +15,9 @@
 	adaptive  float64 // 0 means not reduced
 }
 
-// at returns the window at a time; never below 1.
-func (w *window) at(now time.Time) int {
-	size := w.warm()
+// size returns the window at a time; never below 1.
+func (w *window) size(now time.Time) int {
+	size := w.warmSize()
 	if since := now.Sub(w.coldSince); since < w.ramp {
 		grown := 1 + float64(w.limit-1)*float64(max(since, 0))/float64(w.ramp)
 		size = min(size, int(grown))
@@ -25,8 +25,8 @@
 	return size
 }
 
-// warm returns the window without the ramp; never below 1.
-func (w *window) warm() int {
+// warmSize returns the window without the ramp; never below 1.
+func (w *window) warmSize() int {
 	size := w.limit
 	if w.adaptive > 0 {
 		size = min(size, int(w.adaptive))
@@ -34,20 +34,20 @@
 	return max(size, 1)
 }
 
-// rampLeft is how long a cold server takes until it has its whole window.
-func (w *window) rampLeft(now time.Time) time.Duration {
+// rampRemaining is how long a cold server takes until it has its whole window.
+func (w *window) rampRemaining(now time.Time) time.Duration {
 	return max(w.ramp-now.Sub(w.coldSince), 0)
 }
 
-// overloaded reduces the window after the server refused a request while it
+// reduce reduces the window after the server refused a request while it
 // held that many.
-func (w *window) overloaded(now time.Time, held int) {
-	size := min(float64(w.at(now)), float64(held))
-	w.adaptive = max(size*overloadShare, 1)
+func (w *window) reduce(now time.Time, held int) {
+	size := min(float64(w.size(now)), float64(held))
+	w.adaptive = max(size*overloadFactor, 1)
 }
 
-// served lets a reduced window grow by about one for each windowful of answers.
-func (w *window) served() {
+// recover lets a reduced window grow by about one for each windowful of answers.
+func (w *window) recover() {
 	if w.adaptive == 0 {
 		return
 	}
