--- a/limit/admission_modes_test.go
+++ b/limit/admission_modes_test.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// The comparison of docs/design/admission.md: three ways in which many nodes
-// may keep one server's concurrency limit, driven by the same seeded arrivals.
+// Parameters of the comparison in docs/design/admission.md: three modes in which
+// many nodes can enforce one server's concurrency limit, simulated with the same
+// seeded arrivals.
 const (
 	modeNodes       = 12
 	modeLimit       = 4
@@ -20,7 +21,7 @@
 	modeRequests    = 40_000
 )
 
-// simEvent is something due at a time.
+// simEvent is an action that is due at a simulated time.
 type simEvent struct {
 	at     time.Duration
 	action func()
@@ -38,14 +39,14 @@
 	return last
 }
 
-// simulation is one run of one way.
+// simulation is one simulated run of one mode.
 type simulation struct {
 	events   simEvents
 	now      time.Duration
 	random   *rand.Rand
 	held     int
 	peak     int
-	refused  int // by the server, which held its limit
+	refused  int // by the server because its limit was reached
 	late     int
 	answered []time.Duration
 }
@@ -62,7 +63,7 @@
 	}
 }
 
-// serve offers a request to the server and calls done when its place is free.
+// serve sends a request to the server and calls done when its slot is free.
 func (sim *simulation) serve(arrived time.Duration, done func()) {
 	sim.peak = max(sim.peak, sim.held+1)
 	if sim.held >= modeLimit {
@@ -86,7 +87,7 @@
 	return true
 }
 
-// arrivalQueue is a node's queue of arrival times.
+// arrivalQueue is a node's queue of requests, represented by their arrival times.
 type arrivalQueue []time.Duration
 
 // fixedShares gives each node a fixed share of at least one.
@@ -111,12 +112,12 @@
 	}
 }
 
-// lentTokens has a token for each place. A node keeps a token while it has work,
-// then lends it to the node that has asked for longest, one way away.
+// lentTokens has a token for each slot. A node keeps a token while it has work,
+// then lends it to the node that has waited longest, which takes a one-way delay.
 func lentTokens(sim *simulation) func(node int) {
 	var queues [modeNodes]arrivalQueue
-	var waitingNodes []int              // nodes that wait for a token
-	idleTokenNodes := []int{0, 1, 2, 3} // nodes that hold one without work
+	var waitingNodes []int              // nodes that wait for a token, longest first
+	idleTokenNodes := []int{0, 1, 2, 3} // nodes that hold a token without work
 	var serveNext func(node int)
 	release := func(node int) {
 		if len(waitingNodes) == 0 {
@@ -154,7 +155,8 @@
 	}
 }
 
-// singleNode sends every request through one node, one way there and one way back.
+// singleNode sends every request through one node, with a one-way delay in each
+// direction.
 func singleNode(sim *simulation) func(node int) {
 	var queue arrivalQueue
 	held := 0
@@ -180,9 +182,10 @@
 	}
 }
 
-// BenchmarkAdmissionModes reports, for each way and load, the most requests that
-// reached the server at once, the share of requests answered of what the server
-// could have, the share refused by the server, and the time to the answer.
+// BenchmarkAdmissionModes reports, for each mode and load, the maximum number of
+// requests at the server at once, the answered requests as a percentage of what
+// the server could answer, the percentage that the server refused, and the
+// response time.
 func BenchmarkAdmissionModes(b *testing.B) {
 	modes := []struct {
 		name string
--- a/limit/estimate.go
+++ b/limit/estimate.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// Weights of a new observation, as for round-trip times in TCP: the mean moves
-// by an eighth of the difference, the deviation by a quarter.
+// Weights of a new observation, as for round-trip times in TCP: the mean changes
+// by 1/8 of the difference, the deviation by 1/4.
 const (
 	meanDivisor      = 8
 	deviationDivisor = 4
-	// minSamples is how many observations an estimate needs before anything is
-	// refused because of it.
+	// minSamples is the number of observations that an estimate needs before
+	// requests are refused because of it.
 	minSamples = 4
-	// stalledDeviations is how many deviations beyond the mean a request may
-	// take before its place counts as stalled.
+	// stalledDeviations is the number of deviations beyond the mean after which a
+	// request's slot is treated as stalled.
 	stalledDeviations = 4
 )
 
-// Estimate is a running estimate of how long a request holds its place.
+// Estimate is a running estimate of the busy time: how long a request holds its
+// slot.
 type Estimate struct {
 	mean      time.Duration
 	deviation time.Duration
 	samples   int
 }
 
-// Add takes one observation.
+// Add adds one observation.
 func (e *Estimate) Add(busy time.Duration) {
 	e.samples++
 	if e.samples == 1 {
@@ -38,10 +39,11 @@
 	e.deviation += (difference - e.deviation) / deviationDivisor
 }
 
-// Known reports whether there are enough observations to rely on.
+// Known reports whether there are enough observations for the estimate to be
+// used.
 func (e *Estimate) Known() bool { return e.samples >= minSamples }
 
-// Mean is the expected busy time; 0 while not known.
+// Mean returns the expected busy time, or 0 while it is not known.
 func (e *Estimate) Mean() time.Duration {
 	if !e.Known() {
 		return 0
@@ -49,7 +51,8 @@
 	return e.mean
 }
 
-// MinBusy is a busy time that few requests beat; 0 while not known.
+// MinBusy returns a busy time below which few requests stay, or 0 while it is not
+// known.
 func (e *Estimate) MinBusy() time.Duration {
 	if !e.Known() {
 		return 0
@@ -57,9 +60,9 @@
 	return max(e.mean-e.deviation, 0)
 }
 
-// Residual is how much longer a request is expected to hold its place that has
-// held it for a while. One that has taken far longer than usual is expected to
-// take as long again.
+// Residual returns the expected remaining busy time of a request that has held
+// its slot for the elapsed time. A request that has taken much longer than usual
+// is expected to take the elapsed time once more.
 func (e *Estimate) Residual(elapsed time.Duration) time.Duration {
 	switch {
 	case !e.Known():
@@ -72,6 +75,6 @@
 	return elapsed
 }
 
-// minStallMargin keeps a very even server's scheduling noise from counting as a
-// stall.
+// minStallMargin prevents scheduling noise from being treated as a stall when a
+// server's busy times hardly vary.
 const minStallMargin = 5 * time.Millisecond
--- a/limit/forecast.go
+++ b/limit/forecast.go
@@ -2,20 +2,19 @@
 
 import "time"
 
-// minRetryAfter is the least time after which a refused caller is told to come
-// back.
+// minRetryAfter is the shortest retry delay that is sent to a refused caller.
 const minRetryAfter = 100 * time.Millisecond
 
-// forecast is how fast places come free.
+// forecast describes the rate at which slots are expected to become free.
 type forecast struct {
-	firstFree     time.Duration // until the first place comes free
-	perSecond     float64       // places that come free each second now; 0 when not known
-	rampRemaining time.Duration // until a cold server has its whole window
-	warmPerSecond float64       // places that come free each second from then on
+	firstFree     time.Duration // until the first slot becomes free
+	perSecond     float64       // slots that become free per second now; 0 when not known
+	rampRemaining time.Duration // until a cold server has its full window
+	warmPerSecond float64       // slots that become free per second from then on
 }
 
-// slotAfter returns the expected time until the place for the entry at a position
-// comes free; position 0 is the next to be granted.
+// slotAfter returns the expected time until the slot for the entry at a position
+// becomes free. Position 0 is the next entry to be granted a slot.
 func (p forecast) slotAfter(position int) time.Duration {
 	if p.perSecond == 0 {
 		return 0
@@ -30,8 +29,9 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// forecast forecasts from how long the requests in flight have held their places. A
-// server that stopped answering thus slows the forecast before anything ends.
+// forecast computes the forecast from how long the requests in flight have held
+// their slots. The forecast of a server that no longer responds therefore becomes
+// slower before any of its requests ends.
 func (q *Queue) forecast(now time.Time) forecast {
 	mean := q.estimate.Mean()
 	if mean <= 0 {
@@ -42,7 +42,7 @@
 	if free <= 0 {
 		result.firstFree = -1
 	}
-	rate := int64(0) // per second, as a whole number that no order of adding changes
+	rate := int64(0) // per second; an integer, so that the sum does not depend on map order
 	for _, held := range q.inFlight {
 		residual := q.estimate.Residual(now.Sub(held.since))
 		if free <= 0 && (result.firstFree < 0 || residual < result.firstFree) {
@@ -60,21 +60,22 @@
 	return result
 }
 
-// rateScale is the part of a place a second that the forecast counts in.
+// rateScale is the number of integer units in a rate of one slot per second.
 const rateScale = 1e6
 
-// expectedStart forecasts when a new entry would be granted a place.
+// expectedStart returns the expected time at which a new entry is granted a slot.
 func (q *Queue) expectedStart(now time.Time, entry Entry) time.Time {
 	return now.Add(q.forecast(now).slotAfter(q.shares.position(entry)))
 }
 
-// drainDuration is when the queue as it stands will be empty.
+// drainDuration returns the expected time until the queue is empty if no further
+// entries are added, but at least minRetryAfter.
 func (q *Queue) drainDuration(now time.Time) time.Duration {
 	return max(q.forecast(now).slotAfter(q.shares.queued), minRetryAfter)
 }
 
-// shed refuses waiting entries that cannot be served in time, in the order in
-// which they would be granted.
+// shed refuses waiting entries that cannot be served before their deadline. It
+// examines them in the order in which they would be granted a slot.
 func (q *Queue) shed(now time.Time, changes *Changes) {
 	if q.shares.queued == 0 {
 		return
--- a/limit/gate.go
+++ b/limit/gate.go
@@ -16,20 +16,20 @@
 
 	mu       sync.Mutex
 	queue    *Queue
-	waiters  map[uint64]chan *RefusedError // closed or sent to exactly once
+	waiters  map[uint64]chan *RefusedError // each gets at most one value; nil is a grant
 	sequence uint64
 	counts   Counts
 
-	queued atomic.Int64 // as the queue counts them, to be read without the lock
+	queued atomic.Int64 // copy of the queue's length that is read without mu
 }
 
-// serviceCount bounds how many requests of a service wait on this node.
+// serviceCount limits the number of requests of a service that wait on this node.
 type serviceCount struct {
 	waiting atomic.Int64
 	max     atomic.Int64
 }
 
-// Counts are a gate's running totals.
+// Counts are a gate's cumulative totals.
 type Counts struct {
 	Granted    uint64
 	Served     uint64
@@ -38,11 +38,11 @@
 	Refused    map[serverapi.Reason]uint64
 }
 
-// RefusedError reports that a request got no place. It was not sent.
+// RefusedError reports that a request was not granted a slot and was not sent.
 type RefusedError struct{ Refusal }
 
 // Error implements error.
-func (e *RefusedError) Error() string { return "no place at the server: " + string(e.Reason) }
+func (e *RefusedError) Error() string { return "no free slot at the server: " + string(e.Reason) }
 
 func newGate(service *serviceCount, spec Spec, now time.Time) *Gate {
 	return &Gate{
@@ -53,20 +53,21 @@
 	}
 }
 
-// Permit is a place at the server. Release must be called exactly once.
+// Permit is a slot at the server. Release must be called; further calls have no
+// effect.
 type Permit struct {
 	gate *Gate
 	id   uint64
 	once sync.Once
 }
 
-// Release gives the place back.
+// Release releases the slot.
 func (p *Permit) Release(result Result) {
 	p.once.Do(func() { p.gate.release(p.id, result) })
 }
 
-// Acquire waits for a place for an entry, whose ID the gate gives. It returns a
-// *RefusedError as soon as it is known that there will be none in time, or the
+// Acquire waits for a slot for an entry, whose ID the gate assigns. It returns a
+// *RefusedError as soon as the queue expects no slot before the deadline, or the
 // context's error.
 func (g *Gate) Acquire(ctx context.Context, entry Entry) (*Permit, error) {
 	entry, answer := g.enqueue(entry)
@@ -90,7 +91,8 @@
 	return &Permit{gate: g, id: entry.ID}, nil
 }
 
-// cancelWait gives up waiting. A grant that came meanwhile is given back.
+// cancelWait stops waiting after the context ended. If a slot was granted in the
+// meantime, it is released.
 func (g *Gate) cancelWait(ctx context.Context, entry Entry, answer chan *RefusedError) (*Permit, error) {
 	g.mu.Lock()
 	waited := g.queue.Cancel(entry)
@@ -133,7 +135,7 @@
 	g.deliver(g.queue.Finish(time.Now(), id, result))
 }
 
-// sweep refuses what cannot be served in time any more.
+// sweep refuses waiting requests that can no longer be served in time.
 func (g *Gate) sweep(now time.Time) {
 	if g.queued.Load() == 0 {
 		return
@@ -143,7 +145,7 @@
 	g.deliver(g.queue.Sweep(now))
 }
 
-// deliver tells waiting requests what became of them.
+// deliver notifies waiting requests of their outcome. The caller holds mu.
 func (g *Gate) deliver(changes Changes) {
 	for _, id := range changes.Granted {
 		g.counts.Granted++
@@ -166,7 +168,7 @@
 	answer <- refused
 }
 
-// Cold starts the server's ramp anew.
+// Cold restarts the ramp of a server that is cold again.
 func (g *Gate) Cold() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -202,13 +204,13 @@
 	return stats
 }
 
-// Load returns how many requests hold a place or wait, and how many may hold
-// one, without allocating.
+// Load returns the number of requests that hold a slot or wait, and the number of
+// slots. It does not allocate.
 func (g *Gate) Load() (held, window int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.queue.InFlight() + g.queue.Queued(), g.queue.Window(time.Now())
 }
 
-// Queued is how many requests wait.
+// Queued returns the number of waiting requests.
 func (g *Gate) Queued() int { return int(g.queued.Load()) }
--- a/limit/gate_test.go
+++ b/limit/gate_test.go
@@ -17,8 +17,9 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// TestConcurrentRequestsRespectTheLimitAndReleaseEverySlot lets many requests wait, be served, be canceled and
-// run out of time at once: the limit holds, and every place comes back.
+// TestConcurrentRequestsRespectTheLimitAndReleaseEverySlot runs many requests that
+// wait, are served, are canceled or reach their deadline at the same time. It
+// guards against exceeding the limit and against slots that are never released.
 func TestConcurrentRequestsRespectTheLimitAndReleaseEverySlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -50,7 +51,7 @@
 				held--
 				mu.Unlock()
 				permit.Release(limit.Result{Served: true})
-				permit.Release(limit.Result{Served: true}) // without effect
+				permit.Release(limit.Result{Served: true}) // the second call has no effect
 			})
 		}
 		done := make(chan struct{})
@@ -76,7 +77,8 @@
 	})
 }
 
-// TestQueuedRequestsOfAServiceAreLimited counts over all servers of a service.
+// TestQueuedRequestsOfAServiceAreLimited checks that the limit applies to the sum
+// over all servers of a service.
 func TestQueuedRequestsOfAServiceAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -120,18 +122,18 @@
 	for node.Enter("greedy", 0) {
 		held++
 	}
-	g.Expect(held).To(gomega.BeNumerically("<", 80), "one service leaves room")
+	g.Expect(held).To(gomega.BeNumerically("<", 80), "one service cannot fill the node")
 	g.Expect(node.Enter("modest", 0)).To(gomega.BeTrue())
 	for node.Enter("third", 0) || node.Enter("fourth", 0) || node.Enter("fifth", 0) {
 		held++
 	}
-	g.Expect(node.Enter("modest", 1)).To(gomega.BeTrue(), "what a backend server asks for has places of its own")
+	g.Expect(node.Enter("modest", 1)).To(gomega.BeTrue(), "slots are reserved for requests of a backend server")
 	before := node.InFlight()
 	node.Leave("modest")
 	g.Expect(node.InFlight()).To(gomega.Equal(before - 1))
 }
 
-// BenchmarkSweepIdle is what the regular look through 1,000 idle queues costs.
+// BenchmarkSweepIdle measures the regular sweep of 1,000 idle queues.
 func BenchmarkSweepIdle(b *testing.B) {
 	set := limit.NewSet(100)
 	for i := range 1000 {
@@ -143,7 +145,7 @@
 	}
 }
 
-// BenchmarkAcquire is a place taken and given back without waiting.
+// BenchmarkAcquire measures acquiring and releasing a slot without waiting.
 func BenchmarkAcquire(b *testing.B) {
 	gate := limit.NewSet(100).Gate("logs", "s1", limit.Spec{Limit: 4, MaxQueued: 100})
 	b.ReportAllocs()
--- a/limit/node.go
+++ b/limit/node.go
@@ -6,19 +6,22 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Shares of the requests that a node may hold.
+// Shares of the requests that a node may hold at once.
 const (
-	// nestedReserveDivisor is the part, one in so many, kept for requests that come from a
-	// backend server: those that wait for them hold the rest.
+	// nestedReserveDivisor determines the reserve for requests that come from a
+	// backend server: 1/nestedReserveDivisor of the slots. The requests that wait
+	// for these nested requests may hold all other slots.
 	nestedReserveDivisor = 8
-	// freeSlotFactor is how many times the free places one service may hold. One
-	// service alone thus fills freeShare/(freeShare+1) of the node, and leaves
-	// room for others to begin.
+	// freeSlotFactor limits the slots of one service to this multiple of the free
+	// slots. One service alone therefore fills at most
+	// freeSlotFactor/(freeSlotFactor+1) of the node, so that other services can
+	// still start requests.
 	freeSlotFactor = 4
 )
 
-// Node bounds the requests that one node holds, of all services. A service that
-// holds much leaves room for the others. Methods may be called concurrently.
+// Node limits the number of requests of all services that one node holds. A
+// service with many requests cannot use up the slots of the others. Methods may
+// be called concurrently.
 type Node struct {
 	maxRequests int
 
@@ -27,13 +30,13 @@
 	byService map[topo.Service]int
 }
 
-// NewNode returns the bound for a node that may hold most requests.
+// NewNode returns the limit for a node that may hold maxRequests requests.
 func NewNode(maxRequests int) *Node {
 	return &Node{maxRequests: maxRequests, byService: map[topo.Service]int{}}
 }
 
-// Enter takes a place for a request that came through hop services; false means
-// that it is to be refused.
+// Enter takes a slot for a request that came through hop services. It returns
+// false if the request must be refused.
 func (n *Node) Enter(service topo.Service, hop int) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -57,7 +60,7 @@
 	return n.byService[service] < freeSlotFactor*free
 }
 
-// Leave gives a place back.
+// Leave releases a slot.
 func (n *Node) Leave(service topo.Service) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -68,7 +71,7 @@
 	}
 }
 
-// InFlight is how many requests the node holds.
+// InFlight returns the number of requests that the node holds.
 func (n *Node) InFlight() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/limit/precedence.go
+++ b/limit/precedence.go
@@ -1,18 +1,19 @@
 package limit
 
-// precedence decides between nested entries, which a service asks for while it
-// serves a request, and callers' own. A nested entry goes first: its request
-// holds a place at another server for as long as it waits, and has had work
-// spent on it. Of every nestedRun+1 places at least one goes to callers' own, so
-// that a service which is called much still serves them.
+// precedence decides between nested entries, which a service requests while it
+// serves a request, and callers' own entries. Nested entries take precedence
+// because the request that waits for one holds a slot at another server, and work
+// has already been spent on it. While callers' own entries wait, they get at least
+// one of every maxNestedRun+1 slots, so that a service with many nested requests
+// still serves them.
 type precedence struct {
-	nested      int // waiting
-	own         int // waiting
-	nestedInRow int // nested ones granted since the latest of callers' own
+	nested      int // waiting nested entries
+	own         int // waiting entries of callers' own
+	nestedInRow int // nested entries granted since the last of callers' own
 }
 
-// maxNestedRun is how many nested entries are granted in a row while callers' own
-// wait.
+// maxNestedRun is the maximum number of nested entries that are granted in a row
+// while callers' own entries wait.
 const maxNestedRun = 3
 
 func (t *precedence) add(key shareKey, count int) {
@@ -23,7 +24,8 @@
 	t.own += count
 }
 
-// nextNested decides which kind gets the next place; something must wait.
+// nextNested reports whether the next slot goes to a nested entry, and records
+// the decision. At least one entry must be waiting.
 func (t *precedence) nextNested() (nested bool) {
 	if t.nested == 0 || (t.own > 0 && t.nestedInRow >= maxNestedRun) {
 		t.nestedInRow = 0
@@ -33,8 +35,8 @@
 	return true
 }
 
-// otherKindBefore returns how many entries of the other kind are granted while so many
-// of one kind are, and before the one after them.
+// otherKindBefore returns how many entries of the other kind are granted before
+// the entry at a position among the entries of one kind.
 func (t *precedence) otherKindBefore(nested bool, position int) int {
 	if nested {
 		return min(t.own, position/maxNestedRun)
--- a/limit/precedence_test.go
+++ b/limit/precedence_test.go
@@ -9,15 +9,15 @@
 	"github.com/burdockspindle/burdockspindle/limit"
 )
 
-// nested is an entry that another service asks for while it serves a request.
+// nested returns an entry that a service requests while it serves a request.
 func nested(id uint64, caller string, in time.Duration) limit.Entry {
 	e := entry(id, caller, in)
 	e.Hop = 1
 	return e
 }
 
-// finishInOrder finishes what is in flight, one after another, and returns the order of
-// the grants.
+// finishInOrder finishes the requests in flight one after another and returns the
+// order of the grants.
 func finishInOrder(q *limit.Queue, running uint64, count int) []uint64 {
 	var order []uint64
 	now := epoch
@@ -71,12 +71,12 @@
 		q.Offer(epoch, entry(id, "a", time.Hour), false)
 	}
 	soon := 200 * time.Millisecond
-	g.Expect(q.Offer(epoch, entry(100, "b", soon), false).Refused).To(gomega.BeEmpty(), "first of its share")
+	g.Expect(q.Offer(epoch, entry(100, "b", soon), false).Refused).To(gomega.BeEmpty(), "it is the first entry of its share")
 	g.Expect(q.Offer(epoch, nested(101, "server", soon), false).Refused).To(gomega.BeEmpty())
 	for id := uint64(200); id < 250; id++ {
 		q.Offer(epoch, nested(id, "server", time.Hour), false)
 	}
-	g.Expect(q.Offer(epoch, nested(102, "other", soon), false).Refused).To(gomega.BeEmpty(), "shares among nested ones")
+	g.Expect(q.Offer(epoch, nested(102, "other", soon), false).Refused).To(gomega.BeEmpty(), "nested entries have shares of their own")
 	late := q.Offer(epoch, entry(103, "a", 60*time.Millisecond), false)
 	g.Expect(late.Refused).To(gomega.HaveLen(1))
 }
--- a/limit/queue.go
+++ b/limit/queue.go
@@ -1,7 +1,8 @@
-// Package limit is the admission of requests to one backend server: a
-// concurrency limit, a bounded queue ordered by deadline with fair shares
-// between callers, and early refusal of what cannot be served in time by the
-// busy time observed. Queue is the pure core; Gate and Set are the runtime.
+// Package limit controls the admission of requests to one backend server. It
+// implements a concurrency limit, a bounded queue ordered by deadline with fair
+// shares between callers, and early refusal of requests that, by the observed
+// busy time, cannot be served in time. Queue is the deterministic core; Gate and
+// Set make it usable by concurrent requests.
 package limit
 
 import (
@@ -15,18 +16,19 @@
 type Spec struct {
 	Limit     int           // requests that the server may hold at once; at least 1
 	MaxQueued int           // requests that may wait; 0 for none
-	Ramp      time.Duration // from one request to the whole limit after a cold start
+	Ramp      time.Duration // from one request to the full limit after a cold start
 }
 
-// Entry is one request that asks for a place.
+// Entry is one request for a slot.
 type Entry struct {
 	ID       uint64 // unique within the queue
-	Caller   string // requests of one caller share
+	Caller   string // requests of one caller form a share of the queue
 	Deadline time.Time
-	Hop      int // services through which the request came
+	Hop      int // number of services through which the request came
 }
 
-// Refusal says why a request gets no place and when to come back.
+// Refusal is the reason why a request is not granted a slot and the delay before
+// a retry.
 type Refusal struct {
 	Reason     serverapi.Reason
 	RetryAfter time.Duration
@@ -38,14 +40,15 @@
 	Refusal
 }
 
-// Changes tells what became of waiting requests.
+// Changes lists the requests that were granted a slot or refused.
 type Changes struct {
 	Granted []uint64
 	Refused []Refused
 }
 
-// Queue is the pure core: no clock, no goroutine, not for concurrent use. Each
-// entry that is offered is granted, refused or canceled exactly once.
+// Queue is the deterministic core. It reads no clock, starts no goroutine and is
+// not safe for concurrent use. Each entry that is offered is granted, refused or
+// canceled exactly once.
 type Queue struct {
 	spec     Spec
 	window   window
@@ -59,10 +62,10 @@
 type inFlightRequest struct {
 	since   time.Time
 	share   *share
-	charged time.Duration // 0 when the place was free
+	charged time.Duration // 0 when the slot was free
 }
 
-// NewQueue returns an empty queue of a server that is cold now.
+// NewQueue returns an empty queue for a server that is cold now.
 func NewQueue(spec Spec, now time.Time) *Queue {
 	q := &Queue{inFlight: map[uint64]inFlightRequest{}, shares: newShares()}
 	q.window.coldSince = now
@@ -70,7 +73,7 @@
 	return q
 }
 
-// Configure replaces the configuration. Requests that hold a place keep it.
+// Configure replaces the configuration. Requests that hold a slot keep it.
 func (q *Queue) Configure(spec Spec) {
 	spec.Limit = max(spec.Limit, 1)
 	q.spec = spec
@@ -78,27 +81,29 @@
 	q.window.ramp = spec.Ramp
 }
 
-// RestartRamp starts the ramp anew: the server was replaced, restarted or away.
+// RestartRamp restarts the ramp because the server was replaced, restarted or
+// unavailable.
 func (q *Queue) RestartRamp(now time.Time) { q.window.coldSince = now }
 
-// InFlight is how many requests hold a place.
+// InFlight returns the number of requests that hold a slot.
 func (q *Queue) InFlight() int { return len(q.inFlight) }
 
-// Queued is how many requests wait.
+// Queued returns the number of waiting requests.
 func (q *Queue) Queued() int { return q.shares.queued }
 
-// Peak is the most requests that ever held a place at once.
+// Peak returns the maximum number of requests that held a slot at once.
 func (q *Queue) Peak() int { return q.peak }
 
-// Window is how many requests may hold a place now.
+// Window returns the number of requests that may hold a slot now.
 func (q *Queue) Window(now time.Time) int { return q.window.size(now) }
 
-// MeanBusy is the observed mean busy time; 0 while not known.
+// MeanBusy returns the observed mean busy time, or 0 while it is not known.
 func (q *Queue) MeanBusy() time.Duration { return q.estimate.Mean() }
 
-// Offer asks for a place. The entry is among the granted or refused at once, or
-// it waits; other waiting entries may be refused to make room. Full tells that
-// no more may wait for reasons beyond this queue.
+// Offer requests a slot for an entry. The entry is granted or refused in the
+// returned changes, or it waits. Other waiting entries may be refused to make
+// room for it. full is true if a limit outside this queue allows no more waiting
+// requests.
 func (q *Queue) Offer(now time.Time, entry Entry, full bool) Changes {
 	var changes Changes
 	if entry.Deadline.Sub(now) <= q.estimate.MinBusy() {
@@ -126,17 +131,19 @@
 	return changes
 }
 
-// Result is what a granted request came to.
+// Result is the outcome of a granted request.
 type Result struct {
-	// Overloaded: the server refused it because it holds too many.
+	// Overloaded is true if the server refused the request because it already
+	// holds too many.
 	Overloaded bool
-	// Served: the server ran it; its busy time counts for the estimate.
+	// Served is true if the server ran the request. Its busy time is then added to
+	// the estimate.
 	Served bool
-	// Failed: it was sent, or was to be, and brought no answer.
+	// Failed is true if the request got no response, whether or not it was sent.
 	Failed bool
 }
 
-// Finish takes back a place and returns what became of waiting entries.
+// Finish releases a slot and returns the resulting changes to waiting entries.
 func (q *Queue) Finish(now time.Time, id uint64, result Result) Changes {
 	var changes Changes
 	request, known := q.inFlight[id]
@@ -160,11 +167,11 @@
 	return changes
 }
 
-// Cancel removes a waiting entry; it is false when the entry does not wait.
+// Cancel removes a waiting entry. It returns false if the entry does not wait.
 func (q *Queue) Cancel(entry Entry) bool { return q.shares.remove(entry) }
 
-// Sweep refuses entries that cannot be served in time any more and fills places
-// that the ramp has opened. It is to be called every few milliseconds while
+// Sweep refuses entries that can no longer be served in time and grants slots that
+// the ramp has added. The caller must call it every few milliseconds while
 // entries wait.
 func (q *Queue) Sweep(now time.Time) Changes {
 	var changes Changes
@@ -173,7 +180,7 @@
 	return changes
 }
 
-// dispatch fills free places.
+// dispatch grants free slots to waiting entries.
 func (q *Queue) dispatch(now time.Time, changes *Changes) {
 	for q.shares.queued > 0 && len(q.inFlight) < q.window.size(now) {
 		owner, entry := q.shares.next(q.quantum())
@@ -186,8 +193,8 @@
 	}
 }
 
-// grant gives a place. The share is charged only for places that others waited
-// for.
+// grant grants a slot. A share is charged in advance only for slots for which
+// entries waited.
 func (q *Queue) grant(now time.Time, owner *share, id uint64, charge time.Duration, changes *Changes) {
 	owner.deficit -= charge
 	owner.inFlight++
@@ -196,7 +203,8 @@
 	changes.Granted = append(changes.Granted, id)
 }
 
-// quantum is what a caller's share gains in each round: one mean request.
+// quantum returns the server time that a share is credited in each round: the
+// mean busy time of one request.
 func (q *Queue) quantum() time.Duration { return max(q.estimate.Mean(), minQuantum) }
 
 func (c *Changes) refuse(id uint64, refusal Refusal) {
--- a/limit/queue_test.go
+++ b/limit/queue_test.go
@@ -16,10 +16,10 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-// queueModel drives a queue with offers, ends, cancellations, sweeps and the
-// passing of time, and keeps what must hold.
+// queueModel drives a queue with offers, completions, cancellations, sweeps and
+// the passage of time, and checks its invariants.
 type queueModel struct {
-	nestedInRow int // nested requests granted in a row while others wait
+	nestedInRow int // nested requests granted in a row while callers' own wait
 	spec        limit.Spec
 	queue       *limit.Queue
 	now         time.Time
@@ -31,16 +31,16 @@
 func (m *queueModel) apply(t *rapid.T, changes limit.Changes) {
 	for _, refused := range changes.Refused {
 		if _, waits := m.waiting[refused.ID]; !waits {
-			t.Fatalf("request %d was refused after its end", refused.ID)
+			t.Fatalf("request %d was refused but does not wait", refused.ID)
 		}
 		if refused.Reason == "" || refused.RetryAfter <= 0 {
-			t.Fatalf("refusal without reason or time to come back: %+v", refused)
+			t.Fatalf("refusal without reason or retry delay: %+v", refused)
 		}
 		delete(m.waiting, refused.ID)
 	}
 	for _, id := range changes.Granted {
 		if _, waits := m.waiting[id]; !waits {
-			t.Fatalf("request %d was granted twice, or after its end", id)
+			t.Fatalf("request %d was granted a slot but does not wait", id)
 		}
 		m.checkOrder(t, id)
 		delete(m.waiting, id)
@@ -50,19 +50,20 @@
 		t.Fatalf("%d in flight with a limit of %d", len(m.held), m.spec.Limit)
 	}
 	if m.queue.InFlight() != len(m.held) || m.queue.Queued() != len(m.waiting) {
-		t.Fatalf("counts %d/%d, really %d/%d", m.queue.InFlight(), m.queue.Queued(), len(m.held), len(m.waiting))
+		t.Fatalf("queue reports %d in flight and %d queued, want %d and %d", m.queue.InFlight(), m.queue.Queued(), len(m.held), len(m.waiting))
 	}
 	if len(m.waiting) > m.spec.MaxQueued {
-		t.Fatalf("%d wait with room for %d", len(m.waiting), m.spec.MaxQueued)
+		t.Fatalf("%d requests wait with a limit of %d", len(m.waiting), m.spec.MaxQueued)
 	}
 }
 
 // maxNestedRun is how many nested requests may be granted in a row while callers'
-// own wait.
+// own requests wait.
 const maxNestedRun = 3
 
-// checkOrder: nobody of the same caller and kind with an earlier deadline still
-// waits, and callers' own requests are passed by a bounded number of nested ones.
+// checkOrder checks that no request of the same caller and kind with an earlier
+// deadline still waits, and that at most maxNestedRun nested requests in a row
+// are granted before callers' own requests.
 func (m *queueModel) checkOrder(t *rapid.T, id uint64) {
 	granted := m.waiting[id]
 	ownWaits := false
@@ -70,7 +71,7 @@
 		nested := other.Hop > 0
 		ownWaits = ownWaits || !nested
 		if other.Caller == granted.Caller && nested == (granted.Hop > 0) && other.Deadline.Before(granted.Deadline) {
-			t.Fatalf("deadline %v went before %v", granted.Deadline.Sub(epoch), other.Deadline.Sub(epoch))
+			t.Fatalf("request with deadline %v was granted before one with deadline %v", granted.Deadline.Sub(epoch), other.Deadline.Sub(epoch))
 		}
 	}
 	if granted.Hop == 0 || !ownWaits {
@@ -95,7 +96,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"": func(t *rapid.T) {
 				if m.queue.Window(m.now) < 1 || m.queue.Window(m.now) > m.spec.Limit {
-					t.Fatalf("window %d", m.queue.Window(m.now))
+					t.Fatalf("window %d is not between 1 and the limit", m.queue.Window(m.now))
 				}
 			},
 			"offer": func(t *rapid.T) {
@@ -137,7 +138,7 @@
 	})
 }
 
-// warmQueue returns a queue that has learned a busy time of 10 ms.
+// warmQueue returns a queue of a warm server with an observed busy time of 10 ms.
 func warmQueue(spec limit.Spec) *limit.Queue {
 	q := limit.NewQueue(spec, epoch.Add(-time.Hour))
 	for i := range uint64(8) {
@@ -159,14 +160,14 @@
 		g.Expect(q.Offer(epoch, entry(id, "a", time.Second), false).Refused).To(gomega.BeEmpty())
 	}
 	late := q.Offer(epoch, entry(10, "a", 20*time.Millisecond), false)
-	g.Expect(late.Refused).To(gomega.BeEmpty(), "an earlier deadline goes first and makes it")
+	g.Expect(late.Refused).To(gomega.BeEmpty(), "a request with an earlier deadline goes first and is served in time")
 	tooLate := q.Offer(epoch, entry(11, "a", 3*time.Millisecond), false)
 	g.Expect(tooLate.Refused).To(gomega.HaveLen(1))
 	g.Expect(tooLate.Refused[0].Reason).To(gomega.Equal(callerapi.ReasonTooLate))
 }
 
-// TestStalledServerShedsBeforeDeadlines: a server that stops answering makes the
-// queue give up requests long before their deadlines.
+// TestStalledServerShedsBeforeDeadlines checks that the queue refuses requests
+// well before their deadlines when the server stops responding.
 func TestStalledServerShedsBeforeDeadlines(t *testing.T) {
 	g := gomega.NewWithT(t)
 	q := warmQueue(limit.Spec{Limit: 1, MaxQueued: 100})
@@ -178,8 +179,8 @@
 	g.Expect(swept.Refused[0].RetryAfter).To(gomega.BeNumerically(">=", 160*time.Millisecond))
 }
 
-// TestOneCallerCannotStarveOthers: one caller keeps a long queue, another asks
-// now and then; over many places each gets its half, in server time.
+// TestOneCallerCannotStarveOthers checks that of two callers whose requests wait,
+// one with a higher busy time per request, each gets half of the server time.
 func TestOneCallerCannotStarveOthers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	q := warmQueue(limit.Spec{Limit: 1, MaxQueued: 1000})
@@ -246,8 +247,9 @@
 	g.Expect(q.InFlight()).To(gomega.Equal(3))
 }
 
-// TestForecastIncludesTheRampOfAColdServer: 50 requests of 10 ms take
-// 500 ms one at a time, but the server is warm in 100 ms.
+// TestForecastIncludesTheRampOfAColdServer guards against refusing requests that a
+// cold server can serve once it is warm: 50 requests of 10 ms take 500 ms one at a
+// time, but the server is warm after 100 ms.
 func TestForecastIncludesTheRampOfAColdServer(t *testing.T) {
 	g := gomega.NewWithT(t)
 	q := warmQueue(limit.Spec{Limit: 5, MaxQueued: 100, Ramp: 100 * time.Millisecond})
@@ -261,7 +263,7 @@
 	for id := uint64(60); id < 160; id++ {
 		late += len(q.Offer(epoch, entry(id, "a", 301*time.Millisecond), false).Refused)
 	}
-	g.Expect(late).To(gomega.BeNumerically(">", 20), "more than it can serve is still refused")
+	g.Expect(late).To(gomega.BeNumerically(">", 20), "requests beyond what the warm server can serve are refused")
 }
 
 func TestOverloadReducesTheWindow(t *testing.T) {
@@ -279,5 +281,5 @@
 		q.Offer(epoch, entry(id, "a", time.Hour), false)
 		q.Finish(epoch.Add(10*time.Millisecond), id, limit.Result{Served: true})
 	}
-	g.Expect(q.Window(epoch)).To(gomega.Equal(6), "it recovers with answers")
+	g.Expect(q.Window(epoch)).To(gomega.Equal(6), "the window recovers with served requests")
 }
--- a/limit/seed_test.go
+++ b/limit/seed_test.go
@@ -2,5 +2,6 @@
 
 import "flag"
 
-// Generated cases are the same in every run; -rapid.seed=N tries others.
+// The fixed seed generates the same cases in every run; -rapid.seed=N overrides
+// it.
 func init() { _ = flag.Set("rapid.seed", "1") }
--- a/limit/set.go
+++ b/limit/set.go
@@ -7,10 +7,10 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Set holds the gates of every server for which this node is the admission
-// point, or to which it sends directly. Methods may be called concurrently.
+// Set contains the gates of the servers for which this node is the admission
+// point or to which it sends directly. Methods may be called concurrently.
 type Set struct {
-	maxQueuedPerService int // for each service
+	maxQueuedPerService int
 
 	mu       sync.RWMutex
 	gates    map[topo.ServerID]*gateEntry
@@ -22,8 +22,8 @@
 	spec Spec
 }
 
-// NewSet returns an empty set in which at most maxQueued requests of each
-// service wait.
+// NewSet returns an empty set in which at most maxQueued requests of each service
+// may wait.
 func NewSet(maxQueued int) *Set {
 	return &Set{
 		maxQueuedPerService: maxQueued,
@@ -32,8 +32,8 @@
 	}
 }
 
-// Gate returns the gate of a server, made cold if need be, with the
-// configuration that it is to have now.
+// Gate returns the gate of a server with the given configuration. If there is
+// none, it creates a gate and treats the server as cold.
 func (s *Set) Gate(service topo.Service, server topo.ServerID, spec Spec) *Gate {
 	s.mu.RLock()
 	found, exists := s.gates[server]
@@ -99,7 +99,7 @@
 	return waiting
 }
 
-// Gates lists the gates by server.
+// Gates returns the gates by server.
 func (s *Set) Gates() map[topo.ServerID]*Gate {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -110,8 +110,8 @@
 	return all
 }
 
-// Retain forgets the gates of servers that keep says no to and that hold
-// nothing.
+// Retain removes the gates of servers for which keep returns false, except gates
+// with requests in flight or waiting.
 func (s *Set) Retain(keep func(topo.ServerID) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/limit/shares.go
+++ b/limit/shares.go
@@ -7,17 +7,19 @@
 )
 
 const (
-	// minQuantum is the share's gain per round while busy times are not known.
+	// minQuantum is the minimum credit per round. It applies while busy times are
+	// not known.
 	minQuantum = time.Millisecond
-	// maxRounds bounds a share's debt, and its credit, in quanta.
+	// maxRounds limits a share's debt, in quanta. Its credit is at most one
+	// quantum.
 	maxRounds = 8
 )
 
-// shareKey names a share. What a caller asks for itself and what it asks for
-// while it serves somebody else are two shares.
+// shareKey identifies a share. A caller's own requests and the nested requests
+// that it makes while it serves a request belong to different shares.
 type shareKey struct {
 	caller string
-	nested bool // asked for by a service that serves a request
+	nested bool // requested by a service while it serves a request
 }
 
 func shareKeyFor(entry Entry) shareKey { return shareKey{entry.Caller, entry.Hop > 0} }
@@ -30,13 +32,14 @@
 	inFlight int
 }
 
-// shares is a deficit round robin over callers, in server time: a share pays
-// the expected busy time when it is granted a place, and the difference to the
-// real one when it gives the place back. Within a share the earliest deadline
-// goes first. Nested entries go before the others; see turns.
+// shares schedules entries by deficit round robin over callers, measured in
+// server time: a share is charged the expected busy time when it is granted a
+// slot, and the difference to the actual busy time when the slot is released.
+// Within a share, the entry with the earliest deadline is first. Nested entries
+// take precedence over callers' own; see precedence.
 type shares struct {
 	byKey      map[shareKey]*share
-	ring       []*share // those with waiting entries
+	ring       []*share // shares with waiting entries
 	cursor     int
 	queued     int
 	precedence precedence
@@ -44,7 +47,7 @@
 
 func newShares() shares { return shares{byKey: map[shareKey]*share{}} }
 
-// shareFor returns the share of an entry, made if need be.
+// shareFor returns the share of an entry and creates it if necessary.
 func (s *shares) shareFor(entry Entry) *share {
 	key := shareKeyFor(entry)
 	found, exists := s.byKey[key]
@@ -66,16 +69,18 @@
 	s.precedence.add(owner.key, 1)
 }
 
-// insertPosition is how many of the share's entries go before one with that deadline.
+// insertPosition returns the number of the share's entries that precede an entry
+// with the given deadline.
 func (s *share) insertPosition(deadline time.Time) int {
 	return sort.Search(len(s.waiting), func(i int) bool {
 		return s.waiting[i].Deadline.After(deadline)
 	})
 }
 
-// position estimates how many entries would be granted before a new one: those
-// of its own share with earlier deadlines, as many rounds of the others of its
-// kind, and what the other kind gets meanwhile.
+// position estimates how many entries will be granted a slot before a new one:
+// the entries of its own share with earlier deadlines, the entries that the other
+// shares of its kind are granted in as many rounds, and the entries of the other
+// kind that are granted meanwhile. The kinds are nested and callers' own.
 func (s *shares) position(entry Entry) int {
 	key := shareKeyFor(entry)
 	before := 0
@@ -91,8 +96,9 @@
 	return position + s.precedence.otherKindBefore(key.nested, position)
 }
 
-// next takes the next entry of the round robin; the queue must not be empty. A
-// share without credit gets a quantum for its next turn and is passed over.
+// next removes and returns the next entry of the round robin. The queue must not
+// be empty. A share without credit is credited a quantum and skipped until the
+// next round.
 func (s *shares) next(quantum time.Duration) (*share, Entry) {
 	nested := s.precedence.nextNested()
 	for {
@@ -114,8 +120,8 @@
 	}
 }
 
-// removeAt removes a waiting entry of a share. A share that has nothing more to
-// wait for leaves the ring and loses its credit.
+// removeAt removes a waiting entry of a share. A share without further entries is
+// removed from the ring and loses its credit, but not its debt.
 func (s *shares) removeAt(owner *share, at int) {
 	owner.waiting = slices.Delete(owner.waiting, at, at+1)
 	s.queued--
@@ -131,8 +137,8 @@
 	}
 }
 
-// finish ends one request of a share and charges what it took beyond what it
-// paid.
+// finish completes one request of a share and charges the share the difference
+// between the actual and the charged busy time.
 func (s *shares) finish(owner *share, difference, quantum time.Duration) {
 	owner.inFlight--
 	owner.deficit = max(owner.deficit-difference, -maxRounds*quantum)
@@ -140,7 +146,7 @@
 	s.dropIfIdle(owner)
 }
 
-// dropIfIdle forgets a share without entries and requests in flight.
+// dropIfIdle removes a share without waiting entries and requests in flight.
 func (s *shares) dropIfIdle(owner *share) {
 	if len(owner.waiting) == 0 && owner.inFlight == 0 {
 		delete(s.byKey, owner.key)
@@ -161,10 +167,12 @@
 	return true
 }
 
-// evict chooses what a full queue gives up for a new entry: the latest
-// deadline of the longest share if that is longer than the new entry's would
-// be, else a later deadline of the same caller. It is false when there is none:
-// then the new entry itself has to go.
+// evict removes and returns the entry that a full queue gives up for a new one.
+// This is the entry with the latest deadline of the longest share, if that share
+// is longer than the new entry's share would become. Otherwise it is the entry
+// with the latest deadline of the new entry's own share, if that deadline is
+// later than the new one. If neither exists, the result is false and the new
+// entry must be refused.
 func (s *shares) evict(entry Entry) (Entry, bool) {
 	victim := s.longest()
 	own := s.byKey[shareKeyFor(entry)]
@@ -195,8 +203,8 @@
 	return longest
 }
 
-// filter keeps the entries that keep says yes to, asked round by round, the
-// nested ones first.
+// filter removes the entries for which keep returns false. It calls keep in the
+// order of the rounds, for nested entries first.
 func (s *shares) filter(keep func(Entry) bool) {
 	var drop []Entry
 	for _, nested := range []bool{true, false} {
@@ -207,7 +215,7 @@
 	}
 }
 
-// rejectedBy lists the entries of one kind that keep says no to.
+// rejectedBy lists the entries of one kind for which keep returns false.
 func (s *shares) rejectedBy(nested bool, keep func(Entry) bool) []Entry {
 	var list []Entry
 	for round, left := 0, true; left; round++ {
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -39,7 +39,7 @@
 	View    *state.View
 	Policy  balance.Policy
 	Tracker *Tracker
-	// Snapshot returns the load of a service that the entry nodes observed.
+	// Picture returns the load of a service that the entry nodes observed.
 	Picture func(topo.Service) load.Picture
 	Rand    *rand.Rand
 }
