--- a/modules/planner/duty.go
+++ b/modules/planner/decider.go
@@ -15,24 +15,24 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// requestsSize bounds the requests to lessors that wait to be sent; what does
+// queueSize bounds the requests to lessors that wait to be sent; what does
 // not fit is planned again.
-const requestsSize = 128
+const queueSize = 128
 
-// duty is the goroutine that decides while this node holds the planner's role.
-type duty struct {
+// decider is the goroutine that decides while this node holds the planner's role.
+type decider struct {
 	module   *Module
 	requests *ring.Ring[*core.Request]
 	results  *ring.Ring[moveResult]
-	latest   atomic.Pointer[decided]
+	latest   atomic.Pointer[decisionSummary]
 
 	tracker *core.Tracker
 	random  *rand.Rand
 	waiting map[topo.Service]bool
 }
 
-// decided is the latest decision's row in the state dump.
-type decided struct {
+// decisionSummary is the latest decision's row in the state dump.
+type decisionSummary struct {
 	At       time.Time      `json:"at"`
 	Applied  topo.Offset    `json:"applied"`
 	Assign   int            `json:"assign"`
@@ -41,52 +41,52 @@
 	Tracker  core.Dump      `json:"tracker"`
 }
 
-func newDuty(m *Module) *duty {
-	return &duty{
+func newDecider(m *Module) *decider {
+	return &decider{
 		module:   m,
-		requests: ring.New[*core.Request]("planner-requests", requestsSize, ring.Refuse),
-		results:  ring.New[moveResult]("planner-results", requestsSize, ring.Wait),
+		requests: ring.New[*core.Request]("planner-requests", queueSize, ring.Refuse),
+		results:  ring.New[moveResult]("planner-results", queueSize, ring.Wait),
 		random:   rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		waiting:  map[topo.Service]bool{},
 	}
 }
 
 // run ends with ctx.
-func (d *duty) run(ctx context.Context) {
+func (d *decider) run(ctx context.Context) {
 	next := time.NewTimer(0)
 	defer next.Stop()
 	var changed <-chan struct{}
 	var earliest time.Time
-	soon := func() { next.Reset(max(settleFor, time.Until(earliest))) }
+	decideSoon := func() { next.Reset(max(changeDelay, time.Until(earliest))) }
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case result := <-d.results.Items():
-			d.take(result)
+			d.handleResult(result)
 		case <-d.module.writer.Finished():
-			soon()
+			decideSoon()
 		case <-changed:
 			changed = nil // one change is enough to decide anew
-			soon()
+			decideSoon()
 		case <-next.C:
 			changed = d.module.source.Changed()
-			began := time.Now()
-			d.step(ctx, began)
-			earliest = time.Now().Add(rest(time.Since(began)))
-			next.Reset(max(decideEvery, time.Until(earliest)))
+			startedAt := time.Now()
+			d.decide(ctx, startedAt)
+			earliest = time.Now().Add(restAfter(time.Since(startedAt)))
+			next.Reset(max(decisionInterval, time.Until(earliest)))
 		}
 	}
 }
 
-// rest returns how long to rest after a decision that took a time, so that
+// restAfter returns how long to rest after a decision that took a time, so that
 // decisions take one part in workShare of a core at most: on a large site they
 // become fewer, not dearer.
-func rest(took time.Duration) time.Duration { return min(workShare*took, longestRest) }
+func restAfter(elapsed time.Duration) time.Duration { return min(restFactor*elapsed, maxRest) }
 
-// step makes and carries out one decision. Without the role it forgets what it
+// decide makes and carries out one decision. Without the role it forgets what it
 // knew, since another node's decisions come in between.
-func (d *duty) step(ctx context.Context, now time.Time) {
+func (d *decider) decide(ctx context.Context, now time.Time) {
 	if !d.module.roles.Holds(membership.RolePlanner) {
 		d.tracker = nil
 		return
@@ -108,16 +108,16 @@
 		Picture: func(service topo.Service) load.Picture { return collector.Picture(now, service) },
 		Rand:    d.random,
 	})
-	d.noteWaiting(plan.Waiting)
+	d.logNewlyWaiting(plan.Waiting)
 	d.assign(ctx, &plan)
-	d.request(ctx, &plan, now)
-	d.latest.Store(&decided{
+	d.enqueueRequests(ctx, &plan, now)
+	d.latest.Store(&decisionSummary{
 		At: now, Applied: view.Applied(), Assign: len(plan.Assign), Requests: len(plan.Requests),
 		Waiting: plan.Waiting, Tracker: d.tracker.Dump(),
 	})
 }
 
-func (d *duty) noteWaiting(services []topo.Service) {
+func (d *decider) logNewlyWaiting(services []topo.Service) {
 	now := map[topo.Service]bool{}
 	for _, service := range services {
 		now[service] = true
@@ -129,19 +129,19 @@
 }
 
 // assign writes the assignments of shards that nobody owns.
-func (d *duty) assign(ctx context.Context, plan *core.Plan) {
+func (d *decider) assign(ctx context.Context, plan *core.Plan) {
 	var batch []submit.Submission
 	for _, record := range core.Records(plan.Assign, "unowned") {
 		count := len(record.GetAssignShards().GetAssignments())
 		batch = append(batch, submit.Submission{
 			Record: record,
-			Done:   func(fate follower.Fate, err error) { d.settled(count, fate, err) },
+			Done:   func(outcome follower.Fate, err error) { d.assignmentsDone(count, outcome, err) },
 		})
 	}
 	d.module.writer.Offer(ctx, batch)
 }
 
-func (d *duty) settled(count int, fate follower.Fate, err error) {
+func (d *decider) assignmentsDone(count int, outcome follower.Fate, err error) {
 	logger := d.module.logger
 	metricRecords.Add(1)
 	if err != nil {
@@ -149,22 +149,22 @@
 		eventAssignUnknown.Log(logger, "shards", count, "error", err)
 		return
 	}
-	rejected := len(fate.RejectedShards)
-	if !fate.Accepted {
+	rejected := len(outcome.RejectedShards)
+	if !outcome.Accepted {
 		rejected = count
 	}
 	if rejected > 0 {
-		metricAssignRefused.Add(int64(rejected))
-		eventAssignRefused.Log(logger, "offset", fate.Offset, "shards", rejected, "conflict", fate.Conflict)
+		metricAssignNoEffect.Add(int64(rejected))
+		eventAssignNoEffect.Log(logger, "offset", outcome.Offset, "shards", rejected, "conflict", outcome.Conflict)
 	}
 	if assigned := count - rejected; assigned > 0 {
 		metricAssigned.Add(int64(assigned))
-		eventAssigned.Log(logger, "offset", fate.Offset, "shards", assigned)
+		eventAssigned.Log(logger, "offset", outcome.Offset, "shards", assigned)
 	}
 }
 
-// request hands the moves over to be sent.
-func (d *duty) request(ctx context.Context, plan *core.Plan, now time.Time) {
+// enqueueRequests hands the moves over to be sent.
+func (d *decider) enqueueRequests(ctx context.Context, plan *core.Plan, now time.Time) {
 	for i := range plan.Requests {
 		request := &plan.Requests[i]
 		if d.requests.Put(ctx, request) == nil {
@@ -173,16 +173,16 @@
 	}
 }
 
-// take notes what became of a request.
-func (d *duty) take(result moveResult) {
+// handleResult notes what became of a request.
+func (d *decider) handleResult(result moveResult) {
 	if d.tracker != nil {
 		d.tracker.Answered(result.request, int(result.accepted), time.Now())
 	}
-	left := len(result.request.Moves) - int(result.accepted)
-	if left <= 0 {
+	notAccepted := len(result.request.Moves) - int(result.accepted)
+	if notAccepted <= 0 {
 		return
 	}
-	metricMovesFailed.Add(int64(left))
+	metricMovesFailed.Add(int64(notAccepted))
 	eventMovesFailed.Log(d.module.logger, "group", result.request.Group, "reason", result.request.Reason,
-		"moves", len(result.request.Moves), "notTaken", left, "error", result.err)
+		"moves", len(result.request.Moves), "notTaken", notAccepted, "error", result.err)
 }
--- a/modules/planner/module.go
+++ b/modules/planner/module.go
@@ -22,11 +22,11 @@
 )
 
 const (
-	decideEvery = time.Second            // without a change
-	settleFor   = 100 * time.Millisecond // after a change, so that one decision sees several
-	workShare   = 100                    // decisions take 1 % of a core at most
-	longestRest = 5 * time.Second
-	moveTimeout = 2 * time.Second // of one request to a lessor
+	decisionInterval = time.Second            // without a change
+	changeDelay      = 100 * time.Millisecond // after a change, so that one decision sees several
+	restFactor       = 100                    // decisions take 1 % of a core at most
+	maxRest          = 5 * time.Second
+	moveTimeout      = 2 * time.Second // of one request to a lessor
 )
 
 func init() { kernel.Register(&Module{}) }
@@ -44,7 +44,7 @@
 	stats    load.StatsSource // nil where there is no router
 	inbox    *inbox
 	writer   *submit.Writer
-	duty     *duty
+	decider  *decider
 	cancel   context.CancelFunc
 	running  sync.WaitGroup
 }
@@ -85,10 +85,10 @@
 func (m *Module) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	m.cancel = cancel
-	m.duty = newDuty(m)
-	requests := &mover{module: m, requests: m.duty.requests, results: m.duty.results}
+	m.decider = newDecider(m)
+	requests := &mover{module: m, requests: m.decider.requests, results: m.decider.results}
 	reports := &reporter{module: m}
-	for _, run := range []func(context.Context){m.writer.Run, m.duty.run, requests.run, reports.run} {
+	for _, run := range []func(context.Context){m.writer.Run, m.decider.run, requests.run, reports.run} {
 		m.running.Go(func() { run(ctx) })
 	}
 	return nil
@@ -111,16 +111,16 @@
 		Reports: m.inbox.size(),
 		Writer:  m.writer.Dump(),
 	}
-	if m.duty != nil {
-		d.Latest = m.duty.latest.Load()
+	if m.decider != nil {
+		d.Latest = m.decider.latest.Load()
 	}
 	return d
 }
 
 type dump struct {
-	Holds   bool        `json:"holds"`
-	Policy  string      `json:"policy"`
-	Reports int         `json:"reports"`
-	Writer  submit.Dump `json:"writer"`
-	Latest  *decided    `json:"latest,omitempty"`
+	Holds   bool             `json:"holds"`
+	Policy  string           `json:"policy"`
+	Reports int              `json:"reports"`
+	Writer  submit.Dump      `json:"writer"`
+	Latest  *decisionSummary `json:"latest,omitempty"`
 }
--- a/modules/planner/mover.go
+++ b/modules/planner/mover.go
@@ -26,24 +26,24 @@
 	results  *ring.Ring[moveResult]
 }
 
-// sendersMost bounds the requests that are being sent.
-const sendersMost = 16
+// maxSenders bounds the requests that are being sent.
+const maxSenders = 16
 
 // run ends with ctx.
 func (m *mover) run(ctx context.Context) {
-	places := make(chan struct{}, sendersMost)
+	slots := make(chan struct{}, maxSenders)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case request := <-m.requests.Items():
 			select {
-			case places <- struct{}{}:
+			case slots <- struct{}{}:
 			case <-ctx.Done():
 				return
 			}
 			m.module.running.Go(func() {
-				defer func() { <-places }()
+				defer func() { <-slots }()
 				accepted, err := m.send(ctx, request)
 				_ = m.results.Put(ctx, moveResult{request: request, accepted: accepted, err: err})
 			})
@@ -59,14 +59,14 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, moveTimeout)
 	defer cancel()
-	metricMoves.Add(request.Reason, int64(len(request.Moves)))
-	eventMovesAsked.Log(m.module.logger, "group", request.Group, "lessor", group.Lessor,
+	metricMovesRequested.Add(request.Reason, int64(len(request.Moves)))
+	eventMovesRequested.Log(m.module.logger, "group", request.Group, "lessor", group.Lessor,
 		"reason", request.Reason, "moves", len(request.Moves))
-	answer, err := m.call(ctx, group.Lessor, request.Proto())
+	response, err := m.call(ctx, group.Lessor, request.Proto())
 	if err != nil {
 		return 0, err
 	}
-	return answer.GetAccepted(), nil
+	return response.GetAccepted(), nil
 }
 
 func (m *mover) call(ctx context.Context, lessor topo.NodeID, request *bspb.MoveRequest) (*bspb.MoveResponse, error) {
--- a/modules/planner/planner_test.go
+++ b/modules/planner/planner_test.go
@@ -25,8 +25,8 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// moveTakes is how long the lessors of these tests take to make a move.
-const moveTakes = 200 * time.Millisecond
+// moveDuration is how long the lessors of these tests take to make a move.
+const moveDuration = 200 * time.Millisecond
 
 // site is a cluster of six nodes in three zones under a faked clock. The lessor
 // of each zone's group is a stand-in that makes the moves it is asked for.
@@ -35,14 +35,14 @@
 	g     *gomega.WithT
 	nodes []*dutytest.Node
 
-	mu     sync.Mutex
-	refuse bool // lessors take no moves
-	asked  []*bspb.ShardMove
+	mu        sync.Mutex
+	refuse    bool // lessors take no moves
+	requested []*bspb.ShardMove
 }
 
-func run(t *testing.T, test func(s *site)) { runWith(t, 6, test) }
+func runSite(t *testing.T, test func(s *site)) { runSiteOf(t, 6, test) }
 
-func runWith(t *testing.T, nodes int, test func(s *site)) {
+func runSiteOf(t *testing.T, nodes int, test func(s *site)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &site{Cluster: dutytest.New(t, "duty.membership", "duty.planner"), g: gomega.NewWithT(t)}
 		defer s.Close()
@@ -51,7 +51,7 @@
 			node.Handlers.Move = s.move
 			s.nodes = append(s.nodes, node)
 		}
-		s.pass(5 * time.Second)
+		s.advance(5 * time.Second)
 		for _, zone := range []string{"a", "b", "c"} {
 			s.Site.Lessor("zone-"+zone, "node-"+string(rune('0'+zone[0]-'a')))
 		}
@@ -59,7 +59,7 @@
 	})
 }
 
-func (s *site) pass(d time.Duration) {
+func (s *site) advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
@@ -71,9 +71,9 @@
 	if s.refuse {
 		return &bspb.MoveResponse{}, nil
 	}
-	s.asked = append(s.asked, req.Moves...)
+	s.requested = append(s.requested, req.Moves...)
 	go func() {
-		time.Sleep(moveTakes)
+		time.Sleep(moveDuration)
 		for _, m := range req.Moves {
 			s.Site.Make(m)
 		}
@@ -87,8 +87,8 @@
 	s.refuse = refuse
 }
 
-// servers shows live servers of a service in each zone.
-func (s *site) servers(service string, perZone int) {
+// addLiveServers shows live servers of a service in each zone.
+func (s *site) addLiveServers(service string, perZone int) {
 	for _, zone := range []string{"zone-a", "zone-b", "zone-c"} {
 		for i := range perZone {
 			s.VMs.Put(vmlist.VM{
@@ -108,8 +108,8 @@
 	return owners
 }
 
-// holder returns the node that holds the planner's role.
-func (s *site) holder() *dutytest.Node {
+// plannerNode returns the node that holds the planner's role.
+func (s *site) plannerNode() *dutytest.Node {
 	for _, n := range s.nodes {
 		if dutytest.Use[membership.Roles](n).Holds(membership.RolePlanner) {
 			return n
@@ -118,11 +118,11 @@
 	return nil
 }
 
-func TestShardsAreAssignedInFewRecords(t *testing.T) {
-	run(t, func(s *site) {
+func TestUnownedShardsAreAssignedInOneRecord(t *testing.T) {
+	runSite(t, func(s *site) {
 		s.Site.Publish(sitefake.Keyed("logs", 600))
-		s.servers("logs", 2)
-		s.pass(5 * time.Second)
+		s.addLiveServers("logs", 2)
+		s.advance(5 * time.Second)
 		s.g.Expect(s.owners("logs")).To(gomega.HaveLen(6))
 		s.g.Expect(s.owners("logs")).To(gomega.HaveEach(100))
 		records := 0
@@ -133,7 +133,7 @@
 		}
 		s.g.Expect(records).To(gomega.Equal(1))
 		before := len(s.Site.Records())
-		s.pass(time.Minute)
+		s.advance(time.Minute)
 		s.g.Expect(s.Site.Records()).To(gomega.HaveLen(before), "a site at rest writes nothing")
 	})
 }
@@ -155,22 +155,22 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			run(t, func(s *site) {
+			runSite(t, func(s *site) {
 				s.VMs.SetFaults(c.faults)
 				s.Site.Publish(sitefake.Keyed("logs", 60))
-				s.servers("logs", 2)
-				s.pass(5 * time.Second)
+				s.addLiveServers("logs", 2)
+				s.advance(5 * time.Second)
 				s.g.Expect(s.owners("logs")).To(gomega.HaveKey(topo.ServerID(leaving)))
 				c.leave(s)
-				told := time.Now()
-				s.pass(3 * time.Second)
+				reportedAt := time.Now()
+				s.advance(3 * time.Second)
 				more := sitefake.Keyed("logs-2", 60)
 				s.Site.Publish(sitefake.Keyed("logs", 60), more)
-				s.servers("logs-2", 1)
-				s.pass(20 * time.Second)
+				s.addLiveServers("logs-2", 1)
+				s.advance(20 * time.Second)
 				for _, record := range s.Site.Records() {
 					for _, a := range record.Record.GetAssignShards().GetAssignments() {
-						if record.At.After(told.Add(3 * time.Second)) {
+						if record.At.After(reportedAt.Add(3 * time.Second)) {
 							s.g.Expect(a.Owner).NotTo(gomega.Equal(leaving))
 							s.g.Expect(a.Standby).NotTo(gomega.Equal(leaving))
 						}
@@ -182,22 +182,22 @@
 	}
 }
 
-func TestARemovedServiceIsDrainedFirst(t *testing.T) {
-	run(t, func(s *site) {
+func TestARemovedServicesDependantsAreDrainedFirst(t *testing.T) {
+	runSite(t, func(s *site) {
 		licensing, archive := sitefake.Keyed("licensing", 30, "archive"), sitefake.Keyed("archive", 30)
 		s.Site.Publish(licensing, archive)
-		s.servers("licensing", 1)
-		s.servers("archive", 1)
-		s.pass(10 * time.Second)
+		s.addLiveServers("licensing", 1)
+		s.addLiveServers("archive", 1)
+		s.advance(10 * time.Second)
 		s.g.Expect(s.owners("licensing")).To(gomega.HaveLen(3))
 		s.Site.Publish()
 		s.g.Expect(s.owners("archive")).To(gomega.HaveLen(3), "nothing is taken away by the configuration alone")
-		s.pass(10 * time.Second)
+		s.advance(10 * time.Second)
 		s.g.Expect(s.Site.View().Tables()).To(gomega.BeEmpty())
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.g.Expect(s.asked).To(gomega.HaveLen(60))
-		for i, m := range s.asked {
+		s.g.Expect(s.requested).To(gomega.HaveLen(60))
+		for i, m := range s.requested {
 			s.g.Expect(m.Shard.Service == "licensing").To(gomega.Equal(i < 30), "dependants are drained first")
 		}
 	})
@@ -206,11 +206,11 @@
 func TestAnotherNodePlansWhenThePlannerIsLost(t *testing.T) {
 	for _, how := range []string{"killed", "stopped", "cut off", "stale"} {
 		t.Run(how, func(t *testing.T) {
-			run(t, func(s *site) {
+			runSite(t, func(s *site) {
 				s.Site.Publish(sitefake.Keyed("logs", 60))
-				s.servers("logs", 1)
-				s.pass(5 * time.Second)
-				planner := s.holder()
+				s.addLiveServers("logs", 1)
+				s.advance(5 * time.Second)
+				planner := s.plannerNode()
 				switch how {
 				case "killed":
 					planner.Kill()
@@ -222,10 +222,10 @@
 					planner.Contact.Freeze() // goes on planning on an old view
 					s.Network.Isolate(planner.ID)
 				}
-				s.pass(5 * time.Second)
+				s.advance(5 * time.Second)
 				s.Site.Publish(sitefake.Keyed("logs", 60), sitefake.Keyed("quotes", 60))
-				s.servers("quotes", 1)
-				s.pass(10 * time.Second)
+				s.addLiveServers("quotes", 1)
+				s.advance(10 * time.Second)
 				s.g.Expect(s.owners("quotes")).To(gomega.HaveLen(3))
 				s.g.Expect(s.owners("logs")).To(gomega.HaveLen(3))
 			})
@@ -233,47 +233,47 @@
 	}
 }
 
-func TestALessorThatTakesNoMovesIsAskedAgain(t *testing.T) {
-	run(t, func(s *site) {
+func TestRefusedMovesAreRequestedAgain(t *testing.T) {
+	runSite(t, func(s *site) {
 		s.Site.Publish(sitefake.Keyed("logs", 30))
-		s.servers("logs", 2)
-		s.pass(5 * time.Second)
+		s.addLiveServers("logs", 2)
+		s.advance(5 * time.Second)
 		s.setRefuse(true)
 		s.VMs.SetPhase("logs-zone-a-0", vmlist.PhaseLeaving)
-		s.pass(10 * time.Second)
+		s.advance(10 * time.Second)
 		s.g.Expect(s.owners("logs")).To(gomega.HaveKey(topo.ServerID("logs-zone-a-0")))
 		s.setRefuse(false)
-		s.pass(5 * time.Second)
+		s.advance(5 * time.Second)
 		s.g.Expect(s.owners("logs")).NotTo(gomega.HaveKey(topo.ServerID("logs-zone-a-0")))
 	})
 }
 
 func TestNothingIsAssignedWhileTheLogIsDown(t *testing.T) {
-	run(t, func(s *site) {
+	runSite(t, func(s *site) {
 		s.Site.Publish(sitefake.Keyed("logs", 30))
-		s.servers("logs", 1)
-		s.pass(5 * time.Second)
+		s.addLiveServers("logs", 1)
+		s.advance(5 * time.Second)
 		s.Site.SetDown(true)
 		s.Site.Publish(sitefake.Keyed("logs", 30), sitefake.Keyed("quotes", 30))
-		s.servers("quotes", 1)
+		s.addLiveServers("quotes", 1)
 		before := len(s.Site.Records())
-		s.pass(time.Minute)
+		s.advance(time.Minute)
 		s.g.Expect(s.Site.Records()).To(gomega.HaveLen(before))
 		s.Site.SetDown(false)
-		s.pass(15 * time.Second)
+		s.advance(15 * time.Second)
 		s.g.Expect(s.owners("quotes")).To(gomega.HaveLen(3))
 	})
 }
 
-// TestLoadThatNodesReportIsSpread lets nodes observe a little each of what is,
+// TestReportedLoadIsBalanced lets nodes observe a little each of what is,
 // added up, one busy server: only the planner sees that, by the reports that go
 // up the tree.
-func TestLoadThatNodesReportIsSpread(t *testing.T) {
+func TestReportedLoadIsBalanced(t *testing.T) {
 	t.Run("to the planner itself", func(t *testing.T) {
-		run(t, func(s *site) { s.spreads(s.nodes, 4) })
+		runSite(t, func(s *site) { s.expectBusyServerRelieved(s.nodes, 4) })
 	})
 	t.Run("by way of other nodes", func(t *testing.T) {
-		runWith(t, 13, func(s *site) {
+		runSiteOf(t, 13, func(s *site) {
 			var deep []*dutytest.Node
 			for _, node := range s.nodes {
 				order := dutytest.Use[membership.Roles](node).Candidates(membership.RolePlanner)
@@ -282,18 +282,18 @@
 				}
 			}
 			s.g.Expect(deep).To(gomega.HaveLen(13 - 1 - core.FanIn))
-			s.spreads(deep, 8)
+			s.expectBusyServerRelieved(deep, 8)
 		})
 	})
 }
 
-// spreads lets some nodes observe requests, more of them at one server.
-func (s *site) spreads(observers []*dutytest.Node, busyRequests int) {
+// expectBusyServerRelieved lets some nodes observe requests, more of them at one server.
+func (s *site) expectBusyServerRelieved(observers []*dutytest.Node, busyRequests int) {
 	service := sitefake.Keyed("quotes", 60)
 	service.Weighting = bspb.Weighting_WEIGHTING_IMBALANCE
 	s.Site.Publish(service)
-	s.servers("quotes", 1)
-	s.pass(5 * time.Second)
+	s.addLiveServers("quotes", 1)
+	s.advance(5 * time.Second)
 	const busy = "quotes-zone-a-0"
 	before := s.owners("quotes")[busy]
 	for range 20 {
@@ -307,7 +307,7 @@
 				observe(node, shard.Shard, fmt.Sprint("k", i), shard.Owner, requests)
 			}
 		}
-		s.pass(time.Second)
+		s.advance(time.Second)
 	}
 	s.g.Expect(s.owners("quotes")[busy]).To(gomega.BeNumerically("<", before-3))
 }
--- a/modules/planner/reports.go
+++ b/modules/planner/reports.go
@@ -13,9 +13,9 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// inboxMost bounds the nodes whose reports are kept; a node reports to one of
+// maxReportingNodes bounds the nodes whose reports are kept; a node reports to one of
 // at most FanIn children, or to the planner directly while parents are away.
-const inboxMost = 1024
+const maxReportingNodes = 1024
 
 // reportTimeout bounds the delivery of one report.
 const reportTimeout = time.Second
@@ -23,19 +23,19 @@
 // inbox keeps each node's latest load report.
 type inbox struct {
 	mu      sync.Mutex
-	reports map[topo.NodeID]received
+	reports map[topo.NodeID]receivedReport
 }
 
-type received struct {
+type receivedReport struct {
 	at   time.Time
 	body *bspb.ReportLoadRequest
 }
 
-func newInbox() *inbox { return &inbox{reports: map[topo.NodeID]received{}} }
+func newInbox() *inbox { return &inbox{reports: map[topo.NodeID]receivedReport{}} }
 
 // handle answers peers' ReportLoad calls.
 func (b *inbox) handle(_ context.Context, report *bspb.ReportLoadRequest) error {
-	metricReportsTaken.Add(1)
+	metricReportsReceived.Add(1)
 	b.put(report, time.Now())
 	return nil
 }
@@ -44,8 +44,8 @@
 	id := topo.NodeID(report.GetSender().GetNode())
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if _, known := b.reports[id]; known || len(b.reports) < inboxMost {
-		b.reports[id] = received{at: now, body: report}
+	if _, known := b.reports[id]; known || len(b.reports) < maxReportingNodes {
+		b.reports[id] = receivedReport{at: now, body: report}
 	}
 }
 
--- a/modules/planner/rest_test.go
+++ b/modules/planner/rest_test.go
@@ -7,9 +7,9 @@
 	"github.com/onsi/gomega"
 )
 
-func TestDecisionsTakeAShareOfACore(t *testing.T) {
+func TestRestAfterDecisionsLimitsTheirCPUShare(t *testing.T) {
 	g := gomega.NewWithT(t)
-	g.Expect(rest(time.Millisecond)).To(gomega.Equal(100 * time.Millisecond))
-	g.Expect(rest(40 * time.Millisecond)).To(gomega.Equal(4 * time.Second))
-	g.Expect(rest(time.Second)).To(gomega.Equal(longestRest))
+	g.Expect(restAfter(time.Millisecond)).To(gomega.Equal(100 * time.Millisecond))
+	g.Expect(restAfter(40 * time.Millisecond)).To(gomega.Equal(4 * time.Second))
+	g.Expect(restAfter(time.Second)).To(gomega.Equal(maxRest))
 }
