--- a/modules/planner/decider.go
+++ b/modules/planner/decider.go
@@ -15,11 +15,12 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// queueSize bounds the requests to lessors that wait to be sent; what does
-// not fit is planned again.
+// queueSize is the maximum number of requests to lessors that wait to be sent.
+// Requests beyond it are dropped and planned again.
 const queueSize = 128
 
-// decider is the goroutine that decides while this node holds the planner's role.
+// decider is the goroutine that makes decisions while this node holds the
+// planner's role.
 type decider struct {
 	module   *Module
 	requests *ring.Ring[*core.Request]
@@ -31,7 +32,7 @@
 	waiting map[topo.Service]bool
 }
 
-// decisionSummary is the latest decision's row in the state dump.
+// decisionSummary describes the latest decision in the state dump.
 type decisionSummary struct {
 	At       time.Time      `json:"at"`
 	Applied  topo.Offset    `json:"applied"`
@@ -51,7 +52,7 @@
 	}
 }
 
-// run ends with ctx.
+// run makes decisions until ctx ends.
 func (d *decider) run(ctx context.Context) {
 	next := time.NewTimer(0)
 	defer next.Stop()
@@ -67,7 +68,7 @@
 		case <-d.module.writer.Finished():
 			decideSoon()
 		case <-changed:
-			changed = nil // one change is enough to decide anew
+			changed = nil // the next decision covers all further changes
 			decideSoon()
 		case <-next.C:
 			changed = d.module.source.Changed()
@@ -79,13 +80,14 @@
 	}
 }
 
-// restAfter returns how long to rest after a decision that took a time, so that
-// decisions take one part in workShare of a core at most: on a large site they
-// become fewer, not dearer.
+// restAfter returns the minimum pause after a decision. The pause is restFactor
+// times the duration of the decision, so that decisions use about 1/restFactor of
+// a core: on a large site, where each takes longer, there are fewer of them. The
+// pause is at most maxRest.
 func restAfter(elapsed time.Duration) time.Duration { return min(restFactor*elapsed, maxRest) }
 
-// decide makes and carries out one decision. Without the role it forgets what it
-// knew, since another node's decisions come in between.
+// decide makes and carries out one decision. If this node does not hold the role,
+// it discards the tracker, because another node makes decisions in the meantime.
 func (d *decider) decide(ctx context.Context, now time.Time) {
 	if !d.module.roles.Holds(membership.RolePlanner) {
 		d.tracker = nil
@@ -128,7 +130,7 @@
 	d.waiting = now
 }
 
-// assign writes the assignments of shards that nobody owns.
+// assign submits the assignments of shards without an owner.
 func (d *decider) assign(ctx context.Context, plan *core.Plan) {
 	var batch []submit.Submission
 	for _, record := range core.Records(plan.Assign, "unowned") {
@@ -163,7 +165,8 @@
 	}
 }
 
-// enqueueRequests hands the moves over to be sent.
+// enqueueRequests queues the requests to lessors and records their moves as in
+// flight. Requests that the full queue refuses are dropped.
 func (d *decider) enqueueRequests(ctx context.Context, plan *core.Plan, now time.Time) {
 	for i := range plan.Requests {
 		request := &plan.Requests[i]
@@ -173,7 +176,7 @@
 	}
 }
 
-// handleResult notes what became of a request.
+// handleResult records the outcome of a request.
 func (d *decider) handleResult(result moveResult) {
 	if d.tracker != nil {
 		d.tracker.Answered(result.request, int(result.accepted), time.Now())
--- a/modules/planner/module.go
+++ b/modules/planner/module.go
@@ -1,7 +1,7 @@
-// Package planner is the module duty.planner: the node that holds the planner's
-// role carries out what package planner decides, by records for shards that
-// nobody owns and by requests to lessors for the others. Every node reports the
-// load that it observed up a tree that ends at that node.
+// Package planner is the module duty.planner. The node that holds the planner's
+// role carries out the decisions of package planner: it submits records for
+// shards without an owner and sends requests to lessors for the others. Every
+// node reports the load that it observed through a tree whose root is that node.
 package planner
 
 import (
@@ -22,11 +22,11 @@
 )
 
 const (
-	decisionInterval = time.Second            // without a change
-	changeDelay      = 100 * time.Millisecond // after a change, so that one decision sees several
-	restFactor       = 100                    // decisions take 1 % of a core at most
+	decisionInterval = time.Second            // between decisions when nothing changes
+	changeDelay      = 100 * time.Millisecond // delay after a change, so that one decision covers several
+	restFactor       = 100                    // rest per decision time; decisions take 1 % of a core at most
 	maxRest          = 5 * time.Second
-	moveTimeout      = 2 * time.Second // of one request to a lessor
+	moveTimeout      = 2 * time.Second // for one request to a lessor
 )
 
 func init() { kernel.Register(&Module{}) }
@@ -40,8 +40,8 @@
 	handlers *peer.Handlers
 	roles    membership.Roles
 	policy   balance.Policy
-	recorder *load.Recorder   // nil where nothing measures load
-	stats    load.StatsSource // nil where there is no router
+	recorder *load.Recorder   // nil if no module measures load
+	stats    load.StatsSource // nil if there is no router
 	inbox    *inbox
 	writer   *submit.Writer
 	decider  *decider
--- a/modules/planner/mover.go
+++ b/modules/planner/mover.go
@@ -11,25 +11,26 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// moveResult is what became of one request to a lessor.
+// moveResult is the outcome of one request to a lessor.
 type moveResult struct {
 	request  *core.Request
 	accepted uint32
 	err      error
 }
 
-// mover sends requests to lessors. Each is sent by a goroutine of its own, so
-// that a silent lessor holds up its own group only; the ring bounds them.
+// mover sends requests to lessors. Each request is sent by its own goroutine, so
+// that an unresponsive lessor delays only the requests of its group. At most
+// maxSenders requests are in flight.
 type mover struct {
 	module   *Module
 	requests *ring.Ring[*core.Request]
 	results  *ring.Ring[moveResult]
 }
 
-// maxSenders bounds the requests that are being sent.
+// maxSenders is the maximum number of requests that are sent concurrently.
 const maxSenders = 16
 
-// run ends with ctx.
+// run sends requests until ctx ends.
 func (m *mover) run(ctx context.Context) {
 	slots := make(chan struct{}, maxSenders)
 	for {
@@ -51,7 +52,8 @@
 	}
 }
 
-// send asks the group's lessor, which may be this node itself.
+// send sends a request to the group's lessor, which may be this node, and returns
+// the number of accepted moves.
 func (m *mover) send(ctx context.Context, request *core.Request) (uint32, error) {
 	group, exists := m.module.source.View().Group(request.Group)
 	if !exists {
@@ -80,7 +82,7 @@
 	return m.module.handlers.Move(ctx, request)
 }
 
-// NoLessorError reports a group that has no lessor to ask.
+// NoLessorError reports a group that has no lessor.
 type NoLessorError struct{ Group topo.GroupID }
 
 // Error implements error.
--- a/modules/planner/planner_test.go
+++ b/modules/planner/planner_test.go
@@ -25,18 +25,18 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// moveDuration is how long the lessors of these tests take to make a move.
+// moveDuration is how long the fake lessors of these tests take for a move.
 const moveDuration = 200 * time.Millisecond
 
-// site is a cluster of six nodes in three zones under a faked clock. The lessor
-// of each zone's group is a stand-in that makes the moves it is asked for.
+// site is a simulated cluster of nodes in three zones with a fake clock. The
+// lessor of each zone's group is a fake that carries out the requested moves.
 type site struct {
 	*dutytest.Cluster
 	g     *gomega.WithT
 	nodes []*dutytest.Node
 
 	mu        sync.Mutex
-	refuse    bool // lessors take no moves
+	refuse    bool // lessors accept no moves
 	requested []*bspb.ShardMove
 }
 
@@ -64,7 +64,7 @@
 	synctest.Wait()
 }
 
-// move answers a Move call as a lessor does.
+// move responds to a Move call as a lessor does.
 func (s *site) move(_ context.Context, req *bspb.MoveRequest) (*bspb.MoveResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,7 +87,7 @@
 	s.refuse = refuse
 }
 
-// addLiveServers shows live servers of a service in each zone.
+// addLiveServers adds live servers of a service in each zone to the VM list.
 func (s *site) addLiveServers(service string, perZone int) {
 	for _, zone := range []string{"zone-a", "zone-b", "zone-c"} {
 		for i := range perZone {
@@ -134,20 +134,21 @@
 		s.g.Expect(records).To(gomega.Equal(1))
 		before := len(s.Site.Records())
 		s.advance(time.Minute)
-		s.g.Expect(s.Site.Records()).To(gomega.HaveLen(before), "a site at rest writes nothing")
+		s.g.Expect(s.Site.Records()).To(gomega.HaveLen(before), "a site without changes writes no records")
 	})
 }
 
-// TestALeavingServerGetsNoNewWorkWithinThreeSeconds publishes a service just as
-// a server begins to leave: three seconds on, no record names it.
+// TestALeavingServerGetsNoNewWorkWithinThreeSeconds publishes a service after a
+// server begins to leave. Three seconds after that, no record may assign a shard
+// to the server.
 func TestALeavingServerGetsNoNewWorkWithinThreeSeconds(t *testing.T) {
 	const leaving = "logs-zone-b-1"
 	cases := map[string]struct {
 		faults vms.Faults
 		leave  func(s *site)
 	}{
-		"by the list": {vms.Faults{}, func(s *site) { s.VMs.SetPhase(leaving, vmlist.PhaseLeaving) }},
-		"by its own word while the list lags": {vms.Faults{HideLag: time.Hour}, func(s *site) {
+		"reported by the VM list": {vms.Faults{}, func(s *site) { s.VMs.SetPhase(leaving, vmlist.PhaseLeaving) }},
+		"reported by the server while the VM list lags": {vms.Faults{HideLag: time.Hour}, func(s *site) {
 			s.VMs.SetPhase(leaving, vmlist.PhaseLeaving)
 			lessor := dutytest.Use[*membership.Words](s.nodes[1])
 			lessor.Heard(leaving, true, time.Now())
@@ -176,7 +177,7 @@
 						}
 					}
 				}
-				s.g.Expect(s.owners("logs")).NotTo(gomega.HaveKey(topo.ServerID(leaving)), "it is emptied")
+				s.g.Expect(s.owners("logs")).NotTo(gomega.HaveKey(topo.ServerID(leaving)), "the leaving server is emptied")
 			})
 		})
 	}
@@ -191,7 +192,7 @@
 		s.advance(10 * time.Second)
 		s.g.Expect(s.owners("licensing")).To(gomega.HaveLen(3))
 		s.Site.Publish()
-		s.g.Expect(s.owners("archive")).To(gomega.HaveLen(3), "nothing is taken away by the configuration alone")
+		s.g.Expect(s.owners("archive")).To(gomega.HaveLen(3), "a configuration change alone releases no shards")
 		s.advance(10 * time.Second)
 		s.g.Expect(s.Site.View().Tables()).To(gomega.BeEmpty())
 		s.mu.Lock()
@@ -204,7 +205,7 @@
 }
 
 func TestAnotherNodePlansWhenThePlannerIsLost(t *testing.T) {
-	for _, how := range []string{"killed", "stopped", "cut off", "stale"} {
+	for _, how := range []string{"killed", "stopped", "isolated", "stale"} {
 		t.Run(how, func(t *testing.T) {
 			runSite(t, func(s *site) {
 				s.Site.Publish(sitefake.Keyed("logs", 60))
@@ -216,10 +217,10 @@
 					planner.Kill()
 				case "stopped":
 					planner.Stop()
-				case "cut off":
+				case "isolated":
 					s.Network.Isolate(planner.ID)
 				case "stale":
-					planner.Contact.Freeze() // goes on planning on an old view
+					planner.Contact.Freeze() // continues to plan with an outdated view
 					s.Network.Isolate(planner.ID)
 				}
 				s.advance(5 * time.Second)
@@ -265,14 +266,14 @@
 	})
 }
 
-// TestReportedLoadIsBalanced lets nodes observe a little each of what is,
-// added up, one busy server: only the planner sees that, by the reports that go
-// up the tree.
+// TestReportedLoadIsBalanced checks that reports reach the planner through the
+// tree: each node observes only part of the load of a busy server, and only the
+// sum of the reports shows that the server is busy.
 func TestReportedLoadIsBalanced(t *testing.T) {
 	t.Run("to the planner itself", func(t *testing.T) {
 		runSite(t, func(s *site) { s.expectBusyServerRelieved(s.nodes, 4) })
 	})
-	t.Run("by way of other nodes", func(t *testing.T) {
+	t.Run("through other nodes", func(t *testing.T) {
 		runSiteOf(t, 13, func(s *site) {
 			var deep []*dutytest.Node
 			for _, node := range s.nodes {
@@ -287,7 +288,8 @@
 	})
 }
 
-// expectBusyServerRelieved lets some nodes observe requests, more of them at one server.
+// expectBusyServerRelieved lets the observers record requests, more per shard at one
+// server, and expects that shards are moved off that server.
 func (s *site) expectBusyServerRelieved(observers []*dutytest.Node, busyRequests int) {
 	service := sitefake.Keyed("quotes", 60)
 	service.Weighting = bspb.Weighting_WEIGHTING_IMBALANCE
@@ -312,7 +314,7 @@
 	s.g.Expect(s.owners("quotes")[busy]).To(gomega.BeNumerically("<", before-3))
 }
 
-// observe lets a node see requests of 5 ms.
+// observe records requests of 5 ms at a node.
 func observe(node *dutytest.Node, shard topo.ShardID, key string, server topo.ServerID, requests int) {
 	for range requests {
 		node.Recorder.Observe(shard, key, server, 5*time.Millisecond, serverapi.OutcomeAnswered)
--- a/modules/planner/reports.go
+++ b/modules/planner/reports.go
@@ -13,11 +13,12 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// maxReportingNodes bounds the nodes whose reports are kept; a node reports to one of
-// at most FanIn children, or to the planner directly while parents are away.
+// maxReportingNodes is the maximum number of nodes whose reports are kept. A
+// parent normally has at most FanIn children, but nodes report to the planner
+// directly while their parents are unavailable.
 const maxReportingNodes = 1024
 
-// reportTimeout bounds the delivery of one report.
+// reportTimeout is the timeout for the delivery of one report to one node.
 const reportTimeout = time.Second
 
 // inbox keeps each node's latest load report.
@@ -33,7 +34,7 @@
 
 func newInbox() *inbox { return &inbox{reports: map[topo.NodeID]receivedReport{}} }
 
-// handle answers peers' ReportLoad calls.
+// handle serves ReportLoad calls of peers.
 func (b *inbox) handle(_ context.Context, report *bspb.ReportLoadRequest) error {
 	metricReportsReceived.Add(1)
 	b.put(report, time.Now())
@@ -49,7 +50,8 @@
 	}
 }
 
-// fresh returns the reports that are not too old, and forgets the others.
+// fresh returns the reports that are not older than maxAge and deletes the
+// others.
 func (b *inbox) fresh(now time.Time, maxAge time.Duration) []*bspb.ReportLoadRequest {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -64,7 +66,7 @@
 	return list
 }
 
-// collector returns the fresh reports in the form that decisions read.
+// collector returns a collector of the fresh reports for use in a decision.
 func (b *inbox) collector(now time.Time, maxAge time.Duration) *load.Collector {
 	collector := load.NewCollector(maxAge)
 	for _, report := range b.fresh(now, maxAge) {
@@ -79,10 +81,11 @@
 	return len(b.reports)
 }
 
-// reporter sends what this node and its children observed towards the planner.
+// reporter sends the load that this node and its children observed towards the
+// planner.
 type reporter struct{ module *Module }
 
-// run ends with ctx.
+// run sends reports until ctx ends.
 func (r *reporter) run(ctx context.Context) {
 	if r.module.recorder == nil {
 		return
@@ -98,7 +101,7 @@
 	}
 }
 
-// reporting returns how the site reports, by the number of its nodes now.
+// reporting returns the reporting parameters for the current number of nodes.
 func (m *Module) reporting() core.Reporting {
 	return core.ReportingFor(len(m.source.View().Nodes()))
 }
@@ -110,7 +113,7 @@
 	}
 	own := r.module.recorder.Report(ctx, reporting.Bytes, stats)
 	if own == nil {
-		return // the recorder has ended
+		return // the recorder has stopped
 	}
 	own.Sender = r.module.caller.Sender()
 	parents := core.Parents(r.module.roles.Candidates(membership.RolePlanner), r.module.identity.Node)
@@ -122,7 +125,7 @@
 	r.send(ctx, parents, merged)
 }
 
-// children returns the reports that other nodes sent to this one.
+// children returns the fresh reports that other nodes sent to this node.
 func (r *reporter) children(reporting core.Reporting) []*bspb.ReportLoadRequest {
 	var list []*bspb.ReportLoadRequest
 	for _, report := range r.module.inbox.fresh(time.Now(), reporting.MaxAge()) {
@@ -133,7 +136,7 @@
 	return list
 }
 
-// send delivers a report to the first parent that answers.
+// send delivers a report to the first parent that responds.
 func (r *reporter) send(ctx context.Context, parents []topo.NodeID, report *bspb.ReportLoadRequest) {
 	for _, parent := range parents {
 		callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
