--- a/limit/shares.go
+++ b/limit/shares.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// minQuantum is the minimum credit per round. It applies while busy times are
-	// not known.
+	// minQuantum is the minimum credit per round, also while busy times are not
+	// known.
 	minQuantum = time.Millisecond
 	// maxRounds limits a share's debt, in quanta. Its credit is at most one
 	// quantum.
