--- a/balance/greedy.go
+++ b/balance/greedy.go
@@ -3,11 +3,12 @@
 import "github.com/burdockspindle/burdockspindle/siteconfig"
 
 // Greedy moves load from the hottest server to the coldest until no move helps
-// or the budget is used. It has no thresholds and no dwell time, takes no notice
-// of the weighting, and is the baseline for balancing by load.
+// or the budget is used. It has no thresholds and no dwell time and ignores the
+// weighting. It is the baseline for policies that balance by load.
 type Greedy struct{}
 
-// greedyMinGain keeps greedy from moves that change nothing measurable.
+// greedyMinGain is the smallest drop in utilization that is worth a move. It
+// prevents moves without a measurable effect.
 const greedyMinGain = 0.005
 
 // Name implements Policy.
@@ -19,11 +20,11 @@
 	tuning := DefaultTuning(siteconfig.WeightImbalance)
 	tuning.MinGain = greedyMinGain
 	tuning.Dwell = 0
-	b := newBoard(in, tuning)
-	b.duties()
-	stuck := make([]bool, len(in.Servers))
+	b := newBalancer(in, tuning)
+	b.mandatoryMoves()
+	exhausted := make([]bool, len(in.Servers))
 	for b.movesLeft() {
-		from := b.hottest(stuck)
+		from := b.hottest(exhausted)
 		if from == NoOwner {
 			break
 		}
@@ -31,19 +32,19 @@
 		if to == NoOwner {
 			break
 		}
-		best, found := b.bestPiece(from, to)
+		best, found := b.bestCandidate(from, to)
 		if !found {
-			stuck[from] = true
+			exhausted[from] = true
 			continue
 		}
-		b.take(best, to)
+		b.moveCandidate(best, to)
 	}
 	return b.moves
 }
 
 // hottest returns the live server with the highest utilization that is not
-// excluded; NoOwner if there is none.
-func (b *board) hottest(excluded []bool) int {
+// excluded, or NoOwner if there is none.
+func (b *balancer) hottest(excluded []bool) int {
 	best := NoOwner
 	for i := range b.in.Servers {
 		if excluded[i] || !b.live(i) {
--- a/balance/rate.go
+++ b/balance/rate.go
@@ -1,19 +1,20 @@
 package balance
 
-// RatePush is Push under a fixed budget of probes. Each probe lets one random
-// overloaded server look at one random other server, and moves a single piece
-// if that one is at or below the low threshold. No probe is sent while no
-// server is overloaded. This is the rate-based push of "On a Class of Push and
-// Pull Strategies with Single Migrations and Limited Probe Rate", with the
-// budget of a decision in the role of its overall probe rate.
+// RatePush is Push with a fixed budget of probes. In each probe, one random
+// overloaded server examines one random other server and moves a single
+// candidate to it if the other server is at or below the low threshold. No probe
+// is made while no server is overloaded. This is the rate-based push of "On a
+// Class of Push and Pull Strategies with Single Migrations and Limited Probe
+// Rate", with the budget of a decision in place of its overall probe rate.
 type RatePush struct {
 	// Tuning replaces the defaults of the input's weighting when not nil.
 	Tuning *Tuning
 }
 
-// RatePull is Pull under a fixed budget of probes. Each probe lets one random
-// underloaded server look at one random other server, and moves a single piece
-// if that one is overloaded. See RatePush for the source of the idea.
+// RatePull is Pull with a fixed budget of probes. In each probe, one random
+// underloaded server examines one random other server and takes a single
+// candidate from it if the other server is overloaded. See RatePush for the
+// source of the algorithm.
 type RatePull struct {
 	// Tuning replaces the defaults of the input's weighting when not nil.
 	Tuning *Tuning
@@ -27,11 +28,11 @@
 
 // Decide implements Policy.
 func (p RatePush) Decide(in *Input) []Move {
-	b := newBoard(in, tuningFor(in, p.Tuning))
-	b.duties()
+	b := newBalancer(in, tuningFor(in, p.Tuning))
+	b.mandatoryMoves()
 	b.probe(b.overloaded, func(prober, probed int) {
 		if b.underloaded(probed) {
-			b.moveBetween(prober, probed)
+			b.moveProbed(prober, probed)
 		}
 	})
 	return b.moves
@@ -39,32 +40,33 @@
 
 // Decide implements Policy.
 func (p RatePull) Decide(in *Input) []Move {
-	b := newBoard(in, tuningFor(in, p.Tuning))
-	b.duties()
+	b := newBalancer(in, tuningFor(in, p.Tuning))
+	b.mandatoryMoves()
 	b.probe(b.underloaded, func(prober, probed int) {
 		if b.overloaded(probed) {
-			b.moveBetween(probed, prober)
+			b.moveProbed(probed, prober)
 		}
 	})
 	return b.moves
 }
 
-func (b *board) moveBetween(from, to int) {
-	if best, found := b.bestPiece(from, to); found {
-		b.take(best, to)
+func (b *balancer) moveProbed(from, to int) {
+	if best, found := b.bestCandidate(from, to); found {
+		b.moveCandidate(best, to)
 	}
 }
 
-// probe spends the probe budget: a random server for which sends holds, looks
-// at a random other live one, and migrate decides what to make of it.
-func (b *board) probe(sends func(int) bool, migrate func(prober, probed int)) {
+// probe uses up the probe budget. In each probe, a random server that satisfies
+// isProber examines a random other live server, and migrate moves load between
+// the two if appropriate.
+func (b *balancer) probe(isProber func(int) bool, migrate func(prober, probed int)) {
 	b.in.Probed = 0
 	live := b.byUtilization(b.live, false)
 	if len(live) < 2 {
 		return
 	}
 	for b.in.Probed < b.in.Budget.Probes && b.movesLeft() {
-		probers := b.byUtilization(sends, false)
+		probers := b.byUtilization(isProber, false)
 		if len(probers) == 0 {
 			return
 		}
--- a/balance/threshold.go
+++ b/balance/threshold.go
@@ -2,20 +2,20 @@
 
 import "sort"
 
-// Push relieves every overloaded server: it gives its best pieces to the
-// coldest servers that are at or below the low threshold, until it is no longer
-// overloaded. All loads are known to it.
+// Push relieves every overloaded server: it moves the server's best candidates
+// to the coldest servers at or below the low threshold, until the server is no
+// longer overloaded. It uses the loads of all servers.
 //
-// The two thresholds, and the names push and pull, are after "On a Class of
-// Push and Pull Strategies with Single Migrations and Limited Probe Rate".
+// The two thresholds and the names push and pull are from "On a Class of Push
+// and Pull Strategies with Single Migrations and Limited Probe Rate".
 type Push struct {
 	// Tuning replaces the defaults of the input's weighting when not nil.
 	Tuning *Tuning
 }
 
-// Pull fills every underloaded server: it takes the best piece of the hottest
-// server that is overloaded, until it is no longer underloaded. All loads are
-// known to it. See Push for the source of the idea.
+// Pull fills every underloaded server: it takes the best candidates of the
+// hottest overloaded servers, until the server is no longer underloaded. It uses
+// the loads of all servers. See Push for the source of the algorithm.
 type Pull struct {
 	// Tuning replaces the defaults of the input's weighting when not nil.
 	Tuning *Tuning
@@ -29,8 +29,8 @@
 
 // Decide implements Policy.
 func (p Push) Decide(in *Input) []Move {
-	b := newBoard(in, tuningFor(in, p.Tuning))
-	b.duties()
+	b := newBalancer(in, tuningFor(in, p.Tuning))
+	b.mandatoryMoves()
 	in.Probed = 0
 	for _, from := range b.byUtilization(b.overloaded, true) {
 		for b.movesLeft() && b.overloaded(from) && b.pushOne(from) {
@@ -39,20 +39,20 @@
 	return b.moves
 }
 
-// pushOne moves one piece to the coldest server that may receive; it reports
-// whether there was one.
-func (b *board) pushOne(from int) bool {
+// pushOne moves the best candidate to the coldest other server if that server is
+// underloaded. It reports whether a move was made.
+func (b *balancer) pushOne(from int) bool {
 	to := b.coldest(0, from)
 	if to == NoOwner || !b.underloaded(to) {
 		return false
 	}
-	return b.transfer(from, to)
+	return b.moveBest(from, to)
 }
 
 // Decide implements Policy.
 func (p Pull) Decide(in *Input) []Move {
-	b := newBoard(in, tuningFor(in, p.Tuning))
-	b.duties()
+	b := newBalancer(in, tuningFor(in, p.Tuning))
+	b.mandatoryMoves()
 	in.Probed = 0
 	for _, to := range b.byUtilization(b.underloaded, false) {
 		for b.movesLeft() && b.underloaded(to) && b.pullOne(to) {
@@ -61,26 +61,26 @@
 	return b.moves
 }
 
-// pullOne takes one piece from the hottest overloaded server that has one worth
-// a move; it reports whether there was one.
-func (b *board) pullOne(to int) bool {
+// pullOne takes one candidate from the hottest overloaded server that has one
+// worth a move. It reports whether a move was made.
+func (b *balancer) pullOne(to int) bool {
 	for _, from := range b.byUtilization(b.overloaded, true) {
-		if b.transfer(from, to) {
+		if b.moveBest(from, to) {
 			return true
 		}
 	}
 	return false
 }
 
-// transfer moves the best piece between two servers and counts the look at the
-// partner. It reports whether a piece was worth it.
-func (b *board) transfer(from, to int) bool {
+// moveBest moves the best candidate between two servers and counts the pair in
+// Input.Probed. It reports whether a candidate was worth a move.
+func (b *balancer) moveBest(from, to int) bool {
 	b.in.Probed++
-	best, found := b.bestPiece(from, to)
+	best, found := b.bestCandidate(from, to)
 	if !found {
 		return false
 	}
-	b.take(best, to)
+	b.moveCandidate(best, to)
 	return true
 }
 
@@ -92,21 +92,21 @@
 }
 
 // overloaded reports whether a live server is above the high threshold.
-func (b *board) overloaded(server int) bool {
+func (b *balancer) overloaded(server int) bool {
 	if !b.live(server) {
 		return false
 	}
 	utilization := b.utilization(server)
-	return utilization > b.tuning.High*b.mean && utilization > b.tuning.Floor
+	return utilization > b.tuning.High*b.meanUtilization && utilization > b.tuning.Floor
 }
 
 // underloaded reports whether a live server is at or below the low threshold.
-func (b *board) underloaded(server int) bool {
-	return b.canReceive(server) && b.utilization(server) <= b.tuning.Low*b.mean
+func (b *balancer) underloaded(server int) bool {
+	return b.canReceive(server) && b.utilization(server) <= b.tuning.Low*b.meanUtilization
 }
 
-// byUtilization lists the servers for which keep holds, in order of utilization.
-func (b *board) byUtilization(keep func(int) bool, descending bool) []int {
+// byUtilization lists the servers that satisfy keep, sorted by utilization.
+func (b *balancer) byUtilization(keep func(int) bool, descending bool) []int {
 	var list []int
 	for i := range b.in.Servers {
 		if keep(i) {
--- a/limit/gate.go
+++ b/limit/gate.go
@@ -16,20 +16,20 @@
 
 	mu       sync.Mutex
 	queue    *Queue
-	waiters  map[uint64]chan *RefusedError // closed or sent to exactly once
+	waiters  map[uint64]chan *RefusedError // each gets at most one value; nil is a grant
 	sequence uint64
 	counts   Counts
 
-	queued atomic.Int64 // as the queue counts them, to be read without the lock
+	queued atomic.Int64 // copy of the queue's length that is read without mu
 }
 
-// serviceCount bounds how many requests of a service wait on this node.
+// serviceCount limits the number of requests of a service that wait on this node.
 type serviceCount struct {
 	waiting atomic.Int64
-	most    atomic.Int64
+	max     atomic.Int64
 }
 
-// Counts are a gate's running totals.
+// Counts are a gate's cumulative totals.
 type Counts struct {
 	Granted    uint64
 	Served     uint64
@@ -38,11 +38,11 @@
 	Refused    map[serverapi.Reason]uint64
 }
 
-// RefusedError reports that a request got no place. It was not sent.
+// RefusedError reports that a request was not granted a slot and was not sent.
 type RefusedError struct{ Refusal }
 
 // Error implements error.
-func (e *RefusedError) Error() string { return "no place at the server: " + string(e.Reason) }
+func (e *RefusedError) Error() string { return "no free slot at the server: " + string(e.Reason) }
 
 func newGate(service *serviceCount, spec Spec, now time.Time) *Gate {
 	return &Gate{
@@ -53,23 +53,24 @@
 	}
 }
 
-// Permit is a place at the server. Release must be called exactly once.
+// Permit is a slot at the server. Release must be called; further calls have no
+// effect.
 type Permit struct {
 	gate *Gate
 	id   uint64
 	once sync.Once
 }
 
-// Release gives the place back.
+// Release releases the slot.
 func (p *Permit) Release(result Result) {
-	p.once.Do(func() { p.gate.finish(p.id, result) })
+	p.once.Do(func() { p.gate.release(p.id, result) })
 }
 
-// Acquire waits for a place for an entry, whose ID the gate gives. It returns a
-// *RefusedError as soon as it is known that there will be none in time, or the
+// Acquire waits for a slot for an entry, whose ID the gate assigns. It returns a
+// *RefusedError as soon as the queue expects no slot before the deadline, or the
 // context's error.
 func (g *Gate) Acquire(ctx context.Context, entry Entry) (*Permit, error) {
-	entry, answer := g.offer(entry)
+	entry, answer := g.enqueue(entry)
 	select {
 	case refused := <-answer:
 		return g.permit(entry, refused)
@@ -79,7 +80,7 @@
 	case refused := <-answer:
 		return g.permit(entry, refused)
 	case <-ctx.Done():
-		return g.abandon(ctx, entry, answer)
+		return g.cancelWait(ctx, entry, answer)
 	}
 }
 
@@ -90,8 +91,9 @@
 	return &Permit{gate: g, id: entry.ID}, nil
 }
 
-// abandon gives up waiting. A grant that came meanwhile is given back.
-func (g *Gate) abandon(ctx context.Context, entry Entry, answer chan *RefusedError) (*Permit, error) {
+// cancelWait stops waiting after the context ended. If a slot was granted in the
+// meantime, it is released.
+func (g *Gate) cancelWait(ctx context.Context, entry Entry, answer chan *RefusedError) (*Permit, error) {
 	g.mu.Lock()
 	waited := g.queue.Cancel(entry)
 	if waited {
@@ -101,12 +103,12 @@
 	}
 	g.mu.Unlock()
 	if !waited && <-answer == nil {
-		g.finish(entry.ID, Result{})
+		g.release(entry.ID, Result{})
 	}
 	return nil, ctx.Err()
 }
 
-func (g *Gate) offer(entry Entry) (Entry, chan *RefusedError) {
+func (g *Gate) enqueue(entry Entry) (Entry, chan *RefusedError) {
 	answer := make(chan *RefusedError, 1)
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -114,11 +116,11 @@
 	entry.ID = g.sequence
 	g.waiters[entry.ID] = answer
 	g.service.waiting.Add(1)
-	g.apply(g.queue.Offer(time.Now(), entry, g.service.waiting.Load() > g.service.most.Load()))
+	g.deliver(g.queue.Offer(time.Now(), entry, g.service.waiting.Load() > g.service.max.Load()))
 	return entry, answer
 }
 
-func (g *Gate) finish(id uint64, result Result) {
+func (g *Gate) release(id uint64, result Result) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if result.Overloaded {
@@ -130,33 +132,33 @@
 	if result.Failed {
 		g.counts.Failed++
 	}
-	g.apply(g.queue.Finish(time.Now(), id, result))
+	g.deliver(g.queue.Finish(time.Now(), id, result))
 }
 
-// sweep refuses what cannot be served in time any more.
+// sweep refuses waiting requests that can no longer be served in time.
 func (g *Gate) sweep(now time.Time) {
 	if g.queued.Load() == 0 {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.apply(g.queue.Sweep(now))
+	g.deliver(g.queue.Sweep(now))
 }
 
-// apply tells waiting requests what became of them.
-func (g *Gate) apply(changes Changes) {
+// deliver notifies waiting requests of their outcome. The caller holds mu.
+func (g *Gate) deliver(changes Changes) {
 	for _, id := range changes.Granted {
 		g.counts.Granted++
-		g.tell(id, nil)
+		g.notify(id, nil)
 	}
 	for _, refused := range changes.Refused {
 		g.counts.Refused[refused.Reason]++
-		g.tell(refused.ID, &RefusedError{Refusal: refused.Refusal})
+		g.notify(refused.ID, &RefusedError{Refusal: refused.Refusal})
 	}
 	g.queued.Store(int64(g.queue.Queued()))
 }
 
-func (g *Gate) tell(id uint64, refused *RefusedError) {
+func (g *Gate) notify(id uint64, refused *RefusedError) {
 	answer, waits := g.waiters[id]
 	if !waits {
 		return
@@ -166,11 +168,11 @@
 	answer <- refused
 }
 
-// Cold starts the server's ramp anew.
+// Cold restarts the ramp of a server that is cold again.
 func (g *Gate) Cold() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.queue.Cold(time.Now())
+	g.queue.RestartRamp(time.Now())
 }
 
 // Stats is a gate's state for dumps, metrics and the picker.
@@ -202,13 +204,13 @@
 	return stats
 }
 
-// Load returns how many requests hold a place or wait, and how many may hold
-// one, without allocating.
+// Load returns the number of requests that hold a slot or wait, and the number of
+// slots. It does not allocate.
 func (g *Gate) Load() (held, window int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.queue.InFlight() + g.queue.Queued(), g.queue.Window(time.Now())
 }
 
-// Queued is how many requests wait.
+// Queued returns the number of waiting requests.
 func (g *Gate) Queued() int { return int(g.queued.Load()) }
--- a/limit/gate_test.go
+++ b/limit/gate_test.go
@@ -17,9 +17,10 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// TestGateUnderConcurrency lets many requests wait, be served, be canceled and
-// run out of time at once: the limit holds, and every place comes back.
-func TestGateUnderConcurrency(t *testing.T) {
+// TestConcurrentRequestsRespectTheLimitAndReleaseEverySlot runs many requests that
+// wait, are served, are canceled or reach their deadline at the same time. It
+// guards against exceeding the limit and against slots that are never released.
+func TestConcurrentRequestsRespectTheLimitAndReleaseEverySlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		set := limit.NewSet(50)
@@ -50,7 +51,7 @@
 				held--
 				mu.Unlock()
 				permit.Release(limit.Result{Served: true})
-				permit.Release(limit.Result{Served: true}) // without effect
+				permit.Release(limit.Result{Served: true}) // the second call has no effect
 			})
 		}
 		done := make(chan struct{})
@@ -76,8 +77,9 @@
 	})
 }
 
-// TestQueuedRequestsOfAServiceAreBounded counts over all servers of a service.
-func TestQueuedRequestsOfAServiceAreBounded(t *testing.T) {
+// TestQueuedRequestsOfAServiceAreLimited checks that the limit applies to the sum
+// over all servers of a service.
+func TestQueuedRequestsOfAServiceAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		set := limit.NewSet(3)
@@ -99,10 +101,10 @@
 		g.Expect(refused).To(gomega.HaveLen(2 + 5))
 		full := 0
 		for range 7 {
-			var no *limit.RefusedError
-			if errors.As(<-refused, &no) {
-				g.Expect(no.Reason).To(gomega.Equal(callerapi.ReasonQueueFull))
-				g.Expect(no.RetryAfter).To(gomega.BeNumerically(">", 0))
+			var refusal *limit.RefusedError
+			if errors.As(<-refused, &refusal) {
+				g.Expect(refusal.Reason).To(gomega.Equal(callerapi.ReasonQueueFull))
+				g.Expect(refusal.RetryAfter).To(gomega.BeNumerically(">", 0))
 				full++
 			}
 		}
@@ -113,25 +115,25 @@
 	})
 }
 
-func TestNodeKeepsRoomForOthers(t *testing.T) {
+func TestOneServiceCannotFillTheNode(t *testing.T) {
 	g := gomega.NewWithT(t)
 	node := limit.NewNode(100)
 	held := 0
 	for node.Enter("greedy", 0) {
 		held++
 	}
-	g.Expect(held).To(gomega.BeNumerically("<", 80), "one service leaves room")
+	g.Expect(held).To(gomega.BeNumerically("<", 80), "one service cannot fill the node")
 	g.Expect(node.Enter("modest", 0)).To(gomega.BeTrue())
 	for node.Enter("third", 0) || node.Enter("fourth", 0) || node.Enter("fifth", 0) {
 		held++
 	}
-	g.Expect(node.Enter("modest", 1)).To(gomega.BeTrue(), "what a backend server asks for has places of its own")
+	g.Expect(node.Enter("modest", 1)).To(gomega.BeTrue(), "slots are reserved for requests of a backend server")
 	before := node.InFlight()
 	node.Leave("modest")
 	g.Expect(node.InFlight()).To(gomega.Equal(before - 1))
 }
 
-// BenchmarkSweepIdle is what the regular look through 1,000 idle queues costs.
+// BenchmarkSweepIdle measures the regular sweep of 1,000 idle queues.
 func BenchmarkSweepIdle(b *testing.B) {
 	set := limit.NewSet(100)
 	for i := range 1000 {
@@ -143,7 +145,7 @@
 	}
 }
 
-// BenchmarkAcquire is a place taken and given back without waiting.
+// BenchmarkAcquire measures acquiring and releasing a slot without waiting.
 func BenchmarkAcquire(b *testing.B) {
 	gate := limit.NewSet(100).Gate("logs", "s1", limit.Spec{Limit: 4, MaxQueued: 100})
 	b.ReportAllocs()
--- a/limit/node.go
+++ b/limit/node.go
@@ -6,71 +6,74 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Shares of the requests that a node may hold.
+// Shares of the requests that a node may hold at once.
 const (
-	// reserve is the part, one in so many, kept for requests that come from a
-	// backend server: those that wait for them hold the rest.
-	reserve = 8
-	// freeShare is how many times the free places one service may hold. One
-	// service alone thus fills freeShare/(freeShare+1) of the node, and leaves
-	// room for others to begin.
-	freeShare = 4
+	// nestedReserveDivisor determines the reserve for requests that come from a
+	// backend server: 1/nestedReserveDivisor of the slots. The requests that wait
+	// for these nested requests may hold all other slots.
+	nestedReserveDivisor = 8
+	// freeSlotFactor limits the slots of one service to this multiple of the free
+	// slots. One service alone therefore fills at most
+	// freeSlotFactor/(freeSlotFactor+1) of the node, so that other services can
+	// still start requests.
+	freeSlotFactor = 4
 )
 
-// Node bounds the requests that one node holds, of all services. A service that
-// holds much leaves room for the others. Methods may be called concurrently.
+// Node limits the number of requests of all services that one node holds. A
+// service with many requests cannot use up the slots of the others. Methods may
+// be called concurrently.
 type Node struct {
-	most int
+	maxRequests int
 
 	mu        sync.Mutex
-	total     int
+	inFlight  int
 	byService map[topo.Service]int
 }
 
-// NewNode returns the bound for a node that may hold most requests.
-func NewNode(most int) *Node {
-	return &Node{most: most, byService: map[topo.Service]int{}}
+// NewNode returns the limit for a node that may hold maxRequests requests.
+func NewNode(maxRequests int) *Node {
+	return &Node{maxRequests: maxRequests, byService: map[topo.Service]int{}}
 }
 
-// Enter takes a place for a request that came through hop services; false means
-// that it is to be refused.
+// Enter takes a slot for a request that came through hop services. It returns
+// false if the request must be refused.
 func (n *Node) Enter(service topo.Service, hop int) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.room(service, hop) {
+	if !n.hasRoom(service, hop) {
 		return false
 	}
-	n.total++
+	n.inFlight++
 	n.byService[service]++
 	return true
 }
 
-func (n *Node) room(service topo.Service, hop int) bool {
-	most := n.most
+func (n *Node) hasRoom(service topo.Service, hop int) bool {
+	most := n.maxRequests
 	if hop == 0 {
-		most -= n.most / reserve
+		most -= n.maxRequests / nestedReserveDivisor
 	}
-	free := most - n.total
+	free := most - n.inFlight
 	if free <= 0 {
 		return false
 	}
-	return n.byService[service] < freeShare*free
+	return n.byService[service] < freeSlotFactor*free
 }
 
-// Leave gives a place back.
+// Leave releases a slot.
 func (n *Node) Leave(service topo.Service) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.total--
+	n.inFlight--
 	n.byService[service]--
 	if n.byService[service] == 0 {
 		delete(n.byService, service)
 	}
 }
 
-// InFlight is how many requests the node holds.
+// InFlight returns the number of requests that the node holds.
 func (n *Node) InFlight() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.total
+	return n.inFlight
 }
--- a/limit/turns_test.go
+++ b/limit/precedence_test.go
@@ -9,16 +9,16 @@
 	"github.com/burdockspindle/burdockspindle/limit"
 )
 
-// nested is an entry that another service asks for while it serves a request.
+// nested returns an entry that a service requests while it serves a request.
 func nested(id uint64, caller string, in time.Duration) limit.Entry {
 	e := entry(id, caller, in)
 	e.Hop = 1
 	return e
 }
 
-// drain finishes what is in flight, one after another, and returns the order of
-// the grants.
-func drain(q *limit.Queue, running uint64, count int) []uint64 {
+// finishInOrder finishes the requests in flight one after another and returns the
+// order of the grants.
+func finishInOrder(q *limit.Queue, running uint64, count int) []uint64 {
 	var order []uint64
 	now := epoch
 	for range count {
@@ -35,27 +35,27 @@
 
 func TestNestedRequestsGoFirst(t *testing.T) {
 	g := gomega.NewWithT(t)
-	q := warm(limit.Spec{Limit: 1, MaxQueued: 100})
+	q := warmQueue(limit.Spec{Limit: 1, MaxQueued: 100})
 	q.Offer(epoch, entry(1, "a", time.Hour), false)
 	q.Offer(epoch, entry(2, "a", time.Minute), false)
 	q.Offer(epoch, entry(3, "b", time.Minute), false)
 	q.Offer(epoch, nested(4, "a", time.Hour), false)
 	q.Offer(epoch, nested(5, "server", time.Hour), false)
-	order := drain(q, 1, 10)
+	order := finishInOrder(q, 1, 10)
 	g.Expect(order).To(gomega.HaveLen(4))
 	g.Expect(order[:2]).To(gomega.ConsistOf(uint64(4), uint64(5)))
 }
 
 func TestNestedRequestsDoNotStarveCallers(t *testing.T) {
 	g := gomega.NewWithT(t)
-	q := warm(limit.Spec{Limit: 1, MaxQueued: 1000})
+	q := warmQueue(limit.Spec{Limit: 1, MaxQueued: 1000})
 	q.Offer(epoch, entry(1, "a", time.Hour), false)
 	for id := uint64(100); id < 200; id++ {
 		q.Offer(epoch, nested(id, "server", time.Hour), false)
 		q.Offer(epoch, entry(id+100, "a", time.Hour), false)
 	}
 	own := 0
-	for _, id := range drain(q, 1, 80) {
+	for _, id := range finishInOrder(q, 1, 80) {
 		if id >= 200 {
 			own++
 		}
@@ -65,29 +65,29 @@
 
 func TestForecastCountsNestedRequestsFirst(t *testing.T) {
 	g := gomega.NewWithT(t)
-	q := warm(limit.Spec{Limit: 1, MaxQueued: 1000})
+	q := warmQueue(limit.Spec{Limit: 1, MaxQueued: 1000})
 	q.Offer(epoch, entry(1, "a", time.Hour), false)
 	for id := uint64(2); id < 52; id++ {
 		q.Offer(epoch, entry(id, "a", time.Hour), false)
 	}
 	soon := 200 * time.Millisecond
-	g.Expect(q.Offer(epoch, entry(100, "b", soon), false).Refused).To(gomega.BeEmpty(), "first of its share")
+	g.Expect(q.Offer(epoch, entry(100, "b", soon), false).Refused).To(gomega.BeEmpty(), "it is the first entry of its share")
 	g.Expect(q.Offer(epoch, nested(101, "server", soon), false).Refused).To(gomega.BeEmpty())
 	for id := uint64(200); id < 250; id++ {
 		q.Offer(epoch, nested(id, "server", time.Hour), false)
 	}
-	g.Expect(q.Offer(epoch, nested(102, "other", soon), false).Refused).To(gomega.BeEmpty(), "shares among nested ones")
+	g.Expect(q.Offer(epoch, nested(102, "other", soon), false).Refused).To(gomega.BeEmpty(), "nested entries have shares of their own")
 	late := q.Offer(epoch, entry(103, "a", 60*time.Millisecond), false)
 	g.Expect(late.Refused).To(gomega.HaveLen(1))
 }
 
 func TestNestedRequestsCanBeCanceled(t *testing.T) {
 	g := gomega.NewWithT(t)
-	q := warm(limit.Spec{Limit: 1, MaxQueued: 100})
+	q := warmQueue(limit.Spec{Limit: 1, MaxQueued: 100})
 	q.Offer(epoch, entry(1, "a", time.Hour), false)
 	waiting := nested(2, "a", time.Hour)
 	q.Offer(epoch, waiting, false)
 	g.Expect(q.Cancel(waiting)).To(gomega.BeTrue())
 	g.Expect(q.Queued()).To(gomega.BeZero())
-	g.Expect(drain(q, 1, 1)).To(gomega.BeEmpty())
+	g.Expect(finishInOrder(q, 1, 1)).To(gomega.BeEmpty())
 }
--- a/limit/queue_test.go
+++ b/limit/queue_test.go
@@ -16,31 +16,31 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-// machine drives a queue with offers, ends, cancellations, sweeps and the
-// passing of time, and keeps what must hold.
-type machine struct {
-	passed  int // nested requests granted in a row while others wait
-	spec    limit.Spec
-	queue   *limit.Queue
-	now     time.Time
-	next    uint64
-	waiting map[uint64]limit.Entry
-	held    map[uint64]bool
+// queueModel drives a queue with offers, completions, cancellations, sweeps and
+// the passage of time, and checks its invariants.
+type queueModel struct {
+	nestedInRow int // nested requests granted in a row while callers' own wait
+	spec        limit.Spec
+	queue       *limit.Queue
+	now         time.Time
+	lastID      uint64
+	waiting     map[uint64]limit.Entry
+	held        map[uint64]bool
 }
 
-func (m *machine) apply(t *rapid.T, changes limit.Changes) {
+func (m *queueModel) apply(t *rapid.T, changes limit.Changes) {
 	for _, refused := range changes.Refused {
 		if _, waits := m.waiting[refused.ID]; !waits {
-			t.Fatalf("request %d was refused after its end", refused.ID)
+			t.Fatalf("request %d was refused but does not wait", refused.ID)
 		}
 		if refused.Reason == "" || refused.RetryAfter <= 0 {
-			t.Fatalf("refusal without reason or time to come back: %+v", refused)
+			t.Fatalf("refusal without reason or retry delay: %+v", refused)
 		}
 		delete(m.waiting, refused.ID)
 	}
 	for _, id := range changes.Granted {
 		if _, waits := m.waiting[id]; !waits {
-			t.Fatalf("request %d was granted twice, or after its end", id)
+			t.Fatalf("request %d was granted a slot but does not wait", id)
 		}
 		m.checkOrder(t, id)
 		delete(m.waiting, id)
@@ -50,42 +50,43 @@
 		t.Fatalf("%d in flight with a limit of %d", len(m.held), m.spec.Limit)
 	}
 	if m.queue.InFlight() != len(m.held) || m.queue.Queued() != len(m.waiting) {
-		t.Fatalf("counts %d/%d, really %d/%d", m.queue.InFlight(), m.queue.Queued(), len(m.held), len(m.waiting))
+		t.Fatalf("queue reports %d in flight and %d queued, want %d and %d", m.queue.InFlight(), m.queue.Queued(), len(m.held), len(m.waiting))
 	}
 	if len(m.waiting) > m.spec.MaxQueued {
-		t.Fatalf("%d wait with room for %d", len(m.waiting), m.spec.MaxQueued)
+		t.Fatalf("%d requests wait with a limit of %d", len(m.waiting), m.spec.MaxQueued)
 	}
 }
 
-// mostPassed is how many nested requests may be granted in a row while callers'
-// own wait.
-const mostPassed = 3
+// maxNestedRun is how many nested requests may be granted in a row while callers'
+// own requests wait.
+const maxNestedRun = 3
 
-// checkOrder: nobody of the same caller and kind with an earlier deadline still
-// waits, and callers' own requests are passed by a bounded number of nested ones.
-func (m *machine) checkOrder(t *rapid.T, id uint64) {
+// checkOrder checks that no request of the same caller and kind with an earlier
+// deadline still waits, and that at most maxNestedRun nested requests in a row
+// are granted before callers' own requests.
+func (m *queueModel) checkOrder(t *rapid.T, id uint64) {
 	granted := m.waiting[id]
 	ownWaits := false
 	for _, other := range m.waiting {
 		nested := other.Hop > 0
 		ownWaits = ownWaits || !nested
 		if other.Caller == granted.Caller && nested == (granted.Hop > 0) && other.Deadline.Before(granted.Deadline) {
-			t.Fatalf("deadline %v went before %v", granted.Deadline.Sub(epoch), other.Deadline.Sub(epoch))
+			t.Fatalf("request with deadline %v was granted before one with deadline %v", granted.Deadline.Sub(epoch), other.Deadline.Sub(epoch))
 		}
 	}
 	if granted.Hop == 0 || !ownWaits {
-		m.passed = 0
+		m.nestedInRow = 0
 		return
 	}
-	m.passed++
-	if m.passed > mostPassed {
-		t.Fatalf("%d nested requests in a row while callers' own wait", m.passed)
+	m.nestedInRow++
+	if m.nestedInRow > maxNestedRun {
+		t.Fatalf("%d nested requests in a row while callers' own wait", m.nestedInRow)
 	}
 }
 
 func TestQueueInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &machine{now: epoch, waiting: map[uint64]limit.Entry{}, held: map[uint64]bool{}}
+		m := &queueModel{now: epoch, waiting: map[uint64]limit.Entry{}, held: map[uint64]bool{}}
 		m.spec = limit.Spec{
 			Limit:     rapid.IntRange(1, 6).Draw(t, "limit"),
 			MaxQueued: rapid.IntRange(0, 10).Draw(t, "queue"),
@@ -95,13 +96,13 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"": func(t *rapid.T) {
 				if m.queue.Window(m.now) < 1 || m.queue.Window(m.now) > m.spec.Limit {
-					t.Fatalf("window %d", m.queue.Window(m.now))
+					t.Fatalf("window %d is not between 1 and the limit", m.queue.Window(m.now))
 				}
 			},
 			"offer": func(t *rapid.T) {
-				m.next++
+				m.lastID++
 				entry := limit.Entry{
-					ID:       m.next,
+					ID:       m.lastID,
 					Caller:   rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "caller"),
 					Deadline: m.now.Add(time.Duration(rapid.IntRange(1, 500).Draw(t, "deadline")) * time.Millisecond),
 					Hop:      rapid.IntRange(0, 1).Draw(t, "hop"),
@@ -137,8 +138,8 @@
 	})
 }
 
-// warm returns a queue that has learned a busy time of 10 ms.
-func warm(spec limit.Spec) *limit.Queue {
+// warmQueue returns a queue of a warm server with an observed busy time of 10 ms.
+func warmQueue(spec limit.Spec) *limit.Queue {
 	q := limit.NewQueue(spec, epoch.Add(-time.Hour))
 	for i := range uint64(8) {
 		at := epoch.Add(-time.Minute)
@@ -152,24 +153,24 @@
 	return limit.Entry{ID: id, Caller: caller, Deadline: epoch.Add(in)}
 }
 
-func TestRefusesAtOnceWhatCannotMakeIt(t *testing.T) {
+func TestRequestsThatWouldMissTheirDeadlineAreRefusedAtOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
-	q := warm(limit.Spec{Limit: 1, MaxQueued: 100})
+	q := warmQueue(limit.Spec{Limit: 1, MaxQueued: 100})
 	for id := range uint64(6) {
 		g.Expect(q.Offer(epoch, entry(id, "a", time.Second), false).Refused).To(gomega.BeEmpty())
 	}
 	late := q.Offer(epoch, entry(10, "a", 20*time.Millisecond), false)
-	g.Expect(late.Refused).To(gomega.BeEmpty(), "an earlier deadline goes first and makes it")
-	hopeless := q.Offer(epoch, entry(11, "a", 3*time.Millisecond), false)
-	g.Expect(hopeless.Refused).To(gomega.HaveLen(1))
-	g.Expect(hopeless.Refused[0].Reason).To(gomega.Equal(callerapi.ReasonTooLate))
+	g.Expect(late.Refused).To(gomega.BeEmpty(), "a request with an earlier deadline goes first and is served in time")
+	tooLate := q.Offer(epoch, entry(11, "a", 3*time.Millisecond), false)
+	g.Expect(tooLate.Refused).To(gomega.HaveLen(1))
+	g.Expect(tooLate.Refused[0].Reason).To(gomega.Equal(callerapi.ReasonTooLate))
 }
 
-// TestStalledServerShedsBeforeDeadlines: a server that stops answering makes the
-// queue give up requests long before their deadlines.
+// TestStalledServerShedsBeforeDeadlines checks that the queue refuses requests
+// well before their deadlines when the server stops responding.
 func TestStalledServerShedsBeforeDeadlines(t *testing.T) {
 	g := gomega.NewWithT(t)
-	q := warm(limit.Spec{Limit: 1, MaxQueued: 100})
+	q := warmQueue(limit.Spec{Limit: 1, MaxQueued: 100})
 	q.Offer(epoch, entry(1, "a", time.Minute), false)
 	q.Offer(epoch, entry(2, "a", 300*time.Millisecond), false)
 	g.Expect(q.Sweep(epoch.Add(20 * time.Millisecond)).Refused).To(gomega.BeEmpty())
@@ -178,11 +179,11 @@
 	g.Expect(swept.Refused[0].RetryAfter).To(gomega.BeNumerically(">=", 160*time.Millisecond))
 }
 
-// TestOneCallerCannotStarveTheRest: one caller keeps a long queue, another asks
-// now and then; over many places each gets its half, in server time.
-func TestOneCallerCannotStarveTheRest(t *testing.T) {
+// TestOneCallerCannotStarveOthers checks that of two callers whose requests wait,
+// one with a higher busy time per request, each gets half of the server time.
+func TestOneCallerCannotStarveOthers(t *testing.T) {
 	g := gomega.NewWithT(t)
-	q := warm(limit.Spec{Limit: 1, MaxQueued: 1000})
+	q := warmQueue(limit.Spec{Limit: 1, MaxQueued: 1000})
 	now := epoch
 	id := uint64(0)
 	busy := map[string]time.Duration{"greedy": 30 * time.Millisecond, "modest": 10 * time.Millisecond}
@@ -213,9 +214,9 @@
 	g.Expect(share).To(gomega.BeNumerically("~", 0.5, 0.08))
 }
 
-func TestFullQueueGivesUpTheLongestShare(t *testing.T) {
+func TestFullQueueEvictsFromTheLongestShare(t *testing.T) {
 	g := gomega.NewWithT(t)
-	q := warm(limit.Spec{Limit: 1, MaxQueued: 4})
+	q := warmQueue(limit.Spec{Limit: 1, MaxQueued: 4})
 	q.Offer(epoch, entry(1, "greedy", time.Hour), false)
 	for id := uint64(2); id <= 5; id++ {
 		q.Offer(epoch, entry(id, "greedy", time.Hour+time.Duration(id)), false)
@@ -232,7 +233,7 @@
 	g.Expect(changes.Refused[0].ID).To(gomega.Equal(uint64(4)))
 }
 
-func TestColdServerRamps(t *testing.T) {
+func TestWindowOfAColdServerGrowsOverTheRamp(t *testing.T) {
 	g := gomega.NewWithT(t)
 	q := limit.NewQueue(limit.Spec{Limit: 4, MaxQueued: 100, Ramp: 900 * time.Millisecond}, epoch)
 	for id := range uint64(10) {
@@ -246,12 +247,13 @@
 	g.Expect(q.InFlight()).To(gomega.Equal(3))
 }
 
-// TestColdServerDoesNotShedWhatItWillServeOnceWarm: 50 requests of 10 ms take
-// 500 ms one at a time, but the server is warm in 100 ms.
-func TestColdServerDoesNotShedWhatItWillServeOnceWarm(t *testing.T) {
+// TestForecastIncludesTheRampOfAColdServer guards against refusing requests that a
+// cold server can serve once it is warm: 50 requests of 10 ms take 500 ms one at a
+// time, but the server is warm after 100 ms.
+func TestForecastIncludesTheRampOfAColdServer(t *testing.T) {
 	g := gomega.NewWithT(t)
-	q := warm(limit.Spec{Limit: 5, MaxQueued: 100, Ramp: 100 * time.Millisecond})
-	q.Cold(epoch)
+	q := warmQueue(limit.Spec{Limit: 5, MaxQueued: 100, Ramp: 100 * time.Millisecond})
+	q.RestartRamp(epoch)
 	for id := range uint64(50) {
 		changes := q.Offer(epoch, entry(id, "a", 300*time.Millisecond), false)
 		g.Expect(changes.Refused).To(gomega.BeEmpty(), "request %d", id)
@@ -261,12 +263,12 @@
 	for id := uint64(60); id < 160; id++ {
 		late += len(q.Offer(epoch, entry(id, "a", 301*time.Millisecond), false).Refused)
 	}
-	g.Expect(late).To(gomega.BeNumerically(">", 20), "more than it can serve is still refused")
+	g.Expect(late).To(gomega.BeNumerically(">", 20), "requests beyond what the warm server can serve are refused")
 }
 
-func TestOverloadedServerGetsLess(t *testing.T) {
+func TestOverloadReducesTheWindow(t *testing.T) {
 	g := gomega.NewWithT(t)
-	q := warm(limit.Spec{Limit: 6, MaxQueued: 100})
+	q := warmQueue(limit.Spec{Limit: 6, MaxQueued: 100})
 	for id := range uint64(6) {
 		q.Offer(epoch, entry(id, "a", time.Hour), false)
 	}
@@ -279,5 +281,5 @@
 		q.Offer(epoch, entry(id, "a", time.Hour), false)
 		q.Finish(epoch.Add(10*time.Millisecond), id, limit.Result{Served: true})
 	}
-	g.Expect(q.Window(epoch)).To(gomega.Equal(6), "it recovers with answers")
+	g.Expect(q.Window(epoch)).To(gomega.Equal(6), "the window recovers with served requests")
 }
--- a/limit/set.go
+++ b/limit/set.go
@@ -7,33 +7,33 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Set holds the gates of every server for which this node is the admission
-// point, or to which it sends directly. Methods may be called concurrently.
+// Set contains the gates of the servers for which this node is the admission
+// point or to which it sends directly. Methods may be called concurrently.
 type Set struct {
-	maxQueued int // for each service
+	maxQueuedPerService int
 
 	mu       sync.RWMutex
-	gates    map[topo.ServerID]*held
+	gates    map[topo.ServerID]*gateEntry
 	services map[topo.Service]*serviceCount
 }
 
-type held struct {
+type gateEntry struct {
 	gate *Gate
 	spec Spec
 }
 
-// NewSet returns an empty set in which at most maxQueued requests of each
-// service wait.
+// NewSet returns an empty set in which at most maxQueued requests of each service
+// may wait.
 func NewSet(maxQueued int) *Set {
 	return &Set{
-		maxQueued: maxQueued,
-		gates:     map[topo.ServerID]*held{},
-		services:  map[topo.Service]*serviceCount{},
+		maxQueuedPerService: maxQueued,
+		gates:               map[topo.ServerID]*gateEntry{},
+		services:            map[topo.Service]*serviceCount{},
 	}
 }
 
-// Gate returns the gate of a server, made cold if need be, with the
-// configuration that it is to have now.
+// Gate returns the gate of a server with the given configuration. If there is
+// none, it creates a gate and treats the server as cold.
 func (s *Set) Gate(service topo.Service, server topo.ServerID, spec Spec) *Gate {
 	s.mu.RLock()
 	found, exists := s.gates[server]
@@ -50,7 +50,7 @@
 func (s *Set) configure(service topo.Service, server topo.ServerID, spec Spec) *Gate {
 	found, exists := s.gates[server]
 	if !exists {
-		found = &held{gate: newGate(s.count(service), spec, time.Now())}
+		found = &gateEntry{gate: newGate(s.serviceCountFor(service), spec, time.Now())}
 		s.gates[server] = found
 	}
 	if found.spec != spec {
@@ -60,11 +60,11 @@
 	return found.gate
 }
 
-func (s *Set) count(service topo.Service) *serviceCount {
+func (s *Set) serviceCountFor(service topo.Service) *serviceCount {
 	found, exists := s.services[service]
 	if !exists {
 		found = &serviceCount{}
-		found.most.Store(int64(s.maxQueued))
+		found.max.Store(int64(s.maxQueuedPerService))
 		s.services[service] = found
 	}
 	return found
@@ -99,7 +99,7 @@
 	return waiting
 }
 
-// Gates lists the gates by server.
+// Gates returns the gates by server.
 func (s *Set) Gates() map[topo.ServerID]*Gate {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -110,8 +110,8 @@
 	return all
 }
 
-// Retain forgets the gates of servers that keep says no to and that hold
-// nothing.
+// Retain removes the gates of servers for which keep returns false, except gates
+// with requests in flight or waiting.
 func (s *Set) Retain(keep func(topo.ServerID) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/modules/planner/module.go
+++ b/modules/planner/module.go
@@ -1,7 +1,7 @@
-// Package planner is the module duty.planner: the node that holds the planner's
-// role carries out what package planner decides, by records for shards that
-// nobody owns and by requests to lessors for the others. Every node reports the
-// load that it observed up a tree that ends at that node.
+// Package planner is the module duty.planner. The node that holds the planner's
+// role carries out the decisions of package planner: it submits records for
+// shards without an owner and sends requests to lessors for the others. Every
+// node reports the load that it observed through a tree whose root is that node.
 package planner
 
 import (
@@ -22,11 +22,11 @@
 )
 
 const (
-	decideEvery = time.Second            // without a change
-	settleFor   = 100 * time.Millisecond // after a change, so that one decision sees several
-	workShare   = 100                    // decisions take 1 % of a core at most
-	longestRest = 5 * time.Second
-	moveTimeout = 2 * time.Second // of one request to a lessor
+	decisionInterval = time.Second            // between decisions when nothing changes
+	changeDelay      = 100 * time.Millisecond // delay after a change, so that one decision covers several
+	restFactor       = 100                    // rest per decision time; decisions take 1 % of a core at most
+	maxRest          = 5 * time.Second
+	moveTimeout      = 2 * time.Second // for one request to a lessor
 )
 
 func init() { kernel.Register(&Module{}) }
@@ -40,11 +40,11 @@
 	handlers *peer.Handlers
 	roles    membership.Roles
 	policy   balance.Policy
-	recorder *load.Recorder   // nil where nothing measures load
-	stats    load.StatsSource // nil where there is no router
+	recorder *load.Recorder   // nil if no module measures load
+	stats    load.StatsSource // nil if there is no router
 	inbox    *inbox
 	writer   *submit.Writer
-	duty     *duty
+	decider  *decider
 	cancel   context.CancelFunc
 	running  sync.WaitGroup
 }
@@ -85,10 +85,10 @@
 func (m *Module) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	m.cancel = cancel
-	m.duty = newDuty(m)
-	requests := &mover{module: m, requests: m.duty.requests, results: m.duty.results}
+	m.decider = newDecider(m)
+	requests := &mover{module: m, requests: m.decider.requests, results: m.decider.results}
 	reports := &reporter{module: m}
-	for _, run := range []func(context.Context){m.writer.Run, m.duty.run, requests.run, reports.run} {
+	for _, run := range []func(context.Context){m.writer.Run, m.decider.run, requests.run, reports.run} {
 		m.running.Go(func() { run(ctx) })
 	}
 	return nil
@@ -111,16 +111,16 @@
 		Reports: m.inbox.size(),
 		Writer:  m.writer.Dump(),
 	}
-	if m.duty != nil {
-		d.Latest = m.duty.latest.Load()
+	if m.decider != nil {
+		d.Latest = m.decider.latest.Load()
 	}
 	return d
 }
 
 type dump struct {
-	Holds   bool        `json:"holds"`
-	Policy  string      `json:"policy"`
-	Reports int         `json:"reports"`
-	Writer  submit.Dump `json:"writer"`
-	Latest  *decided    `json:"latest,omitempty"`
+	Holds   bool             `json:"holds"`
+	Policy  string           `json:"policy"`
+	Reports int              `json:"reports"`
+	Writer  submit.Dump      `json:"writer"`
+	Latest  *decisionSummary `json:"latest,omitempty"`
 }
--- a/planner/merge_test.go
+++ b/planner/merge_test.go
@@ -18,7 +18,7 @@
 
 func ref(index uint32) *bspb.ShardRef { return &bspb.ShardRef{Service: "logs", Index: index} }
 
-func TestMergedReportsAddUp(t *testing.T) {
+func TestMergeSumsReports(t *testing.T) {
 	g := gomega.NewWithT(t)
 	one := &bspb.ReportLoadRequest{
 		WindowSeconds: 3,
@@ -34,7 +34,7 @@
 	}
 	before := proto.CloneOf(one)
 	merged := planner.Merge([]*bspb.ReportLoadRequest{one, two}, 1<<20)
-	g.Expect(proto.Equal(one, before)).To(gomega.BeTrue(), "its inputs are left alone")
+	g.Expect(proto.Equal(one, before)).To(gomega.BeTrue(), "Merge does not modify its inputs")
 	g.Expect(merged.WindowSeconds).To(gomega.Equal(3.0))
 	g.Expect(merged.Shards).To(gomega.HaveLen(2))
 	g.Expect(merged.Shards[0].PerSecond).To(gomega.Equal(100.0))
@@ -43,12 +43,12 @@
 	g.Expect(merged.Keys[0].ErrorPerSecond).To(gomega.Equal(5.0))
 	server := merged.Servers[0]
 	g.Expect(server.InFlight).To(gomega.Equal(3.0))
-	// 200 requests a second of 10 ms and 25 of 40 ms.
+	// 200 requests per second of 10 ms and 25 requests per second of 40 ms.
 	g.Expect(server.MeanLatencyMs).To(gomega.BeNumerically("~", 3000.0/225, 1e-9))
 	g.Expect([]float64{server.ShedPerSecond, server.ErrorPerSecond}).To(gomega.Equal([]float64{1, 2}))
 }
 
-func TestAMergedReportKeepsTheHottestWithinItsLimit(t *testing.T) {
+func TestMergeKeepsTheHottestEntriesWithinTheSizeLimit(t *testing.T) {
 	g := gomega.NewWithT(t)
 	report := &bspb.ReportLoadRequest{}
 	for i := range uint32(1000) {
@@ -69,8 +69,9 @@
 	}
 }
 
-// TestManyServersLeaveRoomForKeysAndShards merges reports of a large site.
-func TestManyServersLeaveRoomForKeysAndShards(t *testing.T) {
+// TestMergeOfManyServersKeepsKeysAndShards guards against a report in which the
+// 1,000 servers of a large site leave no space for keys and shards.
+func TestMergeOfManyServersKeepsKeysAndShards(t *testing.T) {
 	g := gomega.NewWithT(t)
 	report := &bspb.ReportLoadRequest{}
 	for i := range uint32(1000) {
@@ -85,8 +86,9 @@
 	g.Expect(len(merged.Shards)).To(gomega.BeNumerically(">", 20))
 }
 
-// TestReportsStayWithinTheBudget adds up what a node takes in and sends on.
-func TestReportsStayWithinTheBudget(t *testing.T) {
+// TestReportTrafficStaysWithinTheBudget sums the reports that a node receives and
+// sends.
+func TestReportTrafficStaysWithinTheBudget(t *testing.T) {
 	g := gomega.NewWithT(t)
 	large := planner.ReportingFor(660)
 	perSecond := float64((planner.FanIn+1)*large.Bytes) / large.Every.Seconds()
@@ -94,7 +96,8 @@
 	g.Expect(planner.ReportingFor(12).MaxAge()).To(gomega.BeNumerically(">", 2*planner.ReportingFor(12).Every))
 }
 
-// TestEveryReportReachesThePlanner follows the parents of each of 660 nodes.
+// TestEveryReportReachesThePlanner follows the parents of each of 660 nodes up to
+// the first candidate.
 func TestEveryReportReachesThePlanner(t *testing.T) {
 	g := gomega.NewWithT(t)
 	nodes := make([]topo.NodeID, 660)
@@ -118,42 +121,43 @@
 	g.Expect(planner.Parents(nodes, "stranger")).To(gomega.BeEmpty())
 }
 
-// TestAKeyWithAnotherOwnerIsMovedBeforeItIsMerged has a policy that wants the
-// key back in its hash range.
+// TestAKeyWithAnotherOwnerIsMovedBeforeItIsMerged uses a policy that always
+// merges the key into its hash range. A merge takes effect only if one server
+// owns both.
 func TestAKeyWithAnotherOwnerIsMovedBeforeItIsMerged(t *testing.T) {
-	b := newBench(t, sitefake.Keyed("logs", 4))
-	b.servers("logs", 1)
-	b.settle()
+	h := newHarness(t, sitefake.Keyed("logs", 4))
+	h.addLiveServers("logs", 1)
+	h.decideUntilIdle()
 	const key = "k"
-	parent := b.shards("logs")[topo.ShardIndex(key, 4)]
-	other := b.shards("logs")[(parent.Shard.Index+1)%4].Owner
+	parent := h.shards("logs")[topo.ShardIndex(key, 4)]
+	other := h.shards("logs")[(parent.Shard.Index+1)%4].Owner
 	if other == parent.Owner {
-		other = b.shards("logs")[(parent.Shard.Index+2)%4].Owner
+		other = h.shards("logs")[(parent.Shard.Index+2)%4].Owner
 	}
 	id := topo.ShardID{Service: "logs", Index: parent.Shard.Index, Key: key}
-	b.accepted(b.site.Make(&bspb.ShardMove{
+	h.expectAccepted(h.site.Make(&bspb.ShardMove{
 		Shard: &bspb.ShardRef{Service: "logs", Index: id.Index, Key: key}, To: string(other),
 		Fence: &bspb.Ordinal{Offset: uint64(parent.Fence.Offset)},
 	}))
-	b.policy = merging{id}
-	first := b.decide()
-	b.g.Expect(moves(first, "cooled")).To(gomega.HaveLen(1))
-	b.g.Expect(moves(first, "cooled")[0].Merge).To(gomega.BeFalse())
-	b.g.Expect(moves(first, "cooled")[0].To).To(gomega.BeEquivalentTo(parent.Owner))
-	b.carryOut(first)
-	second := b.decide()
-	b.g.Expect(moves(second, "cooled")[0].Merge).To(gomega.BeTrue())
-	b.carryOut(second)
-	_, exists := b.site.View().Shard(id)
-	b.g.Expect(exists).To(gomega.BeFalse())
+	h.policy = mergePolicy{id}
+	first := h.decide()
+	h.g.Expect(moves(first, "cooled")).To(gomega.HaveLen(1))
+	h.g.Expect(moves(first, "cooled")[0].Merge).To(gomega.BeFalse())
+	h.g.Expect(moves(first, "cooled")[0].To).To(gomega.BeEquivalentTo(parent.Owner))
+	h.apply(first)
+	second := h.decide()
+	h.g.Expect(moves(second, "cooled")[0].Merge).To(gomega.BeTrue())
+	h.apply(second)
+	_, exists := h.site.View().Shard(id)
+	h.g.Expect(exists).To(gomega.BeFalse())
 }
 
-// merging is a policy that always wants one key merged.
-type merging struct{ id topo.ShardID }
+// mergePolicy is a policy that always merges one key.
+type mergePolicy struct{ id topo.ShardID }
 
-func (merging) Name() string { return "merging" }
+func (mergePolicy) Name() string { return "merging" }
 
-func (m merging) Decide(in *balance.Input) []balance.Move {
+func (m mergePolicy) Decide(in *balance.Input) []balance.Move {
 	for _, shard := range in.Shards {
 		if shard.ID == m.id {
 			to := in.Servers[shard.Owner].ID
@@ -163,29 +167,30 @@
 	return nil
 }
 
-// TestMovesForLoadAreRationed has a policy that moves as much as it may.
-func TestMovesForLoadAreRationed(t *testing.T) {
-	b := newBench(t, sitefake.Keyed("logs", 60))
-	b.servers("logs", 2)
-	b.settle()
-	b.policy = restless{}
-	made := 0
+// TestMovesForLoadAreRateLimited uses a policy that makes as many moves as its
+// budget allows.
+func TestMovesForLoadAreRateLimited(t *testing.T) {
+	h := newHarness(t, sitefake.Keyed("logs", 60))
+	h.addLiveServers("logs", 2)
+	h.decideUntilIdle()
+	h.policy = exhaustBudgetPolicy{}
+	moveCount := 0
 	for range 300 {
-		plan := b.decide()
-		made += len(moves(plan, "load"))
-		b.carryOut(plan)
-		b.now = b.now.Add(time.Second)
+		plan := h.decide()
+		moveCount += len(moves(plan, "load"))
+		h.apply(plan)
+		h.now = h.now.Add(time.Second)
 	}
-	b.g.Expect(made).To(gomega.BeNumerically("~", 5*15+5, 3), "15 a minute and a burst of 5")
+	h.g.Expect(moveCount).To(gomega.BeNumerically("~", 5*15+5, 3), "15 moves per minute and a burst of 5")
 }
 
-// restless is a policy that moves ranges to the next server while its budget
-// lasts.
-type restless struct{}
+// exhaustBudgetPolicy is a policy that moves ranges to the next server until its
+// budget is used up.
+type exhaustBudgetPolicy struct{}
 
-func (restless) Name() string { return "restless" }
+func (exhaustBudgetPolicy) Name() string { return "restless" }
 
-func (restless) Decide(in *balance.Input) []balance.Move {
+func (exhaustBudgetPolicy) Decide(in *balance.Input) []balance.Move {
 	var list []balance.Move
 	for _, shard := range in.Shards {
 		if len(list) < in.Budget.Moves && !shard.Moving {
