--- a/retry/budget.go
+++ b/retry/budget.go
@@ -2,40 +2,40 @@
 
 import "time"
 
-// The window of a budget: a ring of slots, each for a part of it.
+// A budget counts over a sliding window, which is a ring of slots of equal length.
 const (
 	budgetSlots    = 10
 	budgetSlotTime = time.Second
 )
 
 // Budget allows a number of retries in proportion to the first attempts of the
-// last ten seconds, so that an outage is not multiplied. It is pure and not for
-// concurrent use.
+// last ten seconds, so that retries do not amplify an outage. It does no I/O and
+// is not safe for concurrent use.
 type Budget struct {
-	ratio float64 // retries for each first attempt
-	least float64 // retries per window that are always allowed
-	slots [budgetSlots]budgetSlot
+	ratio        float64 // retries for each first attempt
+	minPerWindow float64 // retries per window that are always allowed
+	slots        [budgetSlots]budgetSlot
 }
 
 type budgetSlot struct {
-	index   int64 // which part of time
+	index   int64 // Unix time divided by budgetSlotTime
 	firsts  float64
 	retries float64
 }
 
-// NewBudget returns a budget of ratio retries for each first attempt, and least
-// in each window however few those are.
-func NewBudget(ratio, least float64) *Budget {
-	return &Budget{ratio: ratio, least: least}
+// NewBudget returns a budget of ratio retries for each first attempt, plus
+// minPerWindow retries in each window regardless of the number of first attempts.
+func NewBudget(ratio, minPerWindow float64) *Budget {
+	return &Budget{ratio: ratio, minPerWindow: minPerWindow}
 }
 
-// First counts a first attempt.
+// First records a first attempt.
 func (b *Budget) First(now time.Time) { b.slot(now).firsts++ }
 
-// Take counts a retry if the budget allows it.
+// Take reports whether the budget allows a retry, and records the retry if so.
 func (b *Budget) Take(now time.Time) bool {
-	firsts, retries := b.sums(now)
-	if retries+1 > b.least+b.ratio*firsts {
+	firsts, retries := b.totals(now)
+	if retries+1 > b.minPerWindow+b.ratio*firsts {
 		return false
 	}
 	b.slot(now).retries++
@@ -44,7 +44,7 @@
 
 // Spent returns the retries and the first attempts within the window.
 func (b *Budget) Spent(now time.Time) (retries, firsts float64) {
-	firsts, retries = b.sums(now)
+	firsts, retries = b.totals(now)
 	return retries, firsts
 }
 
@@ -57,7 +57,7 @@
 	return slot
 }
 
-func (b *Budget) sums(now time.Time) (firsts, retries float64) {
+func (b *Budget) totals(now time.Time) (firsts, retries float64) {
 	oldest := now.UnixNano()/int64(budgetSlotTime) - budgetSlots
 	for i := range b.slots {
 		if b.slots[i].index > oldest {
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,5 +1,6 @@
-// Package retry decides whether a request is tried again, when and where. The
-// decision is pure: time, randomness and the budget come in as arguments.
+// Package retry decides whether and when a request is retried, and whether it is
+// routed again first. The decision is a pure function: time, randomness and the
+// budget are arguments.
 package retry
 
 import (
@@ -10,12 +11,12 @@
 	"github.com/burdockspindle/burdockspindle/serverapi"
 )
 
-// Backoff before the n-th retry: a random time up to base × 2ⁿ, and no more
-// than the most.
+// The backoff before the n-th retry is a random duration up to
+// BackoffBase × 2ⁿ, and never longer than BackoffMax.
 const (
 	BackoffBase = 10 * time.Millisecond
-	BackoffMost = 250 * time.Millisecond
-	// MaxAttempts bounds the attempts at one request that cost budget.
+	BackoffMax  = 250 * time.Millisecond
+	// MaxAttempts bounds the attempts at one request that draw on the retry budget.
 	MaxAttempts = 4
 )
 
@@ -24,71 +25,74 @@
 
 // Actions.
 const (
-	// Stop: the verdict is final.
+	// Stop returns the verdict to the caller.
 	Stop Action = iota + 1
-	// Reroute: wait until another owner, fence or lessor is known, or the
-	// present one can be reached again, and only then try. The buffer bounds
-	// it, and nobody is asked twice for nothing, so it costs no budget.
+	// Reroute waits until another owner, fence or lessor is known, or the current
+	// one is reachable again, and only then sends the next attempt. It draws on
+	// no retry budget, because the buffer bounds the waiting requests and no
+	// server receives an attempt that cannot succeed.
 	Reroute
-	// Again: try after the wait, at another server where there is a choice.
+	// Retry sends another attempt after Decision.Wait, to another server if the
+	// service has a choice of servers.
 	Again
 )
 
 // Attempt describes an attempt and its request.
 type Attempt struct {
 	Verdict    outcome.Verdict
-	Keyed      bool // one server alone may serve it
-	Idempotent bool // may run more than once
-	Replayable bool // its body can be sent again
-	Canceled   bool // the caller went away
-	Forwarded  bool // it came from another entry node, which decides on retries
+	Keyed      bool // only the owner of the key may serve the request
+	Idempotent bool // the request may run more than once
+	Replayable bool // the body can be sent again
+	Canceled   bool // the caller disconnected
+	Forwarded  bool // received from another entry node, which decides on retries
 	Settled    bool // another node has already waited for the owner
-	Hop        int  // services through which the request came
-	Attempts   int  // made so far, this one included
+	Hop        int  // number of services that the request has passed through
+	Attempts   int  // attempts made so far, including this one
 	Deadline   time.Time
-	Busy       time.Duration // expected time of an attempt; 0 when not known
+	Busy       time.Duration // expected duration of an attempt; 0 if unknown
 }
 
-// Decision is what to do and after how long.
+// Decision is the action to take after an attempt.
 type Decision struct {
 	Action Action
-	Wait   time.Duration // before Again
+	Wait   time.Duration // backoff before the next attempt if Action is Retry
 }
 
-// Decide returns what to do after an attempt. take draws one retry from the
-// budget; uniform returns a random number in [0,1).
-func Decide(now time.Time, a Attempt, take func() bool, uniform func() float64) Decision {
+// Decide returns the action to take after an attempt. takeRetry draws one retry
+// from the budget and reports whether it was available; uniform returns a random
+// number in [0,1).
+func Decide(now time.Time, a Attempt, takeRetry func() bool, uniform func() float64) Decision {
 	if a.Canceled || !a.Replayable || !repeatable(a) {
 		return Decision{Action: Stop}
 	}
-	if reroutes(a) {
+	if needsReroute(a) {
 		return Decision{Action: Reroute}
 	}
-	if a.Forwarded || a.Hop > 0 || a.Attempts >= MaxAttempts || final(a) {
+	if a.Forwarded || a.Hop > 0 || a.Attempts >= MaxAttempts || isFinal(a) {
 		return Decision{Action: Stop}
 	}
 	wait := Backoff(a.Attempts-1, uniform())
 	if !now.Add(wait + a.Busy).Before(a.Deadline) {
 		return Decision{Action: Stop}
 	}
-	if !take() {
+	if !takeRetry() {
 		return Decision{Action: Stop}
 	}
 	return Decision{Action: Again, Wait: wait}
 }
 
-// Backoff is the wait before the n-th retry, counted from 0, for a random
-// number in [0,1).
+// Backoff returns the wait before the n-th retry, where n starts at 0 and
+// uniform is a random number in [0,1).
 func Backoff(n int, uniform float64) time.Duration {
-	most := BackoffMost
+	limit := BackoffMax
 	if n < 8 {
-		most = min(BackoffBase<<n, BackoffMost)
+		limit = min(BackoffBase<<n, BackoffMax)
 	}
-	return time.Duration(uniform * float64(most))
+	return time.Duration(uniform * float64(limit))
 }
 
-// repeatable reports whether another attempt cannot make the request run twice
-// when it must not.
+// repeatable reports whether another attempt is safe: either this attempt did not
+// run, or the request may run more than once.
 func repeatable(a Attempt) bool {
 	switch a.Verdict.Outcome {
 	case serverapi.OutcomeNotRun:
@@ -99,9 +103,9 @@
 	return false
 }
 
-// reroutes reports whether the attempt went to the wrong place, or to one that
-// cannot be reached and that alone could serve it.
-func reroutes(a Attempt) bool {
+// needsReroute reports whether the attempt went to a node or server that may not
+// serve it, or to the only server that may serve it and is unreachable.
+func needsReroute(a Attempt) bool {
 	if a.Verdict.Outcome != serverapi.OutcomeNotRun || a.Settled {
 		return false
 	}
@@ -114,9 +118,9 @@
 	return false
 }
 
-// final reports whether trying again cannot help, or would add load where there
-// is too much of it.
-func final(a Attempt) bool {
+// isFinal reports whether a retry cannot succeed, or would add load to an
+// overloaded server.
+func isFinal(a Attempt) bool {
 	switch a.Verdict.Reason {
 	case serverapi.ReasonDeadline, serverapi.ReasonDuplicate, serverapi.ReasonStaleTicket,
 		serverapi.ReasonAnswerGone, serverapi.ReasonBadRequest,
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -66,9 +66,9 @@
 	}
 }
 
-// TestNothingThatMayHaveRunIsSentAgain draws attempts at requests that are not
-// idempotent.
-func TestNothingThatMayHaveRunIsSentAgain(t *testing.T) {
+// TestRequestsThatMayHaveRunAreNotRetried draws attempts with an unknown outcome
+// at requests that are not idempotent.
+func TestRequestsThatMayHaveRunAreNotRetried(t *testing.T) {
 	reasons := []serverapi.Reason{
 		serverapi.ReasonNotOwner, serverapi.ReasonOverloaded, serverapi.ReasonDraining, serverapi.ReasonDeadline,
 		callerapi.ReasonNotSent, callerapi.ReasonNoAnswer, callerapi.ReasonSilent, callerapi.ReasonBrokenAnswer,
@@ -85,7 +85,7 @@
 			Deadline:   epoch.Add(time.Hour),
 		}
 		if d := retry.Decide(epoch, a, always, half); d.Action != retry.Stop {
-			t.Fatalf("%+v is sent again", a)
+			t.Fatalf("%+v is retried", a)
 		}
 	})
 }
@@ -97,14 +97,14 @@
 	g.Expect(d.Action).To(gomega.Equal(retry.Stop))
 }
 
-// TestBudgetBoundsAmplification: however the requests come, when a retry is
-// allowed those of the last seconds are within the ratio of the first attempts
-// of the window, plus the constant; and so are all of them together.
+// TestBudgetBoundsAmplification checks the bound for random arrival times: when a
+// retry is allowed, the recent retries are at most the ratio times the first
+// attempts of the window, plus the constant. The total is bounded likewise.
 func TestBudgetBoundsAmplification(t *testing.T) {
-	const least, window = 3, 10 * time.Second
+	const minPerWindow, window = 3, 10 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
 		ratio := rapid.Float64Range(0, 1).Draw(t, "ratio")
-		budget := retry.NewBudget(ratio, least)
+		budget := retry.NewBudget(ratio, minPerWindow)
 		now := epoch
 		var firsts, retries []time.Time
 		for range rapid.IntRange(1, 100).Draw(t, "events") {
@@ -113,16 +113,16 @@
 			firsts = append(firsts, now)
 			for budget.Take(now) {
 				retries = append(retries, now)
-				// The window moves in steps of a second.
+				// The window advances in steps of a second.
 				recent := float64(within(retries, now, window-time.Second))
-				earned := ratio * float64(within(firsts, now, window))
-				if recent > least+earned+1e-9 {
-					t.Fatalf("%v retries where %v were earned", recent, earned)
+				allowed := ratio * float64(within(firsts, now, window))
+				if recent > minPerWindow+allowed+1e-9 {
+					t.Fatalf("%v retries, but the first attempts allow %v", recent, allowed)
 				}
 			}
 		}
 		windows := float64(now.Sub(epoch)/(window-time.Second) + 2)
-		if total := float64(len(retries)); total > ratio*float64(len(firsts))*2+least*windows {
+		if total := float64(len(retries)); total > ratio*float64(len(firsts))*2+minPerWindow*windows {
 			t.Fatalf("%v retries for %d requests", total, len(firsts))
 		}
 	})
@@ -138,9 +138,9 @@
 	return count
 }
 
-// TestBudgetAfterAnOutage: with every request failing, as in an outage, the
-// retries over a minute are a tenth of the requests.
-func TestBudgetAfterAnOutage(t *testing.T) {
+// TestBudgetDuringAnOutage checks that with every request failing, the retries
+// over a minute are a tenth of the requests.
+func TestBudgetDuringAnOutage(t *testing.T) {
 	g := gomega.NewWithT(t)
 	budget := retry.NewBudget(0.1, 3)
 	now := epoch
@@ -160,7 +160,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 100).Draw(t, "n")
 		wait := retry.Backoff(n, rapid.Float64Range(0, 0.999).Draw(t, "uniform"))
-		if wait < 0 || wait > retry.BackoffMost || n < 4 && wait > retry.BackoffBase<<n {
+		if wait < 0 || wait > retry.BackoffMax || n < 4 && wait > retry.BackoffBase<<n {
 			t.Fatalf("backoff %d: %v", n, wait)
 		}
 	})
