--- a/shed/set.go
+++ b/shed/set.go
@@ -14,13 +14,13 @@
 	monitors map[topo.Service]*Monitor
 }
 
-// NewSet returns a set in which nothing was refused.
+// NewSet returns a set without recorded requests or refusals.
 func NewSet() *Set { return &Set{monitors: map[topo.Service]*Monitor{}} }
 
-// Add counts the final answer to a request for a service: for what the service
-// depends on as a dependant's request, and for the service itself, if it was a
-// call from another service, as refused or not. Requests that were shed must not
-// be added.
+// Add records the final response to a request for a service. Each direct
+// dependency of the service counts it as a request of a dependant. If the request
+// is a call from another service and was refused, the service itself counts a
+// refused call. Requests that were shed must not be added.
 func (s *Set) Add(now time.Time, site *siteconfig.Site, service topo.Service, call, refused bool) {
 	if site == nil {
 		return
@@ -38,16 +38,16 @@
 }
 
 func (s *Set) monitor(service topo.Service) *Monitor {
-	found, exists := s.monitors[service]
+	monitor, exists := s.monitors[service]
 	if !exists {
-		found = &Monitor{}
-		s.monitors[service] = found
+		monitor = &Monitor{}
+		s.monitors[service] = monitor
 	}
-	return found
+	return monitor
 }
 
-// Share is the share of a service's requests to refuse now: the highest over
-// everything that it depends on, directly or not.
+// Share returns the fraction of a service's requests to refuse now, which is the
+// highest over all its direct and transitive dependencies.
 func (s *Set) Share(now time.Time, site *siteconfig.Site, service topo.Service) float64 {
 	config, exists := site.Services[service]
 	if !exists || len(config.DependsOn) == 0 {
@@ -58,8 +58,8 @@
 	return s.highest(now, site, config, len(site.Services))
 }
 
-// highest walks the dependencies; depth ends the walk should they ever be
-// circular, which a validated site configuration rules out.
+// highest returns the highest share over the dependencies. depth bounds the
+// recursion if they are circular, which a validated site configuration rules out.
 func (s *Set) highest(now time.Time, site *siteconfig.Site, config *siteconfig.Service, depth int) float64 {
 	highest := 0.0
 	if depth == 0 {
@@ -76,8 +76,8 @@
 	return highest
 }
 
-// Rates returns, for each service, the share of its dependants' requests that
-// had a call to it refused, for dumps.
+// Rates returns, for each service, the fraction of its dependants' requests that
+// had a call to it refused. It is used for dumps.
 func (s *Set) Rates(now time.Time) map[topo.Service]float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/shed/shed.go
+++ b/shed/shed.go
@@ -1,34 +1,36 @@
-// Package shed refuses requests to a service at once while most of them would
-// fail because a service that they call refuses: they would only hold places
-// and queues for nothing. The decision is pure.
+// Package shed rejects requests to a service early while most of them would fail
+// because a service that they call refuses calls: such requests would only occupy
+// server slots and queues. The decision is pure: time is an argument.
 package shed
 
 import "time"
 
-// Limits of the decision. Rates are refused calls for each request of the
-// services that call. While fewer than half of the requests fail, refusing them
-// all alike would lose more than it saves.
+// Thresholds of the decision. A rate is the number of refused calls per request
+// of the calling services. Shedding starts at a rate of one half, because below
+// it shedding requests regardless of their calls would fail more of them than it
+// saves.
 const (
-	engageRate  = 0.50 // shedding of dependants begins
-	releaseRate = 0.30 // and ends when the rate has stayed below this
-	fullRate    = 0.95 // at which the most is shed
-	mostShed    = 0.90 // some requests always pass, to see the recovery
+	engageRate  = 0.50 // shedding of dependants starts at this rate
+	releaseRate = 0.30 // shedding ends after the rate was below this for holdTime
+	fullRate    = 0.95 // the shed share reaches its maximum at this rate
+	maxShare    = 0.90 // maximum share; the remaining requests detect the recovery
 	holdTime    = time.Second
-	// minRequests is how many requests the rate must be taken from.
+	// minRequests is the number of requests in the window below which the rate
+	// is 0.
 	minRequests = 20
-	// The window over which rates are taken.
+	// The window over which rates are computed.
 	windowSlots = 5
 	slotTime    = 500 * time.Millisecond
 )
 
-// Monitor holds, for one service, the recent requests of the services that
-// depend on it and the calls from other services that it refused, and whether
-// its dependants are shed. The zero value is ready. It is not for concurrent
-// use.
+// Monitor counts, for one service, the recent requests of the services that
+// depend on it and the calls from other services that it refused, and records
+// whether its dependants are shed. The zero value is ready to use. It is not safe
+// for concurrent use.
 type Monitor struct {
-	slots   [windowSlots]slot
-	engaged bool
-	lowFrom time.Time // since when the rate has been below releaseRate
+	slots    [windowSlots]slot
+	engaged  bool
+	lowSince time.Time // start of the current period below releaseRate while engaged; else zero
 }
 
 type slot struct {
@@ -37,12 +39,12 @@
 	refused  float64
 }
 
-// Request counts a request to a service that depends on this one. Requests that
-// were shed must not be counted: they made no call.
+// Request counts a request to a service that depends on this one. Shed requests
+// must not be counted, because they made no call.
 func (m *Monitor) Request(now time.Time) { m.slot(now).requests++ }
 
-// Refused counts a call from another service that was refused for lack of
-// capacity, or because no server could be reached.
+// Refused counts a call from another service that was refused because the service
+// was overloaded or none of its servers was reachable.
 func (m *Monitor) Refused(now time.Time) { m.slot(now).refused++ }
 
 func (m *Monitor) slot(now time.Time) *slot {
@@ -54,9 +56,10 @@
 	return current
 }
 
-// Rate is the share of the dependants' requests that had a call refused within
-// the window; 0 while there are too few to tell. With calls refused by other
-// nodes than those that took the requests it is an estimate, and at most 1.
+// Rate returns the fraction of the dependants' requests within the window that
+// had a call refused, or 0 if there are fewer than minRequests. It is an estimate,
+// capped at 1, because a call may be refused at another node than the one that
+// accepted the request.
 func (m *Monitor) Rate(now time.Time) float64 {
 	oldest := now.UnixNano()/int64(slotTime) - windowSlots
 	var requests, refused float64
@@ -72,17 +75,17 @@
 	return min(refused/requests, 1)
 }
 
-// Share is the share of the dependants' requests to refuse now.
+// Share returns the fraction of the dependants' requests to refuse now.
 func (m *Monitor) Share(now time.Time) float64 {
 	rate := m.Rate(now)
 	switch {
 	case rate >= engageRate:
 		m.engaged = true
-		m.lowFrom = time.Time{}
+		m.lowSince = time.Time{}
 	case m.engaged && rate < releaseRate:
-		m.countLow(now)
+		m.releaseIfLow(now)
 	default:
-		m.lowFrom = time.Time{}
+		m.lowSince = time.Time{}
 	}
 	if !m.engaged {
 		return 0
@@ -90,19 +93,19 @@
 	return ShareAt(rate)
 }
 
-func (m *Monitor) countLow(now time.Time) {
-	if m.lowFrom.IsZero() {
-		m.lowFrom = now
+func (m *Monitor) releaseIfLow(now time.Time) {
+	if m.lowSince.IsZero() {
+		m.lowSince = now
 	}
-	if now.Sub(m.lowFrom) >= holdTime {
+	if now.Sub(m.lowSince) >= holdTime {
 		m.engaged = false
-		m.lowFrom = time.Time{}
+		m.lowSince = time.Time{}
 	}
 }
 
-// ShareAt is the share to refuse at a rate, while engaged: it grows from the
-// rate of release up to the most.
+// ShareAt returns the fraction to refuse at a rate while shedding is engaged. It
+// grows linearly from 0 at releaseRate to maxShare at fullRate.
 func ShareAt(rate float64) float64 {
-	grown := (rate - releaseRate) / (fullRate - releaseRate)
-	return min(max(grown, 0), 1) * mostShed
+	fraction := (rate - releaseRate) / (fullRate - releaseRate)
+	return min(max(fraction, 0), 1) * maxShare
 }
--- a/shed/shed_test.go
+++ b/shed/shed_test.go
@@ -14,7 +14,8 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-// site: portal depends on licensing, which depends on logs.
+// site returns a configuration in which portal depends on licensing, which
+// depends on logs.
 func site() *siteconfig.Site {
 	return &siteconfig.Site{Services: map[topo.Service]*siteconfig.Service{
 		"portal":    {Name: "portal", DependsOn: []topo.Service{"licensing"}},
@@ -23,8 +24,8 @@
 	}}
 }
 
-// load counts 40 requests of dependants over a window, each with a call, of
-// which so many in 40 are refused.
+// load records 40 requests of dependants over a window, each with one call, of
+// which the first ones, as many as the argument refused says, are refused.
 func load(m *shed.Monitor, from time.Time, refused int) time.Time {
 	for i := range 40 {
 		from = from.Add(50 * time.Millisecond)
@@ -71,7 +72,7 @@
 	g.Expect(m.Share(now)).To(gomega.BeZero(), "released after a second below the lower limit")
 }
 
-func TestFewRequestsTellNothing(t *testing.T) {
+func TestNoSheddingBelowTheMinimumOfRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var m shed.Monitor
 	for range 10 {
@@ -81,8 +82,8 @@
 	g.Expect(m.Share(epoch)).To(gomega.BeZero())
 }
 
-// requests adds 40 requests to a service over a window, of which every step-th
-// calls the other one; all calls are refused.
+// requests adds 40 requests to a service over a window. Every step-th request
+// calls the called service; all calls are refused.
 func requests(set *shed.Set, service, called topo.Service, step int) time.Time {
 	now := epoch
 	for i := range 40 {
@@ -104,7 +105,7 @@
 	g.Expect(set.Share(now, site(), "logs")).To(gomega.BeZero(), "the overloaded service itself is not shed")
 }
 
-func TestRequestsThatSeldomCallAreNotShed(t *testing.T) {
+func TestRequestsThatRarelyCallAreNotShed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	set := shed.NewSet()
 	now := requests(set, "licensing", "logs", 3)
@@ -114,7 +115,7 @@
 func TestRefusalsOfCallersOwnRequestsAreNotCounted(t *testing.T) {
 	g := gomega.NewWithT(t)
 	set := shed.NewSet()
-	now := requests(set, "licensing", "portal", 1) // portal is no dependency
+	now := requests(set, "licensing", "portal", 1) // licensing does not depend on portal
 	for range 100 {
 		set.Add(now, site(), "logs", false, true)
 	}
@@ -122,7 +123,7 @@
 	set.Add(now, nil, "licensing", true, true) // before the first site configuration
 }
 
-func TestShareIsAlwaysAShare(t *testing.T) {
+func TestShareIsWithinItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var m shed.Monitor
 		now := epoch
