--- a/health/health_test.go
+++ b/health/health_test.go
@@ -12,7 +12,7 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-func TestFailuresInARowTakeOut(t *testing.T) {
+func TestConsecutiveFailuresEject(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var tracker health.Tracker
 	g.Expect(tracker.Observe(epoch, health.Silent)).To(gomega.BeFalse())
@@ -23,23 +23,23 @@
 	g.Expect(tracker.Weight(epoch)).To(gomega.BeZero())
 }
 
-// TestReportsChangeNothing: a server that calls itself well stays out, and one
-// that calls itself bad stays in.
-func TestReportsChangeNothing(t *testing.T) {
+// TestReportsDoNotAffectEjection checks that a server that reports itself healthy
+// stays ejected, and that one that reports itself unhealthy is not ejected.
+func TestReportsDoNotAffectEjection(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var failing, fine health.Tracker
 	for range 3 {
 		failing.Observe(epoch, health.Silent)
-		failing.Hear(health.Report{At: epoch, Load: 0})
+		failing.SetReport(health.Report{At: epoch, Load: 0})
 		fine.Observe(epoch, health.Answered)
-		fine.Hear(health.Report{At: epoch, Load: 99, Draining: true})
+		fine.SetReport(health.Report{At: epoch, Load: 99, Draining: true})
 	}
 	g.Expect(failing.Ejected(epoch)).To(gomega.BeTrue())
 	g.Expect(fine.Weight(epoch)).To(gomega.Equal(1.0))
 	g.Expect(fine.Reported().Load).To(gomega.Equal(99.0))
 }
 
-func TestSlowReturnAndLongerEjections(t *testing.T) {
+func TestWarmUpAndLongerEjections(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var tracker health.Tracker
 	now := epoch
@@ -54,7 +54,7 @@
 		now = tracker.Until()
 		g.Expect(tracker.Weight(now)).To(gomega.BeNumerically("~", 0.1))
 		now = now.Add(time.Second)
-		g.Expect(tracker.Observe(now, health.Silent)).To(gomega.BeTrue(), "one failure on the way back is enough")
+		g.Expect(tracker.Observe(now, health.Silent)).To(gomega.BeTrue(), "one failure during warm-up ejects again")
 		now = tracker.Until().Add(2500 * time.Millisecond)
 		g.Expect(tracker.Weight(now)).To(gomega.BeNumerically("~", 0.55, 0.01))
 	}
@@ -64,21 +64,21 @@
 	g.Expect(tracker.Weight(now)).To(gomega.Equal(1.0))
 }
 
-func TestHighShareOfFailuresTakesOut(t *testing.T) {
+func TestHighFailureRateEjects(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var tracker health.Tracker
-	out := false
-	for i := 0; i < 200 && !out; i++ {
+	ejected := false
+	for i := 0; i < 200 && !ejected; i++ {
 		seen := health.Silent
 		if i%3 == 2 {
 			seen = health.Answered
 		}
-		out = tracker.Observe(epoch, seen)
+		ejected = tracker.Observe(epoch, seen)
 	}
-	g.Expect(out).To(gomega.BeTrue())
+	g.Expect(ejected).To(gomega.BeTrue())
 }
 
-func TestWeightIsAShare(t *testing.T) {
+func TestWeightIsBetween0And1(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var tracker health.Tracker
 		now := epoch
@@ -97,7 +97,7 @@
 	})
 }
 
-func TestSetForgets(t *testing.T) {
+func TestSetRetain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	set := health.NewSet[string]()
 	for range 3 {
--- a/health/set.go
+++ b/health/set.go
@@ -10,18 +10,18 @@
 type Set[ID comparable] struct {
 	mu       sync.RWMutex
 	trackers map[ID]*Tracker
-	ejected  uint64 // ejections so far
+	ejected  uint64 // total number of ejections
 }
 
-// NewSet returns an empty set, in which everything counts as healthy.
+// NewSet returns an empty set. A server or node without a tracker is healthy.
 func NewSet[ID comparable]() *Set[ID] {
 	return &Set[ID]{trackers: map[ID]*Tracker{}}
 }
 
-// Observe takes the result of one attempt and reports whether it took the
-// server out.
+// Observe records the outcome of one attempt and reports whether it ejected the
+// server.
 func (s *Set[ID]) Observe(now time.Time, id ID, o Observation) bool {
-	if o == Answered && s.spotless(id) {
+	if o == Answered && s.untracked(id) {
 		return false
 	}
 	s.mu.Lock()
@@ -31,23 +31,23 @@
 		tracker = &Tracker{}
 		s.trackers[id] = tracker
 	}
-	out := tracker.Observe(now, o)
-	if out {
+	ejected := tracker.Observe(now, o)
+	if ejected {
 		s.ejected++
 	}
-	return out
+	return ejected
 }
 
-// spotless reports whether nothing bad was ever observed, so that one more
-// good observation changes nothing.
-func (s *Set[ID]) spotless(id ID) bool {
+// untracked reports whether no failure was observed, so that another success
+// needs no tracker.
+func (s *Set[ID]) untracked(id ID) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	_, exists := s.trackers[id]
 	return !exists
 }
 
-// Weight is the share of its usual load that a server may take.
+// Weight returns the fraction of its usual load that a server may receive.
 func (s *Set[ID]) Weight(now time.Time, id ID) float64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -58,7 +58,7 @@
 	return tracker.Weight(now)
 }
 
-// Ejected reports whether a server is out.
+// Ejected reports whether a server is ejected.
 func (s *Set[ID]) Ejected(now time.Time, id ID) bool { return s.Weight(now, id) == 0 }
 
 // Readmit ends an ejection early, because the server was replaced.
@@ -68,7 +68,7 @@
 	delete(s.trackers, id)
 }
 
-// Retain forgets everything that keep says no to.
+// Retain removes the trackers for which keep returns false.
 func (s *Set[ID]) Retain(keep func(ID) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,15 +79,16 @@
 	}
 }
 
-// Out lists what is out now, with the end of each ejection.
+// Out returns the servers or nodes that are ejected now, each with the end of its
+// ejection.
 func (s *Set[ID]) Out(now time.Time) map[ID]time.Time {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	out := map[ID]time.Time{}
+	ejected := map[ID]time.Time{}
 	for id, tracker := range s.trackers {
 		if tracker.Ejected(now) {
-			out[id] = tracker.Until()
+			ejected[id] = tracker.Until()
 		}
 	}
-	return out
+	return ejected
 }
