--- a/modules/pick/pick.go
+++ b/modules/pick/pick.go
@@ -1,6 +1,6 @@
-// Package pick registers the policies that choose a server of a service that is
-// not divided by key, as modules of the namespace "pick". A module provides its
-// picker to later modules as a pick.Picker.
+// Package pick registers the policies that choose a server of an unkeyed service
+// as modules of the namespace "pick". A module provides its picker to later
+// modules as a pick.Picker.
 package pick
 
 import (
@@ -8,18 +8,19 @@
 	"github.com/burdockspindle/burdockspindle/pick"
 )
 
-// Namespace holds the modules of this package.
+// Namespace is the namespace of the modules in this package.
 const Namespace = "pick"
 
-// Settings of the pickers with a budget: probes for each request and how many
-// may be saved up; thresholds are loads over what a server may hold.
+// Parameters of the pickers. A probe budget gains probesPerRequest for each
+// request and saves at most probesSaved. pushHigh and pushLow are loads relative
+// to the limit of a server.
 const (
-	choices          = 2
+	dChoices         = 2
 	probesPerRequest = 1
-	probesSaved      = 16
+	maxSavedProbes   = 16
 	pushHigh         = 0.75
 	pushLow          = 0.5
-	pushMost         = 3
+	maxAlternatives  = 3
 )
 
 // Module makes one picker available to the process.
@@ -39,18 +40,18 @@
 	return []*Module{
 		{name: "random", make: func() pick.Picker { return pick.Random{} }},
 		{name: "roundrobin", make: func() pick.Picker { return &pick.RoundRobin{} }},
-		{name: "dchoices", make: func() pick.Picker { return pick.DChoices{D: choices} }},
+		{name: "dchoices", make: func() pick.Picker { return pick.DChoices{D: dChoices} }},
 		{name: "budgetchoices", make: func() pick.Picker {
-			return pick.BudgetedChoices{ProbeBudget: newProbes(), D: choices}
+			return pick.BudgetedChoices{ProbeBudget: newProbeBudget(), D: dChoices}
 		}},
 		{name: "budgetpush", make: func() pick.Picker {
-			return pick.BudgetedPush{ProbeBudget: newProbes(), High: pushHigh, Low: pushLow, Most: pushMost}
+			return pick.BudgetedPush{ProbeBudget: newProbeBudget(), High: pushHigh, Low: pushLow, MaxAlternatives: maxAlternatives}
 		}},
 	}
 }
 
-func newProbes() *pick.ProbeBudget {
-	return &pick.ProbeBudget{PerRequest: probesPerRequest, Burst: probesSaved}
+func newProbeBudget() *pick.ProbeBudget {
+	return &pick.ProbeBudget{PerRequest: probesPerRequest, Burst: maxSavedProbes}
 }
 
 // ModuleInfo implements kernel.Module.
@@ -75,8 +76,8 @@
 	}{m.name}
 }
 
-// Named returns a new picker of a name without its namespace, for example
-// "dchoices". The error is a *kernel.UnknownModuleError.
+// Named returns a new picker by its name without the namespace, for example
+// "dchoices". For an unknown name, the error is a *kernel.UnknownModuleError.
 func Named(name string) (pick.Picker, error) {
 	module, err := kernel.New(kernel.ModuleID(Namespace + "." + name))
 	if err != nil {
--- a/pick/pick.go
+++ b/pick/pick.go
@@ -1,6 +1,6 @@
-// Package pick is the interface of the policies that choose a server for a
-// request to a service that is not divided by key. Policies are modules of the
-// namespace "pick" that provide a Picker; the built-in one is DChoices.
+// Package pick defines the interface of the policies that choose a server for a
+// request to an unkeyed service, and implements several of them. Policies are
+// modules of the namespace "pick" that provide a Picker; the default is DChoices.
 package pick
 
 import "github.com/burdockspindle/burdockspindle/topo"
@@ -11,31 +11,31 @@
 	Group  topo.GroupID
 	Zone   topo.Zone
 	Lessor topo.NodeID
-	Local  bool // this node is its admission point, so Load is exact
-	// Load is requests in flight and waiting over how many the server may hold
-	// now, as this node knows them: exactly when Local, else its own requests
-	// and what the admission point last said.
+	Local  bool // this node is the server's admission point, so Load is exact
+	// Load is the number of requests in flight and queued, divided by the
+	// server's current limit. It is exact if Local; otherwise it is an estimate
+	// from this node's own requests and the last report of the admission point.
 	Load float64
-	// Weight is the share of its usual load that the server may take, by what
-	// was observed of it: 0 while it is taken out.
+	// Weight is the fraction of its usual load that the server may receive,
+	// derived from the observed outcomes of requests: 0 while it is ejected.
 	Weight float64
 }
 
-// Picker chooses one candidate. Pick is called on the request's path,
-// concurrently, and must not keep the slice. uniform returns random numbers in
-// [0,1).
+// Picker chooses one candidate. Pick is called concurrently on the request path
+// and must not retain the slice. uniform returns random numbers in [0,1).
 type Picker interface {
-	// Pick returns the index of the chosen candidate, or false when it chooses
-	// none. There is at least one candidate.
+	// Pick returns the index of the chosen candidate, or false if it chooses
+	// none. The slice has at least one candidate.
 	Pick(candidates []Candidate, uniform func() float64) (int, bool)
 }
 
-// DChoices draws D candidates at random, each in proportion to its weight, and
-// takes the one with the lowest load. With D = 2 it is the power of two choices.
+// DChoices draws D candidates at random, with probabilities proportional to their
+// weights, and picks the one with the lowest load. With D = 2 it is the power of
+// two choices.
 type DChoices struct{ D int }
 
-// Pick implements Picker. When every candidate's weight is 0, all count alike:
-// a server taken out by mistake is better than none.
+// Pick implements Picker. If every candidate's weight is 0, all are equally
+// likely, because a server that was ejected by mistake is better than none.
 func (p DChoices) Pick(candidates []Candidate, uniform func() float64) (int, bool) {
 	total := 0.0
 	for i := range candidates {
--- a/pick/pickers_test.go
+++ b/pick/pickers_test.go
@@ -37,14 +37,14 @@
 	g.Expect(got).To(gomega.Equal([]int{picks / 2, picks / 2}))
 }
 
-func TestBudgetedPickersKeepToTheirBudget(t *testing.T) {
+func TestBudgetedPickersStayWithinTheirBudget(t *testing.T) {
 	candidates := []pick.Candidate{{Weight: 1, Load: 2}, {Weight: 1}, {Weight: 1, Load: 2}, {Weight: 1, Load: 2}}
 	for _, perRequest := range []float64{0, 0.5, 1, 2} {
 		g := gomega.NewWithT(t)
 		choices := &pick.ProbeBudget{PerRequest: perRequest, Burst: 4}
 		push := &pick.ProbeBudget{PerRequest: perRequest, Burst: 4}
 		byChoices := picked(pick.BudgetedChoices{ProbeBudget: choices, D: 2}, candidates)
-		byPush := picked(pick.BudgetedPush{ProbeBudget: push, High: 1, Low: 0.5, Most: 2}, candidates)
+		byPush := picked(pick.BudgetedPush{ProbeBudget: push, High: 1, Low: 0.5, MaxAlternatives: 2}, candidates)
 		for _, probes := range []*pick.ProbeBudget{choices, push} {
 			g.Expect(probes.Probes()).To(gomega.BeNumerically("<=", perRequest*picks))
 			g.Expect(probes.Probes()).To(gomega.BeNumerically(">=", 0.9*perRequest*picks))
@@ -58,21 +58,21 @@
 	}
 }
 
-func TestPushStaysWhereLoadIsLow(t *testing.T) {
+func TestPushKeepsACandidateWithLowLoad(t *testing.T) {
 	g := gomega.NewWithT(t)
 	probes := &pick.ProbeBudget{PerRequest: 3, Burst: 3}
-	got := picked(pick.BudgetedPush{ProbeBudget: probes, High: 1, Low: 0.5, Most: 2}, []pick.Candidate{{Weight: 1, Load: 0.9}, {Weight: 1}})
+	got := picked(pick.BudgetedPush{ProbeBudget: probes, High: 1, Low: 0.5, MaxAlternatives: 2}, []pick.Candidate{{Weight: 1, Load: 0.9}, {Weight: 1}})
 	g.Expect(got[0]).To(gomega.BeNumerically("~", picks/2, picks/20))
 	g.Expect(probes.Probes()).To(gomega.Equal(picks))
 }
 
-func TestBudgetedPickersTellTheirProbes(t *testing.T) {
+func TestBudgetedPickersCountProbes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	budget := &pick.ProbeBudget{PerRequest: 1, Burst: 1}
 	var picker pick.Picker = pick.BudgetedChoices{ProbeBudget: budget, D: 1}
-	_, tells := picker.(interface{ Probes() int })
-	g.Expect(tells).To(gomega.BeTrue())
+	_, counted := picker.(interface{ Probes() int })
+	g.Expect(counted).To(gomega.BeTrue())
 	picker = pick.BudgetedPush{ProbeBudget: budget}
-	_, tells = picker.(interface{ Probes() int })
-	g.Expect(tells).To(gomega.BeTrue())
+	_, counted = picker.(interface{ Probes() int })
+	g.Expect(counted).To(gomega.BeTrue())
 }
