--- a/route/deputies.go
+++ b/route/deputies.go
@@ -11,51 +11,55 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Deputy is a node that may send to a server past its lessor, so many requests
-// at once.
+// Deputy is a node that may send requests to a server directly while the server's
+// lessor is unreachable.
 type Deputy struct {
 	Node   topo.NodeID
-	Places int
+	Places int // most concurrent requests of this deputy at the server
 }
 
-// connectionsPerPlace is how many of a server's connections there must be for
-// each place that deputies have: the rest are its lessor's and standby lessor's.
-const connectionsPerPlace = 4
+// connectionsPerSlot is the number of connections that a server must accept for
+// each slot of its deputies. The other connections are reserved for its lessor
+// and standby lessor.
+const connectionsPerSlot = 4
 
-// singles is how many deputies besides the standby lessor have one place each.
-const singles = 2
+// singleSlotDeputies is the number of deputies besides the standby lessor. Each
+// has one slot.
+const singleSlotDeputies = 2
 
 // Deputies lists the nodes that may send to a decision's server while its lessor
-// cannot be reached. Their places together are at most the server's concurrency
-// limit, however many nodes there are. The standby lessor has all but a few of
-// them: one queue wastes the fewest places, and it is the one likely to lead
-// next. The few are for when it is lost too; they go to nodes chosen by
-// rendezvous hashing of node and server, so that one node more or less changes
-// one of them at most. Without a standby lessor all places go to such nodes.
+// is unreachable. The sum of their slots is at most the server's concurrency
+// limit, regardless of the number of nodes. The standby lessor has all slots but a
+// few, because a single queue leaves the fewest slots idle and the standby lessor
+// is likely to be the next lessor. The remaining slots cover the loss of the
+// standby lessor too. They go to nodes chosen by rendezvous hashing of node and
+// server, so that adding or removing a node changes at most one of them. Without
+// a standby lessor all slots go to such nodes.
 func Deputies(view *state.View, d Decision) []Deputy {
-	places := deputyPlaces(d.Service)
+	slots := deputySlots(d.Service)
 	group, _ := view.Group(d.Group)
 	standby, alive := view.Node(group.Standby)
-	if !alive || places == 0 || standby.ID == d.Lessor || view.NodeLost(standby.ID) {
-		return firstNodes(view, d, places, "")
+	if !alive || slots == 0 || standby.ID == d.Lessor || view.NodeLost(standby.ID) {
+		return firstNodes(view, d, slots, "")
 	}
-	others := min(singles, places-1)
-	list := []Deputy{{Node: standby.ID, Places: places - others}}
-	return append(list, firstNodes(view, d, others, standby.ID)...)
+	singles := min(singleSlotDeputies, slots-1)
+	list := []Deputy{{Node: standby.ID, Places: slots - singles}}
+	return append(list, firstNodes(view, d, singles, standby.ID)...)
 }
 
-// firstNodes lists the first nodes in the rendezvous order of a decision's server,
-// one place each, without its lessor and without the one that is left out.
-func firstNodes(view *state.View, d Decision, most int, without topo.NodeID) []Deputy {
-	if most == 0 {
+// firstNodes lists the first n nodes in the rendezvous order of a decision's
+// server, with one slot each. It skips the server's lessor, the excluded node and
+// lost nodes.
+func firstNodes(view *state.View, d Decision, n int, excluded topo.NodeID) []Deputy {
+	if n == 0 {
 		return nil
 	}
 	var first []ranked
 	for id := range view.Nodes() {
-		if id == d.Lessor || id == without || view.NodeLost(id) {
+		if id == d.Lessor || id == excluded || view.NodeLost(id) {
 			continue
 		}
-		first = keepFirst(first, ranked{node: id, hash: deputyHash(id, d.Server)}, most)
+		first = keepFirst(first, ranked{node: id, hash: deputyHash(id, d.Server)}, n)
 	}
 	deputies := make([]Deputy, len(first))
 	for i, r := range first {
@@ -64,16 +68,17 @@
 	return deputies
 }
 
-// deputyPlaces is how many requests all deputies together may have at a server.
-func deputyPlaces(service *siteconfig.Service) int {
-	places := max(service.ConcurrencyPerServer, 1)
+// deputySlots returns the number of concurrent requests that all deputies
+// together may have at a server.
+func deputySlots(service *siteconfig.Service) int {
+	slots := max(service.ConcurrencyPerServer, 1)
 	if service.ConnectionsPerServer > 0 {
-		places = min(places, service.ConnectionsPerServer/connectionsPerPlace)
+		slots = min(slots, service.ConnectionsPerServer/connectionsPerSlot)
 	}
-	return places
+	return slots
 }
 
-// ranked is a node's place in the rendezvous order of one server.
+// ranked is a node with its hash in the rendezvous order of one server.
 type ranked struct {
 	node topo.NodeID
 	hash uint64
@@ -83,26 +88,28 @@
 	return cmp.Or(cmp.Compare(r.hash, other.hash), cmp.Compare(r.node, other.node))
 }
 
-// keepFirst inserts a node into the most first ones, which are in order.
-func keepFirst(first []ranked, added ranked, most int) []ranked {
-	at, _ := slices.BinarySearchFunc(first, added, ranked.compare)
-	if at >= most {
+// keepFirst inserts a node into a sorted list and truncates the list to n nodes.
+func keepFirst(first []ranked, added ranked, n int) []ranked {
+	index, _ := slices.BinarySearchFunc(first, added, ranked.compare)
+	if index >= n {
 		return first
 	}
-	first = slices.Insert(first, at, added)
-	return first[:min(len(first), most)]
+	first = slices.Insert(first, index, added)
+	return first[:min(len(first), n)]
 }
 
 func deputyHash(node topo.NodeID, server topo.ServerID) uint64 {
 	return xxhash.Sum64String(string(node) + "\x00" + string(server))
 }
 
-// PastLessor turns a forward whose lessor cannot be reached into the way past
-// it: directly, if this node is a deputy, and else through a deputy, drawn by its
-// places among those that are not out; uniform returns a random number in [0,1).
-// The decision is unchanged if no deputy is left, or the servers do not check
-// fencing tokens: then the lessor alone may send.
-func (d Decision) PastLessor(view *state.View, self Self, out func(topo.NodeID) bool, uniform func() float64) Decision {
+// BypassLessor returns the decision with a path that avoids an unreachable lessor.
+// The path is direct if this node is a deputy. Otherwise it leads through a deputy,
+// drawn with a probability proportional to its slots among the deputies that are
+// not unavailable; uniform returns a random number in [0,1). The decision is
+// unchanged if its path is not PathForward, if no deputy is available, or if the
+// servers of a keyed service do not check fencing tokens, because then only the
+// lessor may send.
+func (d Decision) PastLessor(view *state.View, self Self, unavailable func(topo.NodeID) bool, uniform func() float64) Decision {
 	if d.Path != PathForward || (d.Service.Keyed && !d.Service.ChecksFencing) {
 		return d
 	}
@@ -113,7 +120,7 @@
 			return d
 		}
 	}
-	deputies = slices.DeleteFunc(deputies, func(deputy Deputy) bool { return out(deputy.Node) })
+	deputies = slices.DeleteFunc(deputies, func(deputy Deputy) bool { return unavailable(deputy.Node) })
 	if len(deputies) == 0 {
 		return d
 	}
@@ -121,13 +128,13 @@
 	return d
 }
 
-// draw chooses a deputy by its places.
+// draw chooses a deputy with a probability proportional to its slots.
 func draw(deputies []Deputy, uniform float64) Deputy {
-	places := 0
+	slots := 0
 	for _, deputy := range deputies {
-		places += deputy.Places
+		slots += deputy.Places
 	}
-	left := int(uniform * float64(places))
+	left := int(uniform * float64(slots))
 	for _, deputy := range deputies {
 		if left -= deputy.Places; left < 0 {
 			return deputy
@@ -136,19 +143,19 @@
 	return deputies[len(deputies)-1]
 }
 
-// AsDeputy decides for a request that another node sent here because it could
-// not reach a lessor. It is false unless that is the lessor of the decision and
-// this node a deputy.
-func (d Decision) AsDeputy(view *state.View, self Self, past topo.NodeID) (Decision, bool) {
-	if past == "" || past != d.Lessor {
+// AsDeputy returns the direct decision for a request that another node forwarded
+// to this node because it could not reach the given lessor. It returns false
+// unless the decision has the same lessor and this node is a deputy.
+func (d Decision) AsDeputy(view *state.View, self Self, lessor topo.NodeID) (Decision, bool) {
+	if lessor == "" || lessor != d.Lessor {
 		return d, false
 	}
-	nobody := func(topo.NodeID) bool { return true }
-	d = d.PastLessor(view, self, nobody, func() float64 { return 0 })
+	allUnavailable := func(topo.NodeID) bool { return true }
+	d = d.PastLessor(view, self, allUnavailable, func() float64 { return 0 })
 	return d, d.Path == PathDirect
 }
 
-// Next is the node that a request is forwarded to; empty for none.
+// Next returns the node that the request is forwarded to, or an empty ID.
 func (d Decision) Next() topo.NodeID {
 	switch d.Path {
 	case PathForward:
--- a/route/deputies_test.go
+++ b/route/deputies_test.go
@@ -12,18 +12,19 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-func nobody(topo.NodeID) bool { return false }
+func noneUnavailable(topo.NodeID) bool { return false }
 
-func everybody(topo.NodeID) bool { return true }
+func allUnavailable(topo.NodeID) bool { return true }
 
 func zero() float64 { return 0 }
 
-// past is the decision of a node that cannot reach the lessor, but all others.
-func past(site *routetest.Site, node route.Self, d route.Decision) route.Decision {
-	return d.PastLessor(site.View(), node, nobody, zero)
+// bypass returns the decision of a node for which only the lessor is unreachable.
+func bypass(site *routetest.Site, node route.Self, d route.Decision) route.Decision {
+	return d.PastLessor(site.View(), node, noneUnavailable, zero)
 }
 
-// withNodes is a site whose server b1 is led by n2, with so many nodes besides.
+// withNodes returns a site with count additional nodes, in which the lessor of
+// server b1 is n2, and the decision for a key that b1 owns.
 func withNodes(limit, connections, count int) (*routetest.Site, route.Decision) {
 	site := newSite()
 	limited := service(records, 8)
@@ -36,9 +37,9 @@
 	return site, route.Keyed(site.View(), nil, self, records, "k")
 }
 
-// TestDeputiesStayWithinTheServersLimit: all nodes decide from the same view.
-// Those that send directly have no more places together than the server; every
-// other one forwards to one of them, which takes the request.
+// TestDeputiesStayWithinTheServersLimit checks the decisions of all nodes from the
+// same view. The nodes that send directly have together at most as many slots as
+// the server; every other node forwards to one of them, which accepts the request.
 func TestDeputiesStayWithinTheServersLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(1, 8).Draw(t, "limit")
@@ -47,31 +48,32 @@
 		uniform := rapid.Float64Range(0, 0.999).Draw(t, "uniform")
 		g := gomega.NewWithT(t)
 		view := site.View()
-		places := 0
+		slots := 0
 		for id := range view.Nodes() {
 			if id == d.Lessor {
 				continue
 			}
-			way := d.PastLessor(view, route.Self{Node: id, Boot: "b1"}, nobody, func() float64 { return uniform })
-			if way.Path == route.PathDirect {
-				places += way.Places
+			decision := d.PastLessor(view, route.Self{Node: id, Boot: "b1"}, noneUnavailable, func() float64 { return uniform })
+			if decision.Path == route.PathDirect {
+				slots += decision.Places
 				continue
 			}
-			g.Expect(way.Path).To(gomega.Equal(route.PathDeputy))
-			taken, allowed := d.AsDeputy(view, route.Self{Node: way.Next(), Boot: "b1"}, d.Lessor)
+			g.Expect(decision.Path).To(gomega.Equal(route.PathDeputy))
+			accepted, allowed := d.AsDeputy(view, route.Self{Node: decision.Next(), Boot: "b1"}, d.Lessor)
 			g.Expect(allowed).To(gomega.BeTrue())
-			g.Expect(taken.Path).To(gomega.Equal(route.PathDirect))
+			g.Expect(accepted.Path).To(gomega.Equal(route.PathDirect))
 		}
-		g.Expect(places).To(gomega.BeNumerically(">", 0))
-		g.Expect(places).To(gomega.BeNumerically("<=", limit))
+		g.Expect(slots).To(gomega.BeNumerically(">", 0))
+		g.Expect(slots).To(gomega.BeNumerically("<=", limit))
 		if connections > 0 {
-			g.Expect(places).To(gomega.BeNumerically("<=", connections/4))
+			g.Expect(slots).To(gomega.BeNumerically("<=", connections/4))
 		}
 	})
 }
 
-// TestTheStandbyLessorHasMostPlaces, and two nodes have one each.
-func TestTheStandbyLessorHasMostPlaces(t *testing.T) {
+// TestTheStandbyLessorHasMostSlots also checks that two more nodes have one slot
+// each.
+func TestTheStandbyLessorHasMostSlots(t *testing.T) {
 	g := gomega.NewWithT(t)
 	site, d := withNodes(6, 100, 20)
 	site.LeadWithStandby(groupB, "n2", "b1", "extra-7")
@@ -83,11 +85,12 @@
 		g.Expect(deputy.Node).NotTo(gomega.BeElementOf("extra-7", "n2"))
 	}
 	standby := route.Self{Node: "extra-7", Boot: "b1"}
-	g.Expect(past(site, standby, d).Places).To(gomega.Equal(4))
+	g.Expect(bypass(site, standby, d).Places).To(gomega.Equal(4))
 }
 
-// TestAnotherNodeChangesOneDeputyAtMost, so that two views that differ by a node
-// let one request more to a server.
+// TestAnotherNodeChangesOneDeputyAtMost checks that between two views that differ
+// by one node at most one deputy differs, so that a server receives at most one
+// request above its limit.
 func TestAnotherNodeChangesOneDeputyAtMost(t *testing.T) {
 	g := gomega.NewWithT(t)
 	site, d := withNodes(6, 100, 20)
@@ -107,18 +110,19 @@
 	}
 }
 
-// TestNoDeputyLeft: the lessor is waited for, and nobody takes a request for a
-// lessor that its own view does not name.
+// TestNoDeputyLeft checks that the decision still leads to the lessor if there is
+// no deputy, and that no node accepts a request as deputy of a lessor that is not
+// the one in its own view.
 func TestNoDeputyLeft(t *testing.T) {
 	g := gomega.NewWithT(t)
-	site, d := withNodes(4, 3, 20) // too few connections for any
-	g.Expect(past(site, self, d).Path).To(gomega.Equal(route.PathForward))
+	site, d := withNodes(4, 3, 20) // too few connections for a deputy
+	g.Expect(bypass(site, self, d).Path).To(gomega.Equal(route.PathForward))
 
 	site, d = withNodes(4, 100, 200)
 	for id := range site.View().Nodes() {
 		node := route.Self{Node: id, Boot: "b1"}
-		if way := d.PastLessor(site.View(), node, everybody, zero); way.Path != route.PathDirect {
-			g.Expect(way).To(gomega.Equal(d))
+		if decision := d.PastLessor(site.View(), node, allUnavailable, zero); decision.Path != route.PathDirect {
+			g.Expect(decision).To(gomega.Equal(d))
 		}
 		_, allowed := d.AsDeputy(site.View(), node, "another")
 		g.Expect(allowed).To(gomega.BeFalse())
--- a/route/overlay.go
+++ b/route/overlay.go
@@ -7,16 +7,16 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Activation is a standby server that became the owner of a shard off the log,
-// under the fence that the shard's assignment allocated for it.
+// Activation records that a standby server became the owner of a shard without a
+// record in the log, under the fence that the shard's assignment reserved for it.
 type Activation struct {
 	Shard topo.ShardID
 	Fence topo.Fence
 	Owner topo.ServerID
 }
 
-// Continuation is a standby lessor that went on off the log, under the term
-// that its group's claim allocated for it.
+// Continuation records that a standby lessor took over a group without a record
+// in the log, under the term that the group's claim reserved for it.
 type Continuation struct {
 	Group topo.GroupID
 	Term  topo.Term
@@ -24,15 +24,16 @@
 	Boot  topo.BootID
 }
 
-// Overlay is an immutable set of activations and continuations. An entry counts
-// only while the view's own fence or term is lower, so an entry that the log has
-// passed is without effect even before it is dropped. The nil and the zero Overlay are empty.
+// Overlay is an immutable set of activations and continuations. An entry has an
+// effect only while the view's fence or term is lower, so an entry that the log
+// has superseded is ignored even before it is pruned. A nil Overlay and the zero
+// Overlay are empty.
 type Overlay struct {
 	shards map[topo.ShardID]Activation
 	groups map[topo.GroupID]Continuation
 }
 
-// owner returns the owner and fence of a shard in force.
+// owner returns the current owner and fence of a shard.
 func (o *Overlay) owner(a state.Assignment) (topo.ServerID, topo.Fence) {
 	if o == nil || len(o.shards) == 0 {
 		return a.Owner, a.Fence
@@ -44,7 +45,7 @@
 	return active.Owner, active.Fence
 }
 
-// lessor returns the group with the lessor and term in force.
+// lessor returns the group with its current lessor and term.
 func (o *Overlay) lessor(g state.Group) state.Group {
 	if o == nil || len(o.groups) == 0 {
 		return g
@@ -59,8 +60,8 @@
 	return g
 }
 
-// Activate returns an overlay with the activation; it is the same overlay when
-// an activation with an equal or higher fence is known already.
+// Activate returns an overlay with the activation added. It returns the receiver
+// if that has an activation of the shard with an equal or higher fence.
 func (o *Overlay) Activate(a Activation) *Overlay {
 	if o != nil {
 		known, exists := o.shards[a.Shard]
@@ -73,8 +74,8 @@
 	return next
 }
 
-// Continue returns an overlay with the continuation; it is the same overlay
-// when one with an equal or higher term is known already.
+// Continue returns an overlay with the continuation added. It returns the receiver
+// if that has a continuation of the group with an equal or higher term.
 func (o *Overlay) Continue(c Continuation) *Overlay {
 	if o != nil {
 		known, exists := o.groups[c.Group]
@@ -87,7 +88,7 @@
 	return next
 }
 
-// Prune returns the overlay without the entries that the view has passed.
+// Prune returns the overlay without the entries that the view has superseded.
 func (o *Overlay) Prune(view *state.View) *Overlay {
 	if o.Len() == 0 {
 		return o
@@ -111,7 +112,7 @@
 	return next
 }
 
-// Len is the number of entries.
+// Len returns the number of entries.
 func (o *Overlay) Len() int {
 	if o == nil {
 		return 0
@@ -119,7 +120,7 @@
 	return len(o.shards) + len(o.groups)
 }
 
-// Activations lists the activations in no order.
+// Activations lists the activations in no particular order.
 func (o *Overlay) Activations() []Activation {
 	if o == nil {
 		return nil
--- a/route/route.go
+++ b/route/route.go
@@ -1,7 +1,7 @@
-// Package route decides where a request for a key goes: to which server, under
-// which fence, and by which way. The decision is pure: it reads an immutable
-// view of the site's state and an immutable overlay of what lessors announced
-// off the log.
+// Package route decides where a request goes: to which server, under which fence
+// and by which path. The decision is pure: it reads an immutable view of the
+// site's state and an immutable overlay of the changes that lessors announced
+// without a record in the log.
 package route
 
 import (
@@ -12,28 +12,28 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Path is the way a request takes from this node.
+// Path is the path that a request takes from this node.
 type Path uint8
 
-// Ways.
+// Paths.
 const (
-	// PathRefuse: the request cannot be served as it is; see Reason.
+	// PathRefuse: the request is invalid and is refused; see Decision.Reason.
 	PathRefuse Path = iota + 1
-	// PathWait: the shard has no owner or the owner no lessor; a later view may
-	// name one.
+	// PathWait: the shard has no owner or the owner has no lessor; a later view
+	// may have one.
 	PathWait
 	// PathLocal: this node is the admission point of the owner.
 	PathLocal
 	// PathForward: another node is the admission point of the owner.
 	PathForward
-	// PathDirect: the admission point cannot be reached, and this node is one of
-	// its deputies; send to the owner under the deputy's share of its limit.
+	// PathDirect: the admission point is unreachable, and this node is a deputy.
+	// It sends to the owner within the deputy's share of the owner's limit.
 	PathDirect
-	// PathDeputy: the admission point cannot be reached; a deputy is to send.
+	// PathDeputy: the admission point is unreachable; a deputy sends the request.
 	PathDeputy
 )
 
-// String names the way for dumps and logs.
+// String returns the name of the path for dumps and logs.
 func (p Path) String() string {
 	switch p {
 	case PathRefuse:
@@ -52,7 +52,7 @@
 	return "undecided"
 }
 
-// Decision says where a request goes.
+// Decision describes where a request goes.
 type Decision struct {
 	Path    Path
 	Reason  serverapi.Reason // of PathRefuse and PathWait
@@ -65,23 +65,23 @@
 	Term    topo.Term // of the group's lessor
 	Lessor  topo.NodeID
 	Deputy  topo.NodeID // of PathDeputy
-	Places  int         // of PathDirect: requests that may be at the server at once
+	Places  int         // of PathDirect: most concurrent requests at the server
 }
 
-// SameOwner reports whether two decisions send to the same server under the
-// same fence by the same lessor, so that trying again would change nothing.
+// SameOwner reports whether two decisions have the same server, fence, term and
+// path, so that another attempt would go the same way.
 func (d Decision) SameOwner(other Decision) bool {
 	return d.Server == other.Server && d.Fence == other.Fence && d.Term == other.Term &&
 		d.Path == other.Path
 }
 
-// Self is the run of the node that decides.
+// Self is the incarnation of the node that decides.
 type Self struct {
 	Node topo.NodeID
 	Boot topo.BootID
 }
 
-// Keyed decides for a key of a service that is divided by key.
+// Keyed returns the decision for a key of a keyed service.
 func Keyed(view *state.View, overlay *Overlay, self Self, service topo.Service, key string) Decision {
 	config, exists := view.Service(service)
 	if !exists {
@@ -104,7 +104,7 @@
 	return decision.toServer(view, overlay, self, owner)
 }
 
-// Server decides for one server of a service that is not divided by key.
+// Server returns the decision for one server of an unkeyed service.
 func Server(view *state.View, overlay *Overlay, self Self, service topo.Service, server topo.ServerID) Decision {
 	config, exists := view.Service(service)
 	if !exists {
@@ -142,7 +142,7 @@
 		d.Path = PathLocal
 	}
 	if group.Lessor == self.Node && group.LessorBoot != self.Boot {
-		d.Path = PathWait // claimed by an earlier run of this node
+		d.Path = PathWait // claimed by an earlier incarnation of this node
 		d.Reason = callerapi.ReasonNotLessor
 	}
 	return d
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -29,7 +29,8 @@
 	return &siteconfig.Service{Name: name, Keyed: shards > 0, Shards: shards, ConcurrencyPerServer: 4, ChecksFencing: true}
 }
 
-// newSite has n1 leading group A with server a1, n2 leading group B with b1.
+// newSite returns a site in which n1 leads group A with server a1, and n2 leads
+// group B with servers b1 and p1.
 func newSite() *routetest.Site {
 	site := routetest.New()
 	site.Configure(service(records, 8), service(plans, 0))
@@ -68,7 +69,7 @@
 			prepare: func(s *routetest.Site) *route.Overlay { s.Assign(shardOf(key), "a1", ""); return nil }},
 		{name: "owner in another group", service: records, path: route.PathForward, server: "b1",
 			prepare: func(s *routetest.Site) *route.Overlay { s.Assign(shardOf(key), "b1", ""); return nil }},
-		{name: "group led by an earlier run of this node", service: records, path: route.PathWait, reason: callerapi.ReasonNotLessor, server: "a1",
+		{name: "group led by an earlier incarnation of this node", service: records, path: route.PathWait, reason: callerapi.ReasonNotLessor, server: "a1",
 			prepare: func(s *routetest.Site) *route.Overlay {
 				s.Assign(shardOf(key), "a1", "")
 				s.Run("n1", "b0", "127.0.0.1:1")
@@ -80,13 +81,13 @@
 				fence := s.Assign(shardOf(key), "a1", "b1")
 				return new(route.Overlay).Activate(route.Activation{Shard: shardOf(key), Fence: fence.Standby(), Owner: "b1"})
 			}},
-		{name: "activation that the log has passed", service: records, path: route.PathLocal, server: "a1",
+		{name: "activation superseded by the log", service: records, path: route.PathLocal, server: "a1",
 			prepare: func(s *routetest.Site) *route.Overlay {
 				fence := s.Assign(shardOf(key), "a1", "b1")
 				s.Assign(shardOf(key), "a1", "")
 				return new(route.Overlay).Activate(route.Activation{Shard: shardOf(key), Fence: fence.Standby(), Owner: "b1"})
 			}},
-		{name: "standby lessor that went on off the log", service: records, path: route.PathLocal, server: "b1",
+		{name: "standby lessor that took over off the log", service: records, path: route.PathLocal, server: "b1",
 			prepare: func(s *routetest.Site) *route.Overlay {
 				s.Assign(shardOf(key), "b1", "")
 				g, _ := s.View().Group(groupB)
@@ -123,26 +124,26 @@
 	}
 }
 
-func TestPastALessorOnlyWhereServersCheckFences(t *testing.T) {
+func TestLessorIsBypassedOnlyIfServersCheckFences(t *testing.T) {
 	g := gomega.NewWithT(t)
 	site := newSite()
 	site.Assign(shardOf("k"), "b1", "")
 	d := route.Keyed(site.View(), nil, self, records, "k")
-	g.Expect(past(site, self, d).Path).To(gomega.Equal(route.PathDirect))
+	g.Expect(bypass(site, self, d).Path).To(gomega.Equal(route.PathDirect))
 
 	unfenced := service(records, 8)
 	unfenced.ChecksFencing = false
 	site.Configure(unfenced, service(plans, 0))
 	d = route.Keyed(site.View(), nil, self, records, "k")
-	g.Expect(past(site, self, d).Path).To(gomega.Equal(route.PathForward))
+	g.Expect(bypass(site, self, d).Path).To(gomega.Equal(route.PathForward))
 	_, allowed := d.AsDeputy(site.View(), self, d.Lessor)
 	g.Expect(allowed).To(gomega.BeFalse())
 }
 
-// TestOverlayNeverGoesBack lets activations, log assignments and prunings come
-// in any order: the fence in force never falls, and an entry that the log has
-// passed is gone after a pruning.
-func TestOverlayNeverGoesBack(t *testing.T) {
+// TestFenceNeverDecreases applies activations, assignments from the log and
+// prunings in random order. The current fence never decreases, and pruning removes
+// the entries that the log has superseded.
+func TestFenceNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		site := newSite()
 		shard := shardOf("k")
@@ -161,20 +162,20 @@
 				assigned, _ := site.View().Shard(shard)
 				for _, active := range holder.Overlay().Activations() {
 					if !assigned.Fence.Less(active.Fence) {
-						t.Fatalf("%v is held though the log is at %v", active.Fence, assigned.Fence)
+						t.Fatalf("overlay keeps fence %v, but the log is at %v", active.Fence, assigned.Fence)
 					}
 				}
 			}
 			now := route.Keyed(site.View(), holder.Overlay(), self, records, "k").Fence
 			if now.Less(highest) {
-				t.Fatalf("fence fell from %v to %v", highest, now)
+				t.Fatalf("fence decreased from %v to %v", highest, now)
 			}
 			highest = now
 		}
 	})
 }
 
-func TestHolderTellsOfChanges(t *testing.T) {
+func TestHolderNotifiesOfChanges(t *testing.T) {
 	g := gomega.NewWithT(t)
 	holder := route.NewHolder()
 	changed := holder.Changed()
@@ -194,7 +195,7 @@
 	gomega.NewWithT(t).Expect(allocated).To(gomega.BeZero())
 }
 
-// BenchmarkDecision decides over 1,000 servers and 65,536 shards.
+// BenchmarkDecision measures decisions over 1,000 servers and 65,536 shards.
 func BenchmarkDecision(b *testing.B) {
 	const servers, shards, keys = 1000, 1 << 16, 1 << 12
 	site := routetest.New()
--- a/route/routetest/site.go
+++ b/route/routetest/site.go
@@ -1,5 +1,5 @@
-// Package routetest builds views of a site for tests of the request path, by
-// applying the records that a log would hold.
+// Package routetest builds views of a site for tests of the request path by
+// applying the records that a log would contain.
 package routetest
 
 import (
@@ -16,13 +16,14 @@
 // writer is the writer of every record.
 const writer = "test@1"
 
-// Site is a sitefake.Site with records as the request path's tests need them.
+// Site is a sitefake.Site with methods that apply the records which tests of the
+// request path need.
 type Site struct{ *sitefake.Site }
 
-// New returns the site before the first record.
+// New returns a site without records.
 func New() *Site { return &Site{sitefake.New()} }
 
-// Configure puts a site configuration with these services in force.
+// Configure publishes a site configuration with the services.
 func (s *Site) Configure(services ...*siteconfig.Service) {
 	site := &siteconfig.Site{Services: map[topo.Service]*siteconfig.Service{}, GroupsPerZone: 1}
 	for _, service := range services {
@@ -35,7 +36,7 @@
 	}}})
 }
 
-// Run adds or replaces a run of a node.
+// Join adds a node, or replaces its incarnation.
 func (s *Site) Run(id topo.NodeID, boot topo.BootID, address string) {
 	s.apply(&bspb.Record{Body: &bspb.Record_JoinNode{JoinNode: &bspb.JoinNode{
 		Node: string(id), Boot: string(boot), Zone: "zone-a", Region: "region", PeerAddress: address,
@@ -61,8 +62,8 @@
 	return s.LeadWithStandby(group, node, boot, "")
 }
 
-// LeadWithStandby makes a node the lessor of a group, names a standby lessor of
-// the same boot, and returns the term.
+// LeadWithStandby makes a node the lessor of a group, with a standby lessor of the
+// same boot ID, and returns the term.
 func (s *Site) LeadWithStandby(group topo.GroupID, node topo.NodeID, boot topo.BootID, standby topo.NodeID) topo.Term {
 	current, _ := s.View().Group(group)
 	claim := &bspb.ClaimTerm{
@@ -76,7 +77,7 @@
 	return led.Term
 }
 
-// Assign gives a shard to a server and returns its fence.
+// Assign assigns a shard to a server and returns the shard's fence.
 func (s *Site) Assign(shard topo.ShardID, owner, standby topo.ServerID) topo.Fence {
 	view := s.View()
 	current, exists := view.Shard(shard)
@@ -102,7 +103,7 @@
 	return assigned.Fence
 }
 
-// AssignAll gives every shard of a service to servers in turn.
+// AssignAll assigns the shards of a service to the servers in turn.
 func (s *Site) AssignAll(service topo.Service, owners ...topo.ServerID) {
 	config, _ := s.View().Service(service)
 	for index := range config.Shards {
@@ -111,7 +112,8 @@
 	}
 }
 
-// apply appends a record; a refused one is a mistake in the test.
+// apply appends a record. It panics if the record is refused, because that is a
+// mistake in the test.
 func (s *Site) apply(rec *bspb.Record) {
 	if result := s.Apply(writer, rec); !result.Accepted {
 		panic(fmt.Sprintf("record refused: %+v", result))
--- a/route/sink.go
+++ b/route/sink.go
@@ -8,14 +8,14 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// ActivationSink takes what lessors decided off the log. Lessors and the
-// handler of their announcements write to it; the router reads it. Methods may
-// be called concurrently.
+// ActivationSink receives the decisions that lessors take without a record in the
+// log. Lessors and the handler of their announcements write to it; the router
+// reads it. Methods may be called concurrently.
 type ActivationSink interface {
-	// Activated tells that a standby server owns a shard under the standby's
+	// Activated records that a standby server owns a shard under the standby's
 	// fence.
 	Activated(shard topo.ShardID, fence topo.Fence, owner topo.ServerID)
-	// Continued tells that a standby lessor went on under the standby's term.
+	// Continued records that a standby lessor took over under the standby's term.
 	Continued(group topo.GroupID, term topo.Term, node topo.NodeID, boot topo.BootID)
 }
 
@@ -23,16 +23,16 @@
 type Holder struct {
 	current atomic.Pointer[Overlay]
 
-	mu      sync.Mutex
+	mu      sync.Mutex // guards changed, and replacing current
 	changed chan struct{}
 }
 
-// NewHolder returns a holder of an empty overlay.
+// NewHolder returns a Holder with an empty overlay.
 func NewHolder() *Holder {
 	return &Holder{changed: make(chan struct{})}
 }
 
-// Overlay returns the current overlay; it may be nil, which is empty.
+// Overlay returns the current overlay, which may be nil if it is empty.
 func (h *Holder) Overlay() *Overlay { return h.current.Load() }
 
 // Changed returns a channel that is closed when the overlay is replaced.
@@ -56,7 +56,7 @@
 	})
 }
 
-// Prune drops what the view has passed.
+// Prune removes the entries that the view has superseded.
 func (h *Holder) Prune(view *state.View) {
 	h.replace(func(o *Overlay) *Overlay { return o.Prune(view) })
 }
