--- a/hotkeys/counter.go
+++ b/hotkeys/counter.go
@@ -5,15 +5,14 @@
 // counter holds the decayed count of one key.
 type counter struct {
 	id       topo.ShardID
-	count    float64 // never below the key's true count
-	err      float64 // how much of count may belong to other keys
-	busy     float64 // weighted seconds of service since admission
-	position int     // in the heap
+	count    float64 // at least the key's true decayed count
+	err      float64 // the part of count that may belong to other keys
+	busy     float64 // decayed seconds of service since the key was admitted
+	position int     // index in the heap
 }
 
-// entry converts the counter to rates. Busy time is known only for the
-// observations since admission, so it is extended to the certain part of the
-// rate and no further.
+// entry converts the counter to rates. Load covers only the observations since
+// the key was admitted, because busy times of earlier ones are unknown.
 func (c *counter) entry(scale float64) Entry {
 	return Entry{
 		ID:             c.id,
@@ -23,37 +22,37 @@
 	}
 }
 
-// counterHeap is a binary heap with the smallest count first. It is written out
-// rather than built on container/heap because it runs once for each request.
+// counterHeap is a binary heap with the smallest count first. It does not use
+// container/heap because it is updated once for each request.
 type counterHeap []*counter
 
-// sink moves a counter whose count grew away from the front.
-func (h counterHeap) sink(at int) {
+// siftDown restores the heap order after the count of a counter has grown.
+func (h counterHeap) siftDown(index int) {
 	for {
-		child := 2*at + 1
+		child := 2*index + 1
 		if child >= len(h) {
 			return
 		}
 		if child+1 < len(h) && h[child+1].count < h[child].count {
 			child++
 		}
-		if h[at].count <= h[child].count {
+		if h[index].count <= h[child].count {
 			return
 		}
-		h.swap(at, child)
-		at = child
+		h.swap(index, child)
+		index = child
 	}
 }
 
-// rise moves a new counter towards the front.
-func (h counterHeap) rise(at int) {
-	for at > 0 {
-		parent := (at - 1) / 2
-		if h[parent].count <= h[at].count {
+// siftUp restores the heap order after a counter was appended.
+func (h counterHeap) siftUp(index int) {
+	for index > 0 {
+		parent := (index - 1) / 2
+		if h[parent].count <= h[index].count {
 			return
 		}
-		h.swap(at, parent)
-		at = parent
+		h.swap(index, parent)
+		index = parent
 	}
 }
 
--- a/hotkeys/hotkeys_test.go
+++ b/hotkeys/hotkeys_test.go
@@ -38,7 +38,7 @@
 	g.Expect(later[0].PerSecond).To(gomega.BeNumerically("~", 50, 1))
 }
 
-func TestRateOfAYoungSketchIsNotTooLow(t *testing.T) {
+func TestRateOfANewSketchIsNotTooLow(t *testing.T) {
 	g := gomega.NewWithT(t)
 	sketch := hotkeys.New(8, halfLife)
 	for i := range 101 {
@@ -47,7 +47,7 @@
 	g.Expect(sketch.Top(start.Add(time.Second), 1)[0].PerSecond).To(gomega.BeNumerically("~", 100, 3))
 }
 
-func TestTheHotKeyOfTodayReplacesYesterdays(t *testing.T) {
+func TestNewHotKeysReplaceEarlierOnes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	sketch := hotkeys.New(4, halfLife)
 	now := start
@@ -72,7 +72,7 @@
 	g.Expect(sketch.Total(start.Add(time.Second))).To(gomega.BeNumerically(">", 0))
 }
 
-// exact counts the same observations without a bound on memory.
+// exact holds the exact decayed counts by key, without a bound on memory.
 type exact map[string]float64
 
 func (e exact) observe(now, end time.Time, key string) {
@@ -87,26 +87,26 @@
 	return sum
 }
 
-// checkBound checks the package's statement of its error bound.
+// checkBound checks the error bound that the package documentation states.
 func checkBound(t *rapid.T, sketch *hotkeys.Sketch, truth exact, end time.Time, capacity int) {
 	scale := sketch.Total(end) / truth.total()
 	limit := truth.total() / float64(capacity)
-	held := map[string]hotkeys.Entry{}
+	entries := map[string]hotkeys.Entry{}
 	for _, entry := range sketch.Top(end, capacity) {
-		held[entry.ID.Key] = entry
+		entries[entry.ID.Key] = entry
 	}
 	const slack = 1e-6
 	for key, count := range truth {
-		entry, found := held[key]
+		entry, found := entries[key]
 		if !found {
 			if count > limit+slack {
 				t.Fatalf("%s with %g of at most %g is missing", key, count, limit)
 			}
 			continue
 		}
-		estimate, wrong := entry.PerSecond/scale, entry.ErrorPerSecond/scale
-		if estimate < count-slack || estimate > count+limit+slack || estimate-wrong > count+slack {
-			t.Fatalf("%s: %g ± %g for %g, bound %g", key, estimate, wrong, count, limit)
+		estimate, maxError := entry.PerSecond/scale, entry.ErrorPerSecond/scale
+		if estimate < count-slack || estimate > count+limit+slack || estimate-maxError > count+slack {
+			t.Fatalf("%s: %g ± %g for %g, bound %g", key, estimate, maxError, count, limit)
 		}
 	}
 }
--- a/hotkeys/merge.go
+++ b/hotkeys/merge.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Merge adds what another sketch of the same half-life observed, as of now. The
-// other sketch is left as it is.
+// Merge adds the observations of another sketch with the same half-life, as of
+// now. It does not modify the other sketch.
 func (s *Sketch) Merge(now time.Time, other *Sketch) {
 	if other.first.IsZero() {
 		return
@@ -17,14 +17,15 @@
 	if other.first.Before(s.first) {
 		s.first = other.first
 	}
-	factor := math.Exp(-now.Sub(other.base).Seconds() / s.decay)
+	factor := math.Exp(-now.Sub(other.base).Seconds() / s.meanLife)
 	merged := mergeCounters(s, other, factor)
 	s.total += other.total * factor
 	s.replace(merged)
 }
 
-// mergeCounters sums the counters of both sketches. A key that one of them does
-// not hold may have been seen there as often as its smallest counter says.
+// mergeCounters sums the counters of both sketches. A key that is missing from a
+// sketch may have been observed there up to as often as the key with the smallest
+// count, so that count is added to its count and its error.
 func mergeCounters(s, other *Sketch, factor float64) []*counter {
 	missingHere, missingThere := s.smallest(), other.smallest()*factor
 	merged := make([]*counter, 0, len(s.counters)+len(other.counters))
@@ -54,7 +55,7 @@
 	c.busy += busy
 }
 
-// smallest returns the count that a key may have without being held.
+// smallest returns the largest count that a key outside the sketch may have.
 func (s *Sketch) smallest() float64 {
 	if len(s.counters) < s.capacity {
 		return 0
@@ -62,18 +63,18 @@
 	return s.counters[0].count
 }
 
-// replace makes the largest of the counters the content of the sketch.
+// replace sets the content of the sketch to the largest of the counters.
 func (s *Sketch) replace(counters []*counter) {
 	sort.Slice(counters, func(i, j int) bool {
 		if counters[i].count != counters[j].count {
 			return counters[i].count > counters[j].count
 		}
-		return before(counters[i].id, counters[j].id)
+		return lessID(counters[i].id, counters[j].id)
 	})
 	counters = counters[:min(len(counters), s.capacity)]
 	s.counters = s.counters[:0]
 	clear(s.byKey)
-	// Ascending order is a valid heap.
+	// A slice in ascending order is a valid heap.
 	for i := len(counters) - 1; i >= 0; i-- {
 		c := counters[i]
 		c.position = len(s.counters)
