--- a/ring/ring.go
+++ b/ring/ring.go
@@ -1,5 +1,5 @@
-// Package ring joins the goroutines of a process: a Ring is a bounded, typed
-// queue whose full case is decided when it is made and counted when it happens.
+// Package ring provides a bounded, typed queue between goroutines. The policy for
+// a full queue is set at its creation, and each time that it applies is counted.
 package ring
 
 import (
@@ -7,40 +7,41 @@
 	"sync/atomic"
 )
 
-// Full says what Put does when the ring is full.
-type Full int
+// Policy is the policy of Put for a full ring.
+type Policy int
 
-// Ways to treat a full ring.
+// Policies for a full ring.
 const (
 	// Wait blocks the producer until there is room or its context ends.
-	Wait Full = iota + 1
-	// DropNew counts and discards the new item; for observations that are
+	Wait Policy = iota + 1
+	// DropNew counts and discards the new item. It is for observations that are
 	// repeated anyway.
 	DropNew
-	// Refuse returns a *FullError, so that the producer tells its caller.
+	// Refuse returns a *FullError, so that the producer can report the refusal to
+	// its caller.
 	Refuse
 )
 
 // Ring is a bounded queue with any number of producers and consumers.
 type Ring[T any] struct {
 	name    string
-	full    Full
+	policy  Policy
 	items   chan T
 	dropped atomic.Uint64
 	refused atomic.Uint64
 	waited  atomic.Uint64
 }
 
-// New returns a ring for size items. It panics on a size below 1, which is a
-// programming error.
-func New[T any](name string, size int, full Full) *Ring[T] {
+// New returns a ring with room for size items. It panics if size is below 1,
+// which is a programming error.
+func New[T any](name string, size int, policy Policy) *Ring[T] {
 	if size < 1 {
 		panic(&SizeError{Name: name, Size: size})
 	}
-	return &Ring[T]{name: name, full: full, items: make(chan T, size)}
+	return &Ring[T]{name: name, policy: policy, items: make(chan T, size)}
 }
 
-// Put adds an item, or treats the full ring as decided. It returns nil, a
+// Put adds an item, or applies the policy if the ring is full. It returns nil, a
 // *FullError, or the context's error.
 func (r *Ring[T]) Put(ctx context.Context, item T) error {
 	select {
@@ -48,7 +49,7 @@
 		return nil
 	default:
 	}
-	switch r.full {
+	switch r.policy {
 	case DropNew:
 		r.dropped.Add(1)
 		return nil
@@ -65,21 +66,21 @@
 	}
 }
 
-// Items is the channel from which consumers receive. It is never closed; a
-// consumer ends with its context.
+// Items returns the channel from which consumers receive. It is never closed;
+// consumers stop when their context ends.
 func (r *Ring[T]) Items() <-chan T { return r.items }
 
-// Stats is what a ring has counted.
+// Stats holds the counters of a ring.
 type Stats struct {
 	Name     string `json:"name"`
 	Length   int    `json:"length"`
 	Capacity int    `json:"capacity"`
 	Dropped  uint64 `json:"dropped"`
 	Refused  uint64 `json:"refused"`
-	Waited   uint64 `json:"waited"` // times that a producer had to wait
+	Waited   uint64 `json:"waited"` // number of Put calls that found the ring full and waited
 }
 
-// Stats returns the ring's counts for the state dump.
+// Stats returns the ring's counters for the state dump.
 func (r *Ring[T]) Stats() Stats {
 	return Stats{
 		Name:     r.name,
@@ -91,13 +92,13 @@
 	}
 }
 
-// FullError reports an item that was refused by a full ring.
+// FullError reports that a full ring refused an item.
 type FullError struct{ Name string }
 
 // Error implements error.
 func (e *FullError) Error() string { return "ring " + e.Name + ": full" }
 
-// SizeError reports a ring made with a size below 1.
+// SizeError reports a ring that was created with a size below 1.
 type SizeError struct {
 	Name string
 	Size int
