--- a/load/collector.go
+++ b/load/collector.go
@@ -10,8 +10,8 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// Collector joins the reports of all nodes into one picture for the balancer.
-// It is pure and not safe for concurrent use.
+// Collector merges the load reports of all nodes into a Snapshot for the balancer.
+// It does no I/O and is not safe for concurrent use.
 type Collector struct {
 	maxAge  time.Duration
 	reports map[topo.NodeID]nodeReport
@@ -24,14 +24,13 @@
 	body *bspb.ReportLoadRequest
 }
 
-// NewCollector returns an empty collector that forgets reports older than
-// maxAge.
+// NewCollector returns an empty collector that drops reports older than maxAge.
 func NewCollector(maxAge time.Duration) *Collector {
 	return &Collector{maxAge: maxAge, reports: map[topo.NodeID]nodeReport{}}
 }
 
-// Add takes a node's report, which replaces its earlier one. The caller must
-// not change the report afterwards.
+// Add stores a node's report, which replaces the node's previous report. The
+// caller must not modify the report afterwards.
 func (c *Collector) Add(now time.Time, report *bspb.ReportLoadRequest) {
 	sender := report.GetSender()
 	c.reports[topo.NodeID(sender.GetNode())] = nodeReport{
@@ -39,28 +38,29 @@
 	}
 }
 
-// Picture is what all nodes together observed of one service.
+// Snapshot is the load that all nodes together observed: of the shards and keys of
+// one service, and of all servers.
 type Picture struct {
 	Shards  map[topo.ShardID]ShardRate
-	Keys    map[topo.ShardID]ShardRate // by hash range and key
+	Keys    map[topo.ShardID]ShardRate // hot keys, by hash range and key
 	Servers map[topo.ServerID]ServerRate
 }
 
-// ShardRate is a shard's or a key's load.
+// ShardRate is the load of a shard or a key.
 type ShardRate struct {
-	PerSecond float64 // requests, without what may belong to other keys
+	PerSecond float64 // requests; for a key, without those that may belong to other keys
 	Busy      float64 // mean number of requests in service; 0 for keys
 }
 
-// ServerRate is a server's load.
+// ServerRate is the load of a server.
 type ServerRate struct {
-	PerSecond float64 // requests that held a place
+	PerSecond float64 // requests that occupied a slot
 	InFlight  float64 // mean number of requests in service
-	Shed      float64 // requests per second refused for want of room
-	Failed    float64 // attempts per second without an answer
+	Shed      float64 // requests per second refused because the server was full
+	Failed    float64 // attempts per second without a response
 }
 
-// MeanBusy returns the mean seconds of service of a request; 0 if unknown.
+// MeanBusy returns the mean service time of a request in seconds, or 0 if unknown.
 func (s ServerRate) MeanBusy() float64 {
 	if s.PerSecond <= 0 {
 		return 0
@@ -68,33 +68,34 @@
 	return s.InFlight / s.PerSecond
 }
 
-// Pressure returns how many times the load that was served the server was
-// asked to serve; at least 1.
-func (s ServerRate) Pressure() float64 {
+// OfferedRatio returns the offered load divided by the served load, which is at
+// least 1.
+func (s ServerRate) OfferedRatio() float64 {
 	if s.PerSecond <= 0 {
 		return 1
 	}
 	return 1 + s.Shed/s.PerSecond
 }
 
-// Picture sums the reports that are fresh enough, for one service's shards and
-// keys and for all servers.
+// Snapshot drops the reports older than maxAge and sums the others, for the shards
+// and keys of one service and for all servers.
 func (c *Collector) Picture(now time.Time, service topo.Service) Picture {
-	picture := Picture{
+	snapshot := Picture{
 		Shards:  map[topo.ShardID]ShardRate{},
 		Keys:    map[topo.ShardID]ShardRate{},
 		Servers: map[topo.ServerID]ServerRate{},
 	}
-	// Sums of floats depend on their order, and decisions must not.
+	// The nodes are sorted because floating-point sums depend on their order, and
+	// decisions must be deterministic.
 	for _, node := range slices.Sorted(maps.Keys(c.reports)) {
 		report := c.reports[node]
 		if now.Sub(report.at) > c.maxAge {
 			delete(c.reports, node)
 			continue
 		}
-		picture.add(service, report.body)
+		snapshot.add(service, report.body)
 	}
-	return picture
+	return snapshot
 }
 
 func (p *Picture) add(service topo.Service, report *bspb.ReportLoadRequest) {
@@ -102,7 +103,7 @@
 		if topo.Service(entry.GetShard().GetService()) != service {
 			continue
 		}
-		id := idOf(entry.GetShard())
+		id := shardIDOf(entry.GetShard())
 		sum := p.Shards[id]
 		sum.PerSecond += entry.GetPerSecond()
 		sum.Busy += entry.GetBusy()
@@ -112,7 +113,7 @@
 		if topo.Service(entry.GetShard().GetService()) != service {
 			continue
 		}
-		id := idOf(entry.GetShard())
+		id := shardIDOf(entry.GetShard())
 		id.Key = entry.GetKey()
 		sum := p.Keys[id]
 		sum.PerSecond += entry.GetPerSecond() - entry.GetErrorPerSecond()
--- a/load/input.go
+++ b/load/input.go
@@ -12,33 +12,35 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Planned is what the planner knows of its own moves.
+// PlannedMoves describes the planner's own moves.
 type Planned interface {
-	// Changed returns when a shard's owner last changed; the zero time if it is
-	// not known to have changed lately.
+	// Changed returns the time of the last change of a shard's owner, or the zero
+	// time if no recent change is known.
 	Changed(id topo.ShardID) time.Time
-	// Moving reports whether a move of the shard is under way.
+	// Moving reports whether a move of the shard is in progress.
 	Moving(id topo.ShardID) bool
 }
 
-// Sources is what a decision for one service is built from.
+// Sources holds the data from which the balancer's input for one service is built.
 type Sources struct {
 	View    *state.View
 	Service *siteconfig.Service
 	Picture Picture
 	Planned Planned
-	// Share returns the part, 0 to 1, of a server's capacity that may be used
-	// while it is cold or returns from an ejection. nil means all of it.
+	// Share returns the fraction, 0 to 1, of a server's capacity that may be used
+	// while the server is cold or warms up after an ejection. If it is nil, the
+	// whole capacity may be used.
 	Share    func(topo.ServerID) float64
 	MoveCost time.Duration
 	Budget   balance.Budget
 	Rand     *rand.Rand
 }
 
-// Input builds the balancer's input as of now. Loads are what the entry nodes
-// observed; a server's own report is not used. A server that is slow for every
-// request counts as one of less capacity, and its shards' loads are brought to
-// what they would be on a server of ordinary speed.
+// Input builds the balancer's input as of now. Loads are those that the entry
+// nodes observed; reports of the servers themselves are not used. A server with a
+// clearly higher mean service time than the median server is treated as a server
+// of less capacity, and the loads of its shards are scaled to a server of median
+// speed.
 func (s *Sources) Input(now time.Time) *balance.Input {
 	in := &balance.Input{
 		Service:   s.Service.Name,
@@ -59,7 +61,8 @@
 	return in
 }
 
-// addServers lists the service's servers by ID and returns their indices.
+// addServers adds the service's servers in the order of their IDs and returns
+// their indices.
 func (s *Sources) addServers(in *balance.Input) map[topo.ServerID]int {
 	for id, server := range s.View.Servers() {
 		if server.Service != s.Service.Name {
@@ -88,17 +91,17 @@
 }
 
 const (
-	// slowFrom is how many times the median busy time makes a server slow;
-	// below it, differences are taken for those of its keys.
-	slowFrom = 1.5
-	// minSpeed bounds what is concluded from a very slow server.
+	// slowRatio is the ratio to the median busy time above which a server is slow.
+	// Smaller differences are attributed to the keys of the server.
+	slowRatio = 1.5
+	// minSpeed is the lowest relative speed that a very slow server is given.
 	minSpeed = 0.1
-	// minServersForSpeed is the number of servers that a median needs.
+	// minServersForSpeed is the least number of servers for a meaningful median.
 	minServersForSpeed = 3
 )
 
-// speeds returns each server's speed against the service's median server, 1 if
-// it is not clearly slower.
+// speeds returns each server's speed relative to the service's median server. It
+// is 1 for a server that is not slow.
 func (s *Sources) speeds(servers []balance.Server) []float64 {
 	speeds := make([]float64, len(servers))
 	busy := make([]float64, 0, len(servers))
@@ -114,15 +117,15 @@
 	slices.Sort(busy)
 	median := busy[len(busy)/2]
 	for i := range servers {
-		if mean := s.Picture.Servers[servers[i].ID].MeanBusy(); mean > slowFrom*median {
+		if mean := s.Picture.Servers[servers[i].ID].MeanBusy(); mean > slowRatio*median {
 			speeds[i] = max(median/mean, minSpeed)
 		}
 	}
 	return speeds
 }
 
-// addShards lists the service's shards and returns the indices of its hash
-// ranges.
+// addShards adds the service's shards and returns the indices of its hash ranges.
+// Split keys follow the hash ranges, in the order of their keys.
 func (s *Sources) addShards(in *balance.Input, index map[topo.ServerID]int, speeds []float64) []int {
 	in.Shards = make([]balance.Shard, 0, s.Service.Shards)
 	ranges := make([]int, 0, s.Service.Shards)
@@ -151,15 +154,15 @@
 	owner, known := index[a.Owner]
 	if known && !a.Fence.IsZero() {
 		shard.Owner = owner
-		pressure := s.Picture.Servers[a.Owner].Pressure()
-		shard.Rate *= pressure
-		shard.Load *= pressure * speeds[owner]
+		offeredRatio := s.Picture.Servers[a.Owner].OfferedRatio()
+		shard.Rate *= offeredRatio
+		shard.Load *= offeredRatio * speeds[owner]
 	}
 	return shard
 }
 
-// addKeys lists the hot keys that have no entry of their own. A key's load is
-// its share of its hash range's requests.
+// addKeys adds the hot keys that are not split from their hash range. A key's load
+// is the load of its hash range times the key's fraction of the range's requests.
 func (s *Sources) addKeys(in *balance.Input, ranges []int) {
 	for id, observed := range s.Picture.Keys {
 		if int(id.Index) >= len(ranges) {
@@ -168,15 +171,15 @@
 		if assignment, exists := s.View.Lookup(id.Service, id.Key); !exists || assignment.Shard.Key != "" {
 			continue
 		}
-		at := ranges[id.Index]
-		shard := &in.Shards[at]
-		before := s.Picture.Shards[shard.ID].PerSecond
-		if before <= 0 {
+		index := ranges[id.Index]
+		shard := &in.Shards[index]
+		rangeRate := s.Picture.Shards[shard.ID].PerSecond
+		if rangeRate <= 0 {
 			continue
 		}
-		part := min(observed.PerSecond/before, 1)
+		fraction := min(observed.PerSecond/rangeRate, 1)
 		in.HotKeys = append(in.HotKeys, balance.HotKey{
-			Shard: at, Key: id.Key, Rate: part * shard.Rate, Load: part * shard.Load,
+			Shard: index, Key: id.Key, Rate: fraction * shard.Rate, Load: fraction * shard.Load,
 		})
 	}
 	slices.SortFunc(in.HotKeys, func(a, b balance.HotKey) int {
@@ -184,38 +187,39 @@
 	})
 }
 
-// addBackground gives each server the part of its load that no reported shard
-// explains. A shard that moved lately still shows in its earlier server's
-// average, so only as much counts as is missing over all servers together.
+// addBackground sets each server's background load, which is the part of its load
+// that no reported shard accounts for. The average of a server still includes
+// shards that moved away recently, so the background loads sum up to the load that
+// is unreported over all servers together.
 func (s *Sources) addBackground(in *balance.Input, speeds []float64) {
-	missing := s.unreported(in)
-	if missing == 0 {
+	unreported := s.unreported(in)
+	if unreported == 0 {
 		return
 	}
-	rest := make([]float64, len(in.Servers))
+	residual := make([]float64, len(in.Servers))
 	for i := range in.Servers {
-		rest[i] = s.Picture.Servers[in.Servers[i].ID].InFlight
+		residual[i] = s.Picture.Servers[in.Servers[i].ID].InFlight
 	}
 	for i := range in.Shards {
 		if owner := in.Shards[i].Owner; owner != balance.NoOwner {
-			rest[owner] -= s.Picture.Shards[in.Shards[i].ID].Busy
+			residual[owner] -= s.Picture.Shards[in.Shards[i].ID].Busy
 		}
 	}
 	sum := 0.0
-	for i := range rest {
-		rest[i] = max(rest[i], 0)
-		sum += rest[i]
+	for i := range residual {
+		residual[i] = max(residual[i], 0)
+		sum += residual[i]
 	}
 	for i := range in.Servers {
 		if sum > 0 {
-			pressure := s.Picture.Servers[in.Servers[i].ID].Pressure()
-			in.Servers[i].Background = missing * rest[i] / sum * pressure * speeds[i]
+			offeredRatio := s.Picture.Servers[in.Servers[i].ID].OfferedRatio()
+			in.Servers[i].Background = unreported * residual[i] / sum * offeredRatio * speeds[i]
 		}
 	}
 }
 
-// unreported returns how much of the servers' load no reported shard accounts
-// for; 0 if that is within the error of the averages.
+// unreported returns the part of the load of all servers that no reported shard
+// accounts for, or 0 if it is within the error of the averages.
 func (s *Sources) unreported(in *balance.Input) float64 {
 	served, reported := 0.0, 0.0
 	for i := range in.Servers {
@@ -224,11 +228,12 @@
 	for i := range in.Shards {
 		reported += s.Picture.Shards[in.Shards[i].ID].Busy
 	}
-	if missing := served - reported; missing > unreportedError*served {
-		return missing
+	if unreported := served - reported; unreported > unreportedTolerance*served {
+		return unreported
 	}
 	return 0
 }
 
-// unreportedError is the part of the load by which averages may differ.
-const unreportedError = 0.02
+// unreportedTolerance is the fraction of the load by which the averages of servers
+// and shards may differ.
+const unreportedTolerance = 0.02
--- a/load/input_test.go
+++ b/load/input_test.go
@@ -22,7 +22,8 @@
 	serverCount = 4
 )
 
-// view returns a site of one service with its shards dealt out in turn.
+// view returns a site of one service whose shards are assigned to the servers in
+// turn, and whose split keys belong to server s0.
 func view(t *testing.T, split ...string) *state.View {
 	t.Helper()
 	s := state.New()
@@ -72,12 +73,13 @@
 	}
 }
 
-type nothingPlanned struct{}
+type noPlannedMoves struct{}
 
-func (nothingPlanned) Changed(topo.ShardID) time.Time { return time.Time{} }
-func (nothingPlanned) Moving(topo.ShardID) bool       { return false }
+func (noPlannedMoves) Changed(topo.ShardID) time.Time { return time.Time{} }
+func (noPlannedMoves) Moving(topo.ShardID) bool       { return false }
 
-// report serves one request rate for every shard, with a busy time by server.
+// report returns a node's report of the same request rate for every shard. The
+// slow server has four times the busy time of the others.
 func report(slow topo.ServerID, limit int) *bspb.ReportLoadRequest {
 	const rounds = 400
 	table := load.NewTable(load.DefaultConfig())
@@ -98,12 +100,12 @@
 	return message
 }
 
-func input(v *state.View, picture load.Picture) *balance.Input {
-	sources := load.Sources{View: v, Service: quotes(), Picture: picture, Planned: nothingPlanned{}}
+func input(v *state.View, snapshot load.Picture) *balance.Input {
+	sources := load.Sources{View: v, Service: quotes(), Picture: snapshot, Planned: noPlannedMoves{}}
 	return sources.Input(start)
 }
 
-func TestInputOfAnEvenSite(t *testing.T) {
+func TestInputOfABalancedSite(t *testing.T) {
 	g := gomega.NewWithT(t)
 	collector := load.NewCollector(10 * time.Second)
 	collector.Add(start, report("", 1<<20))
@@ -134,28 +136,28 @@
 	collector := load.NewCollector(10 * time.Second)
 	collector.Add(start, report("", 400))
 	in := input(view(t), collector.Picture(start, "quotes"))
-	whole := 0.0
+	total := 0.0
 	for i := range in.Servers {
-		whole += in.Servers[i].Background
+		total += in.Servers[i].Background
 	}
 	for _, s := range in.Shards {
-		whole += s.Load
+		total += s.Load
 	}
-	g.Expect(whole).To(gomega.BeNumerically("~", 3.2, 0.2))
+	g.Expect(total).To(gomega.BeNumerically("~", 3.2, 0.2))
 	g.Expect(in.Servers[0].Background).To(gomega.BeNumerically(">", 0))
 }
 
 func TestShedRequestsRaiseTheLoad(t *testing.T) {
 	g := gomega.NewWithT(t)
 	message := report("", 1<<20)
-	message.Servers[1].ShedPerSecond = 80 // as many again as were served
+	message.Servers[1].ShedPerSecond = 80 // equal to the rate of served requests
 	collector := load.NewCollector(10 * time.Second)
 	collector.Add(start, message)
 	in := input(view(t), collector.Picture(start, "quotes"))
 	g.Expect(in.Shards[1].Load).To(gomega.BeNumerically("~", 2*in.Shards[0].Load, 0.05))
 }
 
-func TestHotKeysAreThoseWithoutAnEntry(t *testing.T) {
+func TestHotKeysExcludeSplitKeys(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := load.NewTable(load.DefaultConfig())
 	now := start
@@ -174,7 +176,7 @@
 	g.Expect(in.Shards[shardCount].ID.Key).To(gomega.Equal("split"))
 }
 
-func TestOldReportsAreForgotten(t *testing.T) {
+func TestOldReportsAreDropped(t *testing.T) {
 	g := gomega.NewWithT(t)
 	collector := load.NewCollector(10 * time.Second)
 	collector.Add(start, report("", 1<<20))
--- a/load/load.go
+++ b/load/load.go
@@ -1,6 +1,7 @@
-// Package load is the interface by which the request path tells what it
-// observed of each served request to whatever measures load: hot-key sketches,
-// the balancer, experiments.
+// Package load measures load. The request path reports each attempt that occupied
+// a slot at a server to an Observer. A Recorder averages these observations on
+// each node, a Collector merges the reports of all nodes, and Sources builds the
+// balancer's input from them.
 package load
 
 import (
@@ -10,21 +11,22 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Observer takes one observation for each attempt that held a place at a
-// server. Observe is called on the request's path: it must not block.
+// Observer receives one observation for each attempt that occupied a slot at a
+// server. Observe is called on the request path and must not block.
 type Observer interface {
-	// Observe tells that a request for a key (empty for unkeyed services) of a
-	// shard held a place at a server for the busy time, and with what outcome.
+	// Observe records that a request for a key of a shard occupied a slot at a
+	// server for the busy time and ended with the outcome. The key is empty for
+	// unkeyed services.
 	Observe(shard topo.ShardID, key string, server topo.ServerID, busy time.Duration, outcome serverapi.Outcome)
 }
 
-// Discard is the Observer for a process in which nothing measures load.
+// Discard is an Observer that ignores all observations.
 type Discard struct{}
 
 // Observe implements Observer.
 func (Discard) Observe(topo.ShardID, string, topo.ServerID, time.Duration, serverapi.Outcome) {}
 
-// OrDiscard returns the observer, or Discard when it is nil.
+// OrDiscard returns the observer, or Discard if it is nil.
 func OrDiscard(o Observer) Observer {
 	if o == nil {
 		return Discard{}
@@ -32,23 +34,23 @@
 	return o
 }
 
-// ServerStats is what this node has observed of one backend server as its
-// admission point.
+// ServerStats holds what this node has observed of one backend server as the
+// server's admission point.
 type ServerStats struct {
 	Server     topo.ServerID
 	InFlight   int
 	Queued     int
-	Limit      int // in force now
+	Limit      int // current concurrency limit
 	PeakFlight int
 	MeanBusy   time.Duration
 	Served     uint64
-	Shed       uint64 // refused here before they were sent
-	Overloaded uint64 // refused by the server as overloaded
-	Failures   uint64 // attempts without an answer
-	Ejected    bool   // taken out because of what was observed
+	Shed       uint64 // requests refused by this node before they were sent
+	Overloaded uint64 // requests refused by the server as overloaded
+	Failures   uint64 // attempts without a response
+	Ejected    bool   // ejected because of observed failures
 }
 
-// StatsSource lists what was observed of each server. The router provides it.
+// StatsSource returns the statistics of each server. The router implements it.
 type StatsSource interface {
 	ServerStats() []ServerStats
 }
--- a/load/meter.go
+++ b/load/meter.go
@@ -5,50 +5,50 @@
 	"time"
 )
 
-// meter is a decaying average of requests and of their busy time. The zero
-// meter has seen nothing.
+// meter is a decaying average of the number of requests and of their busy time.
+// The zero meter has no observations.
 type meter struct {
-	first time.Time // of the first observation
-	last  time.Time // as of which count and busy are
+	first time.Time // time of the first observation
+	last  time.Time // time to which count and busy are decayed
 	count float64   // decayed number of requests
 	busy  float64   // decayed seconds of service
 }
 
-// observe counts one request. life is the mean life of an observation in
+// observe counts one request. life is the mean lifetime of an observation, in
 // seconds.
-func (m *meter) observe(now time.Time, busy time.Duration, life float64) {
+func (m *meter) observe(now time.Time, busy time.Duration, meanLifetime float64) {
 	if m.first.IsZero() {
 		m.first, m.last = now, now
 	}
-	m.decay(now, life)
+	m.decay(now, meanLifetime)
 	m.count++
 	m.busy += busy.Seconds()
 }
 
-func (m *meter) decay(now time.Time, life float64) {
-	passed := now.Sub(m.last).Seconds()
-	if passed <= 0 {
+func (m *meter) decay(now time.Time, meanLifetime float64) {
+	elapsed := now.Sub(m.last).Seconds()
+	if elapsed <= 0 {
 		return
 	}
-	factor := math.Exp(-passed / life)
+	factor := math.Exp(-elapsed / meanLifetime)
 	m.count *= factor
 	m.busy *= factor
 	m.last = now
 }
 
-// rates returns requests per second and seconds of service per second as of
-// now. While the meter is younger than a few lives it accounts for the short
-// history, but never for less than minHistory.
-func (m *meter) rates(now time.Time, life float64) (perSecond, busy float64) {
+// rates returns requests per second and seconds of service per second as of now.
+// It accounts for the short history of a meter that is younger than a few mean
+// lifetimes, but assumes a history of at least minHistory.
+func (m *meter) rates(now time.Time, meanLifetime float64) (perSecond, busy float64) {
 	if m.first.IsZero() {
 		return 0, 0
 	}
 	age := math.Max(now.Sub(m.first).Seconds(), minHistory.Seconds())
-	seen := life * (1 - math.Exp(-age/life))
-	factor := math.Exp(-math.Max(now.Sub(m.last).Seconds(), 0)/life) / seen
+	window := meanLifetime * (1 - math.Exp(-age/meanLifetime))
+	factor := math.Exp(-math.Max(now.Sub(m.last).Seconds(), 0)/meanLifetime) / window
 	return m.count * factor, m.busy * factor
 }
 
-// minHistory is the shortest history that rates are computed from, so that the
-// first request of a shard does not look like a high rate.
+// minHistory is the shortest duration over which rates are computed, so that the
+// first request of a shard does not result in a high rate.
 const minHistory = time.Second
--- a/load/recorder.go
+++ b/load/recorder.go
@@ -15,7 +15,7 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// metrics counts over all recorders of the process.
+// metrics holds the counters of all recorders of the process.
 var metrics = expvar.NewMap("load")
 
 // Names in metrics.
@@ -25,10 +25,11 @@
 )
 
 // Recorder is the Observer of a running node. Observe puts the observation on a
-// bounded ring and returns; one goroutine, Run, keeps the Table. A full ring
-// drops the observation and counts it, since the next ones tell the same.
+// bounded ring and returns; one goroutine, in Run, updates the Table. A full ring
+// drops the observation and counts it, because later observations carry the same
+// information.
 type Recorder struct {
-	table        *Table
+	table        *Table // used by the goroutine of Run only
 	observations *ring.Ring[observation]
 	requests     chan reportRequest
 	done         chan struct{}
@@ -58,10 +59,10 @@
 	Observations ring.Stats `json:"observations"`
 }
 
-// observationRing is the number of observations that may wait.
+// observationRing is the number of observations that the ring can hold.
 const observationRing = 8192
 
-// NewRecorder returns a recorder; Run must be started for it to count.
+// NewRecorder returns a recorder, which counts observations only while Run runs.
 func NewRecorder(config Config) *Recorder {
 	return &Recorder{
 		table:        NewTable(config),
@@ -76,11 +77,11 @@
 	shard topo.ShardID, key string, server topo.ServerID, busy time.Duration, outcome serverapi.Outcome,
 ) {
 	item := observation{time.Now(), shard, key, server, busy, outcome}
-	// A ring that drops never fails and never waits.
+	// Put on a ring with the policy DropNew never fails and never waits.
 	_ = r.observations.Put(context.Background(), item)
 }
 
-// Run keeps the table until the context ends. It must be called once.
+// Run updates the table until the context ends. It must be called only once.
 func (r *Recorder) Run(ctx context.Context) {
 	defer close(r.done)
 	shed := shedCounts{}
@@ -96,9 +97,9 @@
 	}
 }
 
-// Report returns a report of at most limit bytes; see Table.Report. stats are
-// the router's counts, for the requests shed before they were sent. It returns
-// nil once Run has ended or when the context ends first.
+// Report returns a report of at most limit bytes; see Table.Report. stats are the
+// router's counters, from which the requests shed before they were sent are taken.
+// Report returns nil if Run or the context has ended.
 func (r *Recorder) Report(ctx context.Context, limit int, stats []ServerStats) *bspb.ReportLoadRequest {
 	request := reportRequest{limit: limit, stats: stats, reply: make(chan *bspb.ReportLoadRequest, 1)}
 	select {
@@ -124,7 +125,7 @@
 	return latest
 }
 
-// report is the part of Report that runs in the goroutine of Run.
+// report builds a report. It runs in the goroutine of Run.
 func (r *Recorder) report(limit int, shed shedCounts, stats []ServerStats) *bspb.ReportLoadRequest {
 	now := time.Now()
 	shed.add(now, r.table, stats)
@@ -135,10 +136,10 @@
 	return r.table.Report(now, limit)
 }
 
-// shedCounts remembers the router's counts of requests shed, by server.
+// shedCounts holds the router's last known count of shed requests of each server.
 type shedCounts map[topo.ServerID]uint64
 
-// add counts what was shed since the last time.
+// add adds the requests that were shed since the previous call to the table.
 func (s shedCounts) add(now time.Time, table *Table, stats []ServerStats) {
 	for _, server := range stats {
 		if before := s[server.Server]; server.Shed > before {
--- a/load/report.go
+++ b/load/report.go
@@ -12,29 +12,29 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// Report returns what the table observed as of now, encoded in at most limit
-// bytes, the envelope's own fields left out of the count. Servers come first,
-// then the hottest keys, then the shards of the highest busy time; what does
-// not fit shows in the servers' totals only.
+// Report returns the averages as of now, encoded in at most limit bytes, without
+// counting the envelope's own fields. Servers come first, then the hottest keys,
+// then the shards with the highest busy times. Load of shards that do not fit is
+// contained in the servers' totals only.
 func (t *Table) Report(now time.Time, limit int) *bspb.ReportLoadRequest {
 	request := &bspb.ReportLoadRequest{WindowSeconds: t.config.HalfLife.Seconds()}
-	left := limit
+	remaining := limit
 	for _, entry := range t.serverLoads(now) {
-		if !fits(&left, entry) {
+		if !reserve(&remaining, entry) {
 			return request
 		}
 		request.Servers = append(request.Servers, entry)
 	}
-	keyLimit := left / keyShare
+	keyLimit := remaining / keySpaceDivisor
 	for _, entry := range t.keyLoads(now) {
-		if !fits(&keyLimit, entry) {
+		if !reserve(&keyLimit, entry) {
 			break
 		}
-		fits(&left, entry)
+		reserve(&remaining, entry)
 		request.Keys = append(request.Keys, entry)
 	}
 	for _, entry := range t.shardLoads(now) {
-		if !fits(&left, entry) {
+		if !reserve(&remaining, entry) {
 			break
 		}
 		request.Shards = append(request.Shards, entry)
@@ -42,30 +42,30 @@
 	return request
 }
 
-// keyShare is the part of the room, one in keyShare, that hot keys may take.
-const keyShare = 3
+// keySpaceDivisor limits hot keys to 1/keySpaceDivisor of the remaining bytes.
+const keySpaceDivisor = 3
 
-// entryOverhead is the most bytes by which a field's tag and length precede an
-// entry.
+// entryOverhead is the maximum size in bytes of the tag and the length that
+// precede an encoded entry.
 const entryOverhead = 4
 
-// fits takes an entry's size out of what is left, and reports whether it was
-// there.
-func fits(left *int, entry proto.Message) bool {
+// reserve subtracts an entry's encoded size from the remaining bytes. If the entry
+// does not fit, it returns false and subtracts nothing.
+func reserve(remaining *int, entry proto.Message) bool {
 	size := proto.Size(entry) + entryOverhead
-	if size > *left {
+	if size > *remaining {
 		return false
 	}
-	*left -= size
+	*remaining -= size
 	return true
 }
 
 func (t *Table) serverLoads(now time.Time) []*bspb.ServerLoad {
 	list := make([]*bspb.ServerLoad, 0, len(t.servers))
 	for id, server := range t.servers {
-		rate, busy := server.all.rates(now, t.life)
-		failures, _ := server.failures.rates(now, t.life)
-		shed, _ := server.shed.rates(now, t.life)
+		rate, busy := server.all.rates(now, t.meanLifetime)
+		failures, _ := server.failures.rates(now, t.meanLifetime)
+		shed, _ := server.shed.rates(now, t.meanLifetime)
 		entry := &bspb.ServerLoad{
 			Server: string(id), InFlight: busy, ShedPerSecond: shed, ErrorPerSecond: failures,
 		}
@@ -80,7 +80,7 @@
 
 const millisecondsPerSecond = 1000
 
-// keyLoads lists the hot keys of all services, highest rate first.
+// keyLoads lists the hot keys of all services in descending order of their rates.
 func (t *Table) keyLoads(now time.Time) []*bspb.KeyLoad {
 	var list []*bspb.KeyLoad
 	for _, sketch := range t.sketches {
@@ -106,12 +106,12 @@
 	return list
 }
 
-// shardLoads lists the shards, highest busy time first.
+// shardLoads lists the shards in descending order of their busy times.
 func (t *Table) shardLoads(now time.Time) []*bspb.ShardLoad {
 	list := make([]*bspb.ShardLoad, 0, len(t.shards))
 	for id, m := range t.shards {
-		rate, busy := m.rates(now, t.life)
-		list = append(list, &bspb.ShardLoad{Shard: refTo(id), PerSecond: rate, Busy: busy})
+		rate, busy := m.rates(now, t.meanLifetime)
+		list = append(list, &bspb.ShardLoad{Shard: shardRefOf(id), PerSecond: rate, Busy: busy})
 	}
 	slices.SortFunc(list, func(a, b *bspb.ShardLoad) int {
 		return cmp.Or(
@@ -124,11 +124,11 @@
 	return list
 }
 
-func refTo(id topo.ShardID) *bspb.ShardRef {
+func shardRefOf(id topo.ShardID) *bspb.ShardRef {
 	return &bspb.ShardRef{Service: string(id.Service), Index: id.Index, Key: id.Key}
 }
 
-func idOf(ref *bspb.ShardRef) topo.ShardID {
+func shardIDOf(ref *bspb.ShardRef) topo.ShardID {
 	return topo.ShardID{
 		Service: topo.Service(ref.GetService()), Index: ref.GetIndex(), Key: ref.GetKey(),
 	}
--- a/load/table.go
+++ b/load/table.go
@@ -8,31 +8,31 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Config bounds what a Table keeps.
+// Config holds the parameters of a Table.
 type Config struct {
 	// HalfLife is the time in which an observation loses half of its weight.
 	HalfLife time.Duration
-	// MaxShards is the most shards that have an average of their own.
+	// MaxShards is the maximum number of shards with an average of their own.
 	MaxShards int
 	// Keys is the number of counters of each service's hot-key sketch.
 	Keys int
 }
 
-// DefaultConfig returns the bounds for one entry node.
+// DefaultConfig returns the parameters for one entry node.
 func DefaultConfig() Config {
 	return Config{HalfLife: 1500 * time.Millisecond, MaxShards: 1 << 15, Keys: 256}
 }
 
-// Table averages what one node observed: rates and busy times of shards and
-// servers, and the hottest keys of each service. It is the pure part of
-// Recorder, and not safe for concurrent use.
+// Table averages the observations of one node: rates and busy times of shards and
+// servers, and the hottest keys of each service. It is the part of Recorder
+// without concurrency, and not safe for concurrent use.
 type Table struct {
-	config   Config
-	life     float64 // mean life of an observation, in seconds
-	shards   map[topo.ShardID]*meter
-	servers  map[topo.ServerID]*serverMeter
-	sketches map[topo.Service]*hotkeys.Sketch
-	skipped  uint64
+	config       Config
+	meanLifetime float64 // mean lifetime of an observation, in seconds
+	shards       map[topo.ShardID]*meter
+	servers      map[topo.ServerID]*serverMeter
+	sketches     map[topo.Service]*hotkeys.Sketch
+	skipped      uint64
 }
 
 // serverMeter averages the attempts at one server.
@@ -42,21 +42,21 @@
 	shed     meter
 }
 
-// ln2 converts a half-life to a mean life.
+// ln2 converts a half-life to a mean lifetime.
 const ln2 = 0.6931471805599453
 
 // NewTable returns an empty table.
 func NewTable(config Config) *Table {
 	return &Table{
-		config:   config,
-		life:     config.HalfLife.Seconds() / ln2,
-		shards:   map[topo.ShardID]*meter{},
-		servers:  map[topo.ServerID]*serverMeter{},
-		sketches: map[topo.Service]*hotkeys.Sketch{},
+		config:       config,
+		meanLifetime: config.HalfLife.Seconds() / ln2,
+		shards:       map[topo.ShardID]*meter{},
+		servers:      map[topo.ServerID]*serverMeter{},
+		sketches:     map[topo.Service]*hotkeys.Sketch{},
 	}
 }
 
-// Observe counts one attempt that held a place at a server; see Observer.
+// Observe counts one attempt that occupied a slot at a server; see Observer.
 func (t *Table) Observe(
 	now time.Time, shard topo.ShardID, key string, server topo.ServerID,
 	busy time.Duration, outcome serverapi.Outcome,
@@ -80,21 +80,21 @@
 	}
 	switch outcome {
 	case serverapi.OutcomeNotRun:
-		server.shed.observe(now, 0, t.life)
+		server.shed.observe(now, 0, t.meanLifetime)
 		return
 	case serverapi.OutcomeUnknown:
-		server.failures.observe(now, 0, t.life)
+		server.failures.observe(now, 0, t.meanLifetime)
 	}
-	server.all.observe(now, busy, t.life)
+	server.all.observe(now, busy, t.meanLifetime)
 }
 
-// Shed counts requests for a server that were refused before they were sent.
+// Shed counts requests for a known server that were refused before they were sent.
 func (t *Table) Shed(now time.Time, id topo.ServerID, count uint64) {
 	server, known := t.servers[id]
 	if !known || count == 0 {
 		return
 	}
-	server.shed.observe(now, 0, t.life)
+	server.shed.observe(now, 0, t.meanLifetime)
 	server.shed.count += float64(count - 1)
 }
 
@@ -108,7 +108,7 @@
 		m = &meter{}
 		t.shards[shard] = m
 	}
-	m.observe(now, busy, t.life)
+	m.observe(now, busy, t.meanLifetime)
 }
 
 func (t *Table) sketch(service topo.Service) *hotkeys.Sketch {
@@ -120,23 +120,25 @@
 	return sketch
 }
 
-// Expire drops averages that have become negligible, so that shards and servers
-// that went elsewhere make room.
+// Expire drops the averages that have become negligible, so that shards and
+// servers without recent requests at this node do not occupy the table.
 func (t *Table) Expire(now time.Time) {
 	for id, m := range t.shards {
-		if rate, _ := m.rates(now, t.life); rate < negligibleRate {
+		if rate, _ := m.rates(now, t.meanLifetime); rate < negligibleRate {
 			delete(t.shards, id)
 		}
 	}
 	for id, server := range t.servers {
-		if rate, _ := server.all.rates(now, t.life); rate < negligibleRate {
+		if rate, _ := server.all.rates(now, t.meanLifetime); rate < negligibleRate {
 			delete(t.servers, id)
 		}
 	}
 }
 
-// negligibleRate, in requests per second, is too little to keep.
+// negligibleRate is the rate in requests per second below which an average is
+// dropped.
 const negligibleRate = 0.001
 
-// Skipped returns how many observations found the table full.
+// Skipped returns the number of observations that were not counted for their shard
+// because the table was full.
 func (t *Table) Skipped() uint64 { return t.skipped }
--- a/load/table_test.go
+++ b/load/table_test.go
@@ -21,7 +21,8 @@
 
 func shard(index uint32) topo.ShardID { return topo.ShardID{Service: "quotes", Index: index} }
 
-// serve observes requests at server s1 for a time, and returns its end.
+// serve records requests at server s1 for a number of seconds and returns the time
+// of the last one.
 func serve(table *load.Table, from time.Time, seconds, perSecond int, id topo.ShardID, key string,
 	busy time.Duration,
 ) time.Time {
@@ -71,7 +72,7 @@
 	g.Expect(after.Servers[0].ShedPerSecond).To(gomega.BeNumerically(">", 50))
 }
 
-func TestReportKeepsToItsBytes(t *testing.T) {
+func TestReportStaysWithinItsByteLimit(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := load.NewTable(load.DefaultConfig())
 	for i := range uint32(500) {
