--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -1,8 +1,9 @@
-// Package capacity measures how what a node spends grows with the size of its
-// site, fits a line to each growth, and extrapolates to the size that the
-// project is designed for. It drives the code that runs in production: the pure
-// parts alone, and small whole sites on loopback with stand-ins. The command
-// "burdockspindle capacity" writes the tables and plots of docs/CAPACITY.md.
+// Package capacity measures how the resource usage of a node grows with the size
+// of its site, fits a line to each measured series, and extrapolates to the size
+// that the project is designed for. It runs production code: the parts without I/O
+// alone, and small complete sites on the loopback interface with stand-ins. The
+// command "burdockspindle capacity" writes the tables and plots of
+// docs/CAPACITY.md.
 package capacity
 
 import (
@@ -10,36 +11,38 @@
 	"io"
 )
 
-// Point is one measurement: an input's size and what it cost.
+// Point is one measurement: the size of an input and its cost.
 type Point struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
 }
 
-// Series is one growth that was measured.
+// Series is a measured cost at several sizes of one input.
 type Series struct {
 	Name   string  `json:"name"`
 	Input  string  `json:"input"` // what X counts
-	Unit   string  `json:"unit"`  // of Y
+	Unit   string  `json:"unit"`  // unit of Y
 	Points []Point `json:"points"`
 	Fit    Fit     `json:"fit"`
 }
 
-// newSeries fits a line to the points.
+// newSeries returns a series with a line fitted to its points.
 func newSeries(name, input, unit string, points []Point) Series {
 	return Series{Name: name, Input: input, Unit: unit, Points: points, Fit: FitLine(points)}
 }
 
-// Options says what to measure.
+// Options holds the options of a measurement.
 type Options struct {
-	// Quick measures fewer and smaller sizes, for a look and for tests; its
-	// figures do not go into the page.
+	// Quick measures fewer and smaller sizes, for a first impression and for
+	// tests. Its figures are not published in docs/CAPACITY.md.
 	Quick bool
-	// Dir receives capacity.json and a plot of each series; empty for none.
+	// Dir is the folder for capacity.json and a plot of each series. If it is
+	// empty, no files are written.
 	Dir string
 }
 
-// Run measures every series, extrapolates, and writes the tables to out.
+// Run measures every series, extrapolates to the design size, and writes the
+// tables to out.
 func Run(ctx context.Context, options Options, out, progress io.Writer) error {
 	all, err := measure(ctx, options, progress)
 	if err != nil {
--- a/capacity/errors.go
+++ b/capacity/errors.go
@@ -1,13 +1,13 @@
 package capacity
 
-// RejectedError reports a record of the measurement that was not accepted, so
-// that its cost would not be that of the real thing.
+// RejectedError reports that a record of the measurement was not accepted, so that
+// the measured cost would not be that of an accepted record.
 type RejectedError struct{ Record string }
 
 // Error implements error.
 func (e *RejectedError) Error() string { return "capacity: record not accepted: " + e.Record }
 
-// SiteError reports a small site that could not be measured.
+// SiteError reports that a site could not be measured.
 type SiteError struct {
 	Step  string
 	Cause error
@@ -19,7 +19,7 @@
 // Unwrap returns the cause.
 func (e *SiteError) Unwrap() error { return e.Cause }
 
-// SaveError reports a file that could not be written.
+// SaveError reports that an output file could not be written.
 type SaveError struct{ Cause error }
 
 // Error implements error.
--- a/capacity/fit.go
+++ b/capacity/fit.go
@@ -2,23 +2,23 @@
 
 import "math"
 
-// Fit is a straight line through the points of a series, by least squares of
-// the relative error, so that small sizes count as much as large ones.
+// Fit is a straight line through the points of a series. It minimizes the squares
+// of the relative errors, so that small sizes have as much weight as large ones.
 type Fit struct {
 	Base  float64 `json:"base"`  // Y at X = 0
-	Slope float64 `json:"slope"` // Y for one more X
-	// Residual is the largest distance of a point from the line, as a part of
-	// the point's Y.
+	Slope float64 `json:"slope"` // increase of Y per unit of X
+	// Residual is the largest distance of a point from the line, as a fraction
+	// of the point's Y.
 	Residual float64 `json:"residual"`
 	// Exponent is the slope of log Y against log X between the smallest and the
-	// largest size: 1 is linear, 0 is constant, above 1 grows faster.
+	// largest size: 0 is constant, 1 is linear, above 1 is superlinear.
 	Exponent float64 `json:"exponent"`
-	// Largest is the largest X that was measured; beyond it At extrapolates.
+	// Largest is the largest measured X. For a larger X, At extrapolates.
 	Largest float64 `json:"largest"`
 }
 
-// FitLine fits a line to at least two points with positive Y; fewer give a
-// constant.
+// FitLine fits a line to at least two points with positive Y. For a single point
+// the line is constant; without points it is 0.
 func FitLine(points []Point) Fit {
 	var fit Fit
 	if len(points) == 0 {
@@ -38,8 +38,8 @@
 // At returns the line's Y at x.
 func (f Fit) At(x float64) float64 { return f.Base + f.Slope*x }
 
-// Range returns how far x lies beyond the largest size measured: 1 or less is
-// measured, 10 is ten times as large.
+// Range returns the ratio of x to the largest measured size. A ratio of at most 1
+// is within the measured sizes; at 10, x is ten times the largest one.
 func (f Fit) Range(x float64) float64 {
 	if f.Largest == 0 {
 		return math.Inf(1)
@@ -70,7 +70,8 @@
 	return meanY - slope*meanX, slope
 }
 
-// weight makes the squared error relative to the point's own size.
+// weight returns the weight that makes the squared error of a point relative to
+// its Y.
 func weight(p Point) float64 {
 	if p.Y == 0 {
 		return 1
--- a/capacity/fit_test.go
+++ b/capacity/fit_test.go
@@ -9,7 +9,7 @@
 	"github.com/burdockspindle/burdockspindle/capacity"
 )
 
-func TestFitFindsTheLineThatMadeThePoints(t *testing.T) {
+func TestFitOfPointsOnALine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := gomega.NewWithT(t)
 		base := rapid.Float64Range(1, 1e6).Draw(t, "base")
@@ -28,7 +28,7 @@
 	})
 }
 
-func TestFitTellsGrowthThatIsNotLinear(t *testing.T) {
+func TestExponentOfGrowth(t *testing.T) {
 	cases := []struct {
 		name     string
 		cost     func(x float64) float64
--- a/capacity/plan_test.go
+++ b/capacity/plan_test.go
@@ -23,26 +23,26 @@
 			return p
 		}
 	}
-	g.Expect(what).To(gomega.BeEmpty(), "no such prediction")
+	g.Expect(what).To(gomega.BeEmpty(), "prediction not found")
 	return capacity.Prediction{}
 }
 
 const memory = "memory of the state on every node"
 
-func TestAPredictionOutsideItsLimitDoesNotHold(t *testing.T) {
+func TestPredictionOutsideItsLimit(t *testing.T) {
 	g := gomega.NewWithT(t)
 	inside := named(g, capacity.Predict(capacity.DesignSize(), fixed(map[string]float64{"state memory": 64 << 20})), memory)
 	outside := named(g, capacity.Predict(capacity.DesignSize(), fixed(map[string]float64{"state memory": 256 << 20})), memory)
 
-	g.Expect(inside.Holds()).To(gomega.BeTrue())
+	g.Expect(inside.WithinLimit()).To(gomega.BeTrue())
 	g.Expect(inside.Margin()).To(gomega.Equal(2.0))
-	g.Expect(outside.Holds()).To(gomega.BeFalse())
+	g.Expect(outside.WithinLimit()).To(gomega.BeFalse())
 }
 
-func TestASeriesThatIsMissingHoldsNoLimit(t *testing.T) {
+func TestAMissingSeriesExceedsEveryLimit(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := named(g, capacity.Predict(capacity.DesignSize(), capacity.Measurement{}), memory)
-	g.Expect(p.Holds()).To(gomega.BeFalse())
+	g.Expect(p.WithinLimit()).To(gomega.BeFalse())
 }
 
 func TestSlopesOfASiteAddUpForOneNode(t *testing.T) {
@@ -65,7 +65,8 @@
 	g.Expect(p.Range).To(gomega.Equal(float64(size.Nodes) / 40))
 }
 
-// At the design size one node in 16 reads the log, and answers those behind it.
+// TestRelaysAtTheDesignSize checks the load of relays at the design size, where one
+// node in 16 reads the log and serves its records to the nodes that follow it.
 func TestRelaysAtTheDesignSize(t *testing.T) {
 	g := gomega.NewWithT(t)
 	constant := fixed(map[string]float64{"log reads by nodes that read it": 0})
--- a/capacity/plot.go
+++ b/capacity/plot.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// Size of a plot in SVG units, and the room for its labels.
+// Size of a plot and the margin for its labels, in SVG units.
 const (
 	plotWidth  = 480.0
 	plotHeight = 240.0
 	plotMargin = 60.0
 )
 
-// plot draws the points of a series and its line as SVG.
+// plot returns an SVG plot of the points of a series and its fitted line.
 func plot(s Series) string {
 	highest := s.Fit.At(s.Fit.Largest)
 	for _, p := range s.Points {
--- a/capacity/pure.go
+++ b/capacity/pure.go
@@ -17,17 +17,17 @@
 const (
 	serviceName     = "records"
 	zones           = 5
-	nodesOfPure     = 20
+	pureNodes       = 20
 	chunkBytes      = 64 << 10
-	textBytes       = 1 << 10 // of a site configuration
+	textBytes       = 1 << 10 // size of the text of a site configuration
 	shardsPerServer = 16
 	serversPerGroup = 5
 )
 
-// shape is the size of a state or site; groups is the number in each zone.
+// shape is the size of a state or a site; groups is the number of groups per zone.
 type shape struct{ nodes, servers, shards, groups int }
 
-// build makes a state of a shape by applying records, as a process does.
+// build returns a state of a shape, built by applying records as a node does.
 func build(s shape) *state.State {
 	b := &builder{state: state.New()}
 	b.apply(publish(s))
@@ -60,7 +60,7 @@
 func serverID(i int) string { return fmt.Sprintf("server-%04d", i) }
 func nodeID(i int) string   { return fmt.Sprintf("node-%04d", i) }
 
-// groupOf puts the i-th server, or claim, into a group of its zone.
+// groupOf returns the group of the i-th server or claim, which is in the zone of i.
 func (s shape) groupOf(i int) string {
 	return string(topo.MakeGroupID(topo.Zone(zoneOf(i)), i/zones%s.groups))
 }
@@ -113,7 +113,7 @@
 	return &bspb.Record{Body: &bspb.Record_AssignShards{AssignShards: body}}
 }
 
-// shardSizes are the numbers of shards at which pure parts are measured.
+// shardSizes returns the numbers of shards at which parts without I/O are measured.
 func shardSizes(quick bool) []int {
 	if quick {
 		return []int{1_000, 4_000}
@@ -121,8 +121,8 @@
 	return []int{5_000, 10_000, 20_000, 40_000, 80_000}
 }
 
-// nodeSizes are the numbers of nodes, with servers, shards and groups to match,
-// at which pure parts are measured.
+// nodeSizes returns the numbers of nodes at which parts without I/O are measured.
+// Servers, shards and groups grow in proportion to the nodes.
 func nodeSizes(quick bool) []int {
 	if quick {
 		return []int{40, 80}
@@ -144,9 +144,9 @@
 		{"checkpoint written", "shards", "µs of processor", shards, checkpointWritten},
 		{"start from a checkpoint", "shards", "µs of processor", shards, checkpointRestored},
 		{"move applied and view published", "shards", "µs of processor", shards, moveApplied},
-		{"routing decision", "shards", "µs of processor", shards, routed},
-		{"lessor's facts made anew", "shards", "µs of processor", shards, factsMade},
-		{"record seen by groups without a part", "nodes", "µs of processor", nodeSizes(quick), seenByOthers},
+		{"routing decision", "shards", "µs of processor", shards, routingCost},
+		{"lessor's facts made anew", "shards", "µs of processor", shards, factsBuilt},
+		{"record seen by groups without a part", "nodes", "µs of processor", nodeSizes(quick), otherGroupsChecked},
 		{"membership record size", "servers", "bytes", []int{10, 100, 1000}, membershipBytes},
 	} {
 		points, err := sweep(one.sizes, one.cost)
@@ -170,16 +170,16 @@
 	return points, nil
 }
 
-// ofShards is the shape with one server for every shardsPerServer shards, and
-// one group for every serversPerGroup servers.
-func ofShards(shards int) shape {
+// shapeOfShards returns the shape with one server for every shardsPerServer shards,
+// and one group for every serversPerGroup servers.
+func shapeOfShards(shards int) shape {
 	servers := max(shards/shardsPerServer, zones*2)
-	return shape{nodes: nodesOfPure, servers: servers, shards: shards, groups: max(servers/zones/serversPerGroup, 1)}
+	return shape{nodes: pureNodes, servers: servers, shards: shards, groups: max(servers/zones/serversPerGroup, 1)}
 }
 
 func stateMemory(shards int) (float64, error) {
 	before := liveHeap()
-	built := build(ofShards(shards))
+	built := build(shapeOfShards(shards))
 	view := built.View()
 	after := liveHeap()
 	runtime.KeepAlive(built)
@@ -188,7 +188,7 @@
 }
 
 func checkpointBytes(shards int) (float64, error) {
-	chunks, err := checkpoint.Split(build(ofShards(shards)).Snapshot(), "capacity", chunkBytes)
+	chunks, err := checkpoint.Split(build(shapeOfShards(shards)).Snapshot(), "capacity", chunkBytes)
 	if err != nil {
 		return 0, err
 	}
@@ -200,14 +200,14 @@
 }
 
 func checkpointWritten(shards int) (float64, error) {
-	built := build(ofShards(shards))
+	built := build(shapeOfShards(shards))
 	var failed error
 	cost := costOf(func() { _, failed = checkpoint.Split(built.Snapshot(), "capacity", chunkBytes) })
 	return cost, failed
 }
 
 func checkpointRestored(shards int) (float64, error) {
-	chunks, err := checkpoint.Split(build(ofShards(shards)).Snapshot(), "capacity", chunkBytes)
+	chunks, err := checkpoint.Split(build(shapeOfShards(shards)).Snapshot(), "capacity", chunkBytes)
 	if err != nil {
 		return 0, err
 	}
@@ -222,10 +222,10 @@
 	return cost, failed
 }
 
-// moveApplied is one record that moves one shard, decoded, applied and made
-// visible.
+// moveApplied measures a record that moves one shard: applying it and publishing
+// the view.
 func moveApplied(shards int) (float64, error) {
-	size := ofShards(shards)
+	size := shapeOfShards(shards)
 	b := &builder{state: build(size), offset: topo.Offset(size.nodes + zones*size.groups + 3)}
 	next := 0
 	rejected := false
@@ -241,7 +241,7 @@
 	return cost, nil
 }
 
-// moveOf moves a shard to the next server.
+// moveOf returns a record that moves a shard to the next server.
 func moveOf(view *state.View, current state.Assignment, size shape) *bspb.Record {
 	owner, _ := view.Server(current.Owner)
 	group, _ := view.Group(owner.Group)
@@ -259,8 +259,8 @@
 	}}}
 }
 
-func routed(shards int) (float64, error) {
-	view := build(ofShards(shards)).View()
+func routingCost(shards int) (float64, error) {
+	view := build(shapeOfShards(shards)).View()
 	self := route.Self{Node: topo.NodeID(nodeID(0)), Boot: "0123456789abcdef"}
 	const batch = 1000
 	keys := make([]string, batch)
@@ -275,16 +275,16 @@
 	return cost / batch, nil
 }
 
-func factsMade(shards int) (float64, error) {
-	size := ofShards(shards)
+func factsBuilt(shards int) (float64, error) {
+	size := shapeOfShards(shards)
 	view := build(size).View()
 	group := topo.GroupID(size.groupOf(0))
 	return costOf(func() { lessor.FactsOf(view, lessor.NodesOf(view, nil), group, true) }), nil
 }
 
-// seenByOthers is what a record costs a node for the groups in which it has no
-// part, if it changes neither nodes nor terms.
-func seenByOthers(nodes int) (float64, error) {
+// otherGroupsChecked measures the cost of a record for the groups that the record
+// does not concern, if it changes neither nodes nor terms.
+func otherGroupsChecked(nodes int) (float64, error) {
 	servers := serversPerNode * nodes
 	size := shape{nodes: nodes, servers: servers, shards: servers * shardsPerServer, groups: servers / serversPerGroup / zones}
 	view := build(size).View()
--- a/capacity/site.go
+++ b/capacity/site.go
@@ -21,37 +21,38 @@
 	"github.com/burdockspindle/burdockspindle/vmlist"
 )
 
-// readLog is the kind of call by which nodes follow relays.
+// readLog is the kind of the calls by which nodes follow relays.
 const readLog = string(peer.KindReadLog)
 
 const (
 	loopback    = "127.0.0.1:0"
 	settleLimit = 3 * time.Minute
 	settlePoll  = 50 * time.Millisecond
-	// quiet is how long a settled site is left alone before it is measured.
-	quiet  = 2 * time.Second
-	window = 6 * time.Second
+	// settleDelay is the delay between the settling of a site and its measurement.
+	settleDelay = 2 * time.Second
+	// measureWindow is the duration of the measurement of an idle site.
+	measureWindow = 6 * time.Second
 )
 
-// liveSite is a small whole site in this process, without callers.
+// liveSite is a small complete site in this process, without callers.
 type liveSite struct {
 	name    string
 	nodes   []*node.Node
 	servers []*server.Server
 }
 
-// usage is what an idle site spends a second.
+// usage is the resource usage of an idle site per second.
 type usage struct {
-	processor   float64 // share of a core, all nodes and the stand-ins together
-	peerBytes   float64 // sent and received between nodes, but for following
-	followBytes float64 // sent and received by nodes that read the log through relays, and those
-	serverBytes float64 // sent and received between nodes and servers, for control
-	logBytes    float64 // appended and read
+	processor   float64 // cores, all nodes and the stand-ins together
+	peerBytes   float64 // sent and received between nodes, without following the log
+	followBytes float64 // sent and received between relays and the nodes that follow them
+	serverBytes float64 // control bytes sent and received between nodes and servers
+	logBytes    float64 // appended to and read from the log
 	logReads    float64
 }
 
 // measureSite starts a site of a shape, waits until every shard is owned, and
-// returns what it spends when nobody calls.
+// returns the usage of the site without callers.
 func measureSite(ctx context.Context, s shape) (usage, error) {
 	site := &liveSite{name: fmt.Sprintf("capacity-%d-%d-%d-%d", s.nodes, s.servers, s.shards, s.groups)}
 	defer site.stop()
@@ -61,7 +62,7 @@
 	if err := site.settle(ctx, s); err != nil {
 		return usage{}, err
 	}
-	return site.spend(ctx)
+	return site.measureIdle(ctx)
 }
 
 func (l *liveSite) start(ctx context.Context, s shape) error {
@@ -124,17 +125,17 @@
 	if err != nil {
 		return &SiteError{Step: "publish", Cause: err}
 	}
-	fate, err := appender.Submit(ctx, publish(s))
+	outcome, err := appender.Submit(ctx, publish(s))
 	if err != nil {
 		return &SiteError{Step: "publish", Cause: err}
 	}
-	if !fate.Accepted {
-		return &RejectedError{Record: fate.Conflict}
+	if !outcome.Accepted {
+		return &RejectedError{Record: outcome.Conflict}
 	}
 	return nil
 }
 
-// settle waits until every shard is owned by a known run of its owner.
+// settle waits until every shard is owned by a known incarnation of its owner.
 func (l *liveSite) settle(ctx context.Context, s shape) error {
 	source, err := kernel.Use[state.Source](l.nodes[0].Context())
 	if err != nil {
@@ -147,7 +148,7 @@
 			return &SiteError{Step: "settle", Cause: err}
 		}
 	}
-	return pause(ctx, quiet)
+	return pause(ctx, settleDelay)
 }
 
 func owned(view *state.View) int {
@@ -168,17 +169,17 @@
 	return nil
 }
 
-// spend measures an idle site over the window.
-func (l *liveSite) spend(ctx context.Context) (usage, error) {
-	began := time.Now()
+// measureIdle measures an idle site over measureWindow.
+func (l *liveSite) measureIdle(ctx context.Context) (usage, error) {
+	start := time.Now()
 	processor := processorTime()
 	before := readCounters()
-	if err := pause(ctx, window); err != nil {
+	if err := pause(ctx, measureWindow); err != nil {
 		return usage{}, &SiteError{Step: "measure", Cause: err}
 	}
 	spent := readCounters().minus(before)
 	spent.processor = (processorTime() - processor).Seconds()
-	return spent.over(time.Since(began)), nil
+	return spent.perSecond(time.Since(start)), nil
 }
 
 func readCounters() usage {
@@ -202,8 +203,8 @@
 	}
 }
 
-func (u usage) over(took time.Duration) usage {
-	seconds := took.Seconds()
+func (u usage) perSecond(elapsed time.Duration) usage {
+	seconds := elapsed.Seconds()
 	return usage{
 		processor:   u.processor / seconds,
 		peerBytes:   u.peerBytes / seconds,
--- a/capacity/sweeps.go
+++ b/capacity/sweeps.go
@@ -10,12 +10,12 @@
 
 const (
 	inputNodes = "nodes"
-	// Series by what the nodes of a sweep do.
+	// Names of the series by the role of the nodes in a sweep.
 	seriesReads  = "log reads by nodes that read it"
 	seriesFollow = "bytes of following the log by nodes that follow"
 )
 
-// siteSweep is the shapes of a sweep over one input.
+// siteSweep holds the shapes of a sweep over one input.
 type siteSweep struct {
 	input  string
 	shapes []shape
@@ -53,7 +53,7 @@
 	value      func(usage) float64
 }
 
-// siteFigures are what a sweep over whole sites reports, for the whole site.
+// siteFigures lists the figures that a sweep measures, each for a whole site.
 var siteFigures = []siteFigure{
 	{"processor of an idle site", "cores", func(u usage) float64 { return u.processor }},
 	{"bytes of following the log", "bytes/s", func(u usage) float64 { return u.followBytes }},
@@ -84,7 +84,7 @@
 	return all, nil
 }
 
-// series is one figure of a sweep.
+// series returns the series of one figure of a sweep.
 func (s siteSweep) series(figure siteFigure, spent []usage) Series {
 	points := make([]Point, len(spent))
 	for i, u := range spent {
@@ -93,8 +93,8 @@
 	return newSeries(figure.name+" by "+s.input, s.input, figure.unit, points)
 }
 
-// relaySeries are what the nodes that read the log, and those that follow them,
-// cost by their numbers.
+// relaySeries returns the reads of the log by the number of nodes that read it, and
+// the bytes of following by the number of nodes that follow a relay.
 func relaySeries(sweep siteSweep, spent []usage) []Series {
 	var reads, bytes []Point
 	for i, u := range spent {
@@ -111,7 +111,8 @@
 	}
 }
 
-// readersOf returns how many nodes of a site with equal zones read the log.
+// readersOf returns the number of nodes that read the log in a site with zones of
+// equal size.
 func readersOf(nodes, zones int) int {
 	return zones * follower.RelayCount(nodes/zones, settings.DefaultLogRelays)
 }
--- a/capacity/tables.go
+++ b/capacity/tables.go
@@ -42,7 +42,7 @@
 }
 
 func margin(p Prediction) string {
-	if p.Holds() {
+	if p.WithinLimit() {
 		return fmt.Sprintf("%.1f", p.Margin())
 	}
 	return fmt.Sprintf("**%.2f, exceeded**", p.Margin())
@@ -58,7 +58,7 @@
 	return fmt.Sprintf("× %.1f", p.Range)
 }
 
-// save writes the measurement and a plot of each series.
+// save writes the measurement with its predictions, and a plot of each series.
 func save(dir string, m Measurement, predictions []Prediction) error {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return &SaveError{Cause: err}
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// plotName is the file of a series' plot.
+// plotName returns the file name of the plot of a series.
 func plotName(series string) string {
 	keep := func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= '0' && r <= '9' {
--- a/capacity/usage.go
+++ b/capacity/usage.go
@@ -12,12 +12,12 @@
 
 const (
 	pageBytes = 4096
-	// least is how long one point of a pure part is measured.
-	least = 300 * time.Millisecond
+	// minMeasureTime is the duration for which costOf repeats the work.
+	minMeasureTime = 300 * time.Millisecond
 )
 
-// processorTime returns the processor time that this process has used, by the
-// system's own accounting.
+// processorTime returns the processor time that the operating system has accounted
+// to this process.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -26,7 +26,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// liveHeap returns the bytes that are reachable, after a collection.
+// liveHeap returns the size of the reachable heap in bytes after a collection.
 func liveHeap() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -35,8 +35,8 @@
 	return float64(stats.HeapAlloc)
 }
 
-// residentSet returns the resident bytes of this process, 0 where the system
-// does not tell.
+// residentSet returns the resident set size of this process in bytes, or 0 if the
+// system does not report it.
 func residentSet() float64 {
 	text, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
@@ -53,13 +53,13 @@
 	return pages * pageBytes
 }
 
-// costOf returns the processor time of one call of work in microseconds.
+// costOf returns the mean processor time of one call of work in microseconds.
 func costOf(work func()) float64 {
-	work() // fills caches
+	work() // the first call fills caches and is not measured
 	calls := 0
 	began := time.Now()
 	used := processorTime()
-	for time.Since(began) < least {
+	for time.Since(began) < minMeasureTime {
 		work()
 		calls++
 	}
@@ -76,7 +76,7 @@
 	return sum(variables.Get(name))
 }
 
-// counterOf reads one number of such a map of numbers.
+// counterOf reads one number of a map of numbers in a package's expvar map.
 func counterOf(group, name, key string) float64 {
 	variables, ok := expvar.Get(group).(*expvar.Map)
 	if !ok {
