--- a/hotkeys/hotkeys.go
+++ b/hotkeys/hotkeys.go
@@ -35,16 +35,16 @@
 
 // Sketch counts observations of keys. It is not safe for concurrent use.
 type Sketch struct {
-	capacity int
-	meanLife float64   // mean lifetime of an observation, in seconds
-	first    time.Time // time of the first observation
-	base     time.Time // time at which an observation has weight 1
-	total    float64   // weighted count of all observations
-	counters counterHeap
-	byKey    map[topo.ShardID]*counter
+	capacity     int
+	meanLifetime float64   // mean lifetime of an observation, in seconds
+	first        time.Time // time of the first observation
+	base         time.Time // time at which an observation has weight 1
+	total        float64   // weighted count of all observations
+	counters     counterHeap
+	byKey        map[topo.ShardID]*counter
 }
 
-// rescaleAfter is the number of mean lives after which the weights are rescaled,
+// rescaleAfter is the number of mean lifetimes after which weights are rescaled,
 // well before they exceed the range of a float64.
 const rescaleAfter = 32
 
@@ -53,15 +53,15 @@
 func New(capacity int, halfLife time.Duration) *Sketch {
 	capacity = max(capacity, 1)
 	return &Sketch{
-		capacity: capacity,
-		meanLife: halfLife.Seconds() / math.Ln2,
-		byKey:    make(map[topo.ShardID]*counter, capacity),
-		counters: make(counterHeap, 0, capacity),
+		capacity:     capacity,
+		meanLifetime: halfLife.Seconds() / math.Ln2,
+		byKey:        make(map[topo.ShardID]*counter, capacity),
+		counters:     make(counterHeap, 0, capacity),
 	}
 }
 
 // Observe counts one request for a key with its busy time at the server. Times
-// must not go back by more than a few mean lives.
+// must not go back by more than a few mean lifetimes.
 func (s *Sketch) Observe(now time.Time, id topo.ShardID, busy time.Duration) {
 	weight := s.weightAt(now)
 	s.total += weight
@@ -83,17 +83,17 @@
 	if s.first.IsZero() {
 		s.first, s.base = now, now
 	}
-	lives := now.Sub(s.base).Seconds() / s.meanLife
-	if lives > rescaleAfter {
+	lifetimes := now.Sub(s.base).Seconds() / s.meanLifetime
+	if lifetimes > rescaleAfter {
 		s.rescale(now)
 		return 1
 	}
-	return math.Exp(lives)
+	return math.Exp(lifetimes)
 }
 
 // rescale sets the base to now and adjusts all counts to it.
 func (s *Sketch) rescale(now time.Time) {
-	factor := math.Exp(-now.Sub(s.base).Seconds() / s.meanLife)
+	factor := math.Exp(-now.Sub(s.base).Seconds() / s.meanLifetime)
 	s.base = now
 	s.total *= factor
 	for _, c := range s.counters {
@@ -155,12 +155,12 @@
 
 // scale returns the factor that converts weighted counts to rates per second as
 // of now. It accounts for the short history of a sketch that is younger than a few
-// mean lives.
+// mean lifetimes.
 func (s *Sketch) scale(now time.Time) float64 {
 	if s.first.IsZero() {
 		return 0
 	}
 	age := math.Max(now.Sub(s.first).Seconds(), minHistory.Seconds())
-	window := s.meanLife * (1 - math.Exp(-age/s.meanLife))
-	return math.Exp(-now.Sub(s.base).Seconds()/s.meanLife) / window
+	window := s.meanLifetime * (1 - math.Exp(-age/s.meanLifetime))
+	return math.Exp(-now.Sub(s.base).Seconds()/s.meanLifetime) / window
 }
--- a/hotkeys/merge.go
+++ b/hotkeys/merge.go
@@ -17,7 +17,7 @@
 	if other.first.Before(s.first) {
 		s.first = other.first
 	}
-	factor := math.Exp(-now.Sub(other.base).Seconds() / s.meanLife)
+	factor := math.Exp(-now.Sub(other.base).Seconds() / s.meanLifetime)
 	merged := mergeCounters(s, other, factor)
 	s.total += other.total * factor
 	s.replace(merged)
--- a/shed/shed_test.go
+++ b/shed/shed_test.go
@@ -24,8 +24,8 @@
 	}}
 }
 
-// load records 40 requests of dependants over a window, each with one call, of
-// which the first ones, as many as the argument refused says, are refused.
+// load records 40 requests of dependants over a window, each with one call. The
+// argument refused is the number of refused calls, which are the first ones.
 func load(m *shed.Monitor, from time.Time, refused int) time.Time {
 	for i := range 40 {
 		from = from.Add(50 * time.Millisecond)
