--- a/load/input.go
+++ b/load/input.go
@@ -27,9 +27,9 @@
 	Service *siteconfig.Service
 	Picture Picture
 	Planned Planned
-	// Share returns the fraction, 0 to 1, of a server's capacity that may be used
-	// while the server is cold or warms up after an ejection. If it is nil, the
-	// whole capacity may be used.
+	// CapacityFraction returns the fraction, 0 to 1, of a server's capacity that
+	// may be used while the server is cold or warms up after an ejection. If it is
+	// nil, the whole capacity may be used.
 	Share    func(topo.ServerID) float64
 	MoveCost time.Duration
 	Budget   balance.Budget
--- a/load/load.go
+++ b/load/load.go
@@ -35,13 +35,13 @@
 }
 
 // ServerStats holds what this node has observed of one backend server as the
-// server's admission point.
+// server's admission point. The state dump writes the fields under their Go names.
 type ServerStats struct {
 	Server     topo.ServerID
 	InFlight   int
 	Queued     int
 	Limit      int // current concurrency limit
-	PeakFlight int
+	PeakFlight int // highest InFlight
 	MeanBusy   time.Duration
 	Served     uint64
 	Shed       uint64 // requests refused by this node before they were sent
