--- a/follower/append.go
+++ b/follower/append.go
@@ -16,7 +16,7 @@
 type appender struct {
 	f        *Follower
 	sequence uint64
-	carried  *submitted // taken from the queue but not fit for the last group
+	deferred *submission // taken from the queue but not fit for the last group
 }
 
 // runAppender is the appender's goroutine.
@@ -30,15 +30,15 @@
 }
 
 // next returns the next submission that was not given up; nil when ctx ended.
-func (a *appender) next(ctx context.Context) *submitted {
-	if carried := a.carried; carried != nil {
-		a.carried = nil
-		return carried
+func (a *appender) next(ctx context.Context) *submission {
+	if deferred := a.deferred; deferred != nil {
+		a.deferred = nil
+		return deferred
 	}
 	for {
 		select {
 		case s := <-a.f.queue:
-			if s.taken.CompareAndSwap(false, true) {
+			if s.claimed.CompareAndSwap(false, true) {
 				return s
 			}
 		case <-ctx.Done():
@@ -48,16 +48,16 @@
 }
 
 // gather adds the waiting submissions that can share the first one's record.
-func (a *appender) gather(first *submitted) *group {
+func (a *appender) gather(first *submission) *group {
 	g := newGroup(first)
 	for {
 		select {
 		case s := <-a.f.queue:
-			if !s.taken.CompareAndSwap(false, true) {
+			if !s.claimed.CompareAndSwap(false, true) {
 				continue
 			}
 			if !g.add(s) {
-				a.carried = s
+				a.deferred = s
 				return g
 			}
 			count(metricMerged, 1)
@@ -75,17 +75,17 @@
 		g.fail(&NotAppendedError{Cause: err})
 		return
 	}
-	if !a.f.fates.expect(a.sequence, g) {
+	if !a.f.outcomes.expect(a.sequence, g) {
 		g.fail(&NotAppendedError{Cause: &QueueFullError{Length: maxPending}})
 		return
 	}
 	offset, err := a.appendRecord(ctx, g, data)
 	if err != nil {
-		a.f.fates.fail(a.sequence, err)
+		a.f.outcomes.fail(a.sequence, err)
 		return
 	}
 	if g.members[0].appendOnly {
-		a.f.fates.resolve(a.sequence, state.Result{Offset: offset, Accepted: true})
+		a.f.outcomes.resolve(a.sequence, state.Result{Offset: offset, Accepted: true})
 	}
 }
 
@@ -95,7 +95,7 @@
 // takes effect once, however late the first copy lands. A record that was given
 // up is ignored from the moment at which the next sequence is applied.
 func (a *appender) appendRecord(ctx context.Context, g *group, data []byte) (topo.Offset, error) {
-	pause := a.f.newBackoff()
+	retry := a.f.newBackoff()
 	uncertain := false
 	for {
 		offset, err := a.f.appendOnce(ctx, data)
@@ -111,10 +111,10 @@
 			count(metricUncertain, 1)
 			eventAppendUncertain.Log(a.f.config.Logger, "sequence", a.sequence, "error", err)
 		}
-		if !pause.wait(ctx) || g.ended() {
+		if !retry.wait(ctx) || g.ended() {
 			return 0, &UnknownFateError{Cause: err}
 		}
-		if !a.f.fates.awaited(a.sequence) {
+		if !a.f.outcomes.awaited(a.sequence) {
 			return 0, nil
 		}
 		count(metricReappends, 1)
@@ -123,11 +123,11 @@
 
 // appendOnce appends with a limit on the time without an answer.
 func (f *Follower) appendOnce(ctx context.Context, data []byte) (topo.Offset, error) {
-	limited, cancel := f.appendPatience.limit(ctx, 0)
+	limited, cancel := f.appendTimeout.limit(ctx, 0)
 	defer cancel()
 	begun := time.Now()
 	offset, err := f.config.Log.Append(limited, data)
-	f.appendPatience.learn(time.Since(begun), err)
+	f.appendTimeout.observe(time.Since(begun), err)
 	if err == nil {
 		count(metricAppends, 1)
 		count(metricAppendBytes, len(data))
--- a/follower/apply.go
+++ b/follower/apply.go
@@ -16,14 +16,14 @@
 
 // applier alone owns the state. It takes messages from the inbox.
 type applier struct {
-	f       *Follower
-	state   *state.State
-	tracker checkpoint.Tracker
-	learned []learnedFate
+	f          *Follower
+	state      *state.State
+	tracker    checkpoint.Tracker
+	ownResults []ownResult
 }
 
-// learnedFate is the result of one of this follower's own records.
-type learnedFate struct {
+// ownResult is the result of one of this follower's own records.
+type ownResult struct {
 	sequence uint64
 	result   state.Result
 }
@@ -75,12 +75,12 @@
 	outcome chan<- error
 	// log is set for entries from the log itself, relay for those that a relay
 	// read there.
-	log   *logAnswer
-	relay *relayAnswer
+	log   *logResponse
+	relay *relayResponse
 }
 
-// logAnswer is what makes a read of the log count as contact.
-type logAnswer struct {
+// logResponse is what makes a read of the log count as contact.
+type logResponse struct {
 	begun time.Time
 	from  topo.Offset // first offset asked for
 	batch platlog.Batch
@@ -93,26 +93,26 @@
 }
 
 // applyBatch applies a log read.
-func (f *Follower) applyBatch(ctx context.Context, answer logAnswer) error {
+func (f *Follower) applyBatch(ctx context.Context, response logResponse) error {
 	outcome := make(chan error, 1)
 	return f.call(ctx, &entriesMessage{
-		entries: answer.batch.Entries,
+		entries: response.batch.Entries,
 		outcome: outcome,
-		log:     &answer,
+		log:     &response,
 	}, outcome)
 }
 
 // applyRelayed applies a relay's answer to a request that began at a time.
-func (f *Follower) applyRelayed(ctx context.Context, begun time.Time, answer *bspb.ReadLogResponse) error {
+func (f *Follower) applyRelayed(ctx context.Context, begun time.Time, response *bspb.ReadLogResponse) error {
 	outcome := make(chan error, 1)
 	return f.call(ctx, &entriesMessage{
-		entries: entriesFromProto(answer.GetEntries()),
+		entries: entriesFromProto(response.GetEntries()),
 		outcome: outcome,
-		relay: &relayAnswer{
+		relay: &relayResponse{
 			begun:   begun,
-			applied: topo.Offset(answer.GetApplied()),
-			age:     time.Duration(answer.GetContactAgeMs()) * time.Millisecond,
-			known:   answer.ContactAgeMs != nil,
+			applied: topo.Offset(response.GetApplied()),
+			age:     time.Duration(response.GetContactAgeMs()) * time.Millisecond,
+			known:   response.ContactAgeMs != nil,
 		},
 	}, outcome)
 }
@@ -165,7 +165,7 @@
 	a.f.ring.add(entry)
 	a.noteCheckpoint(entry, rec)
 	if rec.GetWriter() == a.f.writer {
-		a.learned = append(a.learned, learnedFate{rec.GetSequence(), result})
+		a.ownResults = append(a.ownResults, ownResult{rec.GetSequence(), result})
 	}
 	return nil
 }
@@ -174,11 +174,11 @@
 func (a *applier) noteCheckpoint(entry platlog.Entry, rec *bspb.Record) {
 	chunk := rec.GetCheckpointChunk()
 	if chunk == nil {
-		a.f.due.noteRecord(len(entry.Data))
+		a.f.schedule.noteRecord(len(entry.Data))
 		return
 	}
 	if whole, complete := a.tracker.Add(entry.Offset, chunk); complete {
-		a.f.due.noteWhole(whole)
+		a.f.schedule.noteComplete(whole)
 	}
 }
 
@@ -188,32 +188,32 @@
 	if view.Applied() != a.f.applied() || view.Lineage() != a.f.View().Lineage() {
 		a.f.publish(view)
 	}
-	for _, learned := range a.learned {
-		a.f.fates.resolve(learned.sequence, learned.result)
+	for _, own := range a.ownResults {
+		a.f.outcomes.resolve(own.sequence, own.result)
 	}
-	a.learned = a.learned[:0]
+	a.ownResults = a.ownResults[:0]
 }
 
 // noteContact records the time of a read whose whole tail has been applied.
 // While the read was under way, a peer may have given later records; an end
 // before the offset that was asked for, however, means that the log lost some.
-func (a *applier) noteContact(answer *logAnswer) error {
+func (a *applier) noteContact(response *logResponse) error {
 	applied := a.state.Applied()
-	if answer.batch.End < answer.from {
-		return &RewoundError{Applied: applied, End: answer.batch.End}
+	if response.batch.End < response.from {
+		return &RewoundError{Applied: applied, End: response.batch.End}
 	}
-	if answer.batch.End > applied+1 {
+	if response.batch.End > applied+1 {
 		return nil
 	}
-	a.renewContact(answer.begun)
+	a.renewContact(response.begun)
 	return nil
 }
 
 // noteRelayed takes over a relay's contact once everything that the relay had
 // applied is applied here too.
-func (a *applier) noteRelayed(answer *relayAnswer) {
-	if answer.known && a.state.Applied() >= answer.applied {
-		a.renewContact(contactOf(*answer, a.f.config.DriftPPM))
+func (a *applier) noteRelayed(response *relayResponse) {
+	if response.known && a.state.Applied() >= response.applied {
+		a.renewContact(contactOf(*response, a.f.config.DriftPPM))
 	}
 }
 
@@ -252,7 +252,7 @@
 	a.f.ring.clear()
 	count(metricRestores, 1)
 	a.publish()
-	a.f.fates.passOver(a.state.LastSequence(a.f.writer), &UnknownFateError{Cause: &SkippedError{Applied: a.state.Applied()}})
+	a.f.outcomes.failThrough(a.state.LastSequence(a.f.writer), &UnknownFateError{Cause: &SkippedError{Applied: a.state.Applied()}})
 	m.outcome <- nil
 }
 
--- a/follower/checkpoints.go
+++ b/follower/checkpoints.go
@@ -18,70 +18,70 @@
 )
 
 const (
-	checkpointPoll  = 500 * time.Millisecond // between two looks at what is due
-	checkpointLimit = time.Minute            // for writing one checkpoint
-	lostRankDelay   = 2 * time.Second        // by rank, when the last one is lost
-	rankSteps       = 20                     // ranks that take over within every records
+	checkpointPoll   = 500 * time.Millisecond // between two looks at what is due
+	checkpointLimit  = time.Minute            // for writing one checkpoint
+	expiredRankDelay = 2 * time.Second        // by rank, when the last one is lost
+	rankSteps        = 20                     // ranks that take over within every records
 )
 
-// checkpointDue knows what has to be written since the last whole checkpoint.
+// checkpointSchedule knows what has to be written since the last whole checkpoint.
 // It is safe for concurrent use.
-type checkpointDue struct {
-	mu      sync.Mutex
-	last    checkpoint.Whole
-	at      time.Time // when last was seen, or the start
-	records int       // applied since
-	bytes   int       // of those records
-	first   topo.Offset
-	lostAt  time.Time // when retention was seen to have passed last
+type checkpointSchedule struct {
+	mu        sync.Mutex
+	last      checkpoint.Whole
+	lastAt    time.Time // when last was seen, or the start
+	records   int       // applied since
+	bytes     int       // of those records
+	first     topo.Offset
+	expiredAt time.Time // when retention was seen to have passed last
 }
 
-func newCheckpointDue() *checkpointDue { return &checkpointDue{at: time.Now()} }
+func newCheckpointSchedule() *checkpointSchedule { return &checkpointSchedule{lastAt: time.Now()} }
 
 // noteRecord notes an applied record of some bytes that is no chunk.
-func (d *checkpointDue) noteRecord(bytes int) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.records++
-	d.bytes += bytes
+func (s *checkpointSchedule) noteRecord(bytes int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.records++
+	s.bytes += bytes
 }
 
-// noteWhole notes a whole checkpoint in the log.
-func (d *checkpointDue) noteWhole(whole checkpoint.Whole) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if whole.Applied < d.last.Applied {
+// noteComplete notes a whole checkpoint in the log.
+func (s *checkpointSchedule) noteComplete(whole checkpoint.Whole) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if whole.Applied < s.last.Applied {
 		return
 	}
-	d.last = whole
-	d.at = time.Now()
-	d.records = 0
-	d.bytes = 0
-	d.lostAt = time.Time{}
+	s.last = whole
+	s.lastAt = time.Now()
+	s.records = 0
+	s.bytes = 0
+	s.expiredAt = time.Time{}
 }
 
 // noteFirst notes the lowest offset that the log retains.
-func (d *checkpointDue) noteFirst(first topo.Offset) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.first = first
-	if first > max(d.last.FirstChunk, 1) && d.lostAt.IsZero() {
-		d.lostAt = time.Now()
+func (s *checkpointSchedule) noteFirst(first topo.Offset) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.first = first
+	if first > max(s.last.FirstChunk, 1) && s.expiredAt.IsZero() {
+		s.expiredAt = time.Now()
 	}
 }
 
 // logFirst returns the lowest offset that the log is known to retain.
-func (d *checkpointDue) logFirst() topo.Offset {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.first
+func (s *checkpointSchedule) logFirst() topo.Offset {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.first
 }
 
 // lastApplied returns what the last whole checkpoint contains.
-func (d *checkpointDue) lastApplied() topo.Offset {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.last.Applied
+func (s *checkpointSchedule) lastApplied() topo.Offset {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.last.Applied
 }
 
 // due reports whether the node of a rank should write a checkpoint. The records
@@ -89,16 +89,16 @@
 // they are at least as long as the last checkpoint, so that checkpoints at most
 // double what every node reads. Time, and the loss of the last one, make it due
 // too.
-func (d *checkpointDue) due(now time.Time, rank, every int, age time.Duration) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.records >= threshold(rank, every) && d.bytes >= d.last.Bytes {
+func (s *checkpointSchedule) due(now time.Time, rank, every int, age time.Duration) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.records >= threshold(rank, every) && s.bytes >= s.last.Bytes {
 		return true
 	}
-	if d.records > 0 && now.Sub(d.at) >= age*time.Duration(rank+1) {
+	if s.records > 0 && now.Sub(s.lastAt) >= age*time.Duration(rank+1) {
 		return true
 	}
-	return !d.lostAt.IsZero() && now.Sub(d.lostAt) >= lostRankDelay*time.Duration(rank)
+	return !s.expiredAt.IsZero() && now.Sub(s.expiredAt) >= expiredRankDelay*time.Duration(rank)
 }
 
 // threshold returns after how many records the node of a rank writes: the first
@@ -121,9 +121,9 @@
 		ids = append(ids, id)
 	}
 	sort.Slice(ids, func(i, j int) bool { return weight(ids[i]) > weight(ids[j]) })
-	for place, id := range ids {
+	for index, id := range ids {
 		if id == node {
-			return place
+			return index
 		}
 	}
 	return len(ids)
@@ -133,7 +133,7 @@
 func (f *Follower) runCheckpoints(ctx context.Context) {
 	number := 0
 	for clock.Wait(ctx, checkpointPoll) {
-		if !f.checkpointIsDue() {
+		if !f.isCheckpointDue() {
 			continue
 		}
 		number++
@@ -141,14 +141,14 @@
 	}
 }
 
-// checkpointIsDue reports whether this node should write one now; only a node
+// isCheckpointDue reports whether this node should write one now; only a node
 // that has applied the whole log does.
-func (f *Follower) checkpointIsDue() bool {
+func (f *Follower) isCheckpointDue() bool {
 	if f.now().Sub(f.LastContact()) > f.config.PollWait+f.config.CallTimeout {
 		return false
 	}
-	place := rank(f.View(), f.config.Node, f.due.lastApplied())
-	return f.due.due(time.Now(), place, f.config.CheckpointEvery, f.config.CheckpointAge)
+	position := rank(f.View(), f.config.Node, f.schedule.lastApplied())
+	return f.schedule.due(time.Now(), position, f.config.CheckpointEvery, f.config.CheckpointAge)
 }
 
 func (f *Follower) writeCheckpoint(ctx context.Context, id string) {
@@ -160,19 +160,19 @@
 	}
 	chunks, err := checkpoint.Split(frozen.Snapshot(), id, checkpoint.ChunkBytes)
 	if err != nil {
-		eventCheckpointFail.Log(f.config.Logger, "checkpoint", id, "error", err)
+		eventCheckpointFailed.Log(f.config.Logger, "checkpoint", id, "error", err)
 		return
 	}
 	for _, chunk := range chunks {
-		if f.due.lastApplied() >= frozen.View().Applied() {
+		if f.schedule.lastApplied() >= frozen.View().Applied() {
 			return // another node's is as good
 		}
 		body := &bspb.Record_CheckpointChunk{CheckpointChunk: chunk}
 		if _, err := f.Submit(limited, &bspb.Record{Body: body}); err != nil {
-			eventCheckpointFail.Log(f.config.Logger, "checkpoint", id, "error", err)
+			eventCheckpointFailed.Log(f.config.Logger, "checkpoint", id, "error", err)
 			return
 		}
 	}
 	count(metricCheckpoints, 1)
-	eventCheckpoint.Log(f.config.Logger, "checkpoint", id, "applied", frozen.View().Applied(), "chunks", len(chunks))
+	eventCheckpointWritten.Log(f.config.Logger, "checkpoint", id, "applied", frozen.View().Applied(), "chunks", len(chunks))
 }
--- a/follower/config.go
+++ b/follower/config.go
@@ -21,17 +21,17 @@
 	DefaultCheckpointAge   = time.Hour
 	DefaultRebaseAfter     = 10 * time.Second
 
-	mostCallTimeout = 10 * time.Second       // for a slow log
-	peerTimeout     = 500 * time.Millisecond // for a peer's answer to a read
+	maxCallTimeout = 10 * time.Second       // for a slow log
+	peerTimeout    = 500 * time.Millisecond // for a peer's answer to a read
 
-	queueLength = 256     // records waiting to be appended
-	inboxLength = 4       // messages waiting for the applier
-	readMax     = 512     // entries of one read
-	ringEntries = 4096    // recent entries kept for peers
-	ringBytes   = 8 << 20 // bytes of recent entries kept for peers
+	queueLength    = 256     // records waiting to be appended
+	inboxLength    = 4       // messages waiting for the applier
+	maxReadEntries = 512     // entries of one read
+	ringEntries    = 4096    // recent entries kept for peers
+	ringBytes      = 8 << 20 // bytes of recent entries kept for peers
 
-	backoffFirst = 50 * time.Millisecond
-	backoffMost  = time.Second
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = time.Second
 )
 
 // Config is what a follower needs. Zero durations and counts take the defaults.
--- a/follower/core.go
+++ b/follower/core.go
@@ -24,18 +24,18 @@
 	writer string
 
 	published atomic.Pointer[publication]
-	contact   atomic.Pointer[contactNote]
+	contact   atomic.Pointer[contactState]
 	source    atomic.Pointer[topo.NodeID]
 	failing   atomic.Bool // the latest log read failed
 	ring      *ring
-	fates     *fates
-	due       *checkpointDue
+	outcomes  *outcomes
+	schedule  *checkpointSchedule
 
-	readPatience   *patience
-	appendPatience *patience
+	readTimeout   *adaptiveTimeout
+	appendTimeout *adaptiveTimeout
 
-	inbox chan message    // to the applier
-	queue chan *submitted // to the appender
+	inbox chan message     // to the applier
+	queue chan *submission // to the appender
 
 	cancel  context.CancelFunc
 	running sync.WaitGroup
@@ -54,8 +54,8 @@
 	changed chan struct{}
 }
 
-// contactNote is the latest contact and the signal that a newer one exists.
-type contactNote struct {
+// contactState is the latest contact and the signal that a newer one exists.
+type contactState struct {
 	at      time.Time
 	renewed chan struct{}
 }
@@ -64,20 +64,20 @@
 func New(config Config) *Follower {
 	config = config.withDefaults()
 	f := &Follower{
-		config: config,
-		writer: record.Writer(config.Node, config.Boot),
-		ring:   newRing(ringEntries, ringBytes),
-		fates:  newFates(),
-		due:    newCheckpointDue(),
-		inbox:  make(chan message, inboxLength),
-		queue:  make(chan *submitted, queueLength),
-		done:   make(chan struct{}),
-
-		readPatience:   newPatience(config.CallTimeout, mostCallTimeout),
-		appendPatience: newPatience(config.CallTimeout, mostCallTimeout),
+		config:   config,
+		writer:   record.Writer(config.Node, config.Boot),
+		ring:     newRing(ringEntries, ringBytes),
+		outcomes: newOutcomes(),
+		schedule: newCheckpointSchedule(),
+		inbox:    make(chan message, inboxLength),
+		queue:    make(chan *submission, queueLength),
+		done:     make(chan struct{}),
+
+		readTimeout:   newAdaptiveTimeout(config.CallTimeout, maxCallTimeout),
+		appendTimeout: newAdaptiveTimeout(config.CallTimeout, maxCallTimeout),
 	}
 	f.published.Store(&publication{view: state.New().View(), changed: make(chan struct{})})
-	f.contact.Store(&contactNote{renewed: make(chan struct{})})
+	f.contact.Store(&contactState{renewed: make(chan struct{})})
 	f.source.Store(new(topo.NodeID))
 	appliedAges.Set(string(config.Node), expvar.Func(func() any { return f.contactAge(f.now()) }))
 	return f
@@ -136,7 +136,7 @@
 
 // renewContact makes a newer contact visible, after the view that it is about.
 func (f *Follower) renewContact(at time.Time) {
-	old := f.contact.Swap(&contactNote{at: at, renewed: make(chan struct{})})
+	old := f.contact.Swap(&contactState{at: at, renewed: make(chan struct{})})
 	close(old.renewed)
 }
 
@@ -164,14 +164,14 @@
 
 func (f *Follower) newBackoff() *backoff {
 	seed := xxhash.Sum64String(f.writer)
-	return &backoff{random: rand.New(rand.NewPCG(seed, seed)), next: backoffFirst}
+	return &backoff{random: rand.New(rand.NewPCG(seed, seed)), next: initialBackoff}
 }
 
-func (b *backoff) reset() { b.next = backoffFirst }
+func (b *backoff) reset() { b.next = initialBackoff }
 
 // wait sleeps, or returns false when ctx ended.
 func (b *backoff) wait(ctx context.Context) bool {
 	pause := b.next/2 + time.Duration(b.random.Int64N(int64(b.next)))
-	b.next = min(2*b.next, backoffMost)
+	b.next = min(2*b.next, maxBackoff)
 	return clock.Wait(ctx, pause)
 }
--- a/follower/dump.go
+++ b/follower/dump.go
@@ -50,7 +50,7 @@
 		Servers:      len(view.Servers()),
 		Groups:       len(view.Groups()),
 		Queued:       len(f.queue),
-		Pending:      f.fates.length(),
+		Pending:      f.outcomes.length(),
 	}
 	dump.Source = sourceName(*f.source.Load())
 	if f.config.Relays > 0 {
@@ -59,7 +59,7 @@
 		}
 	}
 	dump.RecentEntries, dump.RecentBytes = f.ring.size()
-	f.due.dump(&dump)
+	f.schedule.dump(&dump)
 	for _, name := range view.Tables() {
 		dump.Owned = append(dump.Owned, ownedDump(view, name))
 	}
@@ -88,10 +88,10 @@
 	return dump
 }
 
-func (f *fates) length() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return len(f.pending)
+func (o *outcomes) length() int {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return len(o.pending)
 }
 
 func (r *ring) size() (entries, bytes int) {
@@ -100,10 +100,10 @@
 	return len(r.entries), r.bytes
 }
 
-func (d *checkpointDue) dump(dump *Dump) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	dump.LogFirst = d.first
-	dump.LastCheckpoint = d.last.Applied
-	dump.SinceCheckpoint = d.records
+func (s *checkpointSchedule) dump(dump *Dump) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	dump.LogFirst = s.first
+	dump.LastCheckpoint = s.last.Applied
+	dump.SinceCheckpoint = s.records
 }
--- a/follower/follow_test.go
+++ b/follower/follow_test.go
@@ -41,7 +41,7 @@
 }
 
 // Contact counts from before the read was begun, however slow the answer is.
-func TestContactOfASlowLogCountsFromTheAsking(t *testing.T) {
+func TestContactTimeIsTheStartOfASlowRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
 		a := s.start("a")
@@ -78,9 +78,9 @@
 				b.log.Set(c.faults)
 				time.Sleep(settle)
 				for _, name := range []string{"x", "y", "z"} {
-					fate := s.submit(healthy, join(name))
-					s.g.Expect(a.WaitApplied(s.within(settle), fate.Offset)).To(gomega.Succeed())
-					s.g.Expect(b.WaitApplied(s.within(settle), fate.Offset)).To(gomega.Succeed())
+					outcome := s.submit(healthy, join(name))
+					s.g.Expect(a.WaitApplied(s.within(settle), outcome.Offset)).To(gomega.Succeed())
+					s.g.Expect(b.WaitApplied(s.within(settle), outcome.Offset)).To(gomega.Succeed())
 				}
 				time.Sleep(2 * settle)
 				s.g.Expect(time.Since(a.LastContact()) < 2*settle).To(gomega.Equal(c.contact))
@@ -104,14 +104,14 @@
 		time.Sleep(settle)
 		stale.log.Down()
 		s.network.Isolate("a-stale")
-		fate := s.submit(fresh, publish(1))
+		outcome := s.submit(fresh, publish(1))
 		time.Sleep(settle)
 		s.g.Expect(stale.View().SiteVersion()).To(gomega.Equal(uint64(1)))
 		fresh.log.Down()
 		s.network.Set("a-stale", "c-new", peermem.Fault{})
 		s.network.Set("c-new", "a-stale", peermem.Fault{})
 
-		started := s.start("c-new", cutOff)
+		started := s.start("c-new", withLogDown)
 		last := topo.Offset(0)
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
@@ -119,14 +119,14 @@
 			s.g.Expect(now).To(gomega.BeNumerically(">=", last))
 			last = now
 		}
-		s.g.Expect(last).To(gomega.Equal(fate.Offset))
+		s.g.Expect(last).To(gomega.Equal(outcome.Offset))
 		s.g.Expect(started.View().SiteVersion()).To(gomega.Equal(uint64(2)))
 		s.g.Expect(started.LastContact().IsZero()).To(gomega.BeTrue(), "peers are no log contact")
 	})
 }
 
 // A peer that lost its recent entries gives its whole state instead.
-func TestPeersGiveASnapshotWhenEntriesAreGone(t *testing.T) {
+func TestPeersSendASnapshotWhenEntriesAreGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
 		a := s.start("a", noCheckpoints)
@@ -137,13 +137,13 @@
 			s.put("y@b1", uint64(i+1), join("y"))
 		}
 		time.Sleep(settle)
-		b := s.start("b", cutOff)
+		b := s.start("b", withLogDown)
 		s.sameState(a, b)
 		s.g.Expect(b.View().Applied()).To(gomega.Equal(topo.Offset(5700)))
 	})
 }
 
-func TestEntriesOfNewerFormatsArePassedOver(t *testing.T) {
+func TestEntriesOfNewerFormatsAreSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
 		for _, data := range [][]byte{{0x08, 0x09}, {0xff}, nil} {
@@ -151,8 +151,8 @@
 			s.g.Expect(err).NotTo(gomega.HaveOccurred())
 		}
 		a := s.start("a")
-		fate := s.submit(a, join("a"))
-		s.g.Expect(fate.Offset).To(gomega.Equal(topo.Offset(4)))
+		outcome := s.submit(a, join("a"))
+		s.g.Expect(outcome.Offset).To(gomega.Equal(topo.Offset(4)))
 	})
 }
 
@@ -162,7 +162,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
 		rewound := memlog.New(memlog.Retention{})
-		var now swapped
+		var now swappableLog
 		now.set(s.store)
 		var lines bytes.Buffer
 		a := s.start("a", func(c *follower.Config, _ *logfault.Log) {
@@ -182,7 +182,7 @@
 	})
 }
 
-func TestDumpTellsWhatIsThere(t *testing.T) {
+func TestDumpDescribesTheState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
 		a := s.start("a")
@@ -228,9 +228,9 @@
 			s.g.Expect(err).NotTo(gomega.HaveOccurred())
 			s.g.Expect(len(chunks) > 0).To(gomega.Equal(beyond < 601))
 		}
-		fate := s.submit(a, join("z"))
+		outcome := s.submit(a, join("z"))
 		chunks, err := caller.FetchSnapshot(s.within(settle), "a", 601)
 		s.g.Expect(err).NotTo(gomega.HaveOccurred())
-		s.g.Expect(chunks[0].GetApplied()).To(gomega.BeEquivalentTo(fate.Offset))
+		s.g.Expect(chunks[0].GetApplied()).To(gomega.BeEquivalentTo(outcome.Offset))
 	})
 }
--- a/follower/group.go
+++ b/follower/group.go
@@ -20,19 +20,19 @@
 // one lessor group, term and reason are put together, since each assignment
 // stands or falls alone.
 type group struct {
-	members     []*submitted
+	members     []*submission
 	assignments int
 }
 
-func newGroup(first *submitted) *group {
+func newGroup(first *submission) *group {
 	return &group{
-		members:     []*submitted{first},
+		members:     []*submission{first},
 		assignments: len(first.record.GetAssignShards().GetAssignments()),
 	}
 }
 
 // add takes a further submission if it can share the record.
-func (g *group) add(next *submitted) bool {
+func (g *group) add(next *submission) bool {
 	assigns := next.record.GetAssignShards()
 	if assigns == nil || len(g.members) == maxMembers {
 		return false
@@ -82,51 +82,51 @@
 // fail ends every submission with an error.
 func (g *group) fail(err error) {
 	for _, s := range g.members {
-		s.answer <- submitAnswer{err: err}
+		s.response <- submitResponse{err: err}
 	}
 }
 
 // settle answers each submission with its part of the record's result.
 func (g *group) settle(result state.Result) {
 	if len(g.members) == 1 {
-		g.members[0].answer <- submitAnswer{fate: wholeFate(result)}
+		g.members[0].response <- submitResponse{outcome: fullOutcome(result)}
 		return
 	}
 	first := 0
 	for _, s := range g.members {
 		next := first + len(s.record.GetAssignShards().GetAssignments())
-		s.answer <- submitAnswer{fate: partFate(result, first, next)}
+		s.response <- submitResponse{outcome: partialOutcome(result, first, next)}
 		first = next
 	}
 }
 
-func wholeFate(result state.Result) Fate {
-	fate := Fate{
+func fullOutcome(result state.Result) Fate {
+	outcome := Fate{
 		Offset:         result.Offset,
 		Accepted:       result.Accepted,
 		RejectedShards: result.RejectedIndexes(),
 	}
 	if result.Conflict != nil {
-		fate.Conflict = result.Conflict.Error()
+		outcome.Conflict = result.Conflict.Error()
 	}
-	return fate
+	return outcome
 }
 
-// partFate returns the fate of the assignments from first to before next.
-func partFate(result state.Result, first, next int) Fate {
-	fate := Fate{Offset: result.Offset}
+// partialOutcome returns the fate of the assignments from first to before next.
+func partialOutcome(result state.Result, first, next int) Fate {
+	outcome := Fate{Offset: result.Offset}
 	for _, rejection := range result.Rejected {
 		if rejection.Index < first || rejection.Index >= next {
 			continue
 		}
-		if fate.Conflict == "" {
-			fate.Conflict = rejection.Conflict.Error()
+		if outcome.Conflict == "" {
+			outcome.Conflict = rejection.Conflict.Error()
 		}
-		fate.RejectedShards = append(fate.RejectedShards, rejection.Index-first)
+		outcome.RejectedShards = append(outcome.RejectedShards, rejection.Index-first)
 	}
-	fate.Accepted = len(fate.RejectedShards) < next-first
-	if fate.Accepted {
-		fate.Conflict = ""
+	outcome.Accepted = len(outcome.RejectedShards) < next-first
+	if outcome.Accepted {
+		outcome.Conflict = ""
 	}
-	return fate
+	return outcome
 }
--- a/follower/helpers_test.go
+++ b/follower/helpers_test.go
@@ -55,7 +55,7 @@
 // start runs a node until the test ends; change may alter its settings.
 func (s *site) start(name string, change ...func(*follower.Config, *logfault.Log)) *member {
 	s.t.Helper()
-	reads := &reading{inner: s.store}
+	reads := &readCounter{inner: s.store}
 	log := logfault.Wrap(reads)
 	handlers := &peer.Handlers{}
 	sender := &bspb.Sender{Node: name, Boot: "b1", Zone: "zone-a"}
@@ -74,8 +74,8 @@
 	return &member{Follower: f, log: log, reads: &reads.count}
 }
 
-// cutOff starts a node whose log is down.
-func cutOff(_ *follower.Config, log *logfault.Log) { log.Down() }
+// withLogDown starts a node whose log is down.
+func withLogDown(_ *follower.Config, log *logfault.Log) { log.Down() }
 
 func (s *site) within(limit time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
@@ -86,10 +86,10 @@
 // submit submits a record that must be accepted.
 func (s *site) submit(m *member, rec *bspb.Record) follower.Fate {
 	s.t.Helper()
-	fate, err := m.Submit(s.within(settle), rec)
+	outcome, err := m.Submit(s.within(settle), rec)
 	s.g.Expect(err).NotTo(gomega.HaveOccurred())
-	s.g.Expect(fate.Accepted).To(gomega.BeTrue(), fate.Conflict)
-	return fate
+	s.g.Expect(outcome.Accepted).To(gomega.BeTrue(), outcome.Conflict)
+	return outcome
 }
 
 // sameState waits, and expects that all nodes have the same state.
@@ -141,9 +141,9 @@
 	}
 }
 
-func whole(chunks []*bspb.CheckpointChunk) []*bspb.CheckpointChunk { return chunks }
+func intact(chunks []*bspb.CheckpointChunk) []*bspb.CheckpointChunk { return chunks }
 
-func torn(chunks []*bspb.CheckpointChunk) []*bspb.CheckpointChunk { return chunks[:len(chunks)-1] }
+func truncated(chunks []*bspb.CheckpointChunk) []*bspb.CheckpointChunk { return chunks[:len(chunks)-1] }
 
 func chunkRecord(chunk *bspb.CheckpointChunk) *bspb.Record {
 	return &bspb.Record{Body: &bspb.Record_CheckpointChunk{CheckpointChunk: chunk}}
@@ -188,64 +188,64 @@
 	return records
 }
 
-// swapped is a log that can be replaced by another.
-type swapped struct {
+// swappableLog is a log that can be replaced by another.
+type swappableLog struct {
 	mu  sync.Mutex
 	log platlog.Log
 }
 
-func (l *swapped) set(log platlog.Log) {
+func (l *swappableLog) set(log platlog.Log) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.log = log
 }
 
-func (l *swapped) get() platlog.Log {
+func (l *swappableLog) get() platlog.Log {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.log
 }
 
 // Append implements platlog.Log.
-func (l *swapped) Append(ctx context.Context, data []byte) (topo.Offset, error) {
+func (l *swappableLog) Append(ctx context.Context, data []byte) (topo.Offset, error) {
 	return l.get().Append(ctx, data)
 }
 
 // Read implements platlog.Log.
-func (l *swapped) Read(ctx context.Context, req platlog.ReadRequest) (platlog.Batch, error) {
+func (l *swappableLog) Read(ctx context.Context, req platlog.ReadRequest) (platlog.Batch, error) {
 	return l.get().Read(ctx, req)
 }
 
-// reading is a log that counts its reads.
-type reading struct {
+// readCounter is a log that counts its reads.
+type readCounter struct {
 	inner platlog.Log
 	count atomic.Int64
 }
 
 // Append implements platlog.Log.
-func (l *reading) Append(ctx context.Context, data []byte) (topo.Offset, error) {
+func (l *readCounter) Append(ctx context.Context, data []byte) (topo.Offset, error) {
 	return l.inner.Append(ctx, data)
 }
 
 // Read implements platlog.Log.
-func (l *reading) Read(ctx context.Context, req platlog.ReadRequest) (platlog.Batch, error) {
+func (l *readCounter) Read(ctx context.Context, req platlog.ReadRequest) (platlog.Batch, error) {
 	l.count.Add(1)
 	return l.inner.Read(ctx, req)
 }
 
-// counting is a log that counts the entries read from it.
-type counting struct {
+// entryCounter is a log that counts the entries read from it.
+type entryCounter struct {
 	inner   platlog.Log
 	entries atomic.Int64
 }
 
 // Append implements platlog.Log.
-func (l *counting) Append(ctx context.Context, data []byte) (topo.Offset, error) {
+func (l *entryCounter) Append(ctx context.Context, data []byte) (topo.Offset, error) {
 	return l.inner.Append(ctx, data)
 }
 
 // Read implements platlog.Log.
-func (l *counting) Read(ctx context.Context, req platlog.ReadRequest) (platlog.Batch, error) {
+func (l *entryCounter) Read(ctx context.Context, req platlog.ReadRequest) (platlog.Batch, error) {
 	batch, err := l.inner.Read(ctx, req)
 	l.entries.Add(int64(len(batch.Entries)))
 	return batch, err
--- a/follower/internal_test.go
+++ b/follower/internal_test.go
@@ -71,7 +71,7 @@
 
 // A peer may have given later records while a read of the log was under way;
 // the read still proves what it saw. An end before what was asked for does not.
-func TestContactBesidePeers(t *testing.T) {
+func TestContactWhilePeersDeliverToo(t *testing.T) {
 	cases := []struct {
 		name      string
 		from, end topo.Offset
@@ -89,7 +89,7 @@
 			f := New(Config{Node: "a", Boot: "b", Log: memlog.New(memlog.Retention{})})
 			a := &applier{f: f, state: at(t, 10, 0)}
 			outcome := make(chan error, 1)
-			answer := &logAnswer{begun: time.Now(), from: c.from, batch: platlog.Batch{First: 1, End: c.end}}
+			answer := &logResponse{begun: time.Now(), from: c.from, batch: platlog.Batch{First: 1, End: c.end}}
 			(&entriesMessage{outcome: outcome, log: answer}).apply(a)
 			g.Expect((<-outcome) != nil).To(gomega.Equal(c.rewound))
 			g.Expect(!f.LastContact().IsZero()).To(gomega.Equal(c.contact))
@@ -97,9 +97,9 @@
 	}
 }
 
-func TestPatience(t *testing.T) {
+func TestAdaptiveTimeout(t *testing.T) {
 	g := gomega.NewWithT(t)
-	p := newPatience(time.Second, 10*time.Second)
+	p := newAdaptiveTimeout(time.Second, 10*time.Second)
 	steps := []struct {
 		took time.Duration
 		err  error
@@ -116,8 +116,8 @@
 		{time.Minute, nil, 10 * time.Second},
 	}
 	for _, step := range steps {
-		p.learn(step.took, step.err)
-		g.Expect(p.now).To(gomega.Equal(step.want))
+		p.observe(step.took, step.err)
+		g.Expect(p.current).To(gomega.Equal(step.want))
 	}
 }
 
@@ -139,26 +139,26 @@
 	g.Expect(entries).To(gomega.HaveLen(1), "the newest stays, however large")
 }
 
-func TestPendingFatesAreBounded(t *testing.T) {
+func TestPendingOutcomesAreBounded(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := newFates()
+	f := newOutcomes()
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
-	waiting := &group{members: []*submitted{{ctx: context.Background(), answer: make(chan submitAnswer, 1)}}}
+	waiting := &group{members: []*submission{{ctx: context.Background(), response: make(chan submitResponse, 1)}}}
 	for sequence := range uint64(maxPending) {
 		g.Expect(f.expect(sequence, waiting)).To(gomega.BeTrue())
 	}
 	g.Expect(f.expect(maxPending, waiting)).To(gomega.BeFalse())
-	f.pending[7] = &group{members: []*submitted{{ctx: ended}}}
+	f.pending[7] = &group{members: []*submission{{ctx: ended}}}
 	g.Expect(f.expect(maxPending, waiting)).To(gomega.BeTrue())
 }
 
 func TestCheckpointDue(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const every, age = 100, time.Hour
-	d := newCheckpointDue()
+	d := newCheckpointSchedule()
 	now := time.Now()
-	d.noteWhole(checkpoint.Whole{Applied: 50, FirstChunk: 51, Bytes: 1000})
+	d.noteComplete(checkpoint.Whole{Applied: 50, FirstChunk: 51, Bytes: 1000})
 	for range every - 1 {
 		d.noteRecord(9)
 	}
@@ -176,13 +176,13 @@
 	g.Expect(d.due(now, 1, every, age)).To(gomega.BeTrue())
 	g.Expect(threshold(660, every)).To(gomega.BeNumerically("<", 40*every))
 
-	d.noteWhole(checkpoint.Whole{Applied: 250, FirstChunk: 252})
+	d.noteComplete(checkpoint.Whole{Applied: 250, FirstChunk: 252})
 	d.noteFirst(252)
 	g.Expect(d.due(time.Now(), 0, every, age)).To(gomega.BeFalse())
 	d.noteFirst(253)
 	g.Expect(d.due(time.Now(), 0, every, age)).To(gomega.BeTrue(), "retention passed its first chunk")
 	g.Expect(d.due(time.Now(), 1, every, age)).To(gomega.BeFalse())
-	d.noteWhole(checkpoint.Whole{Applied: 240, FirstChunk: 260})
+	d.noteComplete(checkpoint.Whole{Applied: 240, FirstChunk: 260})
 	g.Expect(d.lastApplied()).To(gomega.Equal(topo.Offset(250)), "an older one is no progress")
 }
 
--- a/follower/metrics.go
+++ b/follower/metrics.go
@@ -16,7 +16,7 @@
 	metricUncertain      = "appends_uncertain"   // appends whose answer was lost
 	metricReappends      = "reappends"           // appends of the same record again
 	metricNotAppended    = "not_appended"        // records proven not to be appended
-	metricUnknownFate    = "unknown_fates"       // records given up with an unknown fate
+	metricUnknownOutcome = "unknown_fates"       // records given up with an unknown fate
 	metricQueueFull      = "append_queue_full"   // records refused because the queue was full
 	metricMerged         = "appends_merged"      // records that shared another's append
 	metricReads          = "log_reads"           // log reads answered
@@ -38,7 +38,7 @@
 	metricRestores       = "restores"            // states restored from checkpoints or peers
 	metricRebases        = "rebases"             // rebases applied
 	metricAppliedOffset  = "applied_offset"      // by node
-	metricAppliedAgeMsec = "applied_age_ms"      // by node: since the last contact with the log
+	metricAppliedAgeMs   = "applied_age_ms"      // by node: since the last contact with the log
 )
 
 var (
@@ -50,7 +50,7 @@
 func init() {
 	metrics.Set(metricReadsBySource, readsBySource)
 	metrics.Set(metricAppliedOffset, appliedOffsets)
-	metrics.Set(metricAppliedAgeMsec, appliedAges)
+	metrics.Set(metricAppliedAgeMs, appliedAges)
 }
 
 // Sources by which reads are counted.
--- a/follower/readpeers.go
+++ b/follower/readpeers.go
@@ -13,8 +13,8 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// peerPause is the time between two peers that had nothing new.
-const peerPause = 50 * time.Millisecond
+// peerInterval is the time between two peers that had nothing new.
+const peerInterval = 50 * time.Millisecond
 
 // snapshotTimeout bounds the fetching of a peer's whole state.
 const snapshotTimeout = 10 * time.Second
@@ -55,22 +55,22 @@
 func (r *peerReader) step(ctx context.Context) {
 	from, wait := r.source, r.f.config.PeerWait
 	if from == "" {
-		from, wait = r.turn(), 0
+		from, wait = r.nextPeer(), 0
 	}
 	if from == "" {
 		clock.Wait(ctx, r.f.config.PeerWait)
 		return
 	}
-	if r.ask(ctx, from, wait) {
+	if r.readFrom(ctx, from, wait) {
 		r.source = from
 		return
 	}
 	r.source = ""
-	clock.Wait(ctx, peerPause)
+	clock.Wait(ctx, peerInterval)
 }
 
-// turn returns the next known peer; empty when there is none.
-func (r *peerReader) turn() topo.NodeID {
+// nextPeer returns the next known peer; empty when there is none.
+func (r *peerReader) nextPeer() topo.NodeID {
 	known := r.f.config.Peers.Known()
 	if len(known) == 0 {
 		return ""
@@ -79,26 +79,26 @@
 	return known[r.next]
 }
 
-// ask reads from a peer and has the result applied; false when that brought
+// readFrom reads from a peer and has the result applied; false when that brought
 // nothing new.
-func (r *peerReader) ask(ctx context.Context, from topo.NodeID, wait time.Duration) bool {
+func (r *peerReader) readFrom(ctx context.Context, from topo.NodeID, wait time.Duration) bool {
 	before := r.f.applied()
 	limited, cancel := context.WithTimeout(ctx, wait+peerTimeout)
 	defer cancel()
-	answer, err := r.f.config.Peers.ReadLog(limited, from, &bspb.ReadLogRequest{
+	response, err := r.f.config.Peers.ReadLog(limited, from, &bspb.ReadLogRequest{
 		Sender: r.f.config.Peers.Sender(),
 		From:   uint64(before + 1),
-		Max:    readMax,
+		Max:    maxReadEntries,
 		WaitMs: uint32(wait.Milliseconds()),
 	})
 	if err != nil {
 		eventPeerFailed.Log(r.f.config.Logger, "peer", from, "error", err)
 		return false
 	}
-	if topo.Offset(answer.GetApplied()) <= before {
+	if topo.Offset(response.GetApplied()) <= before {
 		return false
 	}
-	entries := entriesFromProto(answer.GetEntries())
+	entries := entriesFromProto(response.GetEntries())
 	if len(entries) == 0 {
 		return r.f.fetchSnapshot(ctx, from)
 	}
@@ -146,7 +146,7 @@
 	}
 	snapshot, err := checkpoint.Join(chunks)
 	if err != nil {
-		eventCheckpointTorn.Log(f.config.Logger, "peer", from, "error", err)
+		eventCheckpointDamaged.Log(f.config.Logger, "peer", from, "error", err)
 		return false
 	}
 	applied := topo.Offset(snapshot.GetApplied())
@@ -155,7 +155,7 @@
 	}
 	restored, err := state.Restore(snapshot)
 	if err != nil {
-		eventCheckpointTorn.Log(f.config.Logger, "peer", from, "error", err)
+		eventCheckpointDamaged.Log(f.config.Logger, "peer", from, "error", err)
 		return false
 	}
 	if f.adopt(ctx, restored, false) != nil {
--- a/follower/rebase.go
+++ b/follower/rebase.go
@@ -52,7 +52,7 @@
 	if rebase != nil {
 		return r.rebase(ctx, rebase)
 	}
-	return r.offerRebase(ctx, first)
+	return r.proposeRebase(ctx, first)
 }
 
 // rebase replaces the state by what a Rebase record says. If the log no longer
@@ -122,11 +122,11 @@
 // replay applies the log's entries after the state up to before an offset.
 func (f *Follower) replay(ctx context.Context, next *state.State, before topo.Offset) error {
 	for next.Applied()+1 < before {
-		batch, err := f.read(ctx, next.Applied()+1, readMax, 0)
+		batch, err := f.read(ctx, next.Applied()+1, maxReadEntries, 0)
 		if err != nil {
 			return &RebaseProblemError{Offset: before, Problem: "cannot read the records after it", Cause: err}
 		}
-		entries, err := following(batch, next.Applied()+1)
+		entries, err := contiguous(batch, next.Applied()+1)
 		if err != nil {
 			return &RebaseProblemError{Offset: before, Problem: "records after it are missing", Cause: err}
 		}
--- a/follower/rebase_test.go
+++ b/follower/rebase_test.go
@@ -15,11 +15,11 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-const longRebase = 3 * time.Minute // for a rebase although not every node answers
+const rebaseWait = 3 * time.Minute // for a rebase although not every node answers
 
-// loseForAll brings about a gap for everybody: records that no node has read
+// expireForAll brings about a gap for everybody: records that no node has read
 // are appended and leave the log, and one more stays.
-func (s *site) loseForAll(members ...*member) {
+func (s *site) expireForAll(members ...*member) {
 	s.t.Helper()
 	for _, m := range members {
 		m.log.Down()
@@ -46,7 +46,7 @@
 	return total
 }
 
-func TestRetentionPassedForEverybody(t *testing.T) {
+func TestRecordsExpiredForEveryNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
 		a, b, c := s.start("a"), s.start("b"), s.start("c")
@@ -63,14 +63,14 @@
 		s.network.Heal()
 		s.network.Cut("a", "b")
 		s.network.Cut("c", "b")
-		s.loseForAll(a, b, c)
+		s.expireForAll(a, b, c)
 		for _, m := range []*member{a, b, c} {
 			m.log.Set(logfault.Faults{SlowAppends: 5 * time.Second})
 		}
 		time.Sleep(4 * follower.DefaultRebaseAfter)
 		s.g.Expect(s.rebases()).To(gomega.BeZero(), "b could not be asked and may be further")
 		s.network.Heal()
-		time.Sleep(longRebase)
+		time.Sleep(rebaseWait)
 		for _, m := range []*member{a, b, c} {
 			m.log.Heal()
 		}
@@ -89,7 +89,7 @@
 
 // Nodes that cannot ask each other may all publish their state: the first
 // Rebase record counts for everybody, also for those who were further.
-func TestRacingRebases(t *testing.T) {
+func TestConcurrentRebases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
 		members := []*member{s.start("a"), s.start("b"), s.start("c")}
@@ -100,11 +100,11 @@
 		for _, name := range []topo.NodeID{"a", "b", "c"} {
 			s.network.Isolate(name)
 		}
-		s.loseForAll(members...)
+		s.expireForAll(members...)
 		for _, m := range members {
 			m.log.Set(logfault.Faults{SlowAppends: 5 * time.Second})
 		}
-		time.Sleep(longRebase)
+		time.Sleep(rebaseWait)
 		s.g.Expect(s.rebases()).To(gomega.BeNumerically(">=", 2), "several published")
 		s.network.Heal()
 		for _, m := range members {
@@ -119,7 +119,7 @@
 
 // A node without a gap adopts the rebase too, so that nobody is left apart; the
 // same record under another lineage changes nothing.
-func TestRebaseBindsEveryNode(t *testing.T) {
+func TestRebaseAppliesToEveryNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
 		a := s.start("a", noCheckpoints)
@@ -129,7 +129,7 @@
 		_, resume := s.store.Bounds()
 		s.put("z@b1", 1, join("kept"))
 		_, firstChunk := s.store.Bounds()
-		s.putCheckpoint(old, "z/rebase/1", whole)
+		s.putCheckpoint(old, "z/rebase/1", intact)
 		chunk := s.records()[firstChunk-1].GetCheckpointChunk()
 		rebase := func(lineage topo.Offset) *bspb.Record {
 			return &bspb.Record{Body: &bspb.Record_Rebase{Rebase: &bspb.Rebase{
@@ -155,15 +155,15 @@
 
 // A Rebase record of an older lineage never takes a node back, also when the
 // node is looking for one.
-func TestStaleRebaseIsPassedOver(t *testing.T) {
+func TestStaleRebaseIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
 		a := s.start("a", noCheckpoints)
 		s.submit(a, join("a"))
 		old := s.replayed()
 		s.submit(a, join("b"))
-		s.loseForAll(a)
-		time.Sleep(longRebase)
+		s.expireForAll(a)
+		time.Sleep(rebaseWait)
 		lineage := a.View().Lineage()
 		s.g.Expect(lineage).NotTo(gomega.BeZero())
 		s.submit(a, join("newer"))
@@ -171,7 +171,7 @@
 		a.log.Down()
 		s.put("y@b1", 1, join("lost"))
 		_, resume := s.store.Bounds()
-		s.putCheckpoint(old, "z/rebase/1", whole)
+		s.putCheckpoint(old, "z/rebase/1", intact)
 		first, _ := s.store.Bounds()
 		chunk := s.records()[resume-first].GetCheckpointChunk()
 		stale := s.put("z@b1", 1, &bspb.Record{Body: &bspb.Record_Rebase{Rebase: &bspb.Rebase{
@@ -180,7 +180,7 @@
 		}}})
 		s.store.Truncate(resume)
 		a.log.Heal()
-		time.Sleep(2 * longRebase)
+		time.Sleep(2 * rebaseWait)
 		s.g.Expect(hasNode(a, "newer")).To(gomega.BeTrue())
 		s.g.Expect(a.View().Lineage()).To(gomega.BeNumerically(">", stale), "its own came after")
 		s.submit(a, join("after"))
@@ -189,14 +189,14 @@
 
 // A node that has no state never publishes one, and says so by having no
 // contact.
-func TestNothingToRebaseFrom(t *testing.T) {
+func TestNoRebaseWithoutState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
 		s.put("x@b1", 1, join("x"))
 		s.put("x@b1", 2, join("y"))
 		s.store.Truncate(2)
 		a := s.start("a", func(c *follower.Config, _ *logfault.Log) { c.RebaseAfter = time.Second })
-		time.Sleep(longRebase)
+		time.Sleep(rebaseWait)
 		s.g.Expect(s.rebases()).To(gomega.BeZero())
 		s.g.Expect(a.View().Applied()).To(gomega.BeZero())
 		s.g.Expect(a.LastContact().IsZero()).To(gomega.BeTrue())
--- a/follower/recover.go
+++ b/follower/recover.go
@@ -15,8 +15,8 @@
 // minWindow is the fewest entries that are searched at once for a checkpoint.
 const minWindow = 256
 
-// found is a whole checkpoint in the log.
-type found struct {
+// foundCheckpoint is a whole checkpoint in the log.
+type foundCheckpoint struct {
 	whole    checkpoint.Whole
 	snapshot *bspb.Snapshot
 }
@@ -79,9 +79,9 @@
 
 // search returns the newest whole checkpoint with all chunks in a range; nil
 // when there is none.
-func (r *logReader) search(ctx context.Context, start, end topo.Offset) (*found, error) {
+func (r *logReader) search(ctx context.Context, start, end topo.Offset) (*foundCheckpoint, error) {
 	var assembler checkpoint.Assembler
-	var newest *found
+	var newest *foundCheckpoint
 	err := r.f.scan(ctx, start, end, func(offset topo.Offset, rec *bspb.Record) bool {
 		chunk := rec.GetCheckpointChunk()
 		if chunk == nil {
@@ -89,27 +89,27 @@
 		}
 		whole, snapshot, err := assembler.Add(offset, chunk)
 		if err != nil {
-			eventCheckpointTorn.Log(r.f.config.Logger, "offset", offset, "error", err)
+			eventCheckpointDamaged.Log(r.f.config.Logger, "offset", offset, "error", err)
 		}
 		if whole != nil && (newest == nil || whole.Applied >= newest.whole.Applied) {
-			newest = &found{whole: *whole, snapshot: snapshot}
+			newest = &foundCheckpoint{whole: *whole, snapshot: snapshot}
 		}
 		return true
 	})
 	return newest, err
 }
 
-func (r *logReader) restore(ctx context.Context, newest *found) bool {
+func (r *logReader) restore(ctx context.Context, newest *foundCheckpoint) bool {
 	restored, err := state.Restore(newest.snapshot)
 	if err != nil {
-		eventCheckpointTorn.Log(r.f.config.Logger, "checkpoint", newest.whole.ID, "error", err)
+		eventCheckpointDamaged.Log(r.f.config.Logger, "checkpoint", newest.whole.ID, "error", err)
 		return false
 	}
 	if r.f.adopt(ctx, restored, false) != nil {
 		return false
 	}
-	r.f.due.noteWhole(newest.whole)
-	eventCheckpointUsed.Log(r.f.config.Logger, "checkpoint", newest.whole.ID, "applied", newest.whole.Applied)
+	r.f.schedule.noteComplete(newest.whole)
+	eventCheckpointRestored.Log(r.f.config.Logger, "checkpoint", newest.whole.ID, "applied", newest.whole.Applied)
 	return true
 }
 
@@ -117,11 +117,11 @@
 // false. It fails with the log's error.
 func (f *Follower) scan(ctx context.Context, start, end topo.Offset, visit func(topo.Offset, *bspb.Record) bool) error {
 	for next := start; next < end; {
-		batch, err := f.read(ctx, next, readMax, 0)
+		batch, err := f.read(ctx, next, maxReadEntries, 0)
 		if err != nil {
 			return err
 		}
-		entries, err := following(batch, next)
+		entries, err := contiguous(batch, next)
 		if err != nil {
 			return err
 		}
@@ -139,16 +139,16 @@
 	return nil
 }
 
-// following returns the entries of a batch from next on, without those read
+// contiguous returns the entries of a batch from next on, without those read
 // again. It fails when there are none or some are missing.
-func following(batch platlog.Batch, next topo.Offset) ([]platlog.Entry, error) {
+func contiguous(batch platlog.Batch, next topo.Offset) ([]platlog.Entry, error) {
 	entries := make([]platlog.Entry, 0, len(batch.Entries))
 	for _, entry := range batch.Entries {
-		wanted := next + topo.Offset(len(entries))
-		if entry.Offset > wanted {
-			return nil, &GapError{Applied: wanted - 1, Got: entry.Offset}
+		expected := next + topo.Offset(len(entries))
+		if entry.Offset > expected {
+			return nil, &GapError{Applied: expected - 1, Got: entry.Offset}
 		}
-		if entry.Offset == wanted {
+		if entry.Offset == expected {
 			entries = append(entries, entry)
 		}
 	}
--- a/follower/recover_test.go
+++ b/follower/recover_test.go
@@ -37,26 +37,26 @@
 	}{
 		{"newest whole one", func(s *site) (topo.Offset, []string) {
 			s.put("op@b", 1, join("a"))
-			s.putCheckpoint(s.replayed(), "c1", whole)
+			s.putCheckpoint(s.replayed(), "c1", intact)
 			s.put("op@b", 2, join("b"))
 			first := s.replayed().Applied()
-			s.putCheckpoint(s.replayed(), "c2", whole)
+			s.putCheckpoint(s.replayed(), "c2", intact)
 			s.put("op@b", 3, join("c"))
 			return first + 1, []string{"a", "b", "c"}
 		}},
 		{"newest is torn", func(s *site) (topo.Offset, []string) {
 			s.put("op@b", 1, join("a"))
 			before := s.replayed()
-			s.putCheckpoint(before, "c1", whole)
+			s.putCheckpoint(before, "c1", intact)
 			s.put("op@b", 2, join("b"))
-			s.putCheckpoint(s.replayed(), "c2", torn)
+			s.putCheckpoint(s.replayed(), "c2", truncated)
 			s.put("op@b", 3, join("c"))
 			return before.Applied() + 1, []string{"a", "b", "c"}
 		}},
 		{"newest is damaged", func(s *site) (topo.Offset, []string) {
 			s.put("op@b", 1, join("a"))
 			before := s.replayed()
-			s.putCheckpoint(before, "c1", whole)
+			s.putCheckpoint(before, "c1", intact)
 			s.put("op@b", 2, join("b"))
 			s.putCheckpoint(s.replayed(), "c2", func(chunks []*bspb.CheckpointChunk) []*bspb.CheckpointChunk {
 				chunks[0].Data[0] ^= 1
@@ -68,7 +68,7 @@
 			s.put("op@b", 1, join("a"))
 			before := s.replayed()
 			mixed := newSite(s.t, memlog.Retention{})
-			mixed.putCheckpoint(before, "c2", whole)
+			mixed.putCheckpoint(before, "c2", intact)
 			other := mixed.records()
 			i := 0
 			s.putCheckpoint(before, "c1", func(chunks []*bspb.CheckpointChunk) []*bspb.CheckpointChunk {
@@ -84,14 +84,14 @@
 		{"only a torn one", func(s *site) (topo.Offset, []string) {
 			s.put("op@b", 1, join("a"))
 			before := s.replayed()
-			s.putCheckpoint(before, "c1", torn)
+			s.putCheckpoint(before, "c1", truncated)
 			return before.Applied() + 1, nil
 		}},
 		{"records after it are gone", func(s *site) (topo.Offset, []string) {
 			s.put("op@b", 1, join("a"))
 			before := s.replayed()
 			s.put("op@b", 2, join("b"))
-			s.putCheckpoint(before, "c1", whole)
+			s.putCheckpoint(before, "c1", intact)
 			return before.Applied() + 2, nil
 		}},
 	}
@@ -114,13 +114,13 @@
 }
 
 // With nothing whole in the log, a node takes a peer's state.
-func TestTornCheckpointAndPeers(t *testing.T) {
+func TestIncompleteCheckpointAndPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
 		a := s.start("a", noCheckpoints)
 		s.submit(a, join("a"))
 		s.submit(a, publish(0))
-		s.putCheckpoint(s.replayed(), "c1", torn)
+		s.putCheckpoint(s.replayed(), "c1", truncated)
 		time.Sleep(settle)
 		s.store.Truncate(3)
 		b := s.start("b", noCheckpoints)
@@ -233,15 +233,15 @@
 
 // A process that starts far behind reads a checkpoint and the records after
 // it, not the whole log.
-func TestStartReadsLittle(t *testing.T) {
+func TestStartReadsFromTheCheckpoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
 		for i := range 20_000 {
 			s.put("x@b1", uint64(i+1), join("x"))
 		}
-		s.putCheckpoint(s.replayed(), "c1", whole)
+		s.putCheckpoint(s.replayed(), "c1", intact)
 		s.put("y@b1", 1, join("y"))
-		counted := &counting{inner: s.store}
+		counted := &entryCounter{inner: s.store}
 		a := s.start("a", func(c *follower.Config, _ *logfault.Log) {
 			c.Log = counted
 			c.CheckpointEvery = 100
--- a/follower/relay_contact_test.go
+++ b/follower/relay_contact_test.go
@@ -15,20 +15,20 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// ends remembers from when on the log had each end.
-type ends struct {
+// logEnds remembers from when on the log had each end.
+type logEnds struct {
 	mu    sync.Mutex
 	since []time.Time // by offset
 }
 
-func (e *ends) note(at time.Time) {
+func (e *logEnds) note(at time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.since = append(e.since, at)
 }
 
-// before returns how many records the log held just before a time.
-func (e *ends) before(at time.Time) topo.Offset {
+// endBefore returns how many records the log held just before a time.
+func (e *logEnds) endBefore(at time.Time) topo.Offset {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	held := topo.Offset(0)
@@ -53,7 +53,7 @@
 func contactUnderFaults(t *testing.T, seed uint64) {
 	s, members := relayedSite(t, 1+int(seed%3), "a", "b", "c", "d", "e")
 	random := rand.New(rand.NewPCG(seed, 1))
-	held := &ends{}
+	held := &logEnds{}
 	_, end := s.store.Bounds()
 	for range end - 1 {
 		held.note(time.Time{})
@@ -71,7 +71,7 @@
 		}
 		for _, name := range names {
 			contact, applied := members[name].LastContact(), members[name].View().Applied()
-			s.g.Expect(applied).To(gomega.BeNumerically(">=", held.before(contact)), "seed %d, step %d, node %s", seed, step, name)
+			s.g.Expect(applied).To(gomega.BeNumerically(">=", held.endBefore(contact)), "seed %d, step %d, node %s", seed, step, name)
 			s.g.Expect(applied).To(gomega.BeNumerically(">=", last[name]), "seed %d, step %d, node %s", seed, step, name)
 			last[name] = applied
 		}
--- a/follower/relay_test.go
+++ b/follower/relay_test.go
@@ -21,14 +21,14 @@
 )
 
 const (
-	// right is the lease TTL that belongs to the default PollWait: contact that
+	// leaseTTL is the lease TTL that belongs to the default PollWait: contact that
 	// is older gives a lessor no right.
-	right = 5 * follower.DefaultPollWait
-	// mostContactAge is what is promised when one or two sources fail, see
+	leaseTTL = 5 * follower.DefaultPollWait
+	// maxContactAge is what is promised when one or two sources fail, see
 	// docs/design/log-and-state.md.
-	mostContactAge = 9 * follower.DefaultPollWait / 2
-	// followingPause is long enough to turn back to a relay that failed.
-	followingPause = 3 * time.Minute
+	maxContactAge = 9 * follower.DefaultPollWait / 2
+	// relayReturnWait is long enough to turn back to a relay that failed.
+	relayReturnWait = 3 * time.Minute
 )
 
 // relayedSite starts nodes that share relays, and waits until they use them.
@@ -61,8 +61,8 @@
 	return readers, followers
 }
 
-// oldest samples a node's contact for a while and returns its greatest age.
-func oldest(m *member, span time.Duration) time.Duration {
+// oldestContact samples a node's contact for a while and returns its greatest age.
+func oldestContact(m *member, span time.Duration) time.Duration {
 	var age time.Duration
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(7 * time.Millisecond) {
 		age = max(age, time.Since(m.LastContact()))
@@ -85,7 +85,7 @@
 		}
 		for _, id := range followers {
 			// As fresh as by reading the log itself.
-			s.g.Expect(oldest(members[id], 10*time.Second)).To(gomega.BeNumerically("<=", 2*follower.DefaultPollWait+10*time.Millisecond))
+			s.g.Expect(oldestContact(members[id], 10*time.Second)).To(gomega.BeNumerically("<=", 2*follower.DefaultPollWait+10*time.Millisecond))
 		}
 		for _, id := range followers {
 			s.g.Expect(members[id].reads.Load()).To(gomega.Equal(before[id]), string(id))
@@ -94,9 +94,9 @@
 			s.g.Expect(members[id].reads.Load()).To(gomega.BeNumerically(">", before[id]+100), string(id))
 		}
 		// A record reaches followers when it reaches their relay.
-		fate := s.submit(members[followers[0]], join("x"))
+		outcome := s.submit(members[followers[0]], join("x"))
 		for _, m := range members {
-			s.g.Expect(m.WaitApplied(s.within(time.Millisecond), fate.Offset)).To(gomega.Succeed())
+			s.g.Expect(m.WaitApplied(s.within(time.Millisecond), outcome.Offset)).To(gomega.Succeed())
 		}
 	})
 }
@@ -110,10 +110,10 @@
 		started := s.start("c", func(*follower.Config, *logfault.Log) { s.network.Isolate("c") })
 		s.submit(started, join("c"))
 		time.Sleep(settle) // contact is noted after the record
-		s.g.Expect(oldest(started, 2*settle)).To(gomega.BeNumerically("<", right))
+		s.g.Expect(oldestContact(started, 2*settle)).To(gomega.BeNumerically("<", leaseTTL))
 		s.g.Expect(started.reads.Load()).To(gomega.BeNumerically(">", 10))
 		s.network.Heal()
-		time.Sleep(followingPause)
+		time.Sleep(relayReturnWait)
 		_, followers := split(members)
 		s.g.Expect(followers).To(gomega.HaveLen(1))
 		s.g.Expect(source(started) == "log" || source(started) == relay[0] || len(relay) > 1).To(gomega.BeTrue())
@@ -122,7 +122,7 @@
 
 // Whatever happens to a relay, the nodes behind it keep contact that gives the
 // right to renew, go on applying, and come back to it.
-func TestARelayFails(t *testing.T) {
+func TestRelayFailure(t *testing.T) {
 	cases := []struct {
 		name  string
 		fault func(s *site, id topo.NodeID, relay *member)
@@ -162,7 +162,7 @@
 						rec.GetJoinNode().Zone = "zone-elsewhere" // the zone's order stays
 						s.submit(members[followers[1]], rec)
 					}()
-					s.g.Expect(oldest(watched, 30*time.Second)).To(gomega.BeNumerically("<=", mostContactAge))
+					s.g.Expect(oldestContact(watched, 30*time.Second)).To(gomega.BeNumerically("<=", maxContactAge))
 					s.g.Expect(hasNode(watched, "meanwhile")).To(gomega.BeTrue())
 					s.network.Heal()
 					s.network.Resume(readers[0])
@@ -170,7 +170,7 @@
 					members[readers[0]].log.Heal()
 					members[readers[1]].log.Heal()
 					if c.name != "lost" {
-						time.Sleep(followingPause)
+						time.Sleep(relayReturnWait)
 						s.g.Expect(source(watched)).To(gomega.Equal(first))
 					}
 				})
@@ -181,7 +181,7 @@
 
 // Nodes whose views differ may follow each other. That makes no contact fresh,
 // so both read the log.
-func TestFollowingInACircleIsNoContact(t *testing.T) {
+func TestCircularFollowingRenewsNoContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
 		s.relays = 1
@@ -195,7 +195,7 @@
 		}
 		time.Sleep(settle)
 		for _, m := range []*member{a, b} {
-			s.g.Expect(oldest(m, time.Minute)).To(gomega.BeNumerically("<=", mostContactAge))
+			s.g.Expect(oldestContact(m, time.Minute)).To(gomega.BeNumerically("<=", maxContactAge))
 		}
 		// One may follow the other while that one reads the log.
 		s.g.Expect(a.reads.Load() + b.reads.Load()).To(gomega.BeNumerically(">", 200))
@@ -209,7 +209,7 @@
 		s, members := relayedSite(t, 1, "a", "b", "c")
 		readers, followers := split(members)
 		members[readers[0]].Stop()
-		s.g.Expect(oldest(members[followers[0]], settle)).To(gomega.BeNumerically("<=", mostContactAge))
+		s.g.Expect(oldestContact(members[followers[0]], settle)).To(gomega.BeNumerically("<=", maxContactAge))
 		s.g.Expect(source(members[followers[0]])).To(gomega.Equal(topo.NodeID("log")))
 	})
 }
@@ -233,15 +233,15 @@
 			mine, relays := members[id].reads.Load()-before[id], members[readers[0]].reads.Load()-before[readers[0]]
 			s.g.Expect(mine).To(gomega.BeNumerically("<", relays/2), string(id))
 		}
-		fate := s.submit(members[readers[0]], join("x"))
+		outcome := s.submit(members[readers[0]], join("x"))
 		for _, m := range members {
-			s.g.Expect(m.WaitApplied(s.within(settle), fate.Offset)).To(gomega.Succeed())
+			s.g.Expect(m.WaitApplied(s.within(settle), outcome.Offset)).To(gomega.Succeed())
 		}
 	})
 }
 
 // A relay that does not tell its contact, as an older program, is none.
-func TestARelayThatTellsNoContact(t *testing.T) {
+func TestRelayThatReportsNoContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
 		s.relays = 1
@@ -256,7 +256,7 @@
 		})
 		s.submit(b, join("a"))
 		time.Sleep(settle) // contact is noted after the record
-		s.g.Expect(oldest(b, time.Minute)).To(gomega.BeNumerically("<=", mostContactAge))
+		s.g.Expect(oldestContact(b, time.Minute)).To(gomega.BeNumerically("<=", maxContactAge))
 		s.g.Expect(b.reads.Load()).To(gomega.BeNumerically(">", 50))
 		b.Stop()
 		s.g.Expect(lines.String()).To(gomega.ContainSubstring("event=1216"))
@@ -264,20 +264,20 @@
 }
 
 // Checkpoints, retention and a rebase reach nodes behind a relay.
-func TestRetentionPassedForASiteWithRelays(t *testing.T) {
+func TestRecordsExpiredForASiteWithRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, members := relayedSite(t, 2, "a", "b", "c", "d")
 		all := []*member{members["a"], members["b"], members["c"], members["d"]}
 		for _, id := range []topo.NodeID{"a", "b", "c", "d"} {
 			s.network.Isolate(id)
 		}
-		s.loseForAll(all...)
+		s.expireForAll(all...)
 		s.network.Heal()
-		time.Sleep(longRebase)
+		time.Sleep(rebaseWait)
 		s.sameState(all...)
 		s.g.Expect(s.rebases()).To(gomega.BeNumerically(">=", 1))
 		s.g.Expect(hasNode(all[0], "kept")).To(gomega.BeTrue())
-		time.Sleep(followingPause)
+		time.Sleep(relayReturnWait)
 		_, followers := split(members)
 		s.g.Expect(len(followers)).To(gomega.BeNumerically(">=", 2))
 		s.submit(members[followers[0]], join("after"))
@@ -287,7 +287,7 @@
 
 // A node that was away while the log lost what it needs, and its relay's recent
 // entries too, comes back by a checkpoint.
-func TestANodeBehindARelayThatLacksItsRecords(t *testing.T) {
+func TestFollowerOfARelayThatLacksItsRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, members := relayedSite(t, 1, "a", "b", "c")
 		_, followers := split(members)
@@ -303,7 +303,7 @@
 		time.Sleep(2 * settle)
 		away.log.Heal()
 		s.network.Heal()
-		time.Sleep(followingPause)
+		time.Sleep(relayReturnWait)
 		s.sameState(members["a"], members["b"], members["c"])
 		s.g.Expect(source(away)).NotTo(gomega.Equal(topo.NodeID("log")))
 	})
--- a/follower/relays.go
+++ b/follower/relays.go
@@ -16,26 +16,26 @@
 
 // RelayCount returns how many nodes of a zone read the log themselves, least of
 // them at least; all of them when least is 0.
-func RelayCount(zoneNodes, least int) int {
-	if least == 0 {
+func RelayCount(zoneNodes, minRelays int) int {
+	if minRelays == 0 {
 		return zoneNodes
 	}
-	wanted := max(least, (zoneNodes+NodesPerRelay-1)/NodesPerRelay)
-	return min(wanted, zoneNodes)
+	needed := max(minRelays, (zoneNodes+NodesPerRelay-1)/NodesPerRelay)
+	return min(needed, zoneNodes)
 }
 
 // relaysOf returns the zone's relays in a view, see orderOf.
-func relaysOf(view *state.View, zone topo.Zone, least int) []topo.NodeID {
-	ids := orderOf(view, zone)
-	return ids[:RelayCount(len(ids), least)]
+func relaysOf(view *state.View, zone topo.Zone, minRelays int) []topo.NodeID {
+	ids := relayOrder(view, zone)
+	return ids[:RelayCount(len(ids), minRelays)]
 }
 
-// orderOf returns the zone's nodes in a view that are not confirmed to be lost:
+// relayOrder returns the zone's nodes in a view that are not confirmed to be lost:
 // those with the fewest roles of lessor and standby lessor first, since what these
 // spend leaves less for a relay's bytes, then by rendezvous of zone and node.
 // The first are the zone's relays. Nodes with the same view agree; with different views
 // they read the log more often or one through the other, which costs only time.
-func orderOf(view *state.View, zone topo.Zone) []topo.NodeID {
+func relayOrder(view *state.View, zone topo.Zone) []topo.NodeID {
 	var ids []topo.NodeID
 	for id, node := range view.Nodes() {
 		if node.Zone == zone && !view.NodeLost(id) {
@@ -43,13 +43,13 @@
 		}
 	}
 	sortByWeight(ids, "relay#"+string(zone))
-	busy := roles(view)
+	busy := roleCounts(view)
 	slices.SortStableFunc(ids, func(a, b topo.NodeID) int { return busy[a] - busy[b] })
 	return ids
 }
 
-// roles counts of how many groups each node is lessor or standby lessor.
-func roles(view *state.View) map[topo.NodeID]int {
+// roleCounts counts of how many groups each node is lessor or standby lessor.
+func roleCounts(view *state.View) map[topo.NodeID]int {
 	counts := map[topo.NodeID]int{}
 	for _, group := range view.Groups() {
 		counts[group.Lessor]++
@@ -61,14 +61,14 @@
 // relaysFor returns the relays that a node of a zone may ask, in its order: the
 // nodes take the first in turn, so that all relays have as many, and the rest by
 // rendezvous, so that a lost relay's nodes spread. A relay asks none.
-func relaysFor(view *state.View, zone topo.Zone, least int, node topo.NodeID) []topo.NodeID {
-	ids := orderOf(view, zone)
-	relays := ids[:RelayCount(len(ids), least)]
-	place := slices.Index(ids, node)
-	if len(relays) == 0 || place >= 0 && place < len(relays) {
+func relaysFor(view *state.View, zone topo.Zone, minRelays int, node topo.NodeID) []topo.NodeID {
+	ids := relayOrder(view, zone)
+	relays := ids[:RelayCount(len(ids), minRelays)]
+	index := slices.Index(ids, node)
+	if len(relays) == 0 || index >= 0 && index < len(relays) {
 		return nil
 	}
-	first := relays[max(place, 0)%len(relays)]
+	first := relays[max(index, 0)%len(relays)]
 	rest := slices.DeleteFunc(slices.Clone(relays), func(id topo.NodeID) bool { return id == first })
 	sortByWeight(rest, "follow#"+string(node))
 	return append([]topo.NodeID{first}, rest...)
--- a/follower/ring.go
+++ b/follower/ring.go
@@ -44,7 +44,7 @@
 
 // read returns entries from an offset on, and the lowest offset held; 0 when
 // nothing is held.
-func (r *ring) read(from topo.Offset, most int) (entries []platlog.Entry, first topo.Offset) {
+func (r *ring) read(from topo.Offset, limit int) (entries []platlog.Entry, first topo.Offset) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.entries) == 0 {
@@ -56,6 +56,6 @@
 	}
 	skip := int(min(uint64(from-first), uint64(len(r.entries))))
 	rest := r.entries[skip:]
-	rest = rest[:min(most, len(rest))]
+	rest = rest[:min(limit, len(rest))]
 	return append([]platlog.Entry(nil), rest...), first
 }
--- a/follower/serve.go
+++ b/follower/serve.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	maxServedWait   = 2 * time.Second // that a peer may ask for
-	maxServedBytes  = 1 << 20         // of entries in one answer
-	snapshotKept    = 5 * time.Second // that an encoded snapshot is given again
-	snapshotAtOnce  = 1               // snapshots encoded at the same time
-	snapshotChunkID = "peer"
+	maxServedWait          = 2 * time.Second // that a peer may ask for
+	maxServedBytes         = 1 << 20         // of entries in one answer
+	snapshotCacheTTL       = 5 * time.Second // that an encoded snapshot is given again
+	maxConcurrentSnapshots = 1               // snapshots encoded at the same time
+	snapshotChunkID        = "peer"
 )
 
 // Serve puts the answers to peers' ReadLog and FetchSnapshot into handlers.
 func (f *Follower) Serve(handlers *peer.Handlers) {
-	snapshots := &snapshotServer{f: f, encoding: make(chan struct{}, snapshotAtOnce)}
+	snapshots := &snapshotServer{f: f, encoding: make(chan struct{}, maxConcurrentSnapshots)}
 	handlers.ReadLog = f.serveReadLog
 	handlers.Snapshot = snapshots.serve
 }
@@ -36,31 +36,31 @@
 	wait := min(time.Duration(req.GetWaitMs())*time.Millisecond, maxServedWait)
 	arrived := f.now()
 	if wait > 0 && f.applied() < from {
-		f.awaitNews(ctx, from, wait, req.GetFollows())
+		f.awaitChange(ctx, from, wait, req.GetFollows())
 	}
 	if req.GetFollows() && f.stopped() {
 		return nil, &StoppedError{}
 	}
-	age := f.contactBefore(arrived) // before applied, which has all that it is about
-	entries, first := f.ring.read(from, min(max(int(req.GetMax()), 1), readMax))
-	answer := &bspb.ReadLogResponse{
+	age := f.contactAgeAt(arrived) // before applied, which has all that it is about
+	entries, first := f.ring.read(from, min(max(int(req.GetMax()), 1), maxReadEntries))
+	response := &bspb.ReadLogResponse{
 		First: uint64(first), Applied: uint64(f.applied()),
-		ContactAgeMs: age, LogFirst: uint64(f.due.logFirst()),
+		ContactAgeMs: age, LogFirst: uint64(f.schedule.logFirst()),
 	}
 	bytes := 0
 	for _, entry := range entries {
-		if bytes += len(entry.Data); bytes > maxServedBytes && len(answer.Entries) > 0 {
+		if bytes += len(entry.Data); bytes > maxServedBytes && len(response.Entries) > 0 {
 			break
 		}
 		count(metricServedBytes, len(entry.Data))
-		answer.Entries = append(answer.Entries, &bspb.LogEntry{Offset: uint64(entry.Offset), Data: entry.Data})
+		response.Entries = append(response.Entries, &bspb.LogEntry{Offset: uint64(entry.Offset), Data: entry.Data})
 	}
-	return answer, nil
+	return response, nil
 }
 
-// awaitNews waits for records from an offset on, for the end of the wait, and
+// awaitChange waits for records from an offset on, for the end of the wait, and
 // if contact matters, for newer contact.
-func (f *Follower) awaitNews(ctx context.Context, from topo.Offset, wait time.Duration, contact bool) {
+func (f *Follower) awaitChange(ctx context.Context, from topo.Offset, wait time.Duration, contact bool) {
 	limited, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	var renewed <-chan struct{}
@@ -95,9 +95,9 @@
 	}
 }
 
-// contactBefore returns how much older than a time the contact is, in
+// contactAgeAt returns how much older than a time the contact is, in
 // milliseconds rounded up, 0 when it is younger; nil without contact.
-func (f *Follower) contactBefore(at time.Time) *uint32 {
+func (f *Follower) contactAgeAt(at time.Time) *uint32 {
 	contact := f.LastContact()
 	if contact.IsZero() {
 		return nil
@@ -110,11 +110,11 @@
 // snapshotServer gives peers the whole state. An encoded snapshot is kept for a
 // while, since many peers may start at once; they read the rest as entries.
 type snapshotServer struct {
-	f        *Follower
-	encoding chan struct{} // a slot for each snapshot being encoded
-	chunks   []*bspb.CheckpointChunk
-	applied  topo.Offset
-	at       time.Time
+	f         *Follower
+	encoding  chan struct{} // a slot for each snapshot being encoded
+	chunks    []*bspb.CheckpointChunk
+	applied   topo.Offset
+	encodedAt time.Time
 }
 
 // serve answers with nothing unless the state is beyond an offset.
@@ -128,7 +128,7 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	if s.applied > beyond && time.Since(s.at) < snapshotKept {
+	if s.applied > beyond && time.Since(s.encodedAt) < snapshotCacheTTL {
 		return s.chunks, nil
 	}
 	frozen, alive := s.f.freeze(ctx)
@@ -140,6 +140,6 @@
 		return nil, err
 	}
 	count(metricSnapshots, 1)
-	s.chunks, s.applied, s.at = chunks, frozen.View().Applied(), time.Now()
+	s.chunks, s.applied, s.encodedAt = chunks, frozen.View().Applied(), time.Now()
 	return chunks, nil
 }
--- a/follower/sources.go
+++ b/follower/sources.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	avoidFirst = 2 * time.Second  // for which a relay that failed is passed over
-	avoidMost  = 30 * time.Second // when it fails again and again
-	// relaysTried is how many relays fail one after the other before the log is
+	initialAvoidance = 2 * time.Second  // for which a relay that failed is passed over
+	maxAvoidance     = 30 * time.Second // when it fails again and again
+	// maxRelayFailures is how many relays fail one after the other before the log is
 	// read, and for how long it is read then.
-	relaysTried = 2
-	readLogFor  = 2 * time.Second
+	maxRelayFailures = 2
+	readLogDuration  = 2 * time.Second
 )
 
 // logSource is the name of the log itself among sources.
@@ -48,37 +48,37 @@
 	return logSource
 }
 
-// failed notes that a relay gave no answer or is behind. A relay that fails
+// noteFailure notes that a relay gave no answer or is behind. A relay that fails
 // again soon is avoided for twice as long.
-func (s *sources) failed(now time.Time, relay topo.NodeID) {
-	pause := avoidFirst
-	if last, known := s.avoided[relay]; known && now.Sub(last.until) < avoidMost {
-		pause = min(2*last.pause, avoidMost)
+func (s *sources) noteFailure(now time.Time, relay topo.NodeID) {
+	pause := initialAvoidance
+	if last, known := s.avoided[relay]; known && now.Sub(last.until) < maxAvoidance {
+		pause = min(2*last.pause, maxAvoidance)
 	}
 	s.avoided[relay] = avoidance{until: now.Add(pause), pause: pause}
-	if s.failures++; s.failures >= relaysTried {
-		s.readLog(now)
+	if s.failures++; s.failures >= maxRelayFailures {
+		s.preferLog(now)
 	}
 }
 
-// readLog turns to the log for a while.
-func (s *sources) readLog(now time.Time) {
+// preferLog turns to the log for a while.
+func (s *sources) preferLog(now time.Time) {
 	s.failures = 0
-	s.logUntil = now.Add(readLogFor)
+	s.logUntil = now.Add(readLogDuration)
 }
 
-// worked notes that a relay brought what it should.
-func (s *sources) worked() { s.failures = 0 }
+// noteSuccess notes that a relay brought what it should.
+func (s *sources) noteSuccess() { s.failures = 0 }
 
-// forgive turns back to the relays: the log is slow for this node too, so
+// reset turns back to the relays: the log is slow for this node too, so
 // reading it makes contact no fresher.
-func (s *sources) forgive() {
+func (s *sources) reset() {
 	clear(s.avoided)
 	s.logUntil = time.Time{}
 }
 
-// keep forgets relays that are none any longer.
-func (s *sources) keep(relays []topo.NodeID) {
+// retain forgets relays that are none any longer.
+func (s *sources) retain(relays []topo.NodeID) {
 	for relay := range s.avoided {
 		if !slices.Contains(relays, relay) {
 			delete(s.avoided, relay)
--- a/follower/sources_test.go
+++ b/follower/sources_test.go
@@ -39,7 +39,7 @@
 	return whole
 }
 
-func TestRelaysAreOfTheZoneAndSpreadTheirNodes(t *testing.T) {
+func TestRelaysBelongToTheZoneAndShareItsNodes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	view := zoneView(5, 132)
 	relays := relaysOf(view, "zone-2", 3)
@@ -76,7 +76,7 @@
 func TestRelaysAreNodesWithFewRoles(t *testing.T) {
 	g := gomega.NewWithT(t)
 	whole := zoneState(1, 6)
-	before := orderOf(whole.View(), "zone-0")
+	before := relayOrder(whole.View(), "zone-0")
 	offset := whole.Applied()
 	apply := func(rec *bspb.Record) {
 		offset++
@@ -92,80 +92,80 @@
 	claim(0, before[0], before[1])
 	claim(1, before[0], before[2])
 	want := []topo.NodeID{before[3], before[4], before[5], before[1], before[2], before[0]}
-	g.Expect(orderOf(whole.View(), "zone-0")).To(gomega.Equal(want))
+	g.Expect(relayOrder(whole.View(), "zone-0")).To(gomega.Equal(want))
 	apply(&bspb.Record{Body: &bspb.Record_ConfirmLoss{ConfirmLoss: &bspb.ConfirmLoss{
 		Nodes: []string{string(want[0])},
 	}}})
-	g.Expect(orderOf(whole.View(), "zone-0")).To(gomega.Equal(want[1:]))
+	g.Expect(relayOrder(whole.View(), "zone-0")).To(gomega.Equal(want[1:]))
 }
 
-func TestTwoFailuresLeadToTheLog(t *testing.T) {
+func TestTwoRelayFailuresSwitchToTheLog(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(100, 0)
 	ordered := []topo.NodeID{"a", "b", "c"}
 	s := newSources()
 	g.Expect(s.choose(now, nil)).To(gomega.Equal(logSource))
 	g.Expect(s.choose(now, ordered)).To(gomega.Equal(topo.NodeID("a")))
-	s.failed(now, "a")
+	s.noteFailure(now, "a")
 	g.Expect(s.choose(now, ordered)).To(gomega.Equal(topo.NodeID("b")))
-	s.failed(now, "b")
+	s.noteFailure(now, "b")
 	g.Expect(s.choose(now, ordered)).To(gomega.Equal(logSource), "although c was not asked")
-	now = now.Add(readLogFor)
+	now = now.Add(readLogDuration)
 	g.Expect(s.choose(now, ordered)).To(gomega.Equal(topo.NodeID("a")))
-	s.failed(now, "a") // soon again: avoided for longer
-	s.worked()
-	g.Expect(s.choose(now.Add(avoidFirst), ordered)).To(gomega.Equal(topo.NodeID("b")))
-	g.Expect(s.choose(now.Add(2*avoidFirst), ordered)).To(gomega.Equal(topo.NodeID("a")))
+	s.noteFailure(now, "a") // soon again: avoided for longer
+	s.noteSuccess()
+	g.Expect(s.choose(now.Add(initialAvoidance), ordered)).To(gomega.Equal(topo.NodeID("b")))
+	g.Expect(s.choose(now.Add(2*initialAvoidance), ordered)).To(gomega.Equal(topo.NodeID("a")))
 	for range 10 {
-		now = now.Add(avoidMost)
-		s.failed(now, "a")
-		s.worked()
+		now = now.Add(maxAvoidance)
+		s.noteFailure(now, "a")
+		s.noteSuccess()
 	}
-	g.Expect(s.choose(now.Add(avoidMost), ordered)).To(gomega.Equal(topo.NodeID("a")), "never avoided for longer")
-	s.failed(now, "a")
-	s.keep([]topo.NodeID{"b", "c"})
+	g.Expect(s.choose(now.Add(maxAvoidance), ordered)).To(gomega.Equal(topo.NodeID("a")), "never avoided for longer")
+	s.noteFailure(now, "a")
+	s.retain([]topo.NodeID{"b", "c"})
 	g.Expect(s.avoided).NotTo(gomega.HaveKey(topo.NodeID("a")))
-	s.failed(now, "b")
-	s.forgive()
+	s.noteFailure(now, "b")
+	s.reset()
 	g.Expect(s.choose(now, ordered)).To(gomega.Equal(topo.NodeID("a")))
 }
 
 // Contact is as old as the relay's when the request arrived, and a little
 // older, since the relay's clock may be slower.
-func TestContactOfARelayCountsItsAgeAndDrift(t *testing.T) {
+func TestRelayContactIncludesAgeAndDrift(t *testing.T) {
 	g := gomega.NewWithT(t)
 	begun := time.Unix(100, 0)
-	g.Expect(contactOf(relayAnswer{begun: begun}, 200)).To(gomega.Equal(begun))
-	g.Expect(contactOf(relayAnswer{begun: begun, age: 10 * time.Second}, 200)).
+	g.Expect(contactOf(relayResponse{begun: begun}, 200)).To(gomega.Equal(begun))
+	g.Expect(contactOf(relayResponse{begun: begun, age: 10 * time.Second}, 200)).
 		To(gomega.Equal(begun.Add(-10*time.Second - 4*time.Millisecond)))
 }
 
 // The age that a relay tells is rounded up, never negative, and absent without
 // contact.
-func TestContactBefore(t *testing.T) {
+func TestContactAgeAt(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := New(Config{Node: "a", Boot: "b"})
 	at := time.Unix(100, 0)
-	g.Expect(f.contactBefore(at)).To(gomega.BeNil())
+	g.Expect(f.contactAgeAt(at)).To(gomega.BeNil())
 	f.renewContact(at)
-	g.Expect(*f.contactBefore(at.Add(-time.Second))).To(gomega.Equal(uint32(0)))
-	g.Expect(*f.contactBefore(at)).To(gomega.Equal(uint32(0)))
-	g.Expect(*f.contactBefore(at.Add(time.Nanosecond))).To(gomega.Equal(uint32(1)))
-	g.Expect(*f.contactBefore(at.Add(1500 * time.Microsecond))).To(gomega.Equal(uint32(2)))
-	g.Expect(*f.contactBefore(at.Add(2000 * time.Hour))).To(gomega.Equal(^uint32(0)))
+	g.Expect(*f.contactAgeAt(at.Add(-time.Second))).To(gomega.Equal(uint32(0)))
+	g.Expect(*f.contactAgeAt(at)).To(gomega.Equal(uint32(0)))
+	g.Expect(*f.contactAgeAt(at.Add(time.Nanosecond))).To(gomega.Equal(uint32(1)))
+	g.Expect(*f.contactAgeAt(at.Add(1500 * time.Microsecond))).To(gomega.Equal(uint32(2)))
+	g.Expect(*f.contactAgeAt(at.Add(2000 * time.Hour))).To(gomega.Equal(^uint32(0)))
 }
 
-func TestARelaysContactCountsOnceAllOfItIsApplied(t *testing.T) {
+func TestRelayContactRequiresItsRecords(t *testing.T) {
 	g := gomega.NewWithT(t)
 	a := &applier{f: New(Config{Node: "a", Boot: "b"}), state: at(t, 5, 0)}
 	begun := time.Unix(100, 0)
-	a.noteRelayed(&relayAnswer{begun: begun, applied: 6, known: true})
+	a.noteRelayed(&relayResponse{begun: begun, applied: 6, known: true})
 	g.Expect(a.f.LastContact().IsZero()).To(gomega.BeTrue(), "a record is missing")
-	a.noteRelayed(&relayAnswer{begun: begun, applied: 5})
+	a.noteRelayed(&relayResponse{begun: begun, applied: 5})
 	g.Expect(a.f.LastContact().IsZero()).To(gomega.BeTrue(), "the relay had no contact")
-	a.noteRelayed(&relayAnswer{begun: begun, applied: 5, known: true})
+	a.noteRelayed(&relayResponse{begun: begun, applied: 5, known: true})
 	g.Expect(a.f.LastContact()).To(gomega.Equal(begun))
-	a.noteRelayed(&relayAnswer{begun: begun, applied: 4, known: true, age: time.Second})
+	a.noteRelayed(&relayResponse{begun: begun, applied: 4, known: true, age: time.Second})
 	g.Expect(a.f.LastContact()).To(gomega.Equal(begun), "never older")
 }
 
@@ -175,10 +175,10 @@
 	g := gomega.NewWithT(t)
 	now := time.Now()
 	f := New(Config{Node: "relay", Now: func() time.Time { return now }})
-	g.Expect(f.contactBefore(f.now())).To(gomega.BeNil())
+	g.Expect(f.contactAgeAt(f.now())).To(gomega.BeNil())
 	f.renewContact(now)
 	now = now.Add(10 * time.Second) // suspended: time.Now has not moved
-	age := f.contactBefore(f.now())
+	age := f.contactAgeAt(f.now())
 	g.Expect(age).NotTo(gomega.BeNil())
 	g.Expect(time.Duration(*age) * time.Millisecond).To(gomega.Equal(10 * time.Second))
 }
--- a/follower/submit.go
+++ b/follower/submit.go
@@ -9,22 +9,22 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// submitted is one Submit under way.
-type submitted struct {
+// submission is one Submit under way.
+type submission struct {
 	ctx    context.Context
 	record *bspb.Record
 	// appendOnly asks for the offset of the append, without its result.
 	appendOnly bool
-	// taken is set by whoever comes first: the appender, or the caller giving
+	// claimed is set by whoever comes first: the appender, or the caller giving
 	// up while the record still waits in the queue.
-	taken  atomic.Bool
-	answer chan submitAnswer // capacity 1; gets exactly one answer at most
+	claimed  atomic.Bool
+	response chan submitResponse // capacity 1; gets exactly one answer at most
 }
 
-// submitAnswer is the end of one Submit.
-type submitAnswer struct {
-	fate Fate
-	err  error
+// submitResponse is the end of one Submit.
+type submitResponse struct {
+	outcome Fate
+	err     error
 }
 
 // Submit implements Appender. Errors are *NotAppendedError, with a
@@ -32,20 +32,20 @@
 // *UnknownFateError. The record is not changed and must not be changed by the
 // caller afterwards.
 func (f *Follower) Submit(ctx context.Context, rec *bspb.Record) (Fate, error) {
-	return f.await(&submitted{ctx: ctx, record: rec, answer: make(chan submitAnswer, 1)})
+	return f.await(&submission{ctx: ctx, record: rec, response: make(chan submitResponse, 1)})
 }
 
 // appendOnly appends a record and returns its offset, or that of the copy that
 // the log answered last. It is used where no record can be applied.
 func (f *Follower) appendOnly(ctx context.Context, rec *bspb.Record) (topo.Offset, error) {
-	fate, err := f.await(&submitted{
-		ctx: ctx, record: rec, appendOnly: true, answer: make(chan submitAnswer, 1),
+	outcome, err := f.await(&submission{
+		ctx: ctx, record: rec, appendOnly: true, response: make(chan submitResponse, 1),
 	})
-	return fate.Offset, err
+	return outcome.Offset, err
 }
 
 // await queues a submission and waits for its end.
-func (f *Follower) await(s *submitted) (Fate, error) {
+func (f *Follower) await(s *submission) (Fate, error) {
 	select {
 	case <-f.done:
 		return Fate{}, &NotAppendedError{Cause: &StoppedError{}}
@@ -58,27 +58,27 @@
 		return Fate{}, &NotAppendedError{Cause: &QueueFullError{Length: cap(f.queue)}}
 	}
 	select {
-	case answer := <-s.answer:
-		return answer.fate, answer.err
+	case response := <-s.response:
+		return response.outcome, response.err
 	case <-s.ctx.Done():
-		return s.giveUp(s.ctx.Err())
+		return s.abandon(s.ctx.Err())
 	case <-f.done:
-		return s.giveUp(&StoppedError{})
+		return s.abandon(&StoppedError{})
 	}
 }
 
-// giveUp ends a Submit at once. If the record still waits in the queue, it will
+// abandon ends a Submit at once. If the record still waits in the queue, it will
 // never be appended; if its answer has just come, that is returned.
-func (s *submitted) giveUp(cause error) (Fate, error) {
-	if s.taken.CompareAndSwap(false, true) {
+func (s *submission) abandon(cause error) (Fate, error) {
+	if s.claimed.CompareAndSwap(false, true) {
 		count(metricNotAppended, 1)
 		return Fate{}, &NotAppendedError{Cause: cause}
 	}
 	select {
-	case answer := <-s.answer:
-		return answer.fate, answer.err
+	case response := <-s.response:
+		return response.outcome, response.err
 	default:
-		count(metricUnknownFate, 1)
+		count(metricUnknownOutcome, 1)
 		return Fate{}, &UnknownFateError{Cause: cause}
 	}
 }
--- a/follower/submit_test.go
+++ b/follower/submit_test.go
@@ -23,10 +23,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
 		a, b := s.start("a"), s.start("b")
-		fate := s.submit(a, join("a"))
-		s.g.Expect(fate).To(gomega.Equal(follower.Fate{Offset: 1, Accepted: true}))
+		outcome := s.submit(a, join("a"))
+		s.g.Expect(outcome).To(gomega.Equal(follower.Fate{Offset: 1, Accepted: true}))
 		s.g.Expect(hasNode(a, "a")).To(gomega.BeTrue())
-		s.g.Expect(b.WaitApplied(s.within(settle), fate.Offset)).To(gomega.Succeed())
+		s.g.Expect(b.WaitApplied(s.within(settle), outcome.Offset)).To(gomega.Succeed())
 		s.g.Expect(hasNode(b, "a")).To(gomega.BeTrue())
 	})
 }
@@ -35,13 +35,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
 		var running sync.WaitGroup
-		fates := make([]follower.Fate, 2)
+		outcomes := make([]follower.Fate, 2)
 		for i, m := range []*member{s.start("a"), s.start("b")} {
-			running.Go(func() { fates[i], _ = m.Submit(s.within(settle), publish(0)) })
+			running.Go(func() { outcomes[i], _ = m.Submit(s.within(settle), publish(0)) })
 		}
 		running.Wait()
-		s.g.Expect(fates[0].Accepted).NotTo(gomega.Equal(fates[1].Accepted))
-		s.g.Expect(fates[0].Conflict + fates[1].Conflict).To(gomega.ContainSubstring("base-version"))
+		s.g.Expect(outcomes[0].Accepted).NotTo(gomega.Equal(outcomes[1].Accepted))
+		s.g.Expect(outcomes[0].Conflict + outcomes[1].Conflict).To(gomega.ContainSubstring("base-version"))
 	})
 }
 
@@ -49,10 +49,10 @@
 // submitter was told so; a later RemoveNode shows a copy that lands after it.
 func TestSubmitUnderFaults(t *testing.T) {
 	cases := []struct {
-		name     string
-		faults   logfault.Faults
-		notSaid  bool // the error is *NotAppendedError
-		appended int  // copies in the log afterwards
+		name        string
+		faults      logfault.Faults
+		notAppended bool // the error is *NotAppendedError
+		appended    int  // copies in the log afterwards
 	}{
 		{"healthy", logfault.Faults{}, false, 1},
 		{"down", logfault.Faults{AppendsDown: true}, true, 0},
@@ -72,13 +72,13 @@
 				a, b := s.start("a"), s.start("b")
 				s.submit(b, join("b"))
 				a.log.Set(c.faults)
-				fate, err := a.Submit(s.within(time.Minute), join("a"))
+				outcome, err := a.Submit(s.within(time.Minute), join("a"))
 				a.log.Heal()
 				var notAppended *follower.NotAppendedError
-				s.g.Expect(errors.As(err, &notAppended)).To(gomega.Equal(c.notSaid))
-				s.g.Expect(err != nil).To(gomega.Equal(c.notSaid))
-				s.g.Expect(fate.Accepted).To(gomega.Equal(!c.notSaid))
-				if !c.notSaid {
+				s.g.Expect(errors.As(err, &notAppended)).To(gomega.Equal(c.notAppended))
+				s.g.Expect(err != nil).To(gomega.Equal(c.notAppended))
+				s.g.Expect(outcome.Accepted).To(gomega.Equal(!c.notAppended))
+				if !c.notAppended {
 					s.submit(b, remove("a"))
 				}
 				a.log.Settle()
@@ -103,7 +103,7 @@
 
 // A record that was given up takes no effect once its writer's next record has
 // been applied, however late it lands.
-func TestGivenUpRecordIsFencedByTheNext(t *testing.T) {
+func TestAbandonedRecordIsFencedByTheNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
 		a := s.start("a")
@@ -124,7 +124,7 @@
 }
 
 // When the first copy may have landed, a later refusal proves nothing.
-func TestRefusalAfterALostAnswerProvesNothing(t *testing.T) {
+func TestRefusalAfterALostResponseIsInconclusive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
 		a := s.start("a")
@@ -145,7 +145,7 @@
 	})
 }
 
-func TestGivenUpInTheQueueIsProvenNotAppended(t *testing.T) {
+func TestAbandonedInTheQueueIsNotAppended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
 		a := s.start("a")
@@ -217,17 +217,17 @@
 		}}})
 		a.log.Set(logfault.Faults{Slow: 500 * time.Millisecond})
 		var running sync.WaitGroup
-		fates := make([]follower.Fate, 5)
-		for i := range fates {
-			running.Go(func() { fates[i], _ = a.Submit(s.within(settle), giveTwo(i)) })
+		outcomes := make([]follower.Fate, 5)
+		for i := range outcomes {
+			running.Go(func() { outcomes[i], _ = a.Submit(s.within(settle), assignTwo(i)) })
 			synctest.Wait()
 		}
 		running.Wait()
 		offsets := map[topo.Offset]bool{}
-		for i, fate := range fates {
-			offsets[fate.Offset] = true
-			s.g.Expect(fate.Accepted).To(gomega.Equal(i < 4))
-			s.g.Expect(fate.RejectedShards).To(gomega.Equal(map[bool][]int{true: {1}, false: {0, 1}}[i < 4]))
+		for i, outcome := range outcomes {
+			offsets[outcome.Offset] = true
+			s.g.Expect(outcome.Accepted).To(gomega.Equal(i < 4))
+			s.g.Expect(outcome.RejectedShards).To(gomega.Equal(map[bool][]int{true: {1}, false: {0, 1}}[i < 4]))
 		}
 		s.g.Expect(offsets).To(gomega.HaveLen(2), "the first alone, the others together")
 		for i := range uint32(4) {
@@ -237,8 +237,8 @@
 	})
 }
 
-// giveTwo assigns the i-th shard of four, and one that does not exist.
-func giveTwo(i int) *bspb.Record {
+// assignTwo assigns the i-th shard of four, and one that does not exist.
+func assignTwo(i int) *bspb.Record {
 	assignment := func(index int) *bspb.Assignment {
 		return &bspb.Assignment{Shard: &bspb.ShardRef{Service: "wells", Index: uint32(index)}, Owner: "v"}
 	}
--- a/follower/offer.go
+++ b/follower/write_rebase.go
@@ -11,14 +11,14 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// unaskedFactor is how many times longer a rebase waits when some node could
+// unreachableFactor is how many times longer a rebase waits when some node could
 // not be asked: that node may be further.
-const unaskedFactor = 6
+const unreachableFactor = 6
 
-// offerRebase publishes this node's state again when the retention limit has
+// proposeRebase publishes this node's state again when the retention limit has
 // passed records that no node has, and this node is the furthest. Several
 // nodes may do so at once: the first Rebase record in the log counts.
-func (r *logReader) offerRebase(ctx context.Context, first topo.Offset) error {
+func (r *logReader) proposeRebase(ctx context.Context, first topo.Offset) error {
 	now := time.Now()
 	if r.gapSince.IsZero() {
 		r.gapSince = now
@@ -28,9 +28,9 @@
 		return &RebaseProblemError{Problem: "this node has no state to publish"}
 	}
 	wait := r.f.config.RebaseAfter
-	furthest, asked := r.askPeers(ctx)
-	if !asked {
-		wait *= unaskedFactor
+	furthest, complete := r.comparePeers(ctx)
+	if !complete {
+		wait *= unreachableFactor
 	}
 	if !furthest {
 		return &RebaseProblemError{Problem: "left to a node that is further"}
@@ -41,17 +41,17 @@
 	return r.writeRebase(ctx, first)
 }
 
-// askPeers reports whether no peer is further than this node, or as far with a
+// comparePeers reports whether no peer is further than this node, or as far with a
 // lower ID, and whether every node of the state was asked.
-func (r *logReader) askPeers(ctx context.Context) (furthest, asked bool) {
+func (r *logReader) comparePeers(ctx context.Context) (furthest, complete bool) {
 	if r.f.config.Peers == nil {
 		return true, len(r.f.View().Nodes()) <= 1
 	}
-	answered := map[topo.NodeID]bool{r.f.config.Node: true}
+	responded := map[topo.NodeID]bool{r.f.config.Node: true}
 	applied := r.f.applied()
 	for _, id := range r.f.config.Peers.Known() {
 		limited, cancel := context.WithTimeout(ctx, peerTimeout)
-		answer, err := r.f.config.Peers.ReadLog(limited, id, &bspb.ReadLogRequest{
+		response, err := r.f.config.Peers.ReadLog(limited, id, &bspb.ReadLogRequest{
 			Sender: r.f.config.Peers.Sender(),
 			From:   uint64(applied + 1),
 			Max:    1,
@@ -60,14 +60,14 @@
 		if err != nil {
 			continue
 		}
-		answered[id] = true
-		theirs := topo.Offset(answer.GetApplied())
+		responded[id] = true
+		theirs := topo.Offset(response.GetApplied())
 		if theirs > applied || theirs == applied && id < r.f.config.Node {
 			return false, true
 		}
 	}
 	for id := range r.f.View().Nodes() {
-		if !answered[id] {
+		if !responded[id] {
 			return true, false
 		}
 	}
