--- a/follower/append.go
+++ b/follower/append.go
@@ -11,12 +11,12 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// appender gives this writer's records their sequences and appends them one at
-// a time, so that they reach the log in the order of their sequences.
+// appender assigns sequence numbers to this writer's records and appends them
+// one at a time, so that they reach the log in sequence order.
 type appender struct {
 	f        *Follower
 	sequence uint64
-	deferred *submission // taken from the queue but not fit for the last group
+	deferred *submission // claimed, but could not share the last group's record
 }
 
 // runAppender is the appender's goroutine.
@@ -29,7 +29,7 @@
 	}
 }
 
-// next returns the next submission that was not given up; nil when ctx ended.
+// next returns the next submission that was not abandoned, or nil when ctx ends.
 func (a *appender) next(ctx context.Context) *submission {
 	if deferred := a.deferred; deferred != nil {
 		a.deferred = nil
@@ -47,7 +47,7 @@
 	}
 }
 
-// gather adds the waiting submissions that can share the first one's record.
+// gather groups the first submission with queued ones that can share its record.
 func (a *appender) gather(first *submission) *group {
 	g := newGroup(first)
 	for {
@@ -89,11 +89,11 @@
 	}
 }
 
-// appendRecord appends until the log answered, the record was seen in the log,
-// or nobody waits for it. After a lost answer it appends the same writer and
-// sequence again: Apply ignores whichever copy comes second, so the record
-// takes effect once, however late the first copy lands. A record that was given
-// up is ignored from the moment at which the next sequence is applied.
+// appendRecord appends until the log confirms the append, the record is read
+// back from the log, or no submitter waits for it. After a lost response it
+// appends the same writer and sequence again: Apply ignores the second copy, so
+// the record takes effect once, however late the first copy is appended. An
+// abandoned record has no effect once the next sequence has been applied.
 func (a *appender) appendRecord(ctx context.Context, g *group, data []byte) (topo.Offset, error) {
 	retry := a.f.newBackoff()
 	uncertain := false
@@ -121,7 +121,7 @@
 	}
 }
 
-// appendOnce appends with a limit on the time without an answer.
+// appendOnce appends once, limited by the adaptive append timeout.
 func (f *Follower) appendOnce(ctx context.Context, data []byte) (topo.Offset, error) {
 	limited, cancel := f.appendTimeout.limit(ctx, 0)
 	defer cancel()
--- a/follower/apply.go
+++ b/follower/apply.go
@@ -14,7 +14,7 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// applier alone owns the state. It takes messages from the inbox.
+// applier is the only owner of the state. It handles messages from the inbox.
 type applier struct {
 	f          *Follower
 	state      *state.State
@@ -22,13 +22,13 @@
 	ownResults []ownResult
 }
 
-// ownResult is the result of one of this follower's own records.
+// ownResult is the result of applying one of this follower's own records.
 type ownResult struct {
 	sequence uint64
 	result   state.Result
 }
 
-// message is one thing for the applier to do.
+// message is an operation that the applier executes.
 type message interface {
 	apply(a *applier)
 }
@@ -46,7 +46,7 @@
 	}
 }
 
-// send gives a message to the applier; false when ctx ended.
+// send passes a message to the applier. It returns false when ctx ends.
 func (f *Follower) send(ctx context.Context, m message) bool {
 	select {
 	case f.inbox <- m:
@@ -56,7 +56,7 @@
 	}
 }
 
-// call sends a message and waits for its outcome.
+// call sends a message to the applier and waits for its outcome.
 func (f *Follower) call(ctx context.Context, m message, outcome <-chan error) error {
 	if !f.send(ctx, m) {
 		return ctx.Err()
@@ -73,16 +73,16 @@
 type entriesMessage struct {
 	entries []platlog.Entry
 	outcome chan<- error
-	// log is set for entries from the log itself, relay for those that a relay
-	// read there.
+	// log is set for entries read from the log itself, relay for entries read
+	// through a relay.
 	log   *logResponse
 	relay *relayResponse
 }
 
-// logResponse is what makes a read of the log count as contact.
+// logResponse is a log read, with the details that prove contact with the log.
 type logResponse struct {
 	begun time.Time
-	from  topo.Offset // first offset asked for
+	from  topo.Offset // first offset requested
 	batch platlog.Batch
 }
 
@@ -92,7 +92,7 @@
 	return f.call(ctx, &entriesMessage{entries: entries, outcome: outcome}, outcome)
 }
 
-// applyBatch applies a log read.
+// applyBatch applies the result of a log read.
 func (f *Follower) applyBatch(ctx context.Context, response logResponse) error {
 	outcome := make(chan error, 1)
 	return f.call(ctx, &entriesMessage{
@@ -102,7 +102,7 @@
 	}, outcome)
 }
 
-// applyRelayed applies a relay's answer to a request that began at a time.
+// applyRelayed applies a relay's response to a request that was sent at begun.
 func (f *Follower) applyRelayed(ctx context.Context, begun time.Time, response *bspb.ReadLogResponse) error {
 	outcome := make(chan error, 1)
 	return f.call(ctx, &entriesMessage{
@@ -129,8 +129,8 @@
 	m.outcome <- err
 }
 
-// applyEntries applies entries in order. Entries that were applied before are
-// passed over, so that the state never goes backwards.
+// applyEntries applies entries in order. Entries that were already applied are
+// skipped, so that the state never moves backwards.
 func (a *applier) applyEntries(entries []platlog.Entry) error {
 	for _, entry := range entries {
 		applied := a.state.Applied()
@@ -170,7 +170,8 @@
 	return nil
 }
 
-// noteCheckpoint counts records towards the next checkpoint.
+// noteCheckpoint counts a record towards the next checkpoint, or tracks a
+// checkpoint chunk.
 func (a *applier) noteCheckpoint(entry platlog.Entry, rec *bspb.Record) {
 	chunk := rec.GetCheckpointChunk()
 	if chunk == nil {
@@ -182,7 +183,8 @@
 	}
 }
 
-// publish makes the state visible, and then the fates learned from it.
+// publish makes the state visible, and then resolves this follower's records
+// that were applied to it.
 func (a *applier) publish() {
 	view := a.state.View()
 	if view.Applied() != a.f.applied() || view.Lineage() != a.f.View().Lineage() {
@@ -194,9 +196,9 @@
 	a.ownResults = a.ownResults[:0]
 }
 
-// noteContact records the time of a read whose whole tail has been applied.
-// While the read was under way, a peer may have given later records; an end
-// before the offset that was asked for, however, means that the log lost some.
+// noteContact renews contact after a read that was applied up to the end of the
+// log. Peers may have sent later records while the read was in flight; an end
+// before the requested offset, however, means that the log lost records.
 func (a *applier) noteContact(response *logResponse) error {
 	applied := a.state.Applied()
 	if response.batch.End < response.from {
@@ -209,8 +211,8 @@
 	return nil
 }
 
-// noteRelayed takes over a relay's contact once everything that the relay had
-// applied is applied here too.
+// noteRelayed adopts a relay's contact once this node has applied every record
+// that the relay had applied.
 func (a *applier) noteRelayed(response *relayResponse) {
 	if response.known && a.state.Applied() >= response.applied {
 		a.renewContact(contactOf(*response, a.f.config.DriftPPM))
@@ -228,14 +230,15 @@
 	}
 }
 
-// adoptMessage replaces the state by one that is further.
+// adoptMessage replaces the state by one with a higher offset, or by a rebased
+// one.
 type adoptMessage struct {
 	state   *state.State
-	rebased bool // the log says that the state restarts, perhaps from further back
+	rebased bool // a Rebase record replaces the state, possibly by one with a lower offset
 	outcome chan<- error
 }
 
-// adopt replaces the state. Only a rebase may go back.
+// adopt replaces the state. Only a rebase may lower the applied offset.
 func (f *Follower) adopt(ctx context.Context, next *state.State, rebased bool) error {
 	outcome := make(chan error, 1)
 	return f.call(ctx, &adoptMessage{state: next, rebased: rebased, outcome: outcome}, outcome)
@@ -256,14 +259,15 @@
 	m.outcome <- nil
 }
 
-// freezeMessage asks for an immutable picture of the whole state.
+// freezeMessage requests an immutable snapshot of the whole state.
 type freezeMessage struct {
 	reply chan<- state.Frozen
 }
 
 func (m *freezeMessage) apply(a *applier) { m.reply <- a.state.Freeze() }
 
-// freeze returns a picture of the whole state; false when ctx ended.
+// freeze returns an immutable snapshot of the whole state, or false when ctx
+// ends.
 func (f *Follower) freeze(ctx context.Context) (state.Frozen, bool) {
 	reply := make(chan state.Frozen, 1)
 	if !f.send(ctx, &freezeMessage{reply: reply}) {
@@ -277,15 +281,15 @@
 	}
 }
 
-// rebaseError stops the applier at a Rebase record, whose snapshot has to be
-// fetched first.
+// rebaseError stops the applier at a Rebase record, because its snapshot must
+// be read first.
 type rebaseError struct {
 	offset topo.Offset
 	rec    *bspb.Record
 }
 
 // Error implements error.
-func (e *rebaseError) Error() string { return "state restarts from a rebase" }
+func (e *rebaseError) Error() string { return "state must be replaced according to a rebase record" }
 
 // asRebase returns the Rebase record at which applying stopped.
 func asRebase(err error) (*rebaseError, bool) {
--- a/follower/checkpoints.go
+++ b/follower/checkpoints.go
@@ -18,27 +18,27 @@
 )
 
 const (
-	checkpointPoll   = 500 * time.Millisecond // between two looks at what is due
+	checkpointPoll   = 500 * time.Millisecond // between two checks whether one is due
 	checkpointLimit  = time.Minute            // for writing one checkpoint
-	expiredRankDelay = 2 * time.Second        // by rank, when the last one is lost
-	rankSteps        = 20                     // ranks that take over within every records
+	expiredRankDelay = 2 * time.Second        // per rank, after the log dropped the last checkpoint
+	rankSteps        = 20                     // ranks whose thresholds are spread over CheckpointEvery records
 )
 
-// checkpointSchedule knows what has to be written since the last whole checkpoint.
-// It is safe for concurrent use.
+// checkpointSchedule decides when the next checkpoint is due, from the records
+// applied since last, without chunks the last complete one. It is safe for concurrent use.
 type checkpointSchedule struct {
 	mu        sync.Mutex
 	last      checkpoint.Whole
-	lastAt    time.Time // when last was seen, or the start
-	records   int       // applied since
-	bytes     int       // of those records
+	lastAt    time.Time // when last was applied, or the start time
+	records   int       // applied since last, without chunks
+	bytes     int       // total size of these records
 	first     topo.Offset
-	expiredAt time.Time // when retention was seen to have passed last
+	expiredAt time.Time // when retention was seen to have dropped last; zero if it is retained
 }
 
 func newCheckpointSchedule() *checkpointSchedule { return &checkpointSchedule{lastAt: time.Now()} }
 
-// noteRecord notes an applied record of some bytes that is no chunk.
+// noteRecord counts an applied record that is not a checkpoint chunk.
 func (s *checkpointSchedule) noteRecord(bytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -46,7 +46,7 @@
 	s.bytes += bytes
 }
 
-// noteComplete notes a whole checkpoint in the log.
+// noteComplete restarts the count at a complete checkpoint in the log.
 func (s *checkpointSchedule) noteComplete(whole checkpoint.Whole) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,7 +60,7 @@
 	s.expiredAt = time.Time{}
 }
 
-// noteFirst notes the lowest offset that the log retains.
+// noteFirst stores the lowest offset that the log retains.
 func (s *checkpointSchedule) noteFirst(first topo.Offset) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,25 +70,26 @@
 	}
 }
 
-// logFirst returns the lowest offset that the log is known to retain.
+// logFirst returns the lowest offset known to be retained by the log.
 func (s *checkpointSchedule) logFirst() topo.Offset {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.first
 }
 
-// lastApplied returns what the last whole checkpoint contains.
+// lastApplied returns the offset of the last record in the last complete
+// checkpoint.
 func (s *checkpointSchedule) lastApplied() topo.Offset {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.last.Applied
 }
 
-// due reports whether the node of a rank should write a checkpoint. The records
-// since the last one make it due when there are as many as threshold says and
-// they are at least as long as the last checkpoint, so that checkpoints at most
-// double what every node reads. Time, and the loss of the last one, make it due
-// too.
+// due reports whether the node with this rank should write a checkpoint. One is
+// due when the number of records since the last checkpoint reaches the threshold
+// and their size reaches that checkpoint's size, so that checkpoints at most
+// double the bytes that every node reads. One is also due when the last
+// checkpoint is too old or is no longer retained by the log.
 func (s *checkpointSchedule) due(now time.Time, rank, every int, age time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,9 +102,10 @@
 	return !s.expiredAt.IsZero() && now.Sub(s.expiredAt) >= expiredRankDelay*time.Duration(rank)
 }
 
-// threshold returns after how many records the node of a rank writes: the first
-// at every, the next takes over at twice that, and each further one a little
-// later.
+// threshold returns the number of records after which the node with this rank
+// writes a checkpoint: rank 0 after every records, rank 1 after twice as many,
+// and each further rank slightly later, so that it takes over if the nodes
+// before it do not write.
 func threshold(rank, every int) int {
 	if rank == 0 {
 		return every
@@ -111,8 +113,8 @@
 	return 2*every + (rank-1)*max(1, every/rankSteps)
 }
 
-// rank returns the node's place in the order, different for each checkpoint, in
-// which the state's nodes write it.
+// rank returns the node's position in the order in which nodes write the next
+// checkpoint. The order differs for each checkpoint.
 func rank(view *state.View, node topo.NodeID, last topo.Offset) int {
 	salt := strconv.FormatUint(uint64(last), 10)
 	weight := func(id topo.NodeID) uint64 { return xxhash.Sum64String(string(id) + "#" + salt) }
@@ -129,7 +131,7 @@
 	return len(ids)
 }
 
-// runCheckpoints is the goroutine that writes checkpoints when they are due.
+// runCheckpoints is the goroutine that writes due checkpoints.
 func (f *Follower) runCheckpoints(ctx context.Context) {
 	number := 0
 	for clock.Wait(ctx, checkpointPoll) {
@@ -141,8 +143,8 @@
 	}
 }
 
-// isCheckpointDue reports whether this node should write one now; only a node
-// that has applied the whole log does.
+// isCheckpointDue reports whether this node should write a checkpoint now. Only
+// a node that has applied the whole log writes one.
 func (f *Follower) isCheckpointDue() bool {
 	if f.now().Sub(f.LastContact()) > f.config.PollWait+f.config.CallTimeout {
 		return false
@@ -165,7 +167,7 @@
 	}
 	for _, chunk := range chunks {
 		if f.schedule.lastApplied() >= frozen.View().Applied() {
-			return // another node's is as good
+			return // another node has written an equivalent checkpoint
 		}
 		body := &bspb.Record_CheckpointChunk{CheckpointChunk: chunk}
 		if _, err := f.Submit(limited, &bspb.Record{Body: body}); err != nil {
--- a/follower/config.go
+++ b/follower/config.go
@@ -11,7 +11,7 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Default intervals and bounds of a Config.
+// Default values of a Config.
 const (
 	DefaultPollWait        = 200 * time.Millisecond
 	DefaultCallTimeout     = time.Second
@@ -21,12 +21,12 @@
 	DefaultCheckpointAge   = time.Hour
 	DefaultRebaseAfter     = 10 * time.Second
 
-	maxCallTimeout = 10 * time.Second       // for a slow log
-	peerTimeout    = 500 * time.Millisecond // for a peer's answer to a read
+	maxCallTimeout = 10 * time.Second       // upper bound while the log is slow
+	peerTimeout    = 500 * time.Millisecond // for a peer's response to a read, beyond the requested wait
 
 	queueLength    = 256     // records waiting to be appended
 	inboxLength    = 4       // messages waiting for the applier
-	maxReadEntries = 512     // entries of one read
+	maxReadEntries = 512     // per read
 	ringEntries    = 4096    // recent entries kept for peers
 	ringBytes      = 8 << 20 // bytes of recent entries kept for peers
 
@@ -34,32 +34,34 @@
 	maxBackoff     = time.Second
 )
 
-// Config is what a follower needs. Zero durations and counts take the defaults.
+// Config configures a follower. Zero durations and counts take the defaults.
 type Config struct {
 	Node topo.NodeID
 	Boot topo.BootID
 	Log  platlog.Log
-	// Peers may be nil; then nothing is taken from peers.
+	// Peers may be nil; then the follower reads nothing from peers.
 	Peers  peer.Caller
 	Logger hclog.Logger
 
-	// Zone is the node's own. Relays is how many of its nodes read the log at
-	// least, see RelayCount; 0 means that this node always reads it.
+	// Zone is the node's availability zone. Relays is the minimum number of the
+	// zone's nodes that read the log, see RelayCount; with 0 this node always
+	// reads it.
 	Zone   topo.Zone
 	Relays int
-	// Now is the clock that contact is counted by; clock.Now by default.
+	// Now is the clock that contact is measured by; clock.Now by default.
 	Now func() time.Time
-	// DriftPPM bounds how much faster than another node's this clock runs.
+	// DriftPPM bounds how much faster this clock runs than another node's, in
+	// parts per million.
 	DriftPPM int
 
-	PollWait        time.Duration // how long a log read is held open at the end
-	CallTimeout     time.Duration // for an answer of the log; grows while it is slow
-	PeersAfter      time.Duration // without log contact before peers are asked
+	PollWait        time.Duration // how long a log read at the end of the log is held open
+	CallTimeout     time.Duration // for a response of the log; grows while the log is slow
+	PeersAfter      time.Duration // time without log contact before peers are asked
 	PeerWait        time.Duration // how long a peer may hold a read open
 	CheckpointEvery int           // records between checkpoints
 	CheckpointAge   time.Duration // longest time between checkpoints when records were added
-	// RebaseAfter is how long records have to be missing for every node that
-	// can be asked before this one publishes its state again.
+	// RebaseAfter is how long records must have been missing on every reachable
+	// node before this node publishes its state again.
 	RebaseAfter time.Duration
 }
 
--- a/follower/core.go
+++ b/follower/core.go
@@ -16,9 +16,9 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Follower is the implementation of state.Source, Appender and Contact. Its
-// duties run in one goroutine each: reading the log, asking peers, applying
-// (which alone owns the state), appending, and writing checkpoints.
+// Follower implements state.Source, Appender and Contact. It runs one goroutine
+// each for reading the log, reading from peers, applying (the only owner of the
+// state), appending, and writing checkpoints.
 type Follower struct {
 	config Config
 	writer string
@@ -48,13 +48,14 @@
 	_ Contact      = (*Follower)(nil)
 )
 
-// publication is a view and the signal that a newer one exists.
+// publication is a view and a channel that is closed when a newer view exists.
 type publication struct {
 	view    *state.View
 	changed chan struct{}
 }
 
-// contactState is the latest contact and the signal that a newer one exists.
+// contactState is the time of the latest contact and a channel that is closed
+// when contact is renewed.
 type contactState struct {
 	at      time.Time
 	renewed chan struct{}
@@ -83,7 +84,7 @@
 	return f
 }
 
-// Start starts the follower's goroutines; it does not wait for the log.
+// Start starts the follower's goroutines. It does not wait for the log.
 func (f *Follower) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
@@ -94,7 +95,7 @@
 	}
 }
 
-// Stop ends the goroutines. Submissions under way end with an error.
+// Stop stops the goroutines. Submissions in flight end with an error.
 func (f *Follower) Stop() {
 	if f.cancel == nil {
 		return
@@ -109,8 +110,8 @@
 // View implements state.Source.
 func (f *Follower) View() *state.View { return f.published.Load().view }
 
-// Changed implements state.Source. Take it before View, so that no change is
-// missed.
+// Changed implements state.Source. Callers get the channel before the view, so
+// that they miss no change.
 func (f *Follower) Changed() <-chan struct{} { return f.published.Load().changed }
 
 // WaitApplied implements state.Source. It fails with the context's error or a
@@ -134,13 +135,14 @@
 // LastContact implements Contact.
 func (f *Follower) LastContact() time.Time { return f.contact.Load().at }
 
-// renewContact makes a newer contact visible, after the view that it is about.
+// renewContact publishes a newer contact. The view that it refers to must have
+// been published before.
 func (f *Follower) renewContact(at time.Time) {
 	old := f.contact.Swap(&contactState{at: at, renewed: make(chan struct{})})
 	close(old.renewed)
 }
 
-// now is the clock that contact is counted by.
+// now returns the time of the clock that contact is measured by.
 func (f *Follower) now() time.Time { return f.config.Now() }
 
 // Failing implements Contact.
@@ -155,8 +157,8 @@
 	offsetOf(appliedOffsets, f.config.Node).Set(int64(view.Applied()))
 }
 
-// backoff grows from backoffFirst to backoffMost, with jitter that differs
-// between nodes.
+// backoff is an exponential delay from initialBackoff to maxBackoff, with jitter
+// that differs between nodes.
 type backoff struct {
 	random *rand.Rand
 	next   time.Duration
@@ -169,7 +171,7 @@
 
 func (b *backoff) reset() { b.next = initialBackoff }
 
-// wait sleeps, or returns false when ctx ended.
+// wait sleeps for the next delay. It returns false when ctx ends.
 func (b *backoff) wait(ctx context.Context) bool {
 	pause := b.next/2 + time.Duration(b.random.Int64N(int64(b.next)))
 	b.next = min(2*b.next, maxBackoff)
--- a/follower/dump.go
+++ b/follower/dump.go
@@ -7,15 +7,15 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Dump is what the state dump shows of a follower.
+// Dump is the follower's part of the state dump.
 type Dump struct {
 	Writer          string      `json:"writer"`
 	Applied         topo.Offset `json:"applied"`
 	Lineage         topo.Offset `json:"lineage"`
 	LogFirst        topo.Offset `json:"log_first"`
 	ContactAgeMs    int64       `json:"contact_age_ms"` // -1 when there was no contact
-	Source          string      `json:"source"`         // "log", or the relay that is asked
-	Relays          []string    `json:"relays"`         // of the zone, as this node sees them
+	Source          string      `json:"source"`         // "log", or the ID of the relay in use
+	Relays          []string    `json:"relays"`         // of the zone, according to this node's view
 	SiteVersion     uint64      `json:"site_version"`
 	Nodes           int         `json:"nodes"`
 	Servers         int         `json:"servers"`
@@ -29,7 +29,7 @@
 	Owned           []OwnedDump `json:"services"`
 }
 
-// OwnedDump is one service's shards.
+// OwnedDump counts the shards of one service.
 type OwnedDump struct {
 	Service  topo.Service `json:"service"`
 	Shards   int          `json:"shards"` // hash ranges and split keys
@@ -37,7 +37,7 @@
 	Retiring bool         `json:"retiring"`
 }
 
-// Dump returns the follower's state at a time.
+// Dump describes the follower; ages are measured at now.
 func (f *Follower) Dump(now time.Time) Dump {
 	view := f.View()
 	dump := Dump{
@@ -66,7 +66,8 @@
 	return dump
 }
 
-// contactAge returns the milliseconds since the last contact; -1 for none.
+// contactAge returns the milliseconds since the last contact, or -1 if there
+// was none.
 func (f *Follower) contactAge(now time.Time) int64 {
 	contact := f.LastContact()
 	if contact.IsZero() {
--- a/follower/errors.go
+++ b/follower/errors.go
@@ -6,8 +6,7 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// NotAppendedError reports a submitted record that was proven not to be
-// appended.
+// NotAppendedError reports a submitted record that was certainly not appended.
 type NotAppendedError struct{ Cause error }
 
 // Error implements error.
@@ -41,16 +40,16 @@
 // Error implements error.
 func (e *StoppedError) Error() string { return "follower is not running" }
 
-// NoContactError reports a relay that does not tell how fresh its contact with
-// the log is: it has none, or is too old to tell.
+// NoContactError reports a relay that does not report the age of its contact
+// with the log: it has no contact, or runs a release without that field.
 type NoContactError struct{ Relay topo.NodeID }
 
 // Error implements error.
 func (e *NoContactError) Error() string {
-	return fmt.Sprintf("relay %s has no contact with the log", e.Relay)
+	return fmt.Sprintf("relay %s reports no contact with the log", e.Relay)
 }
 
-// GapError reports entries that do not follow what was applied.
+// GapError reports entries that do not follow the last applied record.
 type GapError struct {
 	Applied topo.Offset // last record applied
 	Got     topo.Offset // first entry received
@@ -61,7 +60,7 @@
 	return fmt.Sprintf("records missing between %d and %d", e.Applied, e.Got)
 }
 
-// RewoundError reports a log whose end is before what was applied from it.
+// RewoundError reports a log that ends before a record that was applied from it.
 type RewoundError struct {
 	Applied topo.Offset
 	End     topo.Offset
@@ -72,11 +71,11 @@
 	return fmt.Sprintf("log ends before %d although %d was applied from it", e.End, e.Applied)
 }
 
-// SkippedError reports a submitted record whose offset was passed by restoring
-// a checkpoint, so that its result was not seen.
+// SkippedError reports a submitted record that was skipped by restoring a
+// checkpoint, a peer's snapshot or a rebase, so that its result is unknown.
 type SkippedError struct{ Applied topo.Offset }
 
 // Error implements error.
 func (e *SkippedError) Error() string {
-	return fmt.Sprintf("result passed over by the checkpoint at %d", e.Applied)
+	return fmt.Sprintf("result skipped by the checkpoint at %d", e.Applied)
 }
--- a/follower/follow_test.go
+++ b/follower/follow_test.go
@@ -40,7 +40,7 @@
 	})
 }
 
-// Contact counts from before the read was begun, however slow the answer is.
+// Contact is measured from the start of a read, however slow the response is.
 func TestContactTimeIsTheStartOfASlowRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
@@ -60,10 +60,10 @@
 	cases := []struct {
 		name    string
 		faults  logfault.Faults
-		contact bool // the log is still followed, not only peers
+		contact bool // contact with the log is kept; otherwise only peers are read
 	}{
 		{"log down for this node", logfault.Faults{ReadsDown: true, AppendsDown: true}, false},
-		{"log silent for this node", logfault.Faults{Silent: true}, false},
+		{"log unresponsive for this node", logfault.Faults{Silent: true}, false},
 		{"log slow", logfault.Faults{Slow: 2 * time.Second}, true},
 		{"entries read again", logfault.Faults{Repeat: 7}, true},
 	}
@@ -93,8 +93,8 @@
 	}
 }
 
-// A process that starts while the log is down takes the furthest state that it
-// can reach, and a stale peer never takes it back.
+// A process that starts while the log is down restores the newest state that it
+// can reach, and a stale peer never moves it back.
 func TestStartWhileTheLogIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
@@ -121,11 +121,11 @@
 		}
 		s.g.Expect(last).To(gomega.Equal(outcome.Offset))
 		s.g.Expect(started.View().SiteVersion()).To(gomega.Equal(uint64(2)))
-		s.g.Expect(started.LastContact().IsZero()).To(gomega.BeTrue(), "peers are no log contact")
+		s.g.Expect(started.LastContact().IsZero()).To(gomega.BeTrue(), "reading from peers is no contact with the log")
 	})
 }
 
-// A peer that lost its recent entries gives its whole state instead.
+// A peer that no longer has the requested entries sends its whole state instead.
 func TestPeersSendASnapshotWhenEntriesAreGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
@@ -156,8 +156,8 @@
 	})
 }
 
-// A log that ends before what was applied is no contact, and takes nothing
-// back.
+// A log that ends before the last applied record renews no contact and does not
+// revert the state.
 func TestLogThatLostItsEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
@@ -222,7 +222,7 @@
 		}()
 		s.g.Expect(read(601, time.Second).GetEntries()).To(gomega.HaveLen(1))
 
-		// A snapshot is given again only to those whom it takes further.
+		// A reused snapshot is sent only to callers that it advances.
 		for _, beyond := range []topo.Offset{0, 600, 601} {
 			chunks, err := caller.FetchSnapshot(s.within(settle), "a", beyond)
 			s.g.Expect(err).NotTo(gomega.HaveOccurred())
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -1,6 +1,6 @@
 // Package follower keeps this process's state up to date from the log, or from
-// zone peers while the log is away, and appends records whose fate it learns by
-// reading forward. Its module is modules/follower.
+// peers while the log is unavailable. It appends records and determines their
+// outcomes by reading them back. Its module is modules/follower.
 package follower
 
 import (
@@ -12,33 +12,33 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// Fate is what became of a submitted record, known by applying it.
+// Outcome is the result of a submitted record, determined by applying it.
 type Fate struct {
 	Offset topo.Offset
 	// Accepted is false when the record's expectation failed and it changed
 	// nothing. For AssignShards it is true when any assignment took effect; see
 	// RejectedShards.
 	Accepted bool
-	// RejectedShards are the indexes of assignments that did not take effect.
+	// RejectedShards lists the indexes of assignments that did not take effect.
 	RejectedShards []int
-	// Conflict says why an unaccepted record had no effect, for people.
+	// Conflict describes why a record that was not accepted had no effect.
 	Conflict string
 }
 
-// Appender submits records. Submit returns only when the record's fate is
-// known: it was read back from the log at its offset and applied, or proven
-// never to have been appended, or ctx ended (then the error is an
-// *UnknownFateError). The Record's writer and sequence are filled in by Submit.
+// Appender submits records. Submit returns when the record was read back from
+// the log at its offset and applied, when it was certainly never appended, or
+// when ctx ends (then the error is an *UnknownOutcomeError). Submit sets the
+// record's writer and sequence.
 type Appender interface {
 	Submit(ctx context.Context, record *bspb.Record) (Fate, error)
 }
 
-// Contact tells how fresh this process's contact with the log is.
+// Contact reports how recent this process's contact with the log is.
 type Contact interface {
-	// LastContact returns when the latest log read began that returned the end
-	// of the log and whose records have all been applied; the zero time when
-	// there was none.
+	// LastContact returns the start time of the latest log read that reached the
+	// end of the log and whose records have all been applied, or the zero time
+	// if there was none.
 	LastContact() time.Time
-	// Failing reports whether the latest log read that ended had failed.
+	// Failing reports whether the latest completed log read failed.
 	Failing() bool
 }
--- a/follower/group.go
+++ b/follower/group.go
@@ -16,9 +16,9 @@
 	maxAssignments = 1024 // assignments of one shared record
 )
 
-// group is one or more submissions that share a record. Only AssignShards of
-// one lessor group, term and reason are put together, since each assignment
-// stands or falls alone.
+// group is one or more submissions that share a record. Only AssignShards
+// records with the same lessor group, term and reason are combined, because each
+// of their assignments is accepted or rejected by itself.
 type group struct {
 	members     []*submission
 	assignments int
@@ -31,7 +31,7 @@
 	}
 }
 
-// add takes a further submission if it can share the record.
+// add adds a submission if it can share the record, and reports whether it did.
 func (g *group) add(next *submission) bool {
 	assigns := next.record.GetAssignShards()
 	if assigns == nil || len(g.members) == maxMembers {
@@ -55,7 +55,7 @@
 		proto.Equal(a.GetTerm(), b.GetTerm())
 }
 
-// ended reports whether nobody waits any longer.
+// ended reports whether no submitter waits any longer.
 func (g *group) ended() bool {
 	for _, s := range g.members {
 		if s.ctx.Err() == nil {
@@ -86,7 +86,7 @@
 	}
 }
 
-// settle answers each submission with its part of the record's result.
+// settle sends each submission its part of the record's result.
 func (g *group) settle(result state.Result) {
 	if len(g.members) == 1 {
 		g.members[0].response <- submitResponse{outcome: fullOutcome(result)}
@@ -112,7 +112,7 @@
 	return outcome
 }
 
-// partialOutcome returns the fate of the assignments from first to before next.
+// partialOutcome returns the outcome of the assignments in [first, next).
 func partialOutcome(result state.Result, first, next int) Fate {
 	outcome := Fate{Offset: result.Offset}
 	for _, rejection := range result.Rejected {
--- a/follower/helpers_test.go
+++ b/follower/helpers_test.go
@@ -23,10 +23,11 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// settle is long enough for every node to follow a healthy log, or its peers.
+// settle is long enough for every node to catch up with a healthy log or its
+// peers.
 const settle = 5 * time.Second
 
-// site is nodes that share a log and a network.
+// site is a simulated cluster of nodes that share a log and a network.
 type site struct {
 	t       *testing.T
 	g       *gomega.WithT
@@ -42,7 +43,7 @@
 type member struct {
 	*follower.Follower
 	log   *logfault.Log
-	reads *atomic.Int64 // of the log
+	reads *atomic.Int64 // log reads
 }
 
 func newSite(t *testing.T, retention memlog.Retention) *site {
@@ -92,7 +93,7 @@
 	return outcome
 }
 
-// sameState waits, and expects that all nodes have the same state.
+// sameState waits for settle and then expects all nodes to have the same state.
 func (s *site) sameState(members ...*member) {
 	s.t.Helper()
 	time.Sleep(settle)
@@ -117,7 +118,7 @@
 	return offset
 }
 
-// replayed returns the state that the store's records give from the beginning.
+// replayed returns the state after applying all of the store's records.
 func (s *site) replayed() *state.State {
 	s.t.Helper()
 	next := state.New()
--- a/follower/internal_test.go
+++ b/follower/internal_test.go
@@ -17,7 +17,7 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// at returns a state that applied an offset, in a lineage.
+// at returns a state with this applied offset and lineage.
 func at(t *testing.T, applied, lineage topo.Offset) *state.State {
 	t.Helper()
 	next, err := state.Restore(&bspb.Snapshot{
@@ -37,10 +37,10 @@
 		adopted          bool
 	}{
 		{"further", 11, 4, false, true},
-		{"as far", 10, 4, false, false},
+		{"same offset", 10, 4, false, false},
 		{"behind", 9, 4, false, false},
-		{"further in an older lineage", 11, 3, false, false},
-		{"rebased to behind", 9, 8, true, true},
+		{"higher offset in an older lineage", 11, 3, false, false},
+		{"rebased to a lower offset", 9, 8, true, true},
 		{"rebased in an older lineage", 9, 3, true, false},
 	}
 	for _, c := range cases {
@@ -69,8 +69,8 @@
 	g.Expect(f.View().Applied()).To(gomega.Equal(topo.Offset(11)))
 }
 
-// A peer may have given later records while a read of the log was under way;
-// the read still proves what it saw. An end before what was asked for does not.
+// Peers may send later records while a log read is in flight; the read still
+// proves contact at its start. A log end before the requested offset does not.
 func TestContactWhilePeersDeliverToo(t *testing.T) {
 	cases := []struct {
 		name      string
@@ -164,7 +164,7 @@
 	}
 	g.Expect(d.due(now, 0, every, age)).To(gomega.BeFalse())
 	d.noteRecord(9)
-	g.Expect(d.due(now, 0, every, age)).To(gomega.BeFalse(), "shorter than the checkpoint")
+	g.Expect(d.due(now, 0, every, age)).To(gomega.BeFalse(), "fewer bytes than the last checkpoint")
 	d.noteRecord(100)
 	g.Expect(d.due(now, 0, every, age)).To(gomega.BeTrue())
 	g.Expect(d.due(now, 1, every, age)).To(gomega.BeFalse())
@@ -180,10 +180,10 @@
 	d.noteFirst(252)
 	g.Expect(d.due(time.Now(), 0, every, age)).To(gomega.BeFalse())
 	d.noteFirst(253)
-	g.Expect(d.due(time.Now(), 0, every, age)).To(gomega.BeTrue(), "retention passed its first chunk")
+	g.Expect(d.due(time.Now(), 0, every, age)).To(gomega.BeTrue(), "the log dropped its first chunk")
 	g.Expect(d.due(time.Now(), 1, every, age)).To(gomega.BeFalse())
 	d.noteComplete(checkpoint.Whole{Applied: 240, FirstChunk: 260})
-	g.Expect(d.lastApplied()).To(gomega.Equal(topo.Offset(250)), "an older one is no progress")
+	g.Expect(d.lastApplied()).To(gomega.Equal(topo.Offset(250)), "an older checkpoint is ignored")
 }
 
 func BenchmarkApplyEntries(b *testing.B) {
--- a/follower/metrics.go
+++ b/follower/metrics.go
@@ -13,32 +13,32 @@
 const (
 	metricAppends        = "appends"             // records appended
 	metricAppendBytes    = "append_bytes"        // bytes of records appended
-	metricUncertain      = "appends_uncertain"   // appends whose answer was lost
-	metricReappends      = "reappends"           // appends of the same record again
-	metricNotAppended    = "not_appended"        // records proven not to be appended
-	metricUnknownOutcome = "unknown_fates"       // records given up with an unknown fate
+	metricUncertain      = "appends_uncertain"   // appends whose outcome is uncertain
+	metricReappends      = "reappends"           // repeated appends of the same record
+	metricNotAppended    = "not_appended"        // records certainly not appended
+	metricUnknownOutcome = "unknown_fates"       // records abandoned with an unknown outcome
 	metricQueueFull      = "append_queue_full"   // records refused because the queue was full
 	metricMerged         = "appends_merged"      // records that shared another's append
-	metricReads          = "log_reads"           // log reads answered
-	metricReadFailures   = "log_read_failures"   // log reads without an answer
+	metricReads          = "log_reads"           // successful log reads
+	metricReadFailures   = "log_read_failures"   // failed log reads
 	metricReadBytes      = "log_read_bytes"      // bytes of entries read from the log
 	metricApplied        = "records_applied"     // entries applied
 	metricDuplicates     = "entries_duplicate"   // entries received again
-	metricSkipped        = "entries_skipped"     // entries that could not be read
+	metricSkipped        = "entries_skipped"     // entries that could not be decoded
 	metricPeerCatchups   = "peer_catchups"       // batches of records taken from peers
 	metricPeerBytes      = "peer_bytes"          // bytes of entries taken from peers
-	metricReadsBySource  = "reads_by_source"     // reads answered: "log", or "relay"
+	metricReadsBySource  = "reads_by_source"     // successful reads, by "log" or "relay"
 	metricRelayBytes     = "relay_bytes"         // bytes of entries read through relays
-	metricRelayFailures  = "relay_failures"      // relays without a usable answer
-	metricRelayBehind    = "relays_behind"       // relays whose contact was too old
-	metricSourceChanges  = "source_changes"      // turns to another source of the log
-	metricServedBytes    = "served_bytes"        // bytes of entries given to peers
-	metricSnapshots      = "snapshots_served"    // snapshots given to peers
+	metricRelayFailures  = "relay_failures"      // relay reads without a usable response
+	metricRelayBehind    = "relays_behind"       // relay responses whose contact was too old
+	metricSourceChanges  = "source_changes"      // changes of the source of log reads
+	metricServedBytes    = "served_bytes"        // bytes of entries sent to peers
+	metricSnapshots      = "snapshots_served"    // snapshots encoded for peers
 	metricCheckpoints    = "checkpoints_written" // checkpoints written
 	metricRestores       = "restores"            // states restored from checkpoints or peers
 	metricRebases        = "rebases"             // rebases applied
 	metricAppliedOffset  = "applied_offset"      // by node
-	metricAppliedAgeMs   = "applied_age_ms"      // by node: since the last contact with the log
+	metricAppliedAgeMs   = "applied_age_ms"      // by node: age of the last contact with the log
 )
 
 var (
@@ -53,7 +53,7 @@
 	metrics.Set(metricAppliedAgeMs, appliedAges)
 }
 
-// Sources by which reads are counted.
+// Keys of metricReadsBySource.
 const (
 	sourceLog   = "log"
 	sourceRelay = "relay"
--- a/follower/outcomes.go
+++ b/follower/outcomes.go
@@ -6,20 +6,20 @@
 	"github.com/burdockspindle/burdockspindle/state"
 )
 
-// maxPending bounds the appended records whose results are awaited.
+// maxPending bounds the records whose results are awaited.
 const maxPending = 1024
 
-// outcomes connects the appender with the applier, which learns what became of
-// this writer's sequences. It is safe for concurrent use.
+// outcomes passes the results of this writer's records from the applier to their
+// submitters. It is safe for concurrent use.
 type outcomes struct {
 	mu      sync.Mutex
-	pending map[uint64]*group
+	pending map[uint64]*group // by sequence
 }
 
 func newOutcomes() *outcomes { return &outcomes{pending: map[uint64]*group{}} }
 
-// expect registers a sequence before it is appended; false when too many are
-// awaited.
+// expect registers a sequence before it is appended. It returns false when
+// maxPending sequences are awaited.
 func (o *outcomes) expect(sequence uint64, g *group) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -41,7 +41,7 @@
 	}
 }
 
-// awaited reports whether a sequence's result is not known yet.
+// awaited reports whether the result of a sequence is still unknown.
 func (o *outcomes) awaited(sequence uint64) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -49,22 +49,22 @@
 	return waiting
 }
 
-// fail ends a sequence whose result will not be seen.
+// fail ends a sequence whose result will not become known.
 func (o *outcomes) fail(sequence uint64, err error) {
 	if g := o.take(sequence); g != nil {
 		g.fail(err)
 	}
 }
 
-// resolve hands over the result of a sequence that was applied.
+// resolve reports the result of an applied sequence to its submitters.
 func (o *outcomes) resolve(sequence uint64, result state.Result) {
 	if g := o.take(sequence); g != nil {
 		g.settle(result)
 	}
 }
 
-// failThrough tells that the state jumped: the results of sequences up to last
-// were not seen.
+// failThrough ends all sequences up to last, whose results are unknown because
+// the state was replaced.
 func (o *outcomes) failThrough(last uint64, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/follower/readlog.go
+++ b/follower/readlog.go
@@ -10,21 +10,22 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// logReader reads the log and gives what it reads to the applier.
+// logReader reads the log, directly or through a relay, and passes the entries
+// to the applier.
 type logReader struct {
 	f        *Follower
 	pause    *backoff
 	failing  bool // the last read failed
-	searched bool // a checkpoint was looked for since the start
+	searched bool // the log was searched for a checkpoint since the start
 
-	gapSince time.Time // when records were first missing for everybody asked
+	gapSince time.Time // when records were first found missing on every node asked
 	rebases  int       // rebases written
 
 	sources    *sources
-	seen       *state.View   // the view from which relays were taken
-	relays     []topo.NodeID // that this node may ask, in its order; none if it is one
-	lastSource topo.NodeID   // where it read last
-	logDelay   time.Duration // by how much the log answered late when it was read last
+	seen       *state.View   // the view from which relays were chosen
+	relays     []topo.NodeID // relays of this node in order of preference; empty if it is a relay
+	lastSource topo.NodeID   // where the last read went
+	logDelay   time.Duration // estimated delay of the log's responses beyond the hold
 }
 
 // runLogReader is the log reader's goroutine.
@@ -44,11 +45,11 @@
 	}
 }
 
-// step reads once and has the result applied.
+// step reads the log once and has the result applied.
 func (r *logReader) step(ctx context.Context) error {
 	wait := r.f.config.PollWait
 	if r.lastSource != logSource {
-		wait = 0 // contact is due
+		wait = 0 // contact must be renewed soon
 	}
 	r.setSource(logSource)
 	begun := r.f.now()
@@ -78,8 +79,8 @@
 	return err
 }
 
-// noteLogDelay notes by how much the log answered late. A log that is slow makes
-// relays look late without fault of theirs, so that they are asked again.
+// noteLogDelay stores the delay of the log's response. A slow log makes healthy
+// relays appear late, so relays are no longer avoided then.
 func (r *logReader) noteLogDelay(late time.Duration) {
 	r.logDelay = min(max(late, 0), maxLogDelay)
 	if r.logDelay > r.grace() {
@@ -87,7 +88,8 @@
 	}
 }
 
-// isFarBehind reports whether a checkpoint is likely to be nearer the end.
+// isFarBehind reports whether a checkpoint is probably closer to the end of the
+// log than the state is.
 func (r *logReader) isFarBehind(batch platlog.Batch) bool {
 	return batch.End > r.f.applied()+topo.Offset(2*r.f.config.CheckpointEvery)
 }
@@ -115,7 +117,7 @@
 	}
 }
 
-// read reads from the log with a limit on the time without an answer.
+// read reads from the log, limited by wait and the adaptive read timeout.
 func (f *Follower) read(ctx context.Context, from topo.Offset, maxEntries int, wait time.Duration) (platlog.Batch, error) {
 	limited, cancel := f.readTimeout.limit(ctx, wait)
 	defer cancel()
--- a/follower/readpeers.go
+++ b/follower/readpeers.go
@@ -13,18 +13,18 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// peerInterval is the time between two peers that had nothing new.
+// peerInterval is the delay after a peer that had no new records.
 const peerInterval = 50 * time.Millisecond
 
-// snapshotTimeout bounds the fetching of a peer's whole state.
+// snapshotTimeout bounds the transfer of a peer's whole state.
 const snapshotTimeout = 10 * time.Second
 
-// peerReader takes records from peers while the log cannot be read.
+// peerReader reads records from peers while the log cannot be read.
 type peerReader struct {
 	f       *Follower
 	started time.Time
 	next    int         // index into the known peers
-	source  topo.NodeID // the peer that gave records last; may be empty
+	source  topo.NodeID // the peer that sent records last; may be empty
 }
 
 // runPeerReader is the peer reader's goroutine.
@@ -42,7 +42,7 @@
 	}
 }
 
-// needed reports whether the log has not been read for long enough.
+// needed reports whether there was no contact with the log for PeersAfter.
 func (r *peerReader) needed() bool {
 	since := r.f.LastContact()
 	if since.IsZero() {
@@ -51,7 +51,8 @@
 	return r.f.now().Sub(since) >= r.f.config.PeersAfter
 }
 
-// step asks one peer: the one that gave records last, else the next in turn.
+// step reads from one peer: the one that sent records last, otherwise the next
+// one in round-robin order.
 func (r *peerReader) step(ctx context.Context) {
 	from, wait := r.source, r.f.config.PeerWait
 	if from == "" {
@@ -69,7 +70,8 @@
 	clock.Wait(ctx, peerInterval)
 }
 
-// nextPeer returns the next known peer; empty when there is none.
+// nextPeer returns the next known peer in round-robin order, or "" if there is
+// none.
 func (r *peerReader) nextPeer() topo.NodeID {
 	known := r.f.config.Peers.Known()
 	if len(known) == 0 {
@@ -79,8 +81,8 @@
 	return known[r.next]
 }
 
-// readFrom reads from a peer and has the result applied; false when that brought
-// nothing new.
+// readFrom reads from a peer and has the result applied. It returns false if the
+// state did not advance.
 func (r *peerReader) readFrom(ctx context.Context, from topo.NodeID, wait time.Duration) bool {
 	before := r.f.applied()
 	limited, cancel := context.WithTimeout(ctx, wait+peerTimeout)
@@ -121,8 +123,8 @@
 	return entries
 }
 
-// restoreFromPeers restores the state of the first known peer that is beyond
-// this one; false when there is none.
+// restoreFromPeers restores the state of the first known peer that has applied
+// more records. It returns false if there is none.
 func (f *Follower) restoreFromPeers(ctx context.Context) bool {
 	if f.config.Peers == nil {
 		return false
@@ -135,7 +137,7 @@
 	return false
 }
 
-// fetchSnapshot restores a peer's state if it is beyond this one.
+// fetchSnapshot restores a peer's state if that peer has applied more records.
 func (f *Follower) fetchSnapshot(ctx context.Context, from topo.NodeID) bool {
 	limited, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
--- a/follower/readrelay.go
+++ b/follower/readrelay.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// maxLogDelay bounds how slow the log is taken to be when a relay is judged.
+	// maxLogDelay bounds the estimated delay of the log that relays are allowed.
 	maxLogDelay = time.Second
-	// logDelayDecay is the part of that which is forgotten with each answer.
+	// logDelayDecay is the divisor by which the estimate decays per response.
 	logDelayDecay = 32
-	// perMillion is what drift is counted in.
+	// perMillion is the unit of clock drift.
 	perMillion = 1_000_000
 )
 
-// relayResponse is what makes a read through a relay count as contact.
+// relayResponse has the details of a relay read that prove contact with the log.
 type relayResponse struct {
-	begun   time.Time     // when the relay was asked
-	applied topo.Offset   // what the relay had applied
-	age     time.Duration // of the relay's contact when the request arrived
+	begun   time.Time     // when the request was sent
+	applied topo.Offset   // last record that the relay had applied
+	age     time.Duration // age of the relay's contact when the request arrived
 	known   bool          // the relay had contact
 }
 
-// source returns where to read next. A node without contact, a relay, and a
-// node whose relays all fail read the log.
+// source returns the source of the next read. A node without contact, a relay,
+// and a node whose relays all fail read the log.
 func (r *logReader) source(now time.Time) topo.NodeID {
 	f := r.f
 	if f.config.Relays == 0 || f.config.Peers == nil || f.LastContact().IsZero() {
@@ -42,12 +42,12 @@
 	return r.sources.choose(now, r.relays)
 }
 
-// readRelay reads once through a relay. What is not plain entries that follow the
-// state is left to a read of the log.
+// readRelay reads once through a relay. After a response that cannot be applied,
+// the log is read instead.
 func (r *logReader) readRelay(ctx context.Context, relay topo.NodeID) {
 	wait := r.holdTime()
 	if r.lastSource != relay {
-		wait = 0 // a new source answers at once, so that a silent one is found soon
+		wait = 0 // a new source responds at once, so that an unresponsive one is detected soon
 	}
 	r.setSource(relay)
 	begun, before := r.f.now(), r.f.LastContact()
@@ -75,9 +75,10 @@
 	r.noteSuccess()
 }
 
-// observeHold takes how long a relay held a read open: when it answered before the
-// end of the hold, at most as long as it takes to renew its contact. A hold
-// that was used up tells nothing, else holds would grow by themselves.
+// observeHold updates the log delay from the time for which a relay held a read
+// open. A relay that responds before the end of the hold needed at most that time
+// to renew its contact. An expired hold is not evidence of a slow log; otherwise
+// holds would grow by themselves.
 func (r *logReader) observeHold(took, wait time.Duration) {
 	if wait == 0 {
 		return
@@ -88,8 +89,8 @@
 	}
 }
 
-// relayFailed passes a relay over; entries that cannot be applied are looked up in
-// the log, which has what they need.
+// relayFailed avoids a relay after a failure. When its entries could not be
+// applied, the log is read, because it has the missing records.
 func (r *logReader) relayFailed(relay topo.NodeID, err error) {
 	r.sources.noteFailure(r.f.now(), relay)
 	if isUnusable(err) {
@@ -97,12 +98,12 @@
 	}
 }
 
-// holdTime is how long a relay may hold a read open: a little longer than it takes
-// the relay to renew its contact.
+// holdTime returns how long a relay may hold a read open: slightly longer than
+// the relay takes to renew its contact.
 func (r *logReader) holdTime() time.Duration { return r.f.config.PollWait*3/2 + r.logDelay }
 
-// isBehind reports whether an answer left contact older than a relay in order
-// leaves it. Contact that a relay reads is at most two polls old.
+// isBehind reports whether contact after a response is older than a healthy relay
+// leaves it. The contact of a relay is at most two polls old.
 func (r *logReader) isBehind(before, now time.Time) bool {
 	contact := r.f.LastContact()
 	limit := 2*r.f.config.PollWait + 2*r.logDelay
@@ -112,11 +113,11 @@
 	return now.Sub(contact) > limit
 }
 
-// grace is how long an answer may take beyond the time it is held open.
+// grace returns how long a response may take beyond the hold.
 func (r *logReader) grace() time.Duration { return r.f.config.PollWait / 2 }
 
-// requestRelay reads from a relay. An answer without contact is a *NoContactError, one
-// without the entries that follow the state a *GapError.
+// requestRelay reads from a relay. A response without contact is a
+// *NoContactError, one without the entries that follow the state a *GapError.
 func (r *logReader) requestRelay(ctx context.Context, relay topo.NodeID, wait time.Duration) (*bspb.ReadLogResponse, error) {
 	from := r.f.applied() + 1
 	limited, cancel := context.WithTimeout(ctx, wait+r.grace())
@@ -144,7 +145,7 @@
 	return response, nil
 }
 
-// setSource notes where the log is read from now on.
+// setSource stores the source of log reads and logs a change.
 func (r *logReader) setSource(source topo.NodeID) {
 	if r.lastSource == source {
 		return
@@ -162,16 +163,16 @@
 	return string(source)
 }
 
-// contactOf returns the contact that a relay's answer proves: as much older
-// than the asking as the relay's own contact was when the request arrived, by a
-// clock that may be slower than this one.
+// contactOf returns the contact that a relay's response proves: the time of the
+// request, minus the age of the relay's contact when the request arrived. The
+// drift allowance covers a relay clock that is slower than this one.
 func contactOf(response relayResponse, driftPPM int) time.Time {
 	drift := response.age * time.Duration(2*driftPPM) / perMillion
 	return response.begun.Add(-response.age - drift)
 }
 
-// isUnusable reports whether a relay's entries could not be applied, as at a
-// rebase or where the relay has not what follows the state.
+// isUnusable reports whether a relay's entries could not be applied, because of
+// a rebase or because they do not follow the state.
 func isUnusable(err error) bool {
 	var gap *GapError
 	_, rebase := asRebase(err)
--- a/follower/rebase.go
+++ b/follower/rebase.go
@@ -14,9 +14,9 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// RebaseProblemError reports a Rebase record that cannot be followed now.
+// RebaseProblemError reports that the state cannot be rebased at present.
 type RebaseProblemError struct {
-	Offset  topo.Offset // of the record; 0 when there is none
+	Offset  topo.Offset // of the Rebase record; 0 if there is none
 	Problem string
 	Cause   error // may be nil
 }
@@ -33,8 +33,8 @@
 // Unwrap returns the cause.
 func (e *RebaseProblemError) Unwrap() error { return e.Cause }
 
-// followRebase looks for the Rebase record that ends a gap which nothing else
-// can close; when there is none, it may write one.
+// followRebase searches the log for a Rebase record that closes a gap which
+// neither a checkpoint nor a peer could close. If there is none, it proposes one.
 func (r *logReader) followRebase(ctx context.Context, first, end topo.Offset) error {
 	var rebase *rebaseError
 	lineage := r.f.View().Lineage()
@@ -55,8 +55,8 @@
 	return r.proposeRebase(ctx, first)
 }
 
-// rebase replaces the state by what a Rebase record says. If the log no longer
-// holds what that takes, a peer's state is taken.
+// rebase replaces the state according to a Rebase record. If the log no longer
+// retains the needed records, it restores a peer's state.
 func (r *logReader) rebase(ctx context.Context, rebase *rebaseError) error {
 	next, err := r.f.buildRebased(ctx, rebase)
 	if err != nil {
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// buildRebased returns the state after a Rebase record: its snapshot, followed
-// by the records from resume on.
+// buildRebased returns the state after a Rebase record: its snapshot plus the
+// records from resume up to the Rebase record.
 func (f *Follower) buildRebased(ctx context.Context, rebase *rebaseError) (*state.State, error) {
 	body := rebase.rec.GetRebase()
 	snapshot, err := f.rebaseSnapshot(ctx, rebase.offset, body)
@@ -84,10 +84,10 @@
 	}
 	next, err := state.Restore(snapshot)
 	if err != nil {
-		return nil, &RebaseProblemError{Offset: rebase.offset, Problem: "cannot restore", Cause: err}
+		return nil, &RebaseProblemError{Offset: rebase.offset, Problem: "cannot restore its snapshot", Cause: err}
 	}
 	if uint64(next.Lineage()) != body.GetLineage() || uint64(next.Applied()) != body.GetApplied() {
-		return nil, &RebaseProblemError{Offset: rebase.offset, Problem: "snapshot of another state"}
+		return nil, &RebaseProblemError{Offset: rebase.offset, Problem: "its snapshot has another lineage or offset"}
 	}
 	next.Resume(topo.Offset(body.GetResume()))
 	if err := f.replay(ctx, next, rebase.offset); err != nil {
@@ -97,7 +97,7 @@
 	return next, nil
 }
 
-// rebaseSnapshot reads the checkpoint that a Rebase record names.
+// rebaseSnapshot reads the checkpoint that a Rebase record refers to.
 func (f *Follower) rebaseSnapshot(ctx context.Context, before topo.Offset, body *bspb.Rebase) (*bspb.Snapshot, error) {
 	var assembler checkpoint.Assembler
 	var snapshot *bspb.Snapshot
@@ -114,12 +114,12 @@
 		return nil, &RebaseProblemError{Offset: before, Problem: "cannot read its checkpoint", Cause: err}
 	}
 	if snapshot == nil {
-		return nil, &RebaseProblemError{Offset: before, Problem: "its checkpoint is not whole"}
+		return nil, &RebaseProblemError{Offset: before, Problem: "its checkpoint is incomplete"}
 	}
 	return snapshot, nil
 }
 
-// replay applies the log's entries after the state up to before an offset.
+// replay applies the log's entries after the state, up to but excluding an offset.
 func (f *Follower) replay(ctx context.Context, next *state.State, before topo.Offset) error {
 	for next.Applied()+1 < before {
 		batch, err := f.read(ctx, next.Applied()+1, maxReadEntries, 0)
--- a/follower/rebase_test.go
+++ b/follower/rebase_test.go
@@ -15,10 +15,10 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-const rebaseWait = 3 * time.Minute // for a rebase although not every node answers
+const rebaseWait = 3 * time.Minute // enough for a rebase while not every node responds
 
-// expireForAll brings about a gap for everybody: records that no node has read
-// are appended and leave the log, and one more stays.
+// expireForAll creates a gap for every node: it appends records that no node
+// reads, removes them from the log, and keeps one later record.
 func (s *site) expireForAll(members ...*member) {
 	s.t.Helper()
 	for _, m := range members {
@@ -54,7 +54,7 @@
 			s.submit(m, join(string(rune('a'+i))))
 		}
 		time.Sleep(settle)
-		// Only b has read the last record that it could read.
+		// Only b has applied the last record before the gap.
 		a.log.Down()
 		c.log.Down()
 		s.network.Isolate("b")
@@ -68,7 +68,7 @@
 			m.log.Set(logfault.Faults{SlowAppends: 5 * time.Second})
 		}
 		time.Sleep(4 * follower.DefaultRebaseAfter)
-		s.g.Expect(s.rebases()).To(gomega.BeZero(), "b could not be asked and may be further")
+		s.g.Expect(s.rebases()).To(gomega.BeZero(), "b was unreachable and may have applied more")
 		s.network.Heal()
 		time.Sleep(rebaseWait)
 		for _, m := range []*member{a, b, c} {
@@ -80,15 +80,15 @@
 		for name, want := range map[string]bool{"a": true, "only-b": true, "lost-1": false, "lost-2": false, "kept": true} {
 			s.g.Expect(hasNode(a, name)).To(gomega.Equal(want), name)
 		}
-		// The site goes on, and a process that starts alone follows.
+		// The cluster continues, and a process that starts without peers follows.
 		s.submit(c, join("after"))
 		d := s.start("d", alone)
 		s.sameState(a, d)
 	})
 }
 
-// Nodes that cannot ask each other may all publish their state: the first
-// Rebase record counts for everybody, also for those who were further.
+// Nodes that cannot reach each other may all publish their state: the first
+// Rebase record applies to every node, including those that had applied more.
 func TestConcurrentRebases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
@@ -105,7 +105,7 @@
 			m.log.Set(logfault.Faults{SlowAppends: 5 * time.Second})
 		}
 		time.Sleep(rebaseWait)
-		s.g.Expect(s.rebases()).To(gomega.BeNumerically(">=", 2), "several published")
+		s.g.Expect(s.rebases()).To(gomega.BeNumerically(">=", 2), "several nodes published their state")
 		s.network.Heal()
 		for _, m := range members {
 			m.log.Heal()
@@ -117,8 +117,8 @@
 	})
 }
 
-// A node without a gap adopts the rebase too, so that nobody is left apart; the
-// same record under another lineage changes nothing.
+// A node without a gap adopts the rebase too, so that all nodes have the same
+// state. A Rebase record for another lineage has no effect.
 func TestRebaseAppliesToEveryNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
@@ -153,8 +153,8 @@
 	})
 }
 
-// A Rebase record of an older lineage never takes a node back, also when the
-// node is looking for one.
+// A Rebase record of an older lineage never moves a node back, even while the
+// node searches for a Rebase record.
 func TestStaleRebaseIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
@@ -182,13 +182,12 @@
 		a.log.Heal()
 		time.Sleep(2 * rebaseWait)
 		s.g.Expect(hasNode(a, "newer")).To(gomega.BeTrue())
-		s.g.Expect(a.View().Lineage()).To(gomega.BeNumerically(">", stale), "its own came after")
+		s.g.Expect(a.View().Lineage()).To(gomega.BeNumerically(">", stale), "the node wrote its own rebase later")
 		s.submit(a, join("after"))
 	})
 }
 
-// A node that has no state never publishes one, and says so by having no
-// contact.
+// A node without state never publishes one, and has no contact.
 func TestNoRebaseWithoutState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
--- a/follower/recover.go
+++ b/follower/recover.go
@@ -12,17 +12,17 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// minWindow is the fewest entries that are searched at once for a checkpoint.
+// minWindow is the minimum number of entries searched at once for a checkpoint.
 const minWindow = 256
 
-// foundCheckpoint is a whole checkpoint in the log.
+// foundCheckpoint is a complete checkpoint in the log.
 type foundCheckpoint struct {
 	whole    checkpoint.Whole
 	snapshot *bspb.Snapshot
 }
 
-// recover deals with a log that no longer holds the next record: it looks for
-// a checkpoint in the log, then asks peers, then for a rebase.
+// recover handles a log that no longer retains the next record: it tries a
+// checkpoint in the log, then the state of a peer, then a rebase.
 func (r *logReader) recover(ctx context.Context) error {
 	probe, err := r.f.read(ctx, r.f.applied()+1, 1, 0)
 	first, end := probe.First, probe.End
@@ -53,9 +53,9 @@
 	return probe.First, probe.End, err
 }
 
-// restoreNewest restores the newest whole checkpoint from which the retained
-// records go on, and that is further than the state. It searches backwards from
-// the end of the log in growing windows.
+// restoreNewest restores the newest complete checkpoint that is newer than the
+// state and that the retained records continue. It searches backwards from the
+// end of the log in growing windows.
 func (r *logReader) restoreNewest(ctx context.Context, first, end topo.Offset) bool {
 	window := topo.Offset(max(2*r.f.config.CheckpointEvery, minWindow))
 	for {
@@ -77,8 +77,8 @@
 	}
 }
 
-// search returns the newest whole checkpoint with all chunks in a range; nil
-// when there is none.
+// search returns the newest complete checkpoint with all chunks in a range, or
+// nil if there is none.
 func (r *logReader) search(ctx context.Context, start, end topo.Offset) (*foundCheckpoint, error) {
 	var assembler checkpoint.Assembler
 	var newest *foundCheckpoint
@@ -113,8 +113,8 @@
 	return true
 }
 
-// scan visits the readable records of a range in order until visit returns
-// false. It fails with the log's error.
+// scan visits the decodable records of a range in order until visit returns
+// false. It fails with the log's error, a *GapError or a *RewoundError.
 func (f *Follower) scan(ctx context.Context, start, end topo.Offset, visit func(topo.Offset, *bspb.Record) bool) error {
 	for next := start; next < end; {
 		batch, err := f.read(ctx, next, maxReadEntries, 0)
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// contiguous returns the entries of a batch from next on, without those read
-// again. It fails when there are none or some are missing.
+// contiguous returns the entries of a batch from next on, without duplicates. It
+// fails if there are none or if entries are missing.
 func contiguous(batch platlog.Batch, next topo.Offset) ([]platlog.Entry, error) {
 	entries := make([]platlog.Entry, 0, len(batch.Entries))
 	for _, entry := range batch.Entries {
--- a/follower/recover_test.go
+++ b/follower/recover_test.go
@@ -21,21 +21,21 @@
 // noCheckpoints starts a node that writes no checkpoints of its own.
 func noCheckpoints(c *follower.Config, _ *logfault.Log) { c.CheckpointEvery = 1 << 30 }
 
-// alone starts a node that asks no peers and writes no checkpoints.
+// alone starts a node that has no peers and writes no checkpoints.
 func alone(c *follower.Config, log *logfault.Log) {
 	noCheckpoints(c, log)
 	c.Peers = nil
 }
 
-// A log is laid out by hand; a node that starts alone must restore what is
-// whole, or nothing.
+// A node that starts without peers must restore a complete checkpoint of a given
+// log, or nothing.
 func TestStartFromCheckpoints(t *testing.T) {
-	// Each layout returns the lowest offset that stays and the expected node.
+	// Each layout returns the lowest retained offset and the expected nodes.
 	cases := []struct {
 		name   string
 		layout func(s *site) (first topo.Offset, want []string)
 	}{
-		{"newest whole one", func(s *site) (topo.Offset, []string) {
+		{"newest complete checkpoint", func(s *site) (topo.Offset, []string) {
 			s.put("op@b", 1, join("a"))
 			s.putCheckpoint(s.replayed(), "c1", intact)
 			s.put("op@b", 2, join("b"))
@@ -44,7 +44,7 @@
 			s.put("op@b", 3, join("c"))
 			return first + 1, []string{"a", "b", "c"}
 		}},
-		{"newest is torn", func(s *site) (topo.Offset, []string) {
+		{"newest is incomplete", func(s *site) (topo.Offset, []string) {
 			s.put("op@b", 1, join("a"))
 			before := s.replayed()
 			s.putCheckpoint(before, "c1", intact)
@@ -81,13 +81,13 @@
 			s.put("op@b", 2, join("b"))
 			return before.Applied() + 1, []string{"a", "b"}
 		}},
-		{"only a torn one", func(s *site) (topo.Offset, []string) {
+		{"only an incomplete checkpoint", func(s *site) (topo.Offset, []string) {
 			s.put("op@b", 1, join("a"))
 			before := s.replayed()
 			s.putCheckpoint(before, "c1", truncated)
 			return before.Applied() + 1, nil
 		}},
-		{"records after it are gone", func(s *site) (topo.Offset, []string) {
+		{"records after it are not retained", func(s *site) (topo.Offset, []string) {
 			s.put("op@b", 1, join("a"))
 			before := s.replayed()
 			s.put("op@b", 2, join("b"))
@@ -113,7 +113,7 @@
 	}
 }
 
-// With nothing whole in the log, a node takes a peer's state.
+// Without a complete checkpoint in the log, a node restores a peer's state.
 func TestIncompleteCheckpointAndPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
@@ -129,8 +129,8 @@
 	})
 }
 
-// A node that is paused while the retention limit passes goes on from a
-// checkpoint; its submissions under way end with an unknown fate.
+// A node that is paused until the log drops its next record continues from a
+// checkpoint; its submissions in flight end with an unknown outcome.
 func TestRetentionPassedWhilePaused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{Records: 60})
@@ -162,8 +162,8 @@
 	})
 }
 
-// The last checkpoint leaves the log by age while nothing happens: it is
-// written again, so that a process that starts alone finds one.
+// After the log dropped the last checkpoint by age, it is written again although
+// there are no new records, so that a process that starts without peers finds one.
 func TestRetentionPassesEveryCheckpoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{Age: time.Minute})
@@ -175,7 +175,7 @@
 		b.log.Down()
 		time.Sleep(3 * time.Minute)
 		first, end := s.store.Bounds()
-		s.g.Expect(first).To(gomega.Equal(end), "nothing is left")
+		s.g.Expect(first).To(gomega.Equal(end), "the log is empty")
 		a.log.Heal()
 		b.log.Heal()
 		time.Sleep(10 * time.Second)
@@ -206,8 +206,8 @@
 		s.g.Expect(written).To(gomega.BeNumerically("~", 200/20, 2))
 		s.g.Expect(len(writers)).To(gomega.BeNumerically(">", 1), "the work is spread")
 
-		// Two of three are gone although the state still lists them: the third
-		// takes over later.
+		// Two of three nodes are stopped but still listed in the state: the third
+		// takes over after a delay.
 		members[1].Stop()
 		members[2].Stop()
 		for range 200 {
@@ -219,7 +219,8 @@
 	})
 }
 
-// checkpoints counts the whole checkpoints in the store and who wrote them.
+// checkpoints returns the number of complete checkpoints in the store and their
+// writers.
 func (s *site) checkpoints() (writers map[string]bool, total int) {
 	writers = map[string]bool{}
 	for _, rec := range s.records() {
@@ -231,8 +232,8 @@
 	return writers, total
 }
 
-// A process that starts far behind reads a checkpoint and the records after
-// it, not the whole log.
+// A process that starts far behind reads a checkpoint and the records after it
+// instead of the whole log.
 func TestStartReadsFromTheCheckpoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
--- a/follower/relay_contact_test.go
+++ b/follower/relay_contact_test.go
@@ -15,7 +15,7 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// logEnds remembers from when on the log had each end.
+// logEnds stores when each record was appended to the log.
 type logEnds struct {
 	mu    sync.Mutex
 	since []time.Time // by offset
@@ -40,8 +40,8 @@
 	return held
 }
 
-// Whatever happens to links, relays and the log: a node has applied every
-// record that the log held at the node's contact, and never goes back.
+// Under faults of links, relays and the log, a node has applied every record that
+// was in the log at the time of its contact, and its state never moves back.
 func TestContactThroughRelaysIsNeverTooFresh(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -86,7 +86,7 @@
 	s.sameState(all...)
 }
 
-// injectOne changes one thing about the network or a node's log.
+// injectOne injects or removes one random fault of the network or a node's log.
 func injectOne(s *site, members map[topo.NodeID]*member, names []topo.NodeID, random *rand.Rand) {
 	one, other := names[random.IntN(len(names))], names[random.IntN(len(names))]
 	some := func(most int) time.Duration { return time.Duration(random.IntN(most)) * time.Millisecond }
--- a/follower/relay_test.go
+++ b/follower/relay_test.go
@@ -21,13 +21,13 @@
 )
 
 const (
-	// leaseTTL is the lease TTL that belongs to the default PollWait: contact that
-	// is older gives a lessor no right.
+	// leaseTTL is the lease TTL for the default PollWait. A lessor whose contact is
+	// older may not renew.
 	leaseTTL = 5 * follower.DefaultPollWait
-	// maxContactAge is what is promised when one or two sources fail, see
+	// maxContactAge is the documented bound while one or two sources fail, see
 	// docs/design/log-and-state.md.
 	maxContactAge = 9 * follower.DefaultPollWait / 2
-	// relayReturnWait is long enough to turn back to a relay that failed.
+	// relayReturnWait is long enough for nodes to return to a relay that failed.
 	relayReturnWait = 3 * time.Minute
 )
 
@@ -49,7 +49,7 @@
 
 func source(m *member) topo.NodeID { return topo.NodeID(m.Dump(time.Now()).Source) }
 
-// split returns the nodes that read the log and those that follow.
+// split returns the nodes that read the log and those that read through a relay.
 func split(members map[topo.NodeID]*member) (readers, followers []topo.NodeID) {
 	for id, m := range members {
 		if source(m) == "log" {
@@ -61,7 +61,7 @@
 	return readers, followers
 }
 
-// oldestContact samples a node's contact for a while and returns its greatest age.
+// oldestContact samples a node's contact over span and returns its maximum age.
 func oldestContact(m *member, span time.Duration) time.Duration {
 	var age time.Duration
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(7 * time.Millisecond) {
@@ -84,7 +84,7 @@
 			before[id] = m.reads.Load()
 		}
 		for _, id := range followers {
-			// As fresh as by reading the log itself.
+			// The same bound as for reading the log directly.
 			s.g.Expect(oldestContact(members[id], 10*time.Second)).To(gomega.BeNumerically("<=", 2*follower.DefaultPollWait+10*time.Millisecond))
 		}
 		for _, id := range followers {
@@ -101,15 +101,15 @@
 	})
 }
 
-// A node that starts has no view that tells relays, and reads the log, also
-// when no relay of its zone can be reached.
+// A starting node reads the log, because its view lists no relays yet, even if it
+// can reach no relay of its zone.
 func TestAStartingNodeReadsTheLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, members := relayedSite(t, 1, "a", "b")
 		relay, _ := split(members)
 		started := s.start("c", func(*follower.Config, *logfault.Log) { s.network.Isolate("c") })
 		s.submit(started, join("c"))
-		time.Sleep(settle) // contact is noted after the record
+		time.Sleep(settle) // contact is renewed after the record is applied
 		s.g.Expect(oldestContact(started, 2*settle)).To(gomega.BeNumerically("<", leaseTTL))
 		s.g.Expect(started.reads.Load()).To(gomega.BeNumerically(">", 10))
 		s.network.Heal()
@@ -120,8 +120,8 @@
 	})
 }
 
-// Whatever happens to a relay, the nodes behind it keep contact that gives the
-// right to renew, go on applying, and come back to it.
+// While a relay fails, the nodes that read through it keep contact recent enough
+// to renew leases, continue to apply records, and return to the relay afterwards.
 func TestRelayFailure(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -131,14 +131,14 @@
 		{"cut off from its zone", func(s *site, id topo.NodeID, _ *member) { s.network.Isolate(id) }},
 		{"paused", func(s *site, id topo.NodeID, relay *member) { s.network.Pause(id); relay.log.Down() }},
 		{"cut off from the log", func(_ *site, _ topo.NodeID, relay *member) { relay.log.Down() }},
-		{"log silent for it", func(_ *site, _ topo.NodeID, relay *member) { relay.log.Set(logfault.Faults{Silent: true}) }},
+		{"log unresponsive for it", func(_ *site, _ topo.NodeID, relay *member) { relay.log.Set(logfault.Faults{Silent: true}) }},
 		{"log slow for it", func(_ *site, _ topo.NodeID, relay *member) { relay.log.Set(logfault.Faults{Slow: 2 * time.Second}) }},
 		{"slow", func(s *site, id topo.NodeID, _ *member) {
 			for _, other := range []topo.NodeID{"a", "b", "c", "d", "e"} {
 				s.network.Set(id, other, peermem.Fault{Delay: time.Second})
 			}
 		}},
-		{"alone with its followers", func(s *site, id topo.NodeID, relay *member) {
+		{"connected only to its followers", func(s *site, id topo.NodeID, relay *member) {
 			relay.log.Down()
 			s.network.Cut(id, "z")
 		}},
@@ -159,7 +159,7 @@
 					go func() {
 						time.Sleep(time.Second)
 						rec := join("meanwhile")
-						rec.GetJoinNode().Zone = "zone-elsewhere" // the zone's order stays
+						rec.GetJoinNode().Zone = "zone-elsewhere" // keeps the relay order of the zone
 						s.submit(members[followers[1]], rec)
 					}()
 					s.g.Expect(oldestContact(watched, 30*time.Second)).To(gomega.BeNumerically("<=", maxContactAge))
@@ -179,13 +179,13 @@
 	}
 }
 
-// Nodes whose views differ may follow each other. That makes no contact fresh,
+// Nodes with different views may read through each other. That renews no contact,
 // so both read the log.
 func TestCircularFollowingRenewsNoContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
 		s.relays = 1
-		// Each takes the other for its zone's only node.
+		// In each node's view, the other node is the only one of its zone.
 		a := s.start("a", func(c *follower.Config, _ *logfault.Log) { c.Zone = "zone-of-b" })
 		b := s.start("b", func(c *follower.Config, _ *logfault.Log) { c.Zone = "zone-of-a" })
 		for _, name := range []string{"a", "b"} {
@@ -197,13 +197,13 @@
 		for _, m := range []*member{a, b} {
 			s.g.Expect(oldestContact(m, time.Minute)).To(gomega.BeNumerically("<=", maxContactAge))
 		}
-		// One may follow the other while that one reads the log.
+		// One node may read through the other while the other reads the log.
 		s.g.Expect(a.reads.Load() + b.reads.Load()).To(gomega.BeNumerically(">", 200))
 	})
 }
 
-// A follower that was stopped answers nobody who follows it: its state stands
-// still, and it could not hold a read.
+// A stopped follower rejects reads of nodes that follow it, because its state no
+// longer advances and it cannot hold a read open.
 func TestAStoppedRelayIsNotFollowed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, members := relayedSite(t, 1, "a", "b", "c")
@@ -214,8 +214,8 @@
 	})
 }
 
-// A log that is slow for everybody is read by its relays, not by all nodes: that
-// would make it slower still.
+// A log that is slow for all nodes is still read only by the relays, because
+// reads by all nodes would slow it down further.
 func TestASlowLogKeepsItsRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, members := relayedSite(t, 2, "a", "b", "c", "d", "e", "f")
@@ -240,7 +240,7 @@
 	})
 }
 
-// A relay that does not tell its contact, as an older program, is none.
+// A relay that does not report its contact, as an older release, is not used.
 func TestRelayThatReportsNoContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
@@ -255,7 +255,7 @@
 			c.Logger = hclog.New(&hclog.LoggerOptions{Output: &lines})
 		})
 		s.submit(b, join("a"))
-		time.Sleep(settle) // contact is noted after the record
+		time.Sleep(settle) // contact is renewed after the record is applied
 		s.g.Expect(oldestContact(b, time.Minute)).To(gomega.BeNumerically("<=", maxContactAge))
 		s.g.Expect(b.reads.Load()).To(gomega.BeNumerically(">", 50))
 		b.Stop()
@@ -263,7 +263,7 @@
 	})
 }
 
-// Checkpoints, retention and a rebase reach nodes behind a relay.
+// Checkpoints, retention and a rebase reach nodes that read through a relay.
 func TestRecordsExpiredForASiteWithRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, members := relayedSite(t, 2, "a", "b", "c", "d")
@@ -285,8 +285,8 @@
 	})
 }
 
-// A node that was away while the log lost what it needs, and its relay's recent
-// entries too, comes back by a checkpoint.
+// A disconnected node whose next records are neither retained by the log nor among
+// its relay's recent entries recovers from a checkpoint.
 func TestFollowerOfARelayThatLacksItsRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, members := relayedSite(t, 1, "a", "b", "c")
--- a/follower/relays.go
+++ b/follower/relays.go
@@ -10,12 +10,12 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// NodesPerRelay is for how many nodes of a zone there is one relay, so that
-// what a relay answers does not grow with its zone.
+// NodesPerRelay is the number of nodes of a zone per relay, so that the load of a
+// relay does not grow with its zone.
 const NodesPerRelay = 16
 
-// RelayCount returns how many nodes of a zone read the log themselves, least of
-// them at least; all of them when least is 0.
+// RelayCount returns how many nodes of a zone read the log themselves: at least
+// minRelays, or all of them if minRelays is 0.
 func RelayCount(zoneNodes, minRelays int) int {
 	if minRelays == 0 {
 		return zoneNodes
@@ -24,17 +24,18 @@
 	return min(needed, zoneNodes)
 }
 
-// relaysOf returns the zone's relays in a view, see orderOf.
+// relaysOf returns the zone's relays in a view, see relayOrder.
 func relaysOf(view *state.View, zone topo.Zone, minRelays int) []topo.NodeID {
 	ids := relayOrder(view, zone)
 	return ids[:RelayCount(len(ids), minRelays)]
 }
 
-// relayOrder returns the zone's nodes in a view that are not confirmed to be lost:
-// those with the fewest roles of lessor and standby lessor first, since what these
-// spend leaves less for a relay's bytes, then by rendezvous of zone and node.
-// The first are the zone's relays. Nodes with the same view agree; with different views
-// they read the log more often or one through the other, which costs only time.
+// relayOrder returns the zone's nodes in a view that are not confirmed to be lost.
+// Nodes with the fewest roles of lessor and standby lessor come first, because
+// these roles use bandwidth that a relay needs; ties are resolved by a rendezvous
+// hash of zone and node. The first nodes are the zone's relays. Nodes with the same
+// view agree; nodes with different views read the log more often or through each
+// other, which only adds latency.
 func relayOrder(view *state.View, zone topo.Zone) []topo.NodeID {
 	var ids []topo.NodeID
 	for id, node := range view.Nodes() {
@@ -48,7 +49,8 @@
 	return ids
 }
 
-// roleCounts counts of how many groups each node is lessor or standby lessor.
+// roleCounts returns the number of groups of which each node is lessor or standby
+// lessor.
 func roleCounts(view *state.View) map[topo.NodeID]int {
 	counts := map[topo.NodeID]int{}
 	for _, group := range view.Groups() {
@@ -58,9 +60,10 @@
 	return counts
 }
 
-// relaysFor returns the relays that a node of a zone may ask, in its order: the
-// nodes take the first in turn, so that all relays have as many, and the rest by
-// rendezvous, so that a lost relay's nodes spread. A relay asks none.
+// relaysFor returns the relays that a node of a zone may use, in its order of
+// preference. The first relay is assigned round-robin, so that all relays serve
+// about as many nodes; the rest follow in rendezvous order, so that the nodes of a
+// lost relay spread over the others. A relay uses none.
 func relaysFor(view *state.View, zone topo.Zone, minRelays int, node topo.NodeID) []topo.NodeID {
 	ids := relayOrder(view, zone)
 	relays := ids[:RelayCount(len(ids), minRelays)]
@@ -74,7 +77,7 @@
 	return append([]topo.NodeID{first}, rest...)
 }
 
-// sortByWeight puts nodes in the rendezvous order of a role.
+// sortByWeight sorts nodes in the rendezvous order of a role.
 func sortByWeight(ids []topo.NodeID, role string) {
 	weight := func(id topo.NodeID) uint64 { return xxhash.Sum64String(role + "#" + string(id)) }
 	slices.SortFunc(ids, func(a, b topo.NodeID) int {
--- a/follower/ring.go
+++ b/follower/ring.go
@@ -7,8 +7,8 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// ring keeps the most recent entries applied, for peers to read. Its entries
-// follow each other without gaps. It is safe for concurrent use.
+// ring keeps the most recently applied entries for peers to read. Its entries have
+// consecutive offsets. It is safe for concurrent use.
 type ring struct {
 	mu         sync.Mutex
 	maxEntries int
@@ -21,7 +21,8 @@
 	return &ring{maxEntries: maxEntries, maxBytes: maxBytes}
 }
 
-// add appends the next entry and drops the oldest beyond the bounds.
+// add appends the next entry and drops the oldest ones beyond the bounds. The
+// newest entry stays, however large it is.
 func (r *ring) add(entry platlog.Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -34,7 +35,7 @@
 	}
 }
 
-// clear forgets everything, after the state jumped.
+// clear drops all entries, after the state was replaced.
 func (r *ring) clear() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -42,8 +43,8 @@
 	r.bytes = 0
 }
 
-// read returns entries from an offset on, and the lowest offset held; 0 when
-// nothing is held.
+// read returns entries from an offset on, and the lowest offset in the ring, or 0
+// if the ring is empty.
 func (r *ring) read(from topo.Offset, limit int) (entries []platlog.Entry, first topo.Offset) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/follower/serve.go
+++ b/follower/serve.go
@@ -13,24 +13,25 @@
 )
 
 const (
-	maxServedWait          = 2 * time.Second // that a peer may ask for
-	maxServedBytes         = 1 << 20         // of entries in one answer
-	snapshotCacheTTL       = 5 * time.Second // that an encoded snapshot is given again
-	maxConcurrentSnapshots = 1               // snapshots encoded at the same time
+	maxServedWait          = 2 * time.Second // upper bound of the wait that a peer may request
+	maxServedBytes         = 1 << 20         // of entries in one response
+	snapshotCacheTTL       = 5 * time.Second // for which an encoded snapshot is reused
+	maxConcurrentSnapshots = 1               // snapshots encoded concurrently
 	snapshotChunkID        = "peer"
 )
 
-// Serve puts the answers to peers' ReadLog and FetchSnapshot into handlers.
+// Serve registers the handlers of peers' ReadLog and FetchSnapshot calls.
 func (f *Follower) Serve(handlers *peer.Handlers) {
 	snapshots := &snapshotServer{f: f, encoding: make(chan struct{}, maxConcurrentSnapshots)}
 	handlers.ReadLog = f.serveReadLog
 	handlers.Snapshot = snapshots.serve
 }
 
-// serveReadLog returns recent entries, and waits for new ones if asked to.
-// A follower's wait ends when contact is renewed too, so that its next request
-// arrives just after a read of the log began. Without entries although the answer's applied is beyond what was asked for,
-// the caller needs a snapshot.
+// serveReadLog returns recent entries, and waits for new ones if requested.
+// A follower's wait also ends when contact is renewed, so that its next request
+// arrives just after a read of the log began. A response without entries whose
+// applied offset is not below the requested one means that the caller needs a
+// snapshot.
 func (f *Follower) serveReadLog(ctx context.Context, req *bspb.ReadLogRequest) (*bspb.ReadLogResponse, error) {
 	from := max(topo.Offset(req.GetFrom()), 1)
 	wait := min(time.Duration(req.GetWaitMs())*time.Millisecond, maxServedWait)
@@ -41,7 +42,7 @@
 	if req.GetFollows() && f.stopped() {
 		return nil, &StoppedError{}
 	}
-	age := f.contactAgeAt(arrived) // before applied, which has all that it is about
+	age := f.contactAgeAt(arrived) // read before applied, which then covers every record of this contact
 	entries, first := f.ring.read(from, min(max(int(req.GetMax()), 1), maxReadEntries))
 	response := &bspb.ReadLogResponse{
 		First: uint64(first), Applied: uint64(f.applied()),
@@ -59,7 +60,7 @@
 }
 
 // awaitChange waits for records from an offset on, for the end of the wait, and
-// if contact matters, for newer contact.
+// if contact is set, for newer contact.
 func (f *Follower) awaitChange(ctx context.Context, from topo.Offset, wait time.Duration, contact bool) {
 	limited, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
@@ -84,8 +85,8 @@
 	}
 }
 
-// stopped reports whether Stop has ended: then the state stands still, and
-// nobody should follow it.
+// stopped reports whether Stop has completed. The state no longer advances then,
+// so no node should follow it.
 func (f *Follower) stopped() bool {
 	select {
 	case <-f.done:
@@ -95,8 +96,8 @@
 	}
 }
 
-// contactAgeAt returns how much older than a time the contact is, in
-// milliseconds rounded up, 0 when it is younger; nil without contact.
+// contactAgeAt returns the age of the contact at a time, in milliseconds rounded
+// up, 0 if the contact is newer, or nil without contact.
 func (f *Follower) contactAgeAt(at time.Time) *uint32 {
 	contact := f.LastContact()
 	if contact.IsZero() {
@@ -107,8 +108,9 @@
 	return &rounded
 }
 
-// snapshotServer gives peers the whole state. An encoded snapshot is kept for a
-// while, since many peers may start at once; they read the rest as entries.
+// snapshotServer serves the whole state to peers. An encoded snapshot is reused
+// for snapshotCacheTTL, because many peers may start at once; they read later
+// records as entries. The fields after encoding are guarded by its slot.
 type snapshotServer struct {
 	f         *Follower
 	encoding  chan struct{} // a slot for each snapshot being encoded
@@ -117,7 +119,8 @@
 	encodedAt time.Time
 }
 
-// serve answers with nothing unless the state is beyond an offset.
+// serve returns the chunks of a snapshot, or none if the state has no records
+// beyond an offset.
 func (s *snapshotServer) serve(ctx context.Context, beyond topo.Offset) ([]*bspb.CheckpointChunk, error) {
 	if s.f.applied() <= beyond {
 		return nil, nil
--- a/follower/sources.go
+++ b/follower/sources.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	initialAvoidance = 2 * time.Second  // for which a relay that failed is passed over
-	maxAvoidance     = 30 * time.Second // when it fails again and again
-	// maxRelayFailures is how many relays fail one after the other before the log is
-	// read, and for how long it is read then.
+	initialAvoidance = 2 * time.Second  // after the first failure of a relay
+	maxAvoidance     = 30 * time.Second // after repeated failures
+	// After maxRelayFailures consecutive relay failures the log is read for
+	// readLogDuration.
 	maxRelayFailures = 2
 	readLogDuration  = 2 * time.Second
 )
 
-// logSource is the name of the log itself among sources.
+// logSource stands for the log itself among sources.
 const logSource topo.NodeID = ""
 
-// sources decides where a node reads the log: in the log or through a relay. It
-// has no clock of its own.
+// sources decides whether a node reads the log directly or through a relay. The
+// caller passes the current time.
 type sources struct {
 	avoided  map[topo.NodeID]avoidance
-	failures int       // of relays, one after the other
-	logUntil time.Time // the log is read
+	failures int       // consecutive failures of relays
+	logUntil time.Time // the log is read directly until then
 }
 
-// avoidance is a relay that failed.
+// avoidance describes how long a failed relay is avoided.
 type avoidance struct {
 	until time.Time
-	pause time.Duration // how long until was ahead
+	pause time.Duration // length of the avoidance that ends at until
 }
 
 func newSources() *sources { return &sources{avoided: map[topo.NodeID]avoidance{}} }
 
-// choose returns the first relay in order that is not avoided, or logSource.
+// choose returns the first relay that is not avoided, or logSource.
 func (s *sources) choose(now time.Time, ordered []topo.NodeID) topo.NodeID {
 	if now.Before(s.logUntil) {
 		return logSource
@@ -48,7 +48,7 @@
 	return logSource
 }
 
-// noteFailure notes that a relay gave no answer or is behind. A relay that fails
+// noteFailure avoids a relay that did not respond or is behind. A relay that fails
 // again soon is avoided for twice as long.
 func (s *sources) noteFailure(now time.Time, relay topo.NodeID) {
 	pause := initialAvoidance
@@ -61,23 +61,23 @@
 	}
 }
 
-// preferLog turns to the log for a while.
+// preferLog makes the node read the log directly for readLogDuration.
 func (s *sources) preferLog(now time.Time) {
 	s.failures = 0
 	s.logUntil = now.Add(readLogDuration)
 }
 
-// noteSuccess notes that a relay brought what it should.
+// noteSuccess resets the consecutive failures after a usable relay response.
 func (s *sources) noteSuccess() { s.failures = 0 }
 
-// reset turns back to the relays: the log is slow for this node too, so
-// reading it makes contact no fresher.
+// reset makes the relays usable again. It is called when the log is slow for this
+// node too, so that reading it directly would not make contact more recent.
 func (s *sources) reset() {
 	clear(s.avoided)
 	s.logUntil = time.Time{}
 }
 
-// retain forgets relays that are none any longer.
+// retain drops the avoidance of nodes that are no longer relays.
 func (s *sources) retain(relays []topo.NodeID) {
 	for relay := range s.avoided {
 		if !slices.Contains(relays, relay) {
--- a/follower/sources_test.go
+++ b/follower/sources_test.go
@@ -25,7 +25,7 @@
 
 func zoneView(zones, nodes int) *state.View { return zoneState(zones, nodes).View() }
 
-// zoneState is a state of zones with nodes each.
+// zoneState returns a state with this many zones and nodes per zone.
 func zoneState(zones, nodes int) *state.State {
 	whole := state.New()
 	for i := range zones * nodes {
@@ -44,7 +44,7 @@
 	view := zoneView(5, 132)
 	relays := relaysOf(view, "zone-2", 3)
 	g.Expect(relays).To(gomega.HaveLen(9))
-	g.Expect(relaysOf(view, "zone-2", 3)).To(gomega.Equal(relays), "no matter how the view is walked")
+	g.Expect(relaysOf(view, "zone-2", 3)).To(gomega.Equal(relays), "independent of iteration order")
 	asked, second := map[topo.NodeID]int{}, map[topo.NodeID]int{}
 	for id, node := range view.Nodes() {
 		if node.Zone != "zone-2" {
@@ -66,13 +66,12 @@
 		g.Expect(node.Zone).To(gomega.Equal(topo.Zone("zone-2")))
 		g.Expect(asked[relay]).To(gomega.BeNumerically("~", 13, 1), string(relay))
 	}
-	g.Expect(len(second)).To(gomega.BeNumerically(">=", 4), "a lost relay's nodes spread")
+	g.Expect(len(second)).To(gomega.BeNumerically(">=", 4), "nodes of a lost relay spread over the others")
 	g.Expect(relaysFor(view, "zone-2", 3, "unknown")).To(gomega.ConsistOf(relays))
 	g.Expect(relaysOf(view, "zone-elsewhere", 3)).To(gomega.BeEmpty())
 }
 
-// Nodes with fewer roles come first, and nodes that are confirmed lost not at
-// all.
+// Nodes with fewer roles come first; nodes that are confirmed lost are left out.
 func TestRelaysAreNodesWithFewRoles(t *testing.T) {
 	g := gomega.NewWithT(t)
 	whole := zoneState(1, 6)
@@ -109,10 +108,10 @@
 	s.noteFailure(now, "a")
 	g.Expect(s.choose(now, ordered)).To(gomega.Equal(topo.NodeID("b")))
 	s.noteFailure(now, "b")
-	g.Expect(s.choose(now, ordered)).To(gomega.Equal(logSource), "although c was not asked")
+	g.Expect(s.choose(now, ordered)).To(gomega.Equal(logSource), "although c was not tried")
 	now = now.Add(readLogDuration)
 	g.Expect(s.choose(now, ordered)).To(gomega.Equal(topo.NodeID("a")))
-	s.noteFailure(now, "a") // soon again: avoided for longer
+	s.noteFailure(now, "a") // fails again soon: avoided for longer
 	s.noteSuccess()
 	g.Expect(s.choose(now.Add(initialAvoidance), ordered)).To(gomega.Equal(topo.NodeID("b")))
 	g.Expect(s.choose(now.Add(2*initialAvoidance), ordered)).To(gomega.Equal(topo.NodeID("a")))
@@ -130,8 +129,8 @@
 	g.Expect(s.choose(now, ordered)).To(gomega.Equal(topo.NodeID("a")))
 }
 
-// Contact is as old as the relay's when the request arrived, and a little
-// older, since the relay's clock may be slower.
+// Contact through a relay is as old as the relay's contact when the request
+// arrived, plus a drift allowance, because the relay's clock may be slower.
 func TestRelayContactIncludesAgeAndDrift(t *testing.T) {
 	g := gomega.NewWithT(t)
 	begun := time.Unix(100, 0)
@@ -140,8 +139,8 @@
 		To(gomega.Equal(begun.Add(-10*time.Second - 4*time.Millisecond)))
 }
 
-// The age that a relay tells is rounded up, never negative, and absent without
-// contact.
+// The contact age that a relay reports is rounded up, never negative, and absent
+// without contact.
 func TestContactAgeAt(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := New(Config{Node: "a", Boot: "b"})
@@ -169,8 +168,8 @@
 	g.Expect(a.f.LastContact()).To(gomega.Equal(begun), "never older")
 }
 
-// TestContactAgesWhileTheMachineIsSuspended: the age that a relay tells counts
-// by the configured clock, which goes on during a suspension.
+// The contact age that a relay reports is measured by the configured clock, which
+// advances while the machine is suspended.
 func TestContactAgesWhileTheMachineIsSuspended(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Now()
--- a/follower/submit.go
+++ b/follower/submit.go
@@ -9,19 +9,19 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// submission is one Submit under way.
+// submission is a Submit call in flight.
 type submission struct {
 	ctx    context.Context
 	record *bspb.Record
-	// appendOnly asks for the offset of the append, without its result.
+	// appendOnly requests the offset of the append, without the record's result.
 	appendOnly bool
-	// claimed is set by whoever comes first: the appender, or the caller giving
-	// up while the record still waits in the queue.
+	// claimed is set by the appender when it takes the record from the queue, or
+	// by the caller when it abandons the record before that.
 	claimed  atomic.Bool
-	response chan submitResponse // capacity 1; gets exactly one answer at most
+	response chan submitResponse // capacity 1; receives at most one response
 }
 
-// submitResponse is the end of one Submit.
+// submitResponse is the result of a Submit call.
 type submitResponse struct {
 	outcome Fate
 	err     error
@@ -29,14 +29,14 @@
 
 // Submit implements Appender. Errors are *NotAppendedError, with a
 // *QueueFullError, the log's or the context's error as cause, and
-// *UnknownFateError. The record is not changed and must not be changed by the
-// caller afterwards.
+// *UnknownOutcomeError. Submit does not change the record, and the caller must
+// not change it afterwards.
 func (f *Follower) Submit(ctx context.Context, rec *bspb.Record) (Fate, error) {
 	return f.await(&submission{ctx: ctx, record: rec, response: make(chan submitResponse, 1)})
 }
 
-// appendOnly appends a record and returns its offset, or that of the copy that
-// the log answered last. It is used where no record can be applied.
+// appendOnly appends a record and returns the offset that the log confirmed. It is
+// used while no record can be applied, so that outcomes cannot be read back.
 func (f *Follower) appendOnly(ctx context.Context, rec *bspb.Record) (topo.Offset, error) {
 	outcome, err := f.await(&submission{
 		ctx: ctx, record: rec, appendOnly: true, response: make(chan submitResponse, 1),
@@ -44,7 +44,7 @@
 	return outcome.Offset, err
 }
 
-// await queues a submission and waits for its end.
+// await queues a submission and waits for its response.
 func (f *Follower) await(s *submission) (Fate, error) {
 	select {
 	case <-f.done:
@@ -67,8 +67,8 @@
 	}
 }
 
-// abandon ends a Submit at once. If the record still waits in the queue, it will
-// never be appended; if its answer has just come, that is returned.
+// abandon ends a Submit call at once. A record that is still queued will never be
+// appended. A response that has just arrived is returned.
 func (s *submission) abandon(cause error) (Fate, error) {
 	if s.claimed.CompareAndSwap(false, true) {
 		count(metricNotAppended, 1)
--- a/follower/submit_test.go
+++ b/follower/submit_test.go
@@ -45,8 +45,8 @@
 	})
 }
 
-// Under each fault a submitted record takes effect once, or never when the
-// submitter was told so; a later RemoveNode shows a copy that lands after it.
+// Under each fault a submitted record takes effect once, or never if Submit fails
+// with a *NotAppendedError. A later RemoveNode reveals copies appended after it.
 func TestSubmitUnderFaults(t *testing.T) {
 	cases := []struct {
 		name        string
@@ -57,10 +57,10 @@
 		{"healthy", logfault.Faults{}, false, 1},
 		{"down", logfault.Faults{AppendsDown: true}, true, 0},
 		{"slow", logfault.Faults{Slow: 1500 * time.Millisecond}, false, 1},
-		{"answer lost", logfault.Faults{LoseAnswers: 1}, false, 1},
-		{"answers lost again and again", logfault.Faults{LoseAnswers: 5}, false, 1},
+		{"response lost", logfault.Faults{LoseAnswers: 1}, false, 1},
+		{"responses lost repeatedly", logfault.Faults{LoseAnswers: 5}, false, 1},
 		{"request lost", logfault.Faults{LoseRequests: 1}, false, 1},
-		{"requests lost again and again", logfault.Faults{LoseRequests: 4}, false, 1},
+		{"requests lost repeatedly", logfault.Faults{LoseRequests: 4}, false, 1},
 		{"late", logfault.Faults{LateAppends: 1, LateBy: 2 * time.Second}, false, 2},
 		{"late twice", logfault.Faults{LateAppends: 2, LateBy: 2 * time.Second}, false, 3},
 		{"read again", logfault.Faults{Repeat: 3}, false, 1},
@@ -101,8 +101,8 @@
 	return found
 }
 
-// A record that was given up takes no effect once its writer's next record has
-// been applied, however late it lands.
+// An abandoned record has no effect once its writer's next record has been
+// applied, however late it is appended.
 func TestAbandonedRecordIsFencedByTheNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
@@ -113,7 +113,7 @@
 		_, err := a.Submit(s.within(200*time.Millisecond), join("late"))
 		var unknown *follower.UnknownFateError
 		s.g.Expect(errors.As(err, &unknown)).To(gomega.BeTrue())
-		s.g.Expect(time.Since(begun)).To(gomega.Equal(200*time.Millisecond), "answered at once")
+		s.g.Expect(time.Since(begun)).To(gomega.Equal(200*time.Millisecond), "returned when its context ended")
 		a.log.Heal()
 		s.submit(a, remove("x"))
 		a.log.Settle()
@@ -123,7 +123,7 @@
 	})
 }
 
-// When the first copy may have landed, a later refusal proves nothing.
+// A refused append proves nothing if an earlier copy may have been appended.
 func TestRefusalAfterALostResponseIsInconclusive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
@@ -205,8 +205,8 @@
 	})
 }
 
-// Assignments that wait together share one append, and each submitter gets the
-// fate of its own.
+// Queued assignments share one append, and each submitter gets the outcome of its
+// own assignments.
 func TestAssignmentsShareAnAppend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
@@ -229,7 +229,7 @@
 			s.g.Expect(outcome.Accepted).To(gomega.Equal(i < 4))
 			s.g.Expect(outcome.RejectedShards).To(gomega.Equal(map[bool][]int{true: {1}, false: {0, 1}}[i < 4]))
 		}
-		s.g.Expect(offsets).To(gomega.HaveLen(2), "the first alone, the others together")
+		s.g.Expect(offsets).To(gomega.HaveLen(2), "the first by itself, the others in one record")
 		for i := range uint32(4) {
 			owned, _ := a.View().Shard(topo.ShardID{Service: "wells", Index: i})
 			s.g.Expect(owned.Owner).To(gomega.Equal(topo.ServerID("v")))
@@ -237,7 +237,7 @@
 	})
 }
 
-// assignTwo assigns the i-th shard of four, and one that does not exist.
+// assignTwo assigns the i-th of four shards, and a shard that does not exist.
 func assignTwo(i int) *bspb.Record {
 	assignment := func(index int) *bspb.Assignment {
 		return &bspb.Assignment{Shard: &bspb.ShardRef{Service: "wells", Index: uint32(index)}, Owner: "v"}
--- a/follower/timeout.go
+++ b/follower/timeout.go
@@ -7,13 +7,12 @@
 	"time"
 )
 
-// responseTimeFactor is how many times the last answer's time a call may take.
+// responseTimeFactor bounds a call by a multiple of the last response time.
 const responseTimeFactor = 4
 
-// adaptiveTimeout is how long a call to the log may go without an answer. It is short
-// at first, so that a silent connection is replaced soon, and doubles while
-// calls time out, so that a slow log is still used. It is safe for concurrent
-// use.
+// adaptiveTimeout bounds the response time of calls to the log. It starts short,
+// so that a stalled connection is replaced soon, and doubles while calls time
+// out, so that a slow log remains usable. It is safe for concurrent use.
 type adaptiveTimeout struct {
 	mu               sync.Mutex
 	initial, maximum time.Duration
@@ -24,16 +23,16 @@
 	return &adaptiveTimeout{initial: initial, maximum: max(initial, maximum), current: initial}
 }
 
-// limit returns a context that ends when the patience does, counted after a
-// time for which the call is expected to be held.
+// limit returns a context that ends after the current timeout plus held, the
+// time for which the server is expected to hold the call open.
 func (t *adaptiveTimeout) limit(ctx context.Context, held time.Duration) (context.Context, context.CancelFunc) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return context.WithTimeout(ctx, held+t.current)
 }
 
-// observe takes what became of a call that took some time beyond the time for
-// which it was held.
+// observe adapts the timeout to a call's error and its response time, without
+// the time for which the call was held open.
 func (t *adaptiveTimeout) observe(took time.Duration, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/follower/write_rebase.go
+++ b/follower/write_rebase.go
@@ -11,13 +11,13 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// unreachableFactor is how many times longer a rebase waits when some node could
-// not be asked: that node may be further.
+// unreachableFactor multiplies RebaseAfter while a node cannot be reached,
+// because that node may have applied more records.
 const unreachableFactor = 6
 
-// proposeRebase publishes this node's state again when the retention limit has
-// passed records that no node has, and this node is the furthest. Several
-// nodes may do so at once: the first Rebase record in the log counts.
+// proposeRebase publishes this node's state again when the log dropped records
+// that no node has applied and this node has applied the most. Several nodes may
+// do so concurrently: the first Rebase record in the log takes effect.
 func (r *logReader) proposeRebase(ctx context.Context, first topo.Offset) error {
 	now := time.Now()
 	if r.gapSince.IsZero() {
@@ -33,16 +33,16 @@
 		wait *= unreachableFactor
 	}
 	if !furthest {
-		return &RebaseProblemError{Problem: "left to a node that is further"}
+		return &RebaseProblemError{Problem: "left to a node that takes precedence"}
 	}
 	if now.Sub(r.gapSince) < wait {
-		return &RebaseProblemError{Problem: "no rebase in the log yet"}
+		return &RebaseProblemError{Problem: "waiting for a rebase record in the log"}
 	}
 	return r.writeRebase(ctx, first)
 }
 
-// comparePeers reports whether no peer is further than this node, or as far with a
-// lower ID, and whether every node of the state was asked.
+// comparePeers reports whether this node has applied the most records, ties
+// resolved by the lower node ID, and whether every node of the state responded.
 func (r *logReader) comparePeers(ctx context.Context) (furthest, complete bool) {
 	if r.f.config.Peers == nil {
 		return true, len(r.f.View().Nodes()) <= 1
