--- a/record/record.go
+++ b/record/record.go
@@ -1,5 +1,5 @@
-// Package record is the codec of the log's entries: one protobuf envelope per
-// entry, with a format version. It does no I/O.
+// Package record encodes and decodes the entries of the log: one protobuf
+// envelope per entry, with a format version. It does no I/O.
 package record
 
 import (
@@ -19,10 +19,11 @@
 // MaxBytes is the largest encoded record, in bytes.
 const MaxBytes = 1 << 20
 
-// writerSeparator joins node and boot in a writer's name.
+// writerSeparator separates node and boot in a writer name.
 const writerSeparator = "@"
 
-// NewerFormatError reports an entry written by a newer release. Readers skip it.
+// NewerFormatError reports an entry written by a newer release. Readers skip the
+// entry.
 type NewerFormatError struct{ Format uint32 }
 
 // Error implements error.
@@ -30,7 +31,7 @@
 	return fmt.Sprintf("record: format %d is newer than %d", e.Format, Format)
 }
 
-// DecodeError reports an entry that is not a record. Readers skip it.
+// DecodeError reports an entry that is not a valid record. Readers skip the entry.
 type DecodeError struct {
 	Problem string
 	Cause   error // may be nil
@@ -55,8 +56,9 @@
 	return fmt.Sprintf("record: %d bytes, at most %d allowed", e.Bytes, MaxBytes)
 }
 
-// Encode returns the bytes of a record, deterministically. It fails with a
-// *SizeError, or with a *DecodeError when the record could not be read back.
+// Encode returns the deterministic encoding of a record. It fails with a
+// *SizeError, and with a *DecodeError or a *NewerFormatError if the record could
+// not be decoded again.
 func Encode(rec *bspb.Record) ([]byte, error) {
 	if err := check(rec); err != nil {
 		return nil, err
@@ -71,8 +73,8 @@
 	return data, nil
 }
 
-// Decode reads an entry's bytes. It fails with a *NewerFormatError or a
-// *DecodeError; the reader skips the entry in both cases.
+// Decode decodes an entry. It fails with a *NewerFormatError or a *DecodeError;
+// readers skip the entry in both cases.
 func Decode(data []byte) (*bspb.Record, error) {
 	rec := &bspb.Record{}
 	if err := proto.Unmarshal(data, rec); err != nil {
@@ -103,12 +105,13 @@
 	return nil
 }
 
-// Writer returns the writer's name of one run of a node.
+// Writer returns the writer name of one incarnation of a node.
 func Writer(node topo.NodeID, boot topo.BootID) string {
 	return string(node) + writerSeparator + string(boot)
 }
 
-// ParseWriter splits a writer's name at its last separator.
+// ParseWriter splits a writer name at its last separator. It returns false if the
+// name is invalid.
 func ParseWriter(writer string) (topo.NodeID, topo.BootID, bool) {
 	at := strings.LastIndex(writer, writerSeparator)
 	if at <= 0 || at == len(writer)-1 {
--- a/record/record_test.go
+++ b/record/record_test.go
@@ -29,14 +29,14 @@
 	g.Expect(proto.Equal(got, valid())).To(gomega.BeTrue())
 }
 
-func TestRefused(t *testing.T) {
+func TestInvalidRecordsAreRejected(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(*bspb.Record)
 		newer  bool
 	}{
 		{"newer format", func(r *bspb.Record) { r.Format = record.Format + 1 }, true},
-		{"newer format with a body of its own", func(r *bspb.Record) { r.Format, r.Body = record.Format+1, nil }, true},
+		{"newer format with an unknown body", func(r *bspb.Record) { r.Format, r.Body = record.Format+1, nil }, true},
 		{"no format", func(r *bspb.Record) { r.Format = 0 }, false},
 		{"no writer", func(r *bspb.Record) { r.Writer = "" }, false},
 		{"no sequence", func(r *bspb.Record) { r.Sequence = 0 }, false},
@@ -79,7 +79,7 @@
 	}
 }
 
-// Whatever is decoded can be encoded, and decodes to the same again.
+// Every decoded record can be encoded, and decodes to an equal record.
 func FuzzDecode(f *testing.F) {
 	data, err := record.Encode(valid())
 	if err != nil {
