--- a/checkpoint/assemble.go
+++ b/checkpoint/assemble.go
@@ -10,18 +10,18 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// maxPartial bounds how many incomplete checkpoints are held at once.
+// maxPartial bounds the incomplete checkpoints tracked at the same time.
 const maxPartial = 4
 
-// TornError reports chunks that do not make a checkpoint.
-type TornError struct {
+// DamagedError reports chunks that do not form a valid checkpoint.
+type DamagedError struct {
 	ID      string // may be empty
 	Problem string
 	Cause   error // may be nil
 }
 
 // Error implements error.
-func (e *TornError) Error() string {
+func (e *DamagedError) Error() string {
 	text := fmt.Sprintf("checkpoint %q: %s", e.ID, e.Problem)
 	if e.Cause == nil {
 		return text
@@ -30,40 +30,42 @@
 }
 
 // Unwrap returns the cause.
-func (e *TornError) Unwrap() error { return e.Cause }
-
-// partial is a checkpoint of which some chunks are missing.
-type partial struct {
-	whole  Whole
-	count  uint32
-	chunks [][]byte
-	held   uint32
+func (e *DamagedError) Unwrap() error { return e.Cause }
+
+// partialCheckpoint is a checkpoint with missing chunks.
+type partialCheckpoint struct {
+	info     Info
+	count    uint32
+	chunks   [][]byte
+	received uint32
 }
 
-// Assembler collects chunks as they are read from the log. Chunks of several
-// checkpoints may be mixed, repeated, or missing. The zero value is ready.
+// Assembler assembles checkpoints from chunks in the order in which they are read
+// from the log. Chunks of several checkpoints may be interleaved, repeated, or
+// missing. The zero value is ready to use.
 type Assembler struct {
-	partials []*partial // oldest first
+	partials []*partialCheckpoint // oldest first
 }
 
-// Add takes the chunk at offset. It returns the checkpoint and its snapshot
-// when the chunk completes one, and a *TornError when it cannot belong to one;
-// the checkpoint is then dropped.
-func (a *Assembler) Add(offset topo.Offset, chunk *bspb.CheckpointChunk) (*Whole, *bspb.Snapshot, error) {
+// Add adds the chunk at offset. It returns the checkpoint and its snapshot if the
+// chunk completes one, and a *DamagedError if the chunk is invalid, contradicts its
+// checkpoint, makes it too large, or completes a damaged one. The checkpoint is
+// dropped then, unless the chunk itself is invalid.
+func (a *Assembler) Add(offset topo.Offset, chunk *bspb.CheckpointChunk) (*Info, *bspb.Snapshot, error) {
 	if err := checkChunk(chunk); err != nil {
 		return nil, nil, err
 	}
 	p := a.find(offset, chunk)
 	if !p.matches(chunk) {
 		a.drop(p)
-		return nil, nil, &TornError{ID: chunk.GetId(), Problem: "chunks of different checkpoints"}
+		return nil, nil, &DamagedError{ID: chunk.GetId(), Problem: "chunks of different checkpoints have the same id"}
 	}
 	p.add(offset, chunk)
-	if p.whole.Bytes > MaxSnapshotBytes {
+	if p.info.Bytes > MaxSnapshotBytes {
 		a.drop(p)
-		return nil, nil, &TornError{ID: chunk.GetId(), Problem: "too large"}
+		return nil, nil, &DamagedError{ID: chunk.GetId(), Problem: "too large"}
 	}
-	if p.held < p.count {
+	if p.received < p.count {
 		return nil, nil, nil
 	}
 	a.drop(p)
@@ -71,7 +73,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	return &p.whole, snapshot, nil
+	return &p.info, snapshot, nil
 }
 
 func checkChunk(chunk *bspb.CheckpointChunk) error {
@@ -80,26 +82,26 @@
 	case chunk.GetId() == "":
 		problem = "no id"
 	case chunk.GetCount() == 0 || chunk.GetCount() > MaxChunks:
-		problem = "impossible count"
+		problem = "chunk count out of range"
 	case chunk.GetIndex() >= chunk.GetCount():
-		problem = "index beyond count"
+		problem = "chunk index out of range"
 	case len(chunk.GetDigest()) != sha256.Size:
-		problem = "no digest"
+		problem = "digest is missing or has the wrong length"
 	}
 	if problem == "" {
 		return nil
 	}
-	return &TornError{ID: chunk.GetId(), Problem: problem}
+	return &DamagedError{ID: chunk.GetId(), Problem: problem}
 }
 
-func (a *Assembler) find(offset topo.Offset, chunk *bspb.CheckpointChunk) *partial {
+func (a *Assembler) find(offset topo.Offset, chunk *bspb.CheckpointChunk) *partialCheckpoint {
 	for _, p := range a.partials {
-		if p.whole.ID == chunk.GetId() {
+		if p.info.ID == chunk.GetId() {
 			return p
 		}
 	}
-	p := &partial{
-		whole: Whole{
+	p := &partialCheckpoint{
+		info: Info{
 			ID:         chunk.GetId(),
 			Applied:    topo.Offset(chunk.GetApplied()),
 			FirstChunk: offset,
@@ -115,24 +117,24 @@
 	return p
 }
 
-func (a *Assembler) drop(gone *partial) {
+func (a *Assembler) drop(target *partialCheckpoint) {
 	for i, p := range a.partials {
-		if p == gone {
+		if p == target {
 			a.partials = append(a.partials[:i], a.partials[i+1:]...)
 			return
 		}
 	}
 }
 
-func (p *partial) matches(chunk *bspb.CheckpointChunk) bool {
+func (p *partialCheckpoint) matches(chunk *bspb.CheckpointChunk) bool {
 	return p.count == chunk.GetCount() &&
-		p.whole.Applied == topo.Offset(chunk.GetApplied()) &&
-		bytes.Equal(p.whole.Digest, chunk.GetDigest())
+		p.info.Applied == topo.Offset(chunk.GetApplied()) &&
+		bytes.Equal(p.info.Digest, chunk.GetDigest())
 }
 
-func (p *partial) add(offset topo.Offset, chunk *bspb.CheckpointChunk) {
-	p.whole.FirstChunk = min(p.whole.FirstChunk, offset)
-	p.whole.LastChunk = max(p.whole.LastChunk, offset)
+func (p *partialCheckpoint) add(offset topo.Offset, chunk *bspb.CheckpointChunk) {
+	p.info.FirstChunk = min(p.info.FirstChunk, offset)
+	p.info.LastChunk = max(p.info.LastChunk, offset)
 	if p.chunks[chunk.GetIndex()] != nil {
 		return
 	}
@@ -141,38 +143,38 @@
 		data = []byte{}
 	}
 	p.chunks[chunk.GetIndex()] = data
-	p.held++
-	p.whole.Bytes += len(data)
+	p.received++
+	p.info.Bytes += len(data)
 }
 
-func (p *partial) snapshot() (*bspb.Snapshot, error) {
+func (p *partialCheckpoint) snapshot() (*bspb.Snapshot, error) {
 	data := bytes.Join(p.chunks, nil)
 	digest := sha256.Sum256(data)
-	if !bytes.Equal(digest[:], p.whole.Digest) {
-		return nil, &TornError{ID: p.whole.ID, Problem: "digest differs"}
+	if !bytes.Equal(digest[:], p.info.Digest) {
+		return nil, &DamagedError{ID: p.info.ID, Problem: "digest does not match the data"}
 	}
 	snapshot, err := decompress(data)
 	if err != nil {
 		return nil, err
 	}
-	if topo.Offset(snapshot.GetApplied()) != p.whole.Applied {
-		return nil, &TornError{ID: p.whole.ID, Problem: "offset differs"}
+	if topo.Offset(snapshot.GetApplied()) != p.info.Applied {
+		return nil, &DamagedError{ID: p.info.ID, Problem: "applied offset does not match the snapshot"}
 	}
 	return snapshot, nil
 }
 
-// Join assembles chunks that arrived outside the log, such as from a peer. It
-// fails with a *TornError unless they make exactly one checkpoint.
+// Join assembles chunks that were not read from the log, such as a peer's. It
+// fails with a *DamagedError unless they form exactly one checkpoint.
 func Join(chunks []*bspb.CheckpointChunk) (*bspb.Snapshot, error) {
 	var assembler Assembler
 	for i, chunk := range chunks {
-		whole, snapshot, err := assembler.Add(topo.Offset(i+1), chunk)
+		info, snapshot, err := assembler.Add(topo.Offset(i+1), chunk)
 		if err != nil {
 			return nil, err
 		}
-		if whole != nil && i == len(chunks)-1 {
+		if info != nil && i == len(chunks)-1 {
 			return snapshot, nil
 		}
 	}
-	return nil, &TornError{Problem: "incomplete"}
+	return nil, &DamagedError{Problem: "incomplete"}
 }
--- a/checkpoint/bench_test.go
+++ b/checkpoint/bench_test.go
@@ -9,11 +9,11 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// ownedShards is a snapshot of shards on 1,000 servers.
+// ownedShards returns a snapshot of owned shards on 1,000 servers.
 func ownedShards(count int) *bspb.Snapshot {
-	whole := &bspb.Snapshot{Format: 1, Applied: 1}
+	owned := &bspb.Snapshot{Format: 1, Applied: 1}
 	for i := range count {
-		whole.Shards = append(whole.Shards, &bspb.ShardEntry{
+		owned.Shards = append(owned.Shards, &bspb.ShardEntry{
 			Shard:     &bspb.ShardRef{Service: "well-logs", Index: uint32(i)},
 			Fence:     &bspb.Ordinal{Offset: uint64(1_000_000 + i*7919%50_000)},
 			Owner:     fmt.Sprintf("server-%04d", i*31%1000),
@@ -21,18 +21,19 @@
 			Standby:   fmt.Sprintf("server-%04d", i*17%1000),
 		})
 	}
-	return whole
+	return owned
 }
 
-// BenchmarkSplit reports the bytes that one checkpoint adds to the log.
+// BenchmarkSplit reports the chunk data that one checkpoint adds to the log, in
+// bytes.
 func BenchmarkSplit(b *testing.B) {
 	for _, shards := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("shards=%d", shards), func(b *testing.B) {
-			whole := ownedShards(shards)
+			owned := ownedShards(shards)
 			b.ReportAllocs()
 			bytes, count := 0, 0
 			for b.Loop() {
-				chunks, err := checkpoint.Split(whole, "a/1", checkpoint.ChunkBytes)
+				chunks, err := checkpoint.Split(owned, "a/1", checkpoint.ChunkBytes)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/checkpoint/checkpoint_test.go
+++ b/checkpoint/checkpoint_test.go
@@ -42,13 +42,13 @@
 	var got []uint64
 	offset := topo.Offset(100)
 	add := func(chunk *bspb.CheckpointChunk) {
-		whole, complete, err := assembler.Add(offset, chunk)
+		info, complete, err := assembler.Add(offset, chunk)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		tracked, isWhole := tracker.Add(offset, chunk)
-		g.Expect(isWhole).To(gomega.Equal(whole != nil))
-		if whole != nil {
-			g.Expect(tracked).To(gomega.Equal(*whole))
-			g.Expect(whole.LastChunk).To(gomega.Equal(offset))
+		tracked, isComplete := tracker.Add(offset, chunk)
+		g.Expect(isComplete).To(gomega.Equal(info != nil))
+		if info != nil {
+			g.Expect(tracked).To(gomega.Equal(*info))
+			g.Expect(info.LastChunk).To(gomega.Equal(offset))
 			g.Expect(proto.Equal(complete, snapshot(complete.GetApplied()))).To(gomega.BeTrue())
 			got = append(got, complete.GetApplied())
 		}
@@ -67,7 +67,7 @@
 	g.Expect(got).To(gomega.ConsistOf(uint64(7), uint64(9)))
 }
 
-func TestTornCheckpointIsNeverUsed(t *testing.T) {
+func TestDamagedCheckpointIsNeverUsed(t *testing.T) {
 	cases := []struct {
 		name string
 		tear func([]*bspb.CheckpointChunk) []*bspb.CheckpointChunk
@@ -75,13 +75,13 @@
 		{"last chunk missing", func(c []*bspb.CheckpointChunk) []*bspb.CheckpointChunk { return c[:len(c)-1] }},
 		{"first chunk missing", func(c []*bspb.CheckpointChunk) []*bspb.CheckpointChunk { return c[1:] }},
 		{"data changed", func(c []*bspb.CheckpointChunk) []*bspb.CheckpointChunk { c[1].Data[0] ^= 1; return c }},
-		{"data cut", func(c []*bspb.CheckpointChunk) []*bspb.CheckpointChunk { c[1].Data = c[1].Data[1:]; return c }},
+		{"data truncated", func(c []*bspb.CheckpointChunk) []*bspb.CheckpointChunk { c[1].Data = c[1].Data[1:]; return c }},
 		{"another digest", func(c []*bspb.CheckpointChunk) []*bspb.CheckpointChunk {
 			c[1].Digest = make([]byte, 32)
 			return c
 		}},
 		{"another offset", func(c []*bspb.CheckpointChunk) []*bspb.CheckpointChunk { c[1].Applied++; return c }},
-		{"all say another offset", func(c []*bspb.CheckpointChunk) []*bspb.CheckpointChunk {
+		{"another offset in all chunks", func(c []*bspb.CheckpointChunk) []*bspb.CheckpointChunk {
 			for _, chunk := range c {
 				chunk.Applied++
 			}
@@ -101,28 +101,28 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			_, err := checkpoint.Join(c.tear(split(t, 7, "a/1")))
-			var torn *checkpoint.TornError
-			g.Expect(errors.As(err, &torn)).To(gomega.BeTrue())
+			var damaged *checkpoint.DamagedError
+			g.Expect(errors.As(err, &damaged)).To(gomega.BeTrue())
 		})
 	}
 }
 
-func TestManyTornCheckpointsAreBounded(t *testing.T) {
+func TestIncompleteCheckpointsAreBounded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var assembler checkpoint.Assembler
 	for i := range 100 {
 		_, _, err := assembler.Add(1, split(t, 7, "torn/"+string(rune('a'+i)))[0])
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 	}
-	var whole *checkpoint.Whole
+	var info *checkpoint.Info
 	for _, chunk := range split(t, 8, "whole") {
-		whole, _, _ = assembler.Add(2, chunk)
+		info, _, _ = assembler.Add(2, chunk)
 	}
-	g.Expect(whole).NotTo(gomega.BeNil())
+	g.Expect(info).NotTo(gomega.BeNil())
 }
 
-// Whatever chunks arrive, they make a snapshot or a typed error, and the
-// snapshot restores or fails with a typed error.
+// Arbitrary chunks form a snapshot or fail with a typed error, and the snapshot
+// can be restored or fails with a typed error.
 func FuzzChunks(f *testing.F) {
 	chunks, err := checkpoint.Split(state.New().Snapshot(), "a/1", 16)
 	if err != nil {
@@ -149,16 +149,16 @@
 			}
 		}
 		joined, err := checkpoint.Join(received)
-		var torn *checkpoint.TornError
+		var damaged *checkpoint.DamagedError
 		if err != nil {
-			if !errors.As(err, &torn) {
-				t.Fatalf("error without a type: %v", err)
+			if !errors.As(err, &damaged) {
+				t.Fatalf("untyped error: %v", err)
 			}
 			return
 		}
-		var bad *state.SnapshotError
-		if _, err := state.Restore(joined); err != nil && !errors.As(err, &bad) {
-			t.Fatalf("error without a type: %v", err)
+		var invalid *state.SnapshotError
+		if _, err := state.Restore(joined); err != nil && !errors.As(err, &invalid) {
+			t.Fatalf("untyped error: %v", err)
 		}
 	})
 }
--- a/checkpoint/split.go
+++ b/checkpoint/split.go
@@ -1,6 +1,6 @@
-// Package checkpoint turns a snapshot of the state into chunks that fit the
-// log's records, and whole sets of chunks back into a snapshot. A set that is
-// incomplete, mixed or damaged is never used. The package does no I/O.
+// Package checkpoint splits a snapshot of the state into chunks that fit into the
+// log's records, and assembles complete sets of chunks into a snapshot. It rejects
+// sets that are incomplete, mixed or damaged. The package does no I/O.
 package checkpoint
 
 import (
@@ -18,15 +18,15 @@
 )
 
 const (
-	// ChunkBytes is the size of the chunks that this release writes.
+	// ChunkBytes is the maximum data size of the chunks that this release writes.
 	ChunkBytes = 256 << 10
 	// MaxChunks bounds the chunks of one checkpoint.
 	MaxChunks = 4096
-	// MaxSnapshotBytes bounds a decoded snapshot.
+	// MaxSnapshotBytes bounds the encoded snapshot, before and after compression.
 	MaxSnapshotBytes = 256 << 20
 )
 
-// EncodeError reports a snapshot that cannot be split.
+// EncodeError reports a snapshot that cannot be encoded or split.
 type EncodeError struct {
 	Problem string
 	Cause   error // may be nil
@@ -44,7 +44,7 @@
 func (e *EncodeError) Unwrap() error { return e.Cause }
 
 // Split encodes a snapshot as chunks of at most chunkBytes of data each. The id
-// must be used for no other checkpoint. It fails with an *EncodeError.
+// must be unique to this checkpoint. It fails with an *EncodeError.
 func Split(snapshot *bspb.Snapshot, id string, chunkBytes int) ([]*bspb.CheckpointChunk, error) {
 	data, err := compress(snapshot)
 	if err != nil {
@@ -78,8 +78,8 @@
 	if len(raw) > MaxSnapshotBytes {
 		return nil, &EncodeError{Problem: "snapshot too large"}
 	}
-	var packed bytes.Buffer
-	writer, err := gzip.NewWriterLevel(&packed, gzip.BestSpeed)
+	var compressed bytes.Buffer
+	writer, err := gzip.NewWriterLevel(&compressed, gzip.BestSpeed)
 	if err != nil {
 		return nil, &EncodeError{Problem: "cannot compress", Cause: err}
 	}
@@ -89,34 +89,34 @@
 	if err := writer.Close(); err != nil {
 		return nil, &EncodeError{Problem: "cannot compress", Cause: err}
 	}
-	return packed.Bytes(), nil
+	return compressed.Bytes(), nil
 }
 
 func decompress(data []byte) (*bspb.Snapshot, error) {
 	reader, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
-		return nil, &TornError{Problem: "cannot decompress", Cause: err}
+		return nil, &DamagedError{Problem: "cannot decompress", Cause: err}
 	}
 	raw, err := io.ReadAll(io.LimitReader(reader, MaxSnapshotBytes+1))
 	if err != nil {
-		return nil, &TornError{Problem: "cannot decompress", Cause: err}
+		return nil, &DamagedError{Problem: "cannot decompress", Cause: err}
 	}
 	if len(raw) > MaxSnapshotBytes {
-		return nil, &TornError{Problem: "snapshot too large"}
+		return nil, &DamagedError{Problem: "snapshot too large"}
 	}
 	snapshot := &bspb.Snapshot{}
 	if err := proto.Unmarshal(raw, snapshot); err != nil {
-		return nil, &TornError{Problem: "cannot decode", Cause: err}
+		return nil, &DamagedError{Problem: "cannot decode", Cause: err}
 	}
 	return snapshot, nil
 }
 
-// Whole is a complete checkpoint.
-type Whole struct {
+// Info describes a complete checkpoint.
+type Info struct {
 	ID         string
-	Applied    topo.Offset // last record contained
-	FirstChunk topo.Offset // lowest offset of its chunks
-	LastChunk  topo.Offset // offset that completed it
+	Applied    topo.Offset // last record contained in the snapshot
+	FirstChunk topo.Offset // lowest offset of a chunk
+	LastChunk  topo.Offset // offset of the chunk that completed it
 	Digest     []byte
-	Bytes      int // of its chunks' data
+	Bytes      int // size of the compressed snapshot
 }
--- a/checkpoint/track.go
+++ b/checkpoint/track.go
@@ -10,44 +10,45 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// Tracker notices whole checkpoints in the log without holding their data. It
-// counts only chunks that come in index order, as writers append them. The zero
-// value is ready.
+// Tracker detects complete checkpoints in the log without storing their data. It
+// accepts chunks only in index order, the order in which writers append them. The
+// zero value is ready to use.
 type Tracker struct {
 	open []*openCheckpoint // oldest first
 }
 
 type openCheckpoint struct {
-	whole Whole
-	next  uint32
-	sum   hash.Hash
+	info Info
+	next uint32
+	sum  hash.Hash
 }
 
-// Add takes the chunk at offset and returns the checkpoint that it completes.
-func (t *Tracker) Add(offset topo.Offset, chunk *bspb.CheckpointChunk) (Whole, bool) {
+// Add adds the chunk at offset. It returns the checkpoint that the chunk completes,
+// and whether there is one.
+func (t *Tracker) Add(offset topo.Offset, chunk *bspb.CheckpointChunk) (Info, bool) {
 	if checkChunk(chunk) != nil {
-		return Whole{}, false
+		return Info{}, false
 	}
 	c := t.find(offset, chunk)
 	if c == nil || c.next != chunk.GetIndex() {
-		return Whole{}, false
+		return Info{}, false
 	}
 	c.sum.Write(chunk.GetData())
 	c.next++
-	c.whole.Bytes += len(chunk.GetData())
+	c.info.Bytes += len(chunk.GetData())
 	if c.next < chunk.GetCount() {
-		return Whole{}, false
+		return Info{}, false
 	}
-	t.close(c)
-	c.whole.LastChunk = offset
-	return c.whole, bytes.Equal(c.sum.Sum(nil), c.whole.Digest)
+	t.remove(c)
+	c.info.LastChunk = offset
+	return c.info, bytes.Equal(c.sum.Sum(nil), c.info.Digest)
 }
 
-// find returns the open checkpoint of a chunk; nil when its beginning is
-// missing.
+// find returns the open checkpoint of a chunk, creating it for the first chunk. It
+// returns nil if the first chunk is missing.
 func (t *Tracker) find(offset topo.Offset, chunk *bspb.CheckpointChunk) *openCheckpoint {
 	for _, c := range t.open {
-		if c.whole.ID == chunk.GetId() {
+		if c.info.ID == chunk.GetId() {
 			return c
 		}
 	}
@@ -55,10 +56,10 @@
 		return nil
 	}
 	if len(t.open) == maxPartial {
-		t.close(t.open[0])
+		t.remove(t.open[0])
 	}
 	c := &openCheckpoint{
-		whole: Whole{
+		info: Info{
 			ID:         chunk.GetId(),
 			Applied:    topo.Offset(chunk.GetApplied()),
 			FirstChunk: offset,
@@ -70,9 +71,9 @@
 	return c
 }
 
-func (t *Tracker) close(gone *openCheckpoint) {
+func (t *Tracker) remove(target *openCheckpoint) {
 	for i, c := range t.open {
-		if c == gone {
+		if c == target {
 			t.open = append(t.open[:i], t.open[i+1:]...)
 			return
 		}
--- a/follower/apply.go
+++ b/follower/apply.go
@@ -178,8 +178,8 @@
 		a.f.schedule.noteRecord(len(entry.Data))
 		return
 	}
-	if whole, complete := a.tracker.Add(entry.Offset, chunk); complete {
-		a.f.schedule.noteComplete(whole)
+	if info, complete := a.tracker.Add(entry.Offset, chunk); complete {
+		a.f.schedule.noteComplete(info)
 	}
 }
 
--- a/follower/checkpoints.go
+++ b/follower/checkpoints.go
@@ -25,10 +25,10 @@
 )
 
 // checkpointSchedule decides when the next checkpoint is due, from the records
-// applied since last, without chunks the last complete one. It is safe for concurrent use.
+// applied since the last complete one. It is safe for concurrent use.
 type checkpointSchedule struct {
 	mu        sync.Mutex
-	last      checkpoint.Whole
+	last      checkpoint.Info
 	lastAt    time.Time // when last was applied, or the start time
 	records   int       // applied since last, without chunks
 	bytes     int       // total size of these records
@@ -47,13 +47,13 @@
 }
 
 // noteComplete restarts the count at a complete checkpoint in the log.
-func (s *checkpointSchedule) noteComplete(whole checkpoint.Whole) {
+func (s *checkpointSchedule) noteComplete(info checkpoint.Info) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if whole.Applied < s.last.Applied {
+	if info.Applied < s.last.Applied {
 		return
 	}
-	s.last = whole
+	s.last = info
 	s.lastAt = time.Now()
 	s.records = 0
 	s.bytes = 0
--- a/follower/internal_test.go
+++ b/follower/internal_test.go
@@ -158,7 +158,7 @@
 	const every, age = 100, time.Hour
 	d := newCheckpointSchedule()
 	now := time.Now()
-	d.noteComplete(checkpoint.Whole{Applied: 50, FirstChunk: 51, Bytes: 1000})
+	d.noteComplete(checkpoint.Info{Applied: 50, FirstChunk: 51, Bytes: 1000})
 	for range every - 1 {
 		d.noteRecord(9)
 	}
@@ -176,13 +176,13 @@
 	g.Expect(d.due(now, 1, every, age)).To(gomega.BeTrue())
 	g.Expect(threshold(660, every)).To(gomega.BeNumerically("<", 40*every))
 
-	d.noteComplete(checkpoint.Whole{Applied: 250, FirstChunk: 252})
+	d.noteComplete(checkpoint.Info{Applied: 250, FirstChunk: 252})
 	d.noteFirst(252)
 	g.Expect(d.due(time.Now(), 0, every, age)).To(gomega.BeFalse())
 	d.noteFirst(253)
 	g.Expect(d.due(time.Now(), 0, every, age)).To(gomega.BeTrue(), "the log dropped its first chunk")
 	g.Expect(d.due(time.Now(), 1, every, age)).To(gomega.BeFalse())
-	d.noteComplete(checkpoint.Whole{Applied: 240, FirstChunk: 260})
+	d.noteComplete(checkpoint.Info{Applied: 240, FirstChunk: 260})
 	g.Expect(d.lastApplied()).To(gomega.Equal(topo.Offset(250)), "an older checkpoint is ignored")
 }
 
--- a/follower/recover.go
+++ b/follower/recover.go
@@ -17,7 +17,7 @@
 
 // foundCheckpoint is a complete checkpoint in the log.
 type foundCheckpoint struct {
-	whole    checkpoint.Whole
+	info     checkpoint.Info
 	snapshot *bspb.Snapshot
 }
 
@@ -67,7 +67,7 @@
 		if err != nil {
 			return false
 		}
-		if newest != nil && newest.whole.Applied+1 >= first && newest.whole.Applied > r.f.applied() {
+		if newest != nil && newest.info.Applied+1 >= first && newest.info.Applied > r.f.applied() {
 			return r.restore(ctx, newest)
 		}
 		if start == first {
@@ -87,12 +87,12 @@
 		if chunk == nil {
 			return true
 		}
-		whole, snapshot, err := assembler.Add(offset, chunk)
+		info, snapshot, err := assembler.Add(offset, chunk)
 		if err != nil {
 			eventCheckpointDamaged.Log(r.f.config.Logger, "offset", offset, "error", err)
 		}
-		if whole != nil && (newest == nil || whole.Applied >= newest.whole.Applied) {
-			newest = &foundCheckpoint{whole: *whole, snapshot: snapshot}
+		if info != nil && (newest == nil || info.Applied >= newest.info.Applied) {
+			newest = &foundCheckpoint{info: *info, snapshot: snapshot}
 		}
 		return true
 	})
@@ -102,14 +102,14 @@
 func (r *logReader) restore(ctx context.Context, newest *foundCheckpoint) bool {
 	restored, err := state.Restore(newest.snapshot)
 	if err != nil {
-		eventCheckpointDamaged.Log(r.f.config.Logger, "checkpoint", newest.whole.ID, "error", err)
+		eventCheckpointDamaged.Log(r.f.config.Logger, "checkpoint", newest.info.ID, "error", err)
 		return false
 	}
 	if r.f.adopt(ctx, restored, false) != nil {
 		return false
 	}
-	r.f.schedule.noteComplete(newest.whole)
-	eventCheckpointRestored.Log(r.f.config.Logger, "checkpoint", newest.whole.ID, "applied", newest.whole.Applied)
+	r.f.schedule.noteComplete(newest.info)
+	eventCheckpointRestored.Log(r.f.config.Logger, "checkpoint", newest.info.ID, "applied", newest.info.Applied)
 	return true
 }
 
