--- a/follower/append.go
+++ b/follower/append.go
@@ -11,12 +11,12 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// appender gives this writer's records their sequences and appends them one at
-// a time, so that they reach the log in the order of their sequences.
+// appender assigns sequence numbers to this writer's records and appends them
+// one at a time, so that they reach the log in sequence order.
 type appender struct {
 	f        *Follower
 	sequence uint64
-	carried  *submitted // taken from the queue but not fit for the last group
+	deferred *submission // claimed, but could not share the last group's record
 }
 
 // runAppender is the appender's goroutine.
@@ -29,16 +29,16 @@
 	}
 }
 
-// next returns the next submission that was not given up; nil when ctx ended.
-func (a *appender) next(ctx context.Context) *submitted {
-	if carried := a.carried; carried != nil {
-		a.carried = nil
-		return carried
+// next returns the next submission that was not abandoned, or nil when ctx ends.
+func (a *appender) next(ctx context.Context) *submission {
+	if deferred := a.deferred; deferred != nil {
+		a.deferred = nil
+		return deferred
 	}
 	for {
 		select {
 		case s := <-a.f.queue:
-			if s.taken.CompareAndSwap(false, true) {
+			if s.claimed.CompareAndSwap(false, true) {
 				return s
 			}
 		case <-ctx.Done():
@@ -47,17 +47,17 @@
 	}
 }
 
-// gather adds the waiting submissions that can share the first one's record.
-func (a *appender) gather(first *submitted) *group {
+// gather groups the first submission with queued ones that can share its record.
+func (a *appender) gather(first *submission) *group {
 	g := newGroup(first)
 	for {
 		select {
 		case s := <-a.f.queue:
-			if !s.taken.CompareAndSwap(false, true) {
+			if !s.claimed.CompareAndSwap(false, true) {
 				continue
 			}
 			if !g.add(s) {
-				a.carried = s
+				a.deferred = s
 				return g
 			}
 			count(metricMerged, 1)
@@ -75,27 +75,27 @@
 		g.fail(&NotAppendedError{Cause: err})
 		return
 	}
-	if !a.f.fates.expect(a.sequence, g) {
+	if !a.f.outcomes.expect(a.sequence, g) {
 		g.fail(&NotAppendedError{Cause: &QueueFullError{Length: maxPending}})
 		return
 	}
 	offset, err := a.appendRecord(ctx, g, data)
 	if err != nil {
-		a.f.fates.fail(a.sequence, err)
+		a.f.outcomes.fail(a.sequence, err)
 		return
 	}
 	if g.members[0].appendOnly {
-		a.f.fates.resolve(a.sequence, state.Result{Offset: offset, Accepted: true})
+		a.f.outcomes.resolve(a.sequence, state.Result{Offset: offset, Accepted: true})
 	}
 }
 
-// appendRecord appends until the log answered, the record was seen in the log,
-// or nobody waits for it. After a lost answer it appends the same writer and
-// sequence again: Apply ignores whichever copy comes second, so the record
-// takes effect once, however late the first copy lands. A record that was given
-// up is ignored from the moment at which the next sequence is applied.
+// appendRecord appends until the log confirms the append, the record is read
+// back from the log, or no submitter waits for it. After a lost response it
+// appends the same writer and sequence again: Apply ignores the second copy, so
+// the record takes effect once, however late the first copy is appended. An
+// abandoned record has no effect once the next sequence has been applied.
 func (a *appender) appendRecord(ctx context.Context, g *group, data []byte) (topo.Offset, error) {
-	pause := a.f.newBackoff()
+	retry := a.f.newBackoff()
 	uncertain := false
 	for {
 		offset, err := a.f.appendOnce(ctx, data)
@@ -111,23 +111,23 @@
 			count(metricUncertain, 1)
 			eventAppendUncertain.Log(a.f.config.Logger, "sequence", a.sequence, "error", err)
 		}
-		if !pause.wait(ctx) || g.ended() {
+		if !retry.wait(ctx) || g.ended() {
 			return 0, &UnknownFateError{Cause: err}
 		}
-		if !a.f.fates.awaited(a.sequence) {
+		if !a.f.outcomes.awaited(a.sequence) {
 			return 0, nil
 		}
 		count(metricReappends, 1)
 	}
 }
 
-// appendOnce appends with a limit on the time without an answer.
+// appendOnce appends once, limited by the adaptive append timeout.
 func (f *Follower) appendOnce(ctx context.Context, data []byte) (topo.Offset, error) {
-	limited, cancel := f.appendPatience.limit(ctx, 0)
+	limited, cancel := f.appendTimeout.limit(ctx, 0)
 	defer cancel()
 	begun := time.Now()
 	offset, err := f.config.Log.Append(limited, data)
-	f.appendPatience.learn(time.Since(begun), err)
+	f.appendTimeout.observe(time.Since(begun), err)
 	if err == nil {
 		count(metricAppends, 1)
 		count(metricAppendBytes, len(data))
--- a/follower/apply.go
+++ b/follower/apply.go
@@ -14,21 +14,21 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// applier alone owns the state. It takes messages from the inbox.
+// applier is the only owner of the state. It handles messages from the inbox.
 type applier struct {
-	f       *Follower
-	state   *state.State
-	tracker checkpoint.Tracker
-	learned []learnedFate
+	f          *Follower
+	state      *state.State
+	tracker    checkpoint.Tracker
+	ownResults []ownResult
 }
 
-// learnedFate is the result of one of this follower's own records.
-type learnedFate struct {
+// ownResult is the result of applying one of this follower's own records.
+type ownResult struct {
 	sequence uint64
 	result   state.Result
 }
 
-// message is one thing for the applier to do.
+// message is an operation that the applier executes.
 type message interface {
 	apply(a *applier)
 }
@@ -46,7 +46,7 @@
 	}
 }
 
-// send gives a message to the applier; false when ctx ended.
+// send passes a message to the applier. It returns false when ctx ends.
 func (f *Follower) send(ctx context.Context, m message) bool {
 	select {
 	case f.inbox <- m:
@@ -56,7 +56,7 @@
 	}
 }
 
-// call sends a message and waits for its outcome.
+// call sends a message to the applier and waits for its outcome.
 func (f *Follower) call(ctx context.Context, m message, outcome <-chan error) error {
 	if !f.send(ctx, m) {
 		return ctx.Err()
@@ -73,16 +73,16 @@
 type entriesMessage struct {
 	entries []platlog.Entry
 	outcome chan<- error
-	// log is set for entries from the log itself, relay for those that a relay
-	// read there.
-	log   *logAnswer
-	relay *relayAnswer
+	// log is set for entries read from the log itself, relay for entries read
+	// through a relay.
+	log   *logResponse
+	relay *relayResponse
 }
 
-// logAnswer is what makes a read of the log count as contact.
-type logAnswer struct {
+// logResponse is a log read, with the details that prove contact with the log.
+type logResponse struct {
 	begun time.Time
-	from  topo.Offset // first offset asked for
+	from  topo.Offset // first offset requested
 	batch platlog.Batch
 }
 
@@ -92,27 +92,27 @@
 	return f.call(ctx, &entriesMessage{entries: entries, outcome: outcome}, outcome)
 }
 
-// applyBatch applies a log read.
-func (f *Follower) applyBatch(ctx context.Context, answer logAnswer) error {
+// applyBatch applies the result of a log read.
+func (f *Follower) applyBatch(ctx context.Context, response logResponse) error {
 	outcome := make(chan error, 1)
 	return f.call(ctx, &entriesMessage{
-		entries: answer.batch.Entries,
+		entries: response.batch.Entries,
 		outcome: outcome,
-		log:     &answer,
+		log:     &response,
 	}, outcome)
 }
 
-// applyRelayed applies a relay's answer to a request that began at a time.
-func (f *Follower) applyRelayed(ctx context.Context, begun time.Time, answer *bspb.ReadLogResponse) error {
+// applyRelayed applies a relay's response to a request that was sent at begun.
+func (f *Follower) applyRelayed(ctx context.Context, begun time.Time, response *bspb.ReadLogResponse) error {
 	outcome := make(chan error, 1)
 	return f.call(ctx, &entriesMessage{
-		entries: entriesFromProto(answer.GetEntries()),
+		entries: entriesFromProto(response.GetEntries()),
 		outcome: outcome,
-		relay: &relayAnswer{
+		relay: &relayResponse{
 			begun:   begun,
-			applied: topo.Offset(answer.GetApplied()),
-			age:     time.Duration(answer.GetContactAgeMs()) * time.Millisecond,
-			known:   answer.ContactAgeMs != nil,
+			applied: topo.Offset(response.GetApplied()),
+			age:     time.Duration(response.GetContactAgeMs()) * time.Millisecond,
+			known:   response.ContactAgeMs != nil,
 		},
 	}, outcome)
 }
@@ -129,8 +129,8 @@
 	m.outcome <- err
 }
 
-// applyEntries applies entries in order. Entries that were applied before are
-// passed over, so that the state never goes backwards.
+// applyEntries applies entries in order. Entries that were already applied are
+// skipped, so that the state never moves backwards.
 func (a *applier) applyEntries(entries []platlog.Entry) error {
 	for _, entry := range entries {
 		applied := a.state.Applied()
@@ -165,55 +165,57 @@
 	a.f.ring.add(entry)
 	a.noteCheckpoint(entry, rec)
 	if rec.GetWriter() == a.f.writer {
-		a.learned = append(a.learned, learnedFate{rec.GetSequence(), result})
+		a.ownResults = append(a.ownResults, ownResult{rec.GetSequence(), result})
 	}
 	return nil
 }
 
-// noteCheckpoint counts records towards the next checkpoint.
+// noteCheckpoint counts a record towards the next checkpoint, or tracks a
+// checkpoint chunk.
 func (a *applier) noteCheckpoint(entry platlog.Entry, rec *bspb.Record) {
 	chunk := rec.GetCheckpointChunk()
 	if chunk == nil {
-		a.f.due.noteRecord(len(entry.Data))
+		a.f.schedule.noteRecord(len(entry.Data))
 		return
 	}
-	if whole, complete := a.tracker.Add(entry.Offset, chunk); complete {
-		a.f.due.noteWhole(whole)
+	if info, complete := a.tracker.Add(entry.Offset, chunk); complete {
+		a.f.schedule.noteComplete(info)
 	}
 }
 
-// publish makes the state visible, and then the fates learned from it.
+// publish makes the state visible, and then resolves this follower's records
+// that were applied to it.
 func (a *applier) publish() {
 	view := a.state.View()
 	if view.Applied() != a.f.applied() || view.Lineage() != a.f.View().Lineage() {
 		a.f.publish(view)
 	}
-	for _, learned := range a.learned {
-		a.f.fates.resolve(learned.sequence, learned.result)
+	for _, own := range a.ownResults {
+		a.f.outcomes.resolve(own.sequence, own.result)
 	}
-	a.learned = a.learned[:0]
+	a.ownResults = a.ownResults[:0]
 }
 
-// noteContact records the time of a read whose whole tail has been applied.
-// While the read was under way, a peer may have given later records; an end
-// before the offset that was asked for, however, means that the log lost some.
-func (a *applier) noteContact(answer *logAnswer) error {
+// noteContact renews contact after a read that was applied up to the end of the
+// log. Peers may have sent later records while the read was in flight; an end
+// before the requested offset, however, means that the log lost records.
+func (a *applier) noteContact(response *logResponse) error {
 	applied := a.state.Applied()
-	if answer.batch.End < answer.from {
-		return &RewoundError{Applied: applied, End: answer.batch.End}
+	if response.batch.End < response.from {
+		return &RewoundError{Applied: applied, End: response.batch.End}
 	}
-	if answer.batch.End > applied+1 {
+	if response.batch.End > applied+1 {
 		return nil
 	}
-	a.renewContact(answer.begun)
+	a.renewContact(response.begun)
 	return nil
 }
 
-// noteRelayed takes over a relay's contact once everything that the relay had
-// applied is applied here too.
-func (a *applier) noteRelayed(answer *relayAnswer) {
-	if answer.known && a.state.Applied() >= answer.applied {
-		a.renewContact(contactOf(*answer, a.f.config.DriftPPM))
+// noteRelayed adopts a relay's contact once this node has applied every record
+// that the relay had applied.
+func (a *applier) noteRelayed(response *relayResponse) {
+	if response.known && a.state.Applied() >= response.applied {
+		a.renewContact(contactOf(*response, a.f.config.DriftPPM))
 	}
 }
 
@@ -228,14 +230,15 @@
 	}
 }
 
-// adoptMessage replaces the state by one that is further.
+// adoptMessage replaces the state by one with a higher offset, or by a rebased
+// one.
 type adoptMessage struct {
 	state   *state.State
-	rebased bool // the log says that the state restarts, perhaps from further back
+	rebased bool // a Rebase record replaces the state, possibly by one with a lower offset
 	outcome chan<- error
 }
 
-// adopt replaces the state. Only a rebase may go back.
+// adopt replaces the state. Only a rebase may lower the applied offset.
 func (f *Follower) adopt(ctx context.Context, next *state.State, rebased bool) error {
 	outcome := make(chan error, 1)
 	return f.call(ctx, &adoptMessage{state: next, rebased: rebased, outcome: outcome}, outcome)
@@ -252,18 +255,19 @@
 	a.f.ring.clear()
 	count(metricRestores, 1)
 	a.publish()
-	a.f.fates.passOver(a.state.LastSequence(a.f.writer), &UnknownFateError{Cause: &SkippedError{Applied: a.state.Applied()}})
+	a.f.outcomes.failThrough(a.state.LastSequence(a.f.writer), &UnknownFateError{Cause: &SkippedError{Applied: a.state.Applied()}})
 	m.outcome <- nil
 }
 
-// freezeMessage asks for an immutable picture of the whole state.
+// freezeMessage requests an immutable snapshot of the whole state.
 type freezeMessage struct {
 	reply chan<- state.Frozen
 }
 
 func (m *freezeMessage) apply(a *applier) { m.reply <- a.state.Freeze() }
 
-// freeze returns a picture of the whole state; false when ctx ended.
+// freeze returns an immutable snapshot of the whole state, or false when ctx
+// ends.
 func (f *Follower) freeze(ctx context.Context) (state.Frozen, bool) {
 	reply := make(chan state.Frozen, 1)
 	if !f.send(ctx, &freezeMessage{reply: reply}) {
@@ -277,15 +281,15 @@
 	}
 }
 
-// rebaseError stops the applier at a Rebase record, whose snapshot has to be
-// fetched first.
+// rebaseError stops the applier at a Rebase record, because its snapshot must
+// be read first.
 type rebaseError struct {
 	offset topo.Offset
 	rec    *bspb.Record
 }
 
 // Error implements error.
-func (e *rebaseError) Error() string { return "state restarts from a rebase" }
+func (e *rebaseError) Error() string { return "state must be replaced according to a rebase record" }
 
 // asRebase returns the Rebase record at which applying stopped.
 func asRebase(err error) (*rebaseError, bool) {
--- a/follower/checkpoints.go
+++ b/follower/checkpoints.go
@@ -18,92 +18,94 @@
 )
 
 const (
-	checkpointPoll  = 500 * time.Millisecond // between two looks at what is due
-	checkpointLimit = time.Minute            // for writing one checkpoint
-	lostRankDelay   = 2 * time.Second        // by rank, when the last one is lost
-	rankSteps       = 20                     // ranks that take over within every records
+	checkpointPoll   = 500 * time.Millisecond // between two checks whether one is due
+	checkpointLimit  = time.Minute            // for writing one checkpoint
+	expiredRankDelay = 2 * time.Second        // per rank, after the log dropped the last checkpoint
+	rankSteps        = 20                     // ranks whose thresholds are spread over CheckpointEvery records
 )
 
-// checkpointDue knows what has to be written since the last whole checkpoint.
-// It is safe for concurrent use.
-type checkpointDue struct {
-	mu      sync.Mutex
-	last    checkpoint.Whole
-	at      time.Time // when last was seen, or the start
-	records int       // applied since
-	bytes   int       // of those records
-	first   topo.Offset
-	lostAt  time.Time // when retention was seen to have passed last
+// checkpointSchedule decides when the next checkpoint is due, from the records
+// applied since the last complete one. It is safe for concurrent use.
+type checkpointSchedule struct {
+	mu        sync.Mutex
+	last      checkpoint.Info
+	lastAt    time.Time // when last was applied, or the start time
+	records   int       // applied since last, without chunks
+	bytes     int       // total size of these records
+	first     topo.Offset
+	expiredAt time.Time // when retention was seen to have dropped last; zero if it is retained
 }
 
-func newCheckpointDue() *checkpointDue { return &checkpointDue{at: time.Now()} }
+func newCheckpointSchedule() *checkpointSchedule { return &checkpointSchedule{lastAt: time.Now()} }
 
-// noteRecord notes an applied record of some bytes that is no chunk.
-func (d *checkpointDue) noteRecord(bytes int) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.records++
-	d.bytes += bytes
+// noteRecord counts an applied record that is not a checkpoint chunk.
+func (s *checkpointSchedule) noteRecord(bytes int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.records++
+	s.bytes += bytes
 }
 
-// noteWhole notes a whole checkpoint in the log.
-func (d *checkpointDue) noteWhole(whole checkpoint.Whole) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if whole.Applied < d.last.Applied {
+// noteComplete restarts the count at a complete checkpoint in the log.
+func (s *checkpointSchedule) noteComplete(info checkpoint.Info) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if info.Applied < s.last.Applied {
 		return
 	}
-	d.last = whole
-	d.at = time.Now()
-	d.records = 0
-	d.bytes = 0
-	d.lostAt = time.Time{}
+	s.last = info
+	s.lastAt = time.Now()
+	s.records = 0
+	s.bytes = 0
+	s.expiredAt = time.Time{}
 }
 
-// noteFirst notes the lowest offset that the log retains.
-func (d *checkpointDue) noteFirst(first topo.Offset) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.first = first
-	if first > max(d.last.FirstChunk, 1) && d.lostAt.IsZero() {
-		d.lostAt = time.Now()
+// noteFirst stores the lowest offset that the log retains.
+func (s *checkpointSchedule) noteFirst(first topo.Offset) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.first = first
+	if first > max(s.last.FirstChunk, 1) && s.expiredAt.IsZero() {
+		s.expiredAt = time.Now()
 	}
 }
 
-// logFirst returns the lowest offset that the log is known to retain.
-func (d *checkpointDue) logFirst() topo.Offset {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.first
+// logFirst returns the lowest offset known to be retained by the log.
+func (s *checkpointSchedule) logFirst() topo.Offset {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.first
 }
 
-// lastApplied returns what the last whole checkpoint contains.
-func (d *checkpointDue) lastApplied() topo.Offset {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.last.Applied
+// lastApplied returns the offset of the last record in the last complete
+// checkpoint.
+func (s *checkpointSchedule) lastApplied() topo.Offset {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.last.Applied
 }
 
-// due reports whether the node of a rank should write a checkpoint. The records
-// since the last one make it due when there are as many as threshold says and
-// they are at least as long as the last checkpoint, so that checkpoints at most
-// double what every node reads. Time, and the loss of the last one, make it due
-// too.
-func (d *checkpointDue) due(now time.Time, rank, every int, age time.Duration) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.records >= threshold(rank, every) && d.bytes >= d.last.Bytes {
+// due reports whether the node with this rank should write a checkpoint. One is
+// due when the number of records since the last checkpoint reaches the threshold
+// and their size reaches that checkpoint's size, so that checkpoints at most
+// double the bytes that every node reads. One is also due when the last
+// checkpoint is too old or is no longer retained by the log.
+func (s *checkpointSchedule) due(now time.Time, rank, every int, age time.Duration) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.records >= threshold(rank, every) && s.bytes >= s.last.Bytes {
 		return true
 	}
-	if d.records > 0 && now.Sub(d.at) >= age*time.Duration(rank+1) {
+	if s.records > 0 && now.Sub(s.lastAt) >= age*time.Duration(rank+1) {
 		return true
 	}
-	return !d.lostAt.IsZero() && now.Sub(d.lostAt) >= lostRankDelay*time.Duration(rank)
+	return !s.expiredAt.IsZero() && now.Sub(s.expiredAt) >= expiredRankDelay*time.Duration(rank)
 }
 
-// threshold returns after how many records the node of a rank writes: the first
-// at every, the next takes over at twice that, and each further one a little
-// later.
+// threshold returns the number of records after which the node with this rank
+// writes a checkpoint: rank 0 after every records, rank 1 after twice as many,
+// and each further rank slightly later, so that it takes over if the nodes
+// before it do not write.
 func threshold(rank, every int) int {
 	if rank == 0 {
 		return every
@@ -111,8 +113,8 @@
 	return 2*every + (rank-1)*max(1, every/rankSteps)
 }
 
-// rank returns the node's place in the order, different for each checkpoint, in
-// which the state's nodes write it.
+// rank returns the node's position in the order in which nodes write the next
+// checkpoint. The order differs for each checkpoint.
 func rank(view *state.View, node topo.NodeID, last topo.Offset) int {
 	salt := strconv.FormatUint(uint64(last), 10)
 	weight := func(id topo.NodeID) uint64 { return xxhash.Sum64String(string(id) + "#" + salt) }
@@ -121,19 +123,19 @@
 		ids = append(ids, id)
 	}
 	sort.Slice(ids, func(i, j int) bool { return weight(ids[i]) > weight(ids[j]) })
-	for place, id := range ids {
+	for index, id := range ids {
 		if id == node {
-			return place
+			return index
 		}
 	}
 	return len(ids)
 }
 
-// runCheckpoints is the goroutine that writes checkpoints when they are due.
+// runCheckpoints is the goroutine that writes due checkpoints.
 func (f *Follower) runCheckpoints(ctx context.Context) {
 	number := 0
 	for clock.Wait(ctx, checkpointPoll) {
-		if !f.checkpointIsDue() {
+		if !f.isCheckpointDue() {
 			continue
 		}
 		number++
@@ -141,14 +143,14 @@
 	}
 }
 
-// checkpointIsDue reports whether this node should write one now; only a node
-// that has applied the whole log does.
-func (f *Follower) checkpointIsDue() bool {
+// isCheckpointDue reports whether this node should write a checkpoint now. Only
+// a node that has applied the whole log writes one.
+func (f *Follower) isCheckpointDue() bool {
 	if f.now().Sub(f.LastContact()) > f.config.PollWait+f.config.CallTimeout {
 		return false
 	}
-	place := rank(f.View(), f.config.Node, f.due.lastApplied())
-	return f.due.due(time.Now(), place, f.config.CheckpointEvery, f.config.CheckpointAge)
+	position := rank(f.View(), f.config.Node, f.schedule.lastApplied())
+	return f.schedule.due(time.Now(), position, f.config.CheckpointEvery, f.config.CheckpointAge)
 }
 
 func (f *Follower) writeCheckpoint(ctx context.Context, id string) {
@@ -160,19 +162,19 @@
 	}
 	chunks, err := checkpoint.Split(frozen.Snapshot(), id, checkpoint.ChunkBytes)
 	if err != nil {
-		eventCheckpointFail.Log(f.config.Logger, "checkpoint", id, "error", err)
+		eventCheckpointFailed.Log(f.config.Logger, "checkpoint", id, "error", err)
 		return
 	}
 	for _, chunk := range chunks {
-		if f.due.lastApplied() >= frozen.View().Applied() {
-			return // another node's is as good
+		if f.schedule.lastApplied() >= frozen.View().Applied() {
+			return // another node has written an equivalent checkpoint
 		}
 		body := &bspb.Record_CheckpointChunk{CheckpointChunk: chunk}
 		if _, err := f.Submit(limited, &bspb.Record{Body: body}); err != nil {
-			eventCheckpointFail.Log(f.config.Logger, "checkpoint", id, "error", err)
+			eventCheckpointFailed.Log(f.config.Logger, "checkpoint", id, "error", err)
 			return
 		}
 	}
 	count(metricCheckpoints, 1)
-	eventCheckpoint.Log(f.config.Logger, "checkpoint", id, "applied", frozen.View().Applied(), "chunks", len(chunks))
+	eventCheckpointWritten.Log(f.config.Logger, "checkpoint", id, "applied", frozen.View().Applied(), "chunks", len(chunks))
 }
--- a/follower/dump.go
+++ b/follower/dump.go
@@ -7,15 +7,15 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Dump is what the state dump shows of a follower.
+// Dump is the follower's part of the state dump.
 type Dump struct {
 	Writer          string      `json:"writer"`
 	Applied         topo.Offset `json:"applied"`
 	Lineage         topo.Offset `json:"lineage"`
 	LogFirst        topo.Offset `json:"log_first"`
 	ContactAgeMs    int64       `json:"contact_age_ms"` // -1 when there was no contact
-	Source          string      `json:"source"`         // "log", or the relay that is asked
-	Relays          []string    `json:"relays"`         // of the zone, as this node sees them
+	Source          string      `json:"source"`         // "log", or the ID of the relay in use
+	Relays          []string    `json:"relays"`         // of the zone, according to this node's view
 	SiteVersion     uint64      `json:"site_version"`
 	Nodes           int         `json:"nodes"`
 	Servers         int         `json:"servers"`
@@ -29,7 +29,7 @@
 	Owned           []OwnedDump `json:"services"`
 }
 
-// OwnedDump is one service's shards.
+// OwnedDump counts the shards of one service.
 type OwnedDump struct {
 	Service  topo.Service `json:"service"`
 	Shards   int          `json:"shards"` // hash ranges and split keys
@@ -37,7 +37,7 @@
 	Retiring bool         `json:"retiring"`
 }
 
-// Dump returns the follower's state at a time.
+// Dump describes the follower; ages are measured at now.
 func (f *Follower) Dump(now time.Time) Dump {
 	view := f.View()
 	dump := Dump{
@@ -50,7 +50,7 @@
 		Servers:      len(view.Servers()),
 		Groups:       len(view.Groups()),
 		Queued:       len(f.queue),
-		Pending:      f.fates.length(),
+		Pending:      f.outcomes.length(),
 	}
 	dump.Source = sourceName(*f.source.Load())
 	if f.config.Relays > 0 {
@@ -59,14 +59,15 @@
 		}
 	}
 	dump.RecentEntries, dump.RecentBytes = f.ring.size()
-	f.due.dump(&dump)
+	f.schedule.dump(&dump)
 	for _, name := range view.Tables() {
 		dump.Owned = append(dump.Owned, ownedDump(view, name))
 	}
 	return dump
 }
 
-// contactAge returns the milliseconds since the last contact; -1 for none.
+// contactAge returns the milliseconds since the last contact, or -1 if there
+// was none.
 func (f *Follower) contactAge(now time.Time) int64 {
 	contact := f.LastContact()
 	if contact.IsZero() {
@@ -88,10 +89,10 @@
 	return dump
 }
 
-func (f *fates) length() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return len(f.pending)
+func (o *outcomes) length() int {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return len(o.pending)
 }
 
 func (r *ring) size() (entries, bytes int) {
@@ -100,10 +101,10 @@
 	return len(r.entries), r.bytes
 }
 
-func (d *checkpointDue) dump(dump *Dump) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	dump.LogFirst = d.first
-	dump.LastCheckpoint = d.last.Applied
-	dump.SinceCheckpoint = d.records
+func (s *checkpointSchedule) dump(dump *Dump) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	dump.LogFirst = s.first
+	dump.LastCheckpoint = s.last.Applied
+	dump.SinceCheckpoint = s.records
 }
--- a/follower/group.go
+++ b/follower/group.go
@@ -16,23 +16,23 @@
 	maxAssignments = 1024 // assignments of one shared record
 )
 
-// group is one or more submissions that share a record. Only AssignShards of
-// one lessor group, term and reason are put together, since each assignment
-// stands or falls alone.
+// group is one or more submissions that share a record. Only AssignShards
+// records with the same lessor group, term and reason are combined, because each
+// of their assignments is accepted or rejected by itself.
 type group struct {
-	members     []*submitted
+	members     []*submission
 	assignments int
 }
 
-func newGroup(first *submitted) *group {
+func newGroup(first *submission) *group {
 	return &group{
-		members:     []*submitted{first},
+		members:     []*submission{first},
 		assignments: len(first.record.GetAssignShards().GetAssignments()),
 	}
 }
 
-// add takes a further submission if it can share the record.
-func (g *group) add(next *submitted) bool {
+// add adds a submission if it can share the record, and reports whether it did.
+func (g *group) add(next *submission) bool {
 	assigns := next.record.GetAssignShards()
 	if assigns == nil || len(g.members) == maxMembers {
 		return false
@@ -55,7 +55,7 @@
 		proto.Equal(a.GetTerm(), b.GetTerm())
 }
 
-// ended reports whether nobody waits any longer.
+// ended reports whether no submitter waits any longer.
 func (g *group) ended() bool {
 	for _, s := range g.members {
 		if s.ctx.Err() == nil {
@@ -82,51 +82,51 @@
 // fail ends every submission with an error.
 func (g *group) fail(err error) {
 	for _, s := range g.members {
-		s.answer <- submitAnswer{err: err}
+		s.response <- submitResponse{err: err}
 	}
 }
 
-// settle answers each submission with its part of the record's result.
+// settle sends each submission its part of the record's result.
 func (g *group) settle(result state.Result) {
 	if len(g.members) == 1 {
-		g.members[0].answer <- submitAnswer{fate: wholeFate(result)}
+		g.members[0].response <- submitResponse{outcome: fullOutcome(result)}
 		return
 	}
 	first := 0
 	for _, s := range g.members {
 		next := first + len(s.record.GetAssignShards().GetAssignments())
-		s.answer <- submitAnswer{fate: partFate(result, first, next)}
+		s.response <- submitResponse{outcome: partialOutcome(result, first, next)}
 		first = next
 	}
 }
 
-func wholeFate(result state.Result) Fate {
-	fate := Fate{
+func fullOutcome(result state.Result) Fate {
+	outcome := Fate{
 		Offset:         result.Offset,
 		Accepted:       result.Accepted,
 		RejectedShards: result.RejectedIndexes(),
 	}
 	if result.Conflict != nil {
-		fate.Conflict = result.Conflict.Error()
+		outcome.Conflict = result.Conflict.Error()
 	}
-	return fate
+	return outcome
 }
 
-// partFate returns the fate of the assignments from first to before next.
-func partFate(result state.Result, first, next int) Fate {
-	fate := Fate{Offset: result.Offset}
+// partialOutcome returns the outcome of the assignments in [first, next).
+func partialOutcome(result state.Result, first, next int) Fate {
+	outcome := Fate{Offset: result.Offset}
 	for _, rejection := range result.Rejected {
 		if rejection.Index < first || rejection.Index >= next {
 			continue
 		}
-		if fate.Conflict == "" {
-			fate.Conflict = rejection.Conflict.Error()
+		if outcome.Conflict == "" {
+			outcome.Conflict = rejection.Conflict.Error()
 		}
-		fate.RejectedShards = append(fate.RejectedShards, rejection.Index-first)
+		outcome.RejectedShards = append(outcome.RejectedShards, rejection.Index-first)
 	}
-	fate.Accepted = len(fate.RejectedShards) < next-first
-	if fate.Accepted {
-		fate.Conflict = ""
+	outcome.Accepted = len(outcome.RejectedShards) < next-first
+	if outcome.Accepted {
+		outcome.Conflict = ""
 	}
-	return fate
+	return outcome
 }
--- a/follower/helpers_test.go
+++ b/follower/helpers_test.go
@@ -23,10 +23,11 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// settle is long enough for every node to follow a healthy log, or its peers.
+// settle is long enough for every node to catch up with a healthy log or its
+// peers.
 const settle = 5 * time.Second
 
-// site is nodes that share a log and a network.
+// site is a simulated cluster of nodes that share a log and a network.
 type site struct {
 	t       *testing.T
 	g       *gomega.WithT
@@ -42,7 +43,7 @@
 type member struct {
 	*follower.Follower
 	log   *logfault.Log
-	reads *atomic.Int64 // of the log
+	reads *atomic.Int64 // log reads
 }
 
 func newSite(t *testing.T, retention memlog.Retention) *site {
@@ -55,7 +56,7 @@
 // start runs a node until the test ends; change may alter its settings.
 func (s *site) start(name string, change ...func(*follower.Config, *logfault.Log)) *member {
 	s.t.Helper()
-	reads := &reading{inner: s.store}
+	reads := &readCounter{inner: s.store}
 	log := logfault.Wrap(reads)
 	handlers := &peer.Handlers{}
 	sender := &bspb.Sender{Node: name, Boot: "b1", Zone: "zone-a"}
@@ -74,8 +75,8 @@
 	return &member{Follower: f, log: log, reads: &reads.count}
 }
 
-// cutOff starts a node whose log is down.
-func cutOff(_ *follower.Config, log *logfault.Log) { log.Down() }
+// withLogDown starts a node whose log is down.
+func withLogDown(_ *follower.Config, log *logfault.Log) { log.Down() }
 
 func (s *site) within(limit time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
@@ -86,13 +87,13 @@
 // submit submits a record that must be accepted.
 func (s *site) submit(m *member, rec *bspb.Record) follower.Fate {
 	s.t.Helper()
-	fate, err := m.Submit(s.within(settle), rec)
+	outcome, err := m.Submit(s.within(settle), rec)
 	s.g.Expect(err).NotTo(gomega.HaveOccurred())
-	s.g.Expect(fate.Accepted).To(gomega.BeTrue(), fate.Conflict)
-	return fate
+	s.g.Expect(outcome.Accepted).To(gomega.BeTrue(), outcome.Conflict)
+	return outcome
 }
 
-// sameState waits, and expects that all nodes have the same state.
+// sameState waits for settle and then expects all nodes to have the same state.
 func (s *site) sameState(members ...*member) {
 	s.t.Helper()
 	time.Sleep(settle)
@@ -117,7 +118,7 @@
 	return offset
 }
 
-// replayed returns the state that the store's records give from the beginning.
+// replayed returns the state after applying all of the store's records.
 func (s *site) replayed() *state.State {
 	s.t.Helper()
 	next := state.New()
@@ -141,9 +142,9 @@
 	}
 }
 
-func whole(chunks []*bspb.CheckpointChunk) []*bspb.CheckpointChunk { return chunks }
+func intact(chunks []*bspb.CheckpointChunk) []*bspb.CheckpointChunk { return chunks }
 
-func torn(chunks []*bspb.CheckpointChunk) []*bspb.CheckpointChunk { return chunks[:len(chunks)-1] }
+func truncated(chunks []*bspb.CheckpointChunk) []*bspb.CheckpointChunk { return chunks[:len(chunks)-1] }
 
 func chunkRecord(chunk *bspb.CheckpointChunk) *bspb.Record {
 	return &bspb.Record{Body: &bspb.Record_CheckpointChunk{CheckpointChunk: chunk}}
@@ -188,64 +189,64 @@
 	return records
 }
 
-// swapped is a log that can be replaced by another.
-type swapped struct {
+// swappableLog is a log that can be replaced by another.
+type swappableLog struct {
 	mu  sync.Mutex
 	log platlog.Log
 }
 
-func (l *swapped) set(log platlog.Log) {
+func (l *swappableLog) set(log platlog.Log) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.log = log
 }
 
-func (l *swapped) get() platlog.Log {
+func (l *swappableLog) get() platlog.Log {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.log
 }
 
 // Append implements platlog.Log.
-func (l *swapped) Append(ctx context.Context, data []byte) (topo.Offset, error) {
+func (l *swappableLog) Append(ctx context.Context, data []byte) (topo.Offset, error) {
 	return l.get().Append(ctx, data)
 }
 
 // Read implements platlog.Log.
-func (l *swapped) Read(ctx context.Context, req platlog.ReadRequest) (platlog.Batch, error) {
+func (l *swappableLog) Read(ctx context.Context, req platlog.ReadRequest) (platlog.Batch, error) {
 	return l.get().Read(ctx, req)
 }
 
-// reading is a log that counts its reads.
-type reading struct {
+// readCounter is a log that counts its reads.
+type readCounter struct {
 	inner platlog.Log
 	count atomic.Int64
 }
 
 // Append implements platlog.Log.
-func (l *reading) Append(ctx context.Context, data []byte) (topo.Offset, error) {
+func (l *readCounter) Append(ctx context.Context, data []byte) (topo.Offset, error) {
 	return l.inner.Append(ctx, data)
 }
 
 // Read implements platlog.Log.
-func (l *reading) Read(ctx context.Context, req platlog.ReadRequest) (platlog.Batch, error) {
+func (l *readCounter) Read(ctx context.Context, req platlog.ReadRequest) (platlog.Batch, error) {
 	l.count.Add(1)
 	return l.inner.Read(ctx, req)
 }
 
-// counting is a log that counts the entries read from it.
-type counting struct {
+// entryCounter is a log that counts the entries read from it.
+type entryCounter struct {
 	inner   platlog.Log
 	entries atomic.Int64
 }
 
 // Append implements platlog.Log.
-func (l *counting) Append(ctx context.Context, data []byte) (topo.Offset, error) {
+func (l *entryCounter) Append(ctx context.Context, data []byte) (topo.Offset, error) {
 	return l.inner.Append(ctx, data)
 }
 
 // Read implements platlog.Log.
-func (l *counting) Read(ctx context.Context, req platlog.ReadRequest) (platlog.Batch, error) {
+func (l *entryCounter) Read(ctx context.Context, req platlog.ReadRequest) (platlog.Batch, error) {
 	batch, err := l.inner.Read(ctx, req)
 	l.entries.Add(int64(len(batch.Entries)))
 	return batch, err
--- a/follower/rebase_test.go
+++ b/follower/rebase_test.go
@@ -15,11 +15,11 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-const longRebase = 3 * time.Minute // for a rebase although not every node answers
+const rebaseWait = 3 * time.Minute // enough for a rebase while not every node responds
 
-// loseForAll brings about a gap for everybody: records that no node has read
-// are appended and leave the log, and one more stays.
-func (s *site) loseForAll(members ...*member) {
+// expireForAll creates a gap for every node: it appends records that no node
+// reads, removes them from the log, and keeps one later record.
+func (s *site) expireForAll(members ...*member) {
 	s.t.Helper()
 	for _, m := range members {
 		m.log.Down()
@@ -46,7 +46,7 @@
 	return total
 }
 
-func TestRetentionPassedForEverybody(t *testing.T) {
+func TestRecordsExpiredForEveryNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
 		a, b, c := s.start("a"), s.start("b"), s.start("c")
@@ -54,7 +54,7 @@
 			s.submit(m, join(string(rune('a'+i))))
 		}
 		time.Sleep(settle)
-		// Only b has read the last record that it could read.
+		// Only b has applied the last record before the gap.
 		a.log.Down()
 		c.log.Down()
 		s.network.Isolate("b")
@@ -63,14 +63,14 @@
 		s.network.Heal()
 		s.network.Cut("a", "b")
 		s.network.Cut("c", "b")
-		s.loseForAll(a, b, c)
+		s.expireForAll(a, b, c)
 		for _, m := range []*member{a, b, c} {
 			m.log.Set(logfault.Faults{SlowAppends: 5 * time.Second})
 		}
 		time.Sleep(4 * follower.DefaultRebaseAfter)
-		s.g.Expect(s.rebases()).To(gomega.BeZero(), "b could not be asked and may be further")
+		s.g.Expect(s.rebases()).To(gomega.BeZero(), "b was unreachable and may have applied more")
 		s.network.Heal()
-		time.Sleep(longRebase)
+		time.Sleep(rebaseWait)
 		for _, m := range []*member{a, b, c} {
 			m.log.Heal()
 		}
@@ -80,16 +80,16 @@
 		for name, want := range map[string]bool{"a": true, "only-b": true, "lost-1": false, "lost-2": false, "kept": true} {
 			s.g.Expect(hasNode(a, name)).To(gomega.Equal(want), name)
 		}
-		// The site goes on, and a process that starts alone follows.
+		// The cluster continues, and a process that starts without peers follows.
 		s.submit(c, join("after"))
 		d := s.start("d", alone)
 		s.sameState(a, d)
 	})
 }
 
-// Nodes that cannot ask each other may all publish their state: the first
-// Rebase record counts for everybody, also for those who were further.
-func TestRacingRebases(t *testing.T) {
+// Nodes that cannot reach each other may all publish their state: the first
+// Rebase record applies to every node, including those that had applied more.
+func TestConcurrentRebases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
 		members := []*member{s.start("a"), s.start("b"), s.start("c")}
@@ -100,12 +100,12 @@
 		for _, name := range []topo.NodeID{"a", "b", "c"} {
 			s.network.Isolate(name)
 		}
-		s.loseForAll(members...)
+		s.expireForAll(members...)
 		for _, m := range members {
 			m.log.Set(logfault.Faults{SlowAppends: 5 * time.Second})
 		}
-		time.Sleep(longRebase)
-		s.g.Expect(s.rebases()).To(gomega.BeNumerically(">=", 2), "several published")
+		time.Sleep(rebaseWait)
+		s.g.Expect(s.rebases()).To(gomega.BeNumerically(">=", 2), "several nodes published their state")
 		s.network.Heal()
 		for _, m := range members {
 			m.log.Heal()
@@ -117,9 +117,9 @@
 	})
 }
 
-// A node without a gap adopts the rebase too, so that nobody is left apart; the
-// same record under another lineage changes nothing.
-func TestRebaseBindsEveryNode(t *testing.T) {
+// A node without a gap adopts the rebase too, so that all nodes have the same
+// state. A Rebase record for another lineage has no effect.
+func TestRebaseAppliesToEveryNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
 		a := s.start("a", noCheckpoints)
@@ -129,7 +129,7 @@
 		_, resume := s.store.Bounds()
 		s.put("z@b1", 1, join("kept"))
 		_, firstChunk := s.store.Bounds()
-		s.putCheckpoint(old, "z/rebase/1", whole)
+		s.putCheckpoint(old, "z/rebase/1", intact)
 		chunk := s.records()[firstChunk-1].GetCheckpointChunk()
 		rebase := func(lineage topo.Offset) *bspb.Record {
 			return &bspb.Record{Body: &bspb.Record_Rebase{Rebase: &bspb.Rebase{
@@ -153,17 +153,17 @@
 	})
 }
 
-// A Rebase record of an older lineage never takes a node back, also when the
-// node is looking for one.
-func TestStaleRebaseIsPassedOver(t *testing.T) {
+// A Rebase record of an older lineage never moves a node back, even while the
+// node searches for a Rebase record.
+func TestStaleRebaseIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
 		a := s.start("a", noCheckpoints)
 		s.submit(a, join("a"))
 		old := s.replayed()
 		s.submit(a, join("b"))
-		s.loseForAll(a)
-		time.Sleep(longRebase)
+		s.expireForAll(a)
+		time.Sleep(rebaseWait)
 		lineage := a.View().Lineage()
 		s.g.Expect(lineage).NotTo(gomega.BeZero())
 		s.submit(a, join("newer"))
@@ -171,7 +171,7 @@
 		a.log.Down()
 		s.put("y@b1", 1, join("lost"))
 		_, resume := s.store.Bounds()
-		s.putCheckpoint(old, "z/rebase/1", whole)
+		s.putCheckpoint(old, "z/rebase/1", intact)
 		first, _ := s.store.Bounds()
 		chunk := s.records()[resume-first].GetCheckpointChunk()
 		stale := s.put("z@b1", 1, &bspb.Record{Body: &bspb.Record_Rebase{Rebase: &bspb.Rebase{
@@ -180,23 +180,22 @@
 		}}})
 		s.store.Truncate(resume)
 		a.log.Heal()
-		time.Sleep(2 * longRebase)
+		time.Sleep(2 * rebaseWait)
 		s.g.Expect(hasNode(a, "newer")).To(gomega.BeTrue())
-		s.g.Expect(a.View().Lineage()).To(gomega.BeNumerically(">", stale), "its own came after")
+		s.g.Expect(a.View().Lineage()).To(gomega.BeNumerically(">", stale), "the node wrote its own rebase later")
 		s.submit(a, join("after"))
 	})
 }
 
-// A node that has no state never publishes one, and says so by having no
-// contact.
-func TestNothingToRebaseFrom(t *testing.T) {
+// A node without state never publishes one, and has no contact.
+func TestNoRebaseWithoutState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
 		s.put("x@b1", 1, join("x"))
 		s.put("x@b1", 2, join("y"))
 		s.store.Truncate(2)
 		a := s.start("a", func(c *follower.Config, _ *logfault.Log) { c.RebaseAfter = time.Second })
-		time.Sleep(longRebase)
+		time.Sleep(rebaseWait)
 		s.g.Expect(s.rebases()).To(gomega.BeZero())
 		s.g.Expect(a.View().Applied()).To(gomega.BeZero())
 		s.g.Expect(a.LastContact().IsZero()).To(gomega.BeTrue())
--- a/follower/recover.go
+++ b/follower/recover.go
@@ -12,17 +12,17 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// minWindow is the fewest entries that are searched at once for a checkpoint.
+// minWindow is the minimum number of entries searched at once for a checkpoint.
 const minWindow = 256
 
-// found is a whole checkpoint in the log.
-type found struct {
-	whole    checkpoint.Whole
+// foundCheckpoint is a complete checkpoint in the log.
+type foundCheckpoint struct {
+	info     checkpoint.Info
 	snapshot *bspb.Snapshot
 }
 
-// recover deals with a log that no longer holds the next record: it looks for
-// a checkpoint in the log, then asks peers, then for a rebase.
+// recover handles a log that no longer retains the next record: it tries a
+// checkpoint in the log, then the state of a peer, then a rebase.
 func (r *logReader) recover(ctx context.Context) error {
 	probe, err := r.f.read(ctx, r.f.applied()+1, 1, 0)
 	first, end := probe.First, probe.End
@@ -53,9 +53,9 @@
 	return probe.First, probe.End, err
 }
 
-// restoreNewest restores the newest whole checkpoint from which the retained
-// records go on, and that is further than the state. It searches backwards from
-// the end of the log in growing windows.
+// restoreNewest restores the newest complete checkpoint that is newer than the
+// state and that the retained records continue. It searches backwards from the
+// end of the log in growing windows.
 func (r *logReader) restoreNewest(ctx context.Context, first, end topo.Offset) bool {
 	window := topo.Offset(max(2*r.f.config.CheckpointEvery, minWindow))
 	for {
@@ -67,7 +67,7 @@
 		if err != nil {
 			return false
 		}
-		if newest != nil && newest.whole.Applied+1 >= first && newest.whole.Applied > r.f.applied() {
+		if newest != nil && newest.info.Applied+1 >= first && newest.info.Applied > r.f.applied() {
 			return r.restore(ctx, newest)
 		}
 		if start == first {
@@ -77,51 +77,51 @@
 	}
 }
 
-// search returns the newest whole checkpoint with all chunks in a range; nil
-// when there is none.
-func (r *logReader) search(ctx context.Context, start, end topo.Offset) (*found, error) {
+// search returns the newest complete checkpoint with all chunks in a range, or
+// nil if there is none.
+func (r *logReader) search(ctx context.Context, start, end topo.Offset) (*foundCheckpoint, error) {
 	var assembler checkpoint.Assembler
-	var newest *found
+	var newest *foundCheckpoint
 	err := r.f.scan(ctx, start, end, func(offset topo.Offset, rec *bspb.Record) bool {
 		chunk := rec.GetCheckpointChunk()
 		if chunk == nil {
 			return true
 		}
-		whole, snapshot, err := assembler.Add(offset, chunk)
+		info, snapshot, err := assembler.Add(offset, chunk)
 		if err != nil {
-			eventCheckpointTorn.Log(r.f.config.Logger, "offset", offset, "error", err)
+			eventCheckpointDamaged.Log(r.f.config.Logger, "offset", offset, "error", err)
 		}
-		if whole != nil && (newest == nil || whole.Applied >= newest.whole.Applied) {
-			newest = &found{whole: *whole, snapshot: snapshot}
+		if info != nil && (newest == nil || info.Applied >= newest.info.Applied) {
+			newest = &foundCheckpoint{info: *info, snapshot: snapshot}
 		}
 		return true
 	})
 	return newest, err
 }
 
-func (r *logReader) restore(ctx context.Context, newest *found) bool {
+func (r *logReader) restore(ctx context.Context, newest *foundCheckpoint) bool {
 	restored, err := state.Restore(newest.snapshot)
 	if err != nil {
-		eventCheckpointTorn.Log(r.f.config.Logger, "checkpoint", newest.whole.ID, "error", err)
+		eventCheckpointDamaged.Log(r.f.config.Logger, "checkpoint", newest.info.ID, "error", err)
 		return false
 	}
 	if r.f.adopt(ctx, restored, false) != nil {
 		return false
 	}
-	r.f.due.noteWhole(newest.whole)
-	eventCheckpointUsed.Log(r.f.config.Logger, "checkpoint", newest.whole.ID, "applied", newest.whole.Applied)
+	r.f.schedule.noteComplete(newest.info)
+	eventCheckpointRestored.Log(r.f.config.Logger, "checkpoint", newest.info.ID, "applied", newest.info.Applied)
 	return true
 }
 
-// scan visits the readable records of a range in order until visit returns
-// false. It fails with the log's error.
+// scan visits the decodable records of a range in order until visit returns
+// false. It fails with the log's error, a *GapError or a *RewoundError.
 func (f *Follower) scan(ctx context.Context, start, end topo.Offset, visit func(topo.Offset, *bspb.Record) bool) error {
 	for next := start; next < end; {
-		batch, err := f.read(ctx, next, readMax, 0)
+		batch, err := f.read(ctx, next, maxReadEntries, 0)
 		if err != nil {
 			return err
 		}
-		entries, err := following(batch, next)
+		entries, err := contiguous(batch, next)
 		if err != nil {
 			return err
 		}
@@ -139,16 +139,16 @@
 	return nil
 }
 
-// following returns the entries of a batch from next on, without those read
-// again. It fails when there are none or some are missing.
-func following(batch platlog.Batch, next topo.Offset) ([]platlog.Entry, error) {
+// contiguous returns the entries of a batch from next on, without duplicates. It
+// fails if there are none or if entries are missing.
+func contiguous(batch platlog.Batch, next topo.Offset) ([]platlog.Entry, error) {
 	entries := make([]platlog.Entry, 0, len(batch.Entries))
 	for _, entry := range batch.Entries {
-		wanted := next + topo.Offset(len(entries))
-		if entry.Offset > wanted {
-			return nil, &GapError{Applied: wanted - 1, Got: entry.Offset}
+		expected := next + topo.Offset(len(entries))
+		if entry.Offset > expected {
+			return nil, &GapError{Applied: expected - 1, Got: entry.Offset}
 		}
-		if entry.Offset == wanted {
+		if entry.Offset == expected {
 			entries = append(entries, entry)
 		}
 	}
--- a/follower/relay_contact_test.go
+++ b/follower/relay_contact_test.go
@@ -15,20 +15,20 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// ends remembers from when on the log had each end.
-type ends struct {
+// logEnds stores when each record was appended to the log.
+type logEnds struct {
 	mu    sync.Mutex
 	since []time.Time // by offset
 }
 
-func (e *ends) note(at time.Time) {
+func (e *logEnds) note(at time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.since = append(e.since, at)
 }
 
-// before returns how many records the log held just before a time.
-func (e *ends) before(at time.Time) topo.Offset {
+// endBefore returns how many records the log held just before a time.
+func (e *logEnds) endBefore(at time.Time) topo.Offset {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	held := topo.Offset(0)
@@ -40,8 +40,8 @@
 	return held
 }
 
-// Whatever happens to links, relays and the log: a node has applied every
-// record that the log held at the node's contact, and never goes back.
+// Under faults of links, relays and the log, a node has applied every record that
+// was in the log at the time of its contact, and its state never moves back.
 func TestContactThroughRelaysIsNeverTooFresh(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -53,7 +53,7 @@
 func contactUnderFaults(t *testing.T, seed uint64) {
 	s, members := relayedSite(t, 1+int(seed%3), "a", "b", "c", "d", "e")
 	random := rand.New(rand.NewPCG(seed, 1))
-	held := &ends{}
+	held := &logEnds{}
 	_, end := s.store.Bounds()
 	for range end - 1 {
 		held.note(time.Time{})
@@ -71,7 +71,7 @@
 		}
 		for _, name := range names {
 			contact, applied := members[name].LastContact(), members[name].View().Applied()
-			s.g.Expect(applied).To(gomega.BeNumerically(">=", held.before(contact)), "seed %d, step %d, node %s", seed, step, name)
+			s.g.Expect(applied).To(gomega.BeNumerically(">=", held.endBefore(contact)), "seed %d, step %d, node %s", seed, step, name)
 			s.g.Expect(applied).To(gomega.BeNumerically(">=", last[name]), "seed %d, step %d, node %s", seed, step, name)
 			last[name] = applied
 		}
@@ -86,7 +86,7 @@
 	s.sameState(all...)
 }
 
-// injectOne changes one thing about the network or a node's log.
+// injectOne injects or removes one random fault of the network or a node's log.
 func injectOne(s *site, members map[topo.NodeID]*member, names []topo.NodeID, random *rand.Rand) {
 	one, other := names[random.IntN(len(names))], names[random.IntN(len(names))]
 	some := func(most int) time.Duration { return time.Duration(random.IntN(most)) * time.Millisecond }
--- a/follower/relay_test.go
+++ b/follower/relay_test.go
@@ -21,14 +21,14 @@
 )
 
 const (
-	// right is the lease TTL that belongs to the default PollWait: contact that
-	// is older gives a lessor no right.
-	right = 5 * follower.DefaultPollWait
-	// mostContactAge is what is promised when one or two sources fail, see
+	// leaseTTL is the lease TTL for the default PollWait. A lessor whose contact is
+	// older may not renew.
+	leaseTTL = 5 * follower.DefaultPollWait
+	// maxContactAge is the documented bound while one or two sources fail, see
 	// docs/design/log-and-state.md.
-	mostContactAge = 9 * follower.DefaultPollWait / 2
-	// followingPause is long enough to turn back to a relay that failed.
-	followingPause = 3 * time.Minute
+	maxContactAge = 9 * follower.DefaultPollWait / 2
+	// relayReturnWait is long enough for nodes to return to a relay that failed.
+	relayReturnWait = 3 * time.Minute
 )
 
 // relayedSite starts nodes that share relays, and waits until they use them.
@@ -49,7 +49,7 @@
 
 func source(m *member) topo.NodeID { return topo.NodeID(m.Dump(time.Now()).Source) }
 
-// split returns the nodes that read the log and those that follow.
+// split returns the nodes that read the log and those that read through a relay.
 func split(members map[topo.NodeID]*member) (readers, followers []topo.NodeID) {
 	for id, m := range members {
 		if source(m) == "log" {
@@ -61,8 +61,8 @@
 	return readers, followers
 }
 
-// oldest samples a node's contact for a while and returns its greatest age.
-func oldest(m *member, span time.Duration) time.Duration {
+// oldestContact samples a node's contact over span and returns its maximum age.
+func oldestContact(m *member, span time.Duration) time.Duration {
 	var age time.Duration
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(7 * time.Millisecond) {
 		age = max(age, time.Since(m.LastContact()))
@@ -84,8 +84,8 @@
 			before[id] = m.reads.Load()
 		}
 		for _, id := range followers {
-			// As fresh as by reading the log itself.
-			s.g.Expect(oldest(members[id], 10*time.Second)).To(gomega.BeNumerically("<=", 2*follower.DefaultPollWait+10*time.Millisecond))
+			// The same bound as for reading the log directly.
+			s.g.Expect(oldestContact(members[id], 10*time.Second)).To(gomega.BeNumerically("<=", 2*follower.DefaultPollWait+10*time.Millisecond))
 		}
 		for _, id := range followers {
 			s.g.Expect(members[id].reads.Load()).To(gomega.Equal(before[id]), string(id))
@@ -94,35 +94,35 @@
 			s.g.Expect(members[id].reads.Load()).To(gomega.BeNumerically(">", before[id]+100), string(id))
 		}
 		// A record reaches followers when it reaches their relay.
-		fate := s.submit(members[followers[0]], join("x"))
+		outcome := s.submit(members[followers[0]], join("x"))
 		for _, m := range members {
-			s.g.Expect(m.WaitApplied(s.within(time.Millisecond), fate.Offset)).To(gomega.Succeed())
+			s.g.Expect(m.WaitApplied(s.within(time.Millisecond), outcome.Offset)).To(gomega.Succeed())
 		}
 	})
 }
 
-// A node that starts has no view that tells relays, and reads the log, also
-// when no relay of its zone can be reached.
+// A starting node reads the log, because its view lists no relays yet, even if it
+// can reach no relay of its zone.
 func TestAStartingNodeReadsTheLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, members := relayedSite(t, 1, "a", "b")
 		relay, _ := split(members)
 		started := s.start("c", func(*follower.Config, *logfault.Log) { s.network.Isolate("c") })
 		s.submit(started, join("c"))
-		time.Sleep(settle) // contact is noted after the record
-		s.g.Expect(oldest(started, 2*settle)).To(gomega.BeNumerically("<", right))
+		time.Sleep(settle) // contact is renewed after the record is applied
+		s.g.Expect(oldestContact(started, 2*settle)).To(gomega.BeNumerically("<", leaseTTL))
 		s.g.Expect(started.reads.Load()).To(gomega.BeNumerically(">", 10))
 		s.network.Heal()
-		time.Sleep(followingPause)
+		time.Sleep(relayReturnWait)
 		_, followers := split(members)
 		s.g.Expect(followers).To(gomega.HaveLen(1))
 		s.g.Expect(source(started) == "log" || source(started) == relay[0] || len(relay) > 1).To(gomega.BeTrue())
 	})
 }
 
-// Whatever happens to a relay, the nodes behind it keep contact that gives the
-// right to renew, go on applying, and come back to it.
-func TestARelayFails(t *testing.T) {
+// While a relay fails, the nodes that read through it keep contact recent enough
+// to renew leases, continue to apply records, and return to the relay afterwards.
+func TestRelayFailure(t *testing.T) {
 	cases := []struct {
 		name  string
 		fault func(s *site, id topo.NodeID, relay *member)
@@ -131,14 +131,14 @@
 		{"cut off from its zone", func(s *site, id topo.NodeID, _ *member) { s.network.Isolate(id) }},
 		{"paused", func(s *site, id topo.NodeID, relay *member) { s.network.Pause(id); relay.log.Down() }},
 		{"cut off from the log", func(_ *site, _ topo.NodeID, relay *member) { relay.log.Down() }},
-		{"log silent for it", func(_ *site, _ topo.NodeID, relay *member) { relay.log.Set(logfault.Faults{Silent: true}) }},
+		{"log unresponsive for it", func(_ *site, _ topo.NodeID, relay *member) { relay.log.Set(logfault.Faults{Silent: true}) }},
 		{"log slow for it", func(_ *site, _ topo.NodeID, relay *member) { relay.log.Set(logfault.Faults{Slow: 2 * time.Second}) }},
 		{"slow", func(s *site, id topo.NodeID, _ *member) {
 			for _, other := range []topo.NodeID{"a", "b", "c", "d", "e"} {
 				s.network.Set(id, other, peermem.Fault{Delay: time.Second})
 			}
 		}},
-		{"alone with its followers", func(s *site, id topo.NodeID, relay *member) {
+		{"connected only to its followers", func(s *site, id topo.NodeID, relay *member) {
 			relay.log.Down()
 			s.network.Cut(id, "z")
 		}},
@@ -159,10 +159,10 @@
 					go func() {
 						time.Sleep(time.Second)
 						rec := join("meanwhile")
-						rec.GetJoinNode().Zone = "zone-elsewhere" // the zone's order stays
+						rec.GetJoinNode().Zone = "zone-elsewhere" // keeps the relay order of the zone
 						s.submit(members[followers[1]], rec)
 					}()
-					s.g.Expect(oldest(watched, 30*time.Second)).To(gomega.BeNumerically("<=", mostContactAge))
+					s.g.Expect(oldestContact(watched, 30*time.Second)).To(gomega.BeNumerically("<=", maxContactAge))
 					s.g.Expect(hasNode(watched, "meanwhile")).To(gomega.BeTrue())
 					s.network.Heal()
 					s.network.Resume(readers[0])
@@ -170,7 +170,7 @@
 					members[readers[0]].log.Heal()
 					members[readers[1]].log.Heal()
 					if c.name != "lost" {
-						time.Sleep(followingPause)
+						time.Sleep(relayReturnWait)
 						s.g.Expect(source(watched)).To(gomega.Equal(first))
 					}
 				})
@@ -179,13 +179,13 @@
 	}
 }
 
-// Nodes whose views differ may follow each other. That makes no contact fresh,
+// Nodes with different views may read through each other. That renews no contact,
 // so both read the log.
-func TestFollowingInACircleIsNoContact(t *testing.T) {
+func TestCircularFollowingRenewsNoContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
 		s.relays = 1
-		// Each takes the other for its zone's only node.
+		// In each node's view, the other node is the only one of its zone.
 		a := s.start("a", func(c *follower.Config, _ *logfault.Log) { c.Zone = "zone-of-b" })
 		b := s.start("b", func(c *follower.Config, _ *logfault.Log) { c.Zone = "zone-of-a" })
 		for _, name := range []string{"a", "b"} {
@@ -195,27 +195,27 @@
 		}
 		time.Sleep(settle)
 		for _, m := range []*member{a, b} {
-			s.g.Expect(oldest(m, time.Minute)).To(gomega.BeNumerically("<=", mostContactAge))
+			s.g.Expect(oldestContact(m, time.Minute)).To(gomega.BeNumerically("<=", maxContactAge))
 		}
-		// One may follow the other while that one reads the log.
+		// One node may read through the other while the other reads the log.
 		s.g.Expect(a.reads.Load() + b.reads.Load()).To(gomega.BeNumerically(">", 200))
 	})
 }
 
-// A follower that was stopped answers nobody who follows it: its state stands
-// still, and it could not hold a read.
+// A stopped follower rejects reads of nodes that follow it, because its state no
+// longer advances and it cannot hold a read open.
 func TestAStoppedRelayIsNotFollowed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, members := relayedSite(t, 1, "a", "b", "c")
 		readers, followers := split(members)
 		members[readers[0]].Stop()
-		s.g.Expect(oldest(members[followers[0]], settle)).To(gomega.BeNumerically("<=", mostContactAge))
+		s.g.Expect(oldestContact(members[followers[0]], settle)).To(gomega.BeNumerically("<=", maxContactAge))
 		s.g.Expect(source(members[followers[0]])).To(gomega.Equal(topo.NodeID("log")))
 	})
 }
 
-// A log that is slow for everybody is read by its relays, not by all nodes: that
-// would make it slower still.
+// A log that is slow for all nodes is still read only by the relays, because
+// reads by all nodes would slow it down further.
 func TestASlowLogKeepsItsRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, members := relayedSite(t, 2, "a", "b", "c", "d", "e", "f")
@@ -233,15 +233,15 @@
 			mine, relays := members[id].reads.Load()-before[id], members[readers[0]].reads.Load()-before[readers[0]]
 			s.g.Expect(mine).To(gomega.BeNumerically("<", relays/2), string(id))
 		}
-		fate := s.submit(members[readers[0]], join("x"))
+		outcome := s.submit(members[readers[0]], join("x"))
 		for _, m := range members {
-			s.g.Expect(m.WaitApplied(s.within(settle), fate.Offset)).To(gomega.Succeed())
+			s.g.Expect(m.WaitApplied(s.within(settle), outcome.Offset)).To(gomega.Succeed())
 		}
 	})
 }
 
-// A relay that does not tell its contact, as an older program, is none.
-func TestARelayThatTellsNoContact(t *testing.T) {
+// A relay that does not report its contact, as an older release, is not used.
+func TestRelayThatReportsNoContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
 		s.relays = 1
@@ -255,29 +255,29 @@
 			c.Logger = hclog.New(&hclog.LoggerOptions{Output: &lines})
 		})
 		s.submit(b, join("a"))
-		time.Sleep(settle) // contact is noted after the record
-		s.g.Expect(oldest(b, time.Minute)).To(gomega.BeNumerically("<=", mostContactAge))
+		time.Sleep(settle) // contact is renewed after the record is applied
+		s.g.Expect(oldestContact(b, time.Minute)).To(gomega.BeNumerically("<=", maxContactAge))
 		s.g.Expect(b.reads.Load()).To(gomega.BeNumerically(">", 50))
 		b.Stop()
 		s.g.Expect(lines.String()).To(gomega.ContainSubstring("event=1216"))
 	})
 }
 
-// Checkpoints, retention and a rebase reach nodes behind a relay.
-func TestRetentionPassedForASiteWithRelays(t *testing.T) {
+// Checkpoints, retention and a rebase reach nodes that read through a relay.
+func TestRecordsExpiredForASiteWithRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, members := relayedSite(t, 2, "a", "b", "c", "d")
 		all := []*member{members["a"], members["b"], members["c"], members["d"]}
 		for _, id := range []topo.NodeID{"a", "b", "c", "d"} {
 			s.network.Isolate(id)
 		}
-		s.loseForAll(all...)
+		s.expireForAll(all...)
 		s.network.Heal()
-		time.Sleep(longRebase)
+		time.Sleep(rebaseWait)
 		s.sameState(all...)
 		s.g.Expect(s.rebases()).To(gomega.BeNumerically(">=", 1))
 		s.g.Expect(hasNode(all[0], "kept")).To(gomega.BeTrue())
-		time.Sleep(followingPause)
+		time.Sleep(relayReturnWait)
 		_, followers := split(members)
 		s.g.Expect(len(followers)).To(gomega.BeNumerically(">=", 2))
 		s.submit(members[followers[0]], join("after"))
@@ -285,9 +285,9 @@
 	})
 }
 
-// A node that was away while the log lost what it needs, and its relay's recent
-// entries too, comes back by a checkpoint.
-func TestANodeBehindARelayThatLacksItsRecords(t *testing.T) {
+// A disconnected node whose next records are neither retained by the log nor among
+// its relay's recent entries recovers from a checkpoint.
+func TestFollowerOfARelayThatLacksItsRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, members := relayedSite(t, 1, "a", "b", "c")
 		_, followers := split(members)
@@ -303,7 +303,7 @@
 		time.Sleep(2 * settle)
 		away.log.Heal()
 		s.network.Heal()
-		time.Sleep(followingPause)
+		time.Sleep(relayReturnWait)
 		s.sameState(members["a"], members["b"], members["c"])
 		s.g.Expect(source(away)).NotTo(gomega.Equal(topo.NodeID("log")))
 	})
--- a/follower/serve.go
+++ b/follower/serve.go
@@ -13,54 +13,55 @@
 )
 
 const (
-	maxServedWait   = 2 * time.Second // that a peer may ask for
-	maxServedBytes  = 1 << 20         // of entries in one answer
-	snapshotKept    = 5 * time.Second // that an encoded snapshot is given again
-	snapshotAtOnce  = 1               // snapshots encoded at the same time
-	snapshotChunkID = "peer"
+	maxServedWait          = 2 * time.Second // upper bound of the wait that a peer may request
+	maxServedBytes         = 1 << 20         // of entries in one response
+	snapshotCacheTTL       = 5 * time.Second // for which an encoded snapshot is reused
+	maxConcurrentSnapshots = 1               // snapshots encoded concurrently
+	snapshotChunkID        = "peer"
 )
 
-// Serve puts the answers to peers' ReadLog and FetchSnapshot into handlers.
+// Serve registers the handlers of peers' ReadLog and FetchSnapshot calls.
 func (f *Follower) Serve(handlers *peer.Handlers) {
-	snapshots := &snapshotServer{f: f, encoding: make(chan struct{}, snapshotAtOnce)}
+	snapshots := &snapshotServer{f: f, encoding: make(chan struct{}, maxConcurrentSnapshots)}
 	handlers.ReadLog = f.serveReadLog
 	handlers.Snapshot = snapshots.serve
 }
 
-// serveReadLog returns recent entries, and waits for new ones if asked to.
-// A follower's wait ends when contact is renewed too, so that its next request
-// arrives just after a read of the log began. Without entries although the answer's applied is beyond what was asked for,
-// the caller needs a snapshot.
+// serveReadLog returns recent entries, and waits for new ones if requested.
+// A follower's wait also ends when contact is renewed, so that its next request
+// arrives just after a read of the log began. A response without entries whose
+// applied offset is not below the requested one means that the caller needs a
+// snapshot.
 func (f *Follower) serveReadLog(ctx context.Context, req *bspb.ReadLogRequest) (*bspb.ReadLogResponse, error) {
 	from := max(topo.Offset(req.GetFrom()), 1)
 	wait := min(time.Duration(req.GetWaitMs())*time.Millisecond, maxServedWait)
 	arrived := f.now()
 	if wait > 0 && f.applied() < from {
-		f.awaitNews(ctx, from, wait, req.GetFollows())
+		f.awaitChange(ctx, from, wait, req.GetFollows())
 	}
 	if req.GetFollows() && f.stopped() {
 		return nil, &StoppedError{}
 	}
-	age := f.contactBefore(arrived) // before applied, which has all that it is about
-	entries, first := f.ring.read(from, min(max(int(req.GetMax()), 1), readMax))
-	answer := &bspb.ReadLogResponse{
+	age := f.contactAgeAt(arrived) // read before applied, which then covers every record of this contact
+	entries, first := f.ring.read(from, min(max(int(req.GetMax()), 1), maxReadEntries))
+	response := &bspb.ReadLogResponse{
 		First: uint64(first), Applied: uint64(f.applied()),
-		ContactAgeMs: age, LogFirst: uint64(f.due.logFirst()),
+		ContactAgeMs: age, LogFirst: uint64(f.schedule.logFirst()),
 	}
 	bytes := 0
 	for _, entry := range entries {
-		if bytes += len(entry.Data); bytes > maxServedBytes && len(answer.Entries) > 0 {
+		if bytes += len(entry.Data); bytes > maxServedBytes && len(response.Entries) > 0 {
 			break
 		}
 		count(metricServedBytes, len(entry.Data))
-		answer.Entries = append(answer.Entries, &bspb.LogEntry{Offset: uint64(entry.Offset), Data: entry.Data})
+		response.Entries = append(response.Entries, &bspb.LogEntry{Offset: uint64(entry.Offset), Data: entry.Data})
 	}
-	return answer, nil
+	return response, nil
 }
 
-// awaitNews waits for records from an offset on, for the end of the wait, and
-// if contact matters, for newer contact.
-func (f *Follower) awaitNews(ctx context.Context, from topo.Offset, wait time.Duration, contact bool) {
+// awaitChange waits for records from an offset on, for the end of the wait, and
+// if contact is set, for newer contact.
+func (f *Follower) awaitChange(ctx context.Context, from topo.Offset, wait time.Duration, contact bool) {
 	limited, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	var renewed <-chan struct{}
@@ -84,8 +85,8 @@
 	}
 }
 
-// stopped reports whether Stop has ended: then the state stands still, and
-// nobody should follow it.
+// stopped reports whether Stop has completed. The state no longer advances then,
+// so no node should follow it.
 func (f *Follower) stopped() bool {
 	select {
 	case <-f.done:
@@ -95,9 +96,9 @@
 	}
 }
 
-// contactBefore returns how much older than a time the contact is, in
-// milliseconds rounded up, 0 when it is younger; nil without contact.
-func (f *Follower) contactBefore(at time.Time) *uint32 {
+// contactAgeAt returns the age of the contact at a time, in milliseconds rounded
+// up, 0 if the contact is newer, or nil without contact.
+func (f *Follower) contactAgeAt(at time.Time) *uint32 {
 	contact := f.LastContact()
 	if contact.IsZero() {
 		return nil
@@ -107,17 +108,19 @@
 	return &rounded
 }
 
-// snapshotServer gives peers the whole state. An encoded snapshot is kept for a
-// while, since many peers may start at once; they read the rest as entries.
+// snapshotServer serves the whole state to peers. An encoded snapshot is reused
+// for snapshotCacheTTL, because many peers may start at once; they read later
+// records as entries. The fields after encoding are guarded by its slot.
 type snapshotServer struct {
-	f        *Follower
-	encoding chan struct{} // a slot for each snapshot being encoded
-	chunks   []*bspb.CheckpointChunk
-	applied  topo.Offset
-	at       time.Time
+	f         *Follower
+	encoding  chan struct{} // a slot for each snapshot being encoded
+	chunks    []*bspb.CheckpointChunk
+	applied   topo.Offset
+	encodedAt time.Time
 }
 
-// serve answers with nothing unless the state is beyond an offset.
+// serve returns the chunks of a snapshot, or none if the state has no records
+// beyond an offset.
 func (s *snapshotServer) serve(ctx context.Context, beyond topo.Offset) ([]*bspb.CheckpointChunk, error) {
 	if s.f.applied() <= beyond {
 		return nil, nil
@@ -128,7 +131,7 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	if s.applied > beyond && time.Since(s.at) < snapshotKept {
+	if s.applied > beyond && time.Since(s.encodedAt) < snapshotCacheTTL {
 		return s.chunks, nil
 	}
 	frozen, alive := s.f.freeze(ctx)
@@ -140,6 +143,6 @@
 		return nil, err
 	}
 	count(metricSnapshots, 1)
-	s.chunks, s.applied, s.at = chunks, frozen.View().Applied(), time.Now()
+	s.chunks, s.applied, s.encodedAt = chunks, frozen.View().Applied(), time.Now()
 	return chunks, nil
 }
