--- a/state/apply_members.go
+++ b/state/apply_members.go
@@ -21,7 +21,7 @@
 		PeerAddress: body.GetPeerAddress(),
 	}
 	s.nodes.set(node.ID, node)
-	s.pruneLostRuns()
+	s.pruneLostIncarnations()
 	return nil
 }
 
@@ -37,12 +37,12 @@
 		}
 	}
 	s.nodes.remove(id)
-	s.pruneLostRuns()
+	s.pruneLostIncarnations()
 	return nil
 }
 
-// applyConfirmLoss marks servers, and runs of nodes, as lost. A name without a
-// boot means the runs of the node that are known.
+// applyConfirmLoss marks servers and incarnations of nodes as lost. A node name
+// without a boot refers to all known incarnations of the node.
 func (s *State) applyConfirmLoss(body *bspb.ConfirmLoss) *Conflict {
 	marked := false
 	for _, name := range body.GetServers() {
@@ -53,8 +53,8 @@
 		}
 	}
 	for _, name := range body.GetNodes() {
-		for _, lost := range s.runsNamed(name) {
-			s.lostRuns.set(lost, true)
+		for _, lost := range s.matchIncarnations(name) {
+			s.lostIncarnations.set(lost, true)
 			marked = true
 		}
 	}
@@ -64,55 +64,59 @@
 	return nil
 }
 
-// runsNamed returns the known runs that a name, with or without a boot, means.
-func (s *State) runsNamed(name string) []run {
+// matchIncarnations returns the known incarnations to which a node name,
+// with or without a boot, refers.
+func (s *State) matchIncarnations(name string) []incarnation {
 	node, boot, single := record.ParseWriter(name)
 	if !single {
-		return s.runsOf(topo.NodeID(name))
+		return s.incarnationsOf(topo.NodeID(name))
 	}
-	named := run{node: node, boot: boot}
-	if slices.Contains(s.runsOf(node), named) {
-		return []run{named}
+	named := incarnation{node: node, boot: boot}
+	if slices.Contains(s.incarnationsOf(node), named) {
+		return []incarnation{named}
 	}
 	return nil
 }
 
-// runsOf returns the node's current run and the runs of it that groups name.
-func (s *State) runsOf(id topo.NodeID) []run {
-	var runs []run
+// incarnationsOf returns the node's current incarnation and its
+// incarnations that groups name as lessor or standby lessor.
+func (s *State) incarnationsOf(id topo.NodeID) []incarnation {
+	var runs []incarnation
 	if node, exists := s.nodes.get(id); exists {
-		runs = append(runs, run{node: id, boot: node.Boot})
+		runs = append(runs, incarnation{node: id, boot: node.Boot})
 	}
 	for _, group := range s.groups.entries {
 		if group.Lessor == id {
-			runs = append(runs, run{node: id, boot: group.LessorBoot})
+			runs = append(runs, incarnation{node: id, boot: group.LessorBoot})
 		}
 		if group.Standby == id {
-			runs = append(runs, run{node: id, boot: group.StandbyBoot})
+			runs = append(runs, incarnation{node: id, boot: group.StandbyBoot})
 		}
 	}
 	return runs
 }
 
-// pruneLostRuns forgets the marks of runs that neither are current nor named
-// by a group.
-func (s *State) pruneLostRuns() {
-	for lost := range s.lostRuns.entries {
+// pruneLostIncarnations removes the lost marks of incarnations that are
+// neither current nor named by a group.
+func (s *State) pruneLostIncarnations() {
+	for lost := range s.lostIncarnations.entries {
 		if node, exists := s.nodes.get(lost.node); exists && node.Boot == lost.boot {
 			continue
 		}
-		if !s.groupNames(lost) {
-			s.lostRuns.remove(lost)
+		if !s.isInGroup(lost) {
+			s.lostIncarnations.remove(lost)
 		}
 	}
 }
 
-func (s *State) groupNames(r run) bool {
+// isInGroup reports whether a group names an incarnation as lessor or standby
+// lessor.
+func (s *State) isInGroup(r incarnation) bool {
 	for _, group := range s.groups.entries {
-		if r == (run{node: group.Lessor, boot: group.LessorBoot}) {
+		if r == (incarnation{node: group.Lessor, boot: group.LessorBoot}) {
 			return true
 		}
-		if r == (run{node: group.Standby, boot: group.StandbyBoot}) {
+		if r == (incarnation{node: group.Standby, boot: group.StandbyBoot}) {
 			return true
 		}
 	}
--- a/state/apply_servers.go
+++ b/state/apply_servers.go
@@ -14,29 +14,29 @@
 	}
 	basis := topo.Offset(body.GetBasis())
 	var stale *Conflict
-	took := false
+	accepted := false
 	for _, entry := range body.GetUpsert() {
 		server := serverFromProto(entry)
 		if stale = s.checkBasis(server.ID, basis); stale == nil {
 			s.upsertServer(server, offset)
-			took = true
+			accepted = true
 		}
 	}
 	for _, name := range body.GetRemove() {
 		id := topo.ServerID(name)
 		if stale = s.checkBasis(id, basis); stale == nil {
 			s.removeServer(id, offset)
-			took = true
+			accepted = true
 		}
 	}
-	if took {
+	if accepted {
 		return nil
 	}
 	return stale
 }
 
-// checkBasis reports a server that was changed after the state on which a
-// writer decided.
+// checkBasis returns a conflict when a server was changed after the offset of
+// the state on which the writer based its decision.
 func (s *State) checkBasis(id topo.ServerID, basis topo.Offset) *Conflict {
 	known, exists := s.serverRecords[id]
 	if basis == 0 || !exists || known.changed <= basis {
@@ -55,15 +55,15 @@
 }
 
 // upsertServer inserts or replaces a server. While shards name it, its
-// service, zone and group stay, since leases are renewed by group. A lost mark
-// goes when no shard names the server.
+// service, zone and group do not change, because leases are renewed by group.
+// The lost mark is removed when no shard names the server.
 func (s *State) upsertServer(server Server, offset topo.Offset) {
 	known, exists := s.serverRecords[server.ID]
 	if !exists {
 		known = &serverRecord{}
 		s.serverRecords[server.ID] = known
 	}
-	if known.uses > 0 {
+	if known.references > 0 {
 		server.Service = known.server.Service
 		server.Zone = known.server.Zone
 		server.Group = known.server.Group
@@ -76,7 +76,8 @@
 	s.servers.set(server.ID, server)
 }
 
-// removeServer removes a server, or makes it PhaseGone while shards name it.
+// removeServer removes a server, or sets it to PhaseGone while shards name
+// it.
 func (s *State) removeServer(id topo.ServerID, offset topo.Offset) {
 	known, exists := s.serverRecords[id]
 	if !exists {
@@ -84,7 +85,7 @@
 	}
 	known.removed = true
 	known.changed = offset
-	if known.uses == 0 {
+	if known.references == 0 {
 		s.dropServer(id)
 		return
 	}
@@ -98,22 +99,23 @@
 	s.lostServers.remove(id)
 }
 
-// useServer counts an assignment that names a server; empty names are ignored.
-func (s *State) useServer(id topo.ServerID) {
+// addReference counts an assignment that names a server; the empty name is
+// ignored.
+func (s *State) addReference(id topo.ServerID) {
 	if known, exists := s.serverRecords[id]; exists {
-		known.uses++
+		known.references++
 	}
 }
 
-// releaseServer undoes useServer and drops a removed server that no assignment
+// removeReference undoes useServer and drops a removed server that no assignment
 // names any longer.
-func (s *State) releaseServer(id topo.ServerID) {
+func (s *State) removeReference(id topo.ServerID) {
 	known, exists := s.serverRecords[id]
 	if !exists {
 		return
 	}
-	known.uses--
-	if known.uses == 0 && known.removed {
+	known.references--
+	if known.references == 0 && known.removed {
 		s.dropServer(id)
 	}
 }
--- a/state/apply_shards.go
+++ b/state/apply_shards.go
@@ -11,7 +11,7 @@
 	next     Assignment
 	expected topo.Fence
 	merge    bool
-	fence    topo.Fence   // that the record allocates
+	fence    topo.Fence   // allocated by the record
 	group    topo.GroupID // of the record
 	term     topo.Term    // of the record
 }
@@ -65,11 +65,11 @@
 	if !exists {
 		return &Conflict{Reason: ReasonNoShard, Subject: c.next.Shard.String()}
 	}
-	current, conflict := inForce(table, c.next.Shard)
+	current, conflict := currentAssignment(table, c.next.Shard)
 	if conflict != nil {
 		return conflict
 	}
-	if conflict := s.checkRight(c, current); conflict != nil {
+	if conflict := s.checkFenceAndTerm(c, current); conflict != nil {
 		return conflict
 	}
 	if c.merge {
@@ -83,10 +83,11 @@
 	return nil
 }
 
-// inForce returns the assignment that now covers a shard's keys: for a key
-// that is not split out, its hash range's. So a split expects the fence of the
-// hash range, and only the lessor of the range's owner may do it.
-func inForce(table *shardTable, id topo.ShardID) (Assignment, *Conflict) {
+// currentAssignment returns the assignment that covers a shard's keys at
+// present. For a key that is not split out it is that of the hash range, so a
+// split expects the fence of the hash range, and only the lessor of the range's
+// owner may split a key.
+func currentAssignment(table *shardTable, id topo.ShardID) (Assignment, *Conflict) {
 	if id.Index >= table.count {
 		return Assignment{}, &Conflict{Reason: ReasonNoShard, Subject: id.String()}
 	}
@@ -102,10 +103,10 @@
 	return *table.at(id.Index), nil
 }
 
-// checkRight checks the expected fence, which must be older than this record,
-// and, when the shard has an owner, that
-// the record was written under the term of the owner's group.
-func (s *State) checkRight(c change, current Assignment) *Conflict {
+// checkFenceAndTerm checks that the expected fence is in force and older
+// than this record and, when the shard has an owner, that the record was
+// written under the term of the owner's group.
+func (s *State) checkFenceAndTerm(c change, current Assignment) *Conflict {
 	madeHere := current.Fence.Offset >= c.fence.Offset
 	if c.expected != current.Fence || madeHere {
 		return &Conflict{
@@ -131,8 +132,9 @@
 	return nil
 }
 
-// checkOwners checks that the next owner and standby can take the shard. A
-// shard of a retiring service may be released, and moved while it is owned.
+// checkOwners checks that the next owner and standby are eligible for the
+// shard. A shard of a retiring service may be released, and may be moved while
+// it has an owner.
 func (s *State) checkOwners(next, current Assignment) *Conflict {
 	retiring := s.isRetiring(next.Shard.Service)
 	if next.Owner == "" {
@@ -156,8 +158,8 @@
 	return nil
 }
 
-// canTake reports whether a server may be named for a shard: a live server of
-// the service, or one that the shard names already.
+// canTake reports whether a server may be named for a shard: it must be a
+// server of the service that is live or already named by the shard.
 func (s *State) canTake(id topo.ServerID, next, current Assignment) bool {
 	server, exists := s.servers.get(id)
 	if !exists || server.Service != next.Shard.Service {
@@ -167,8 +169,8 @@
 }
 
 // applyMerge returns a split key to its hash range. Both must have the same
-// owner in the same run. The range gets the new fence, so that a fence which
-// once ended for the key is never in force for it again.
+// owner in the same incarnation. The range receives the new fence, so that a
+// fence that has ended for the key never comes into force for it again.
 func (s *State) applyMerge(table *shardTable, c change) *Conflict {
 	id := c.next.Shard
 	split, isSplit := table.keys[id.Key]
@@ -185,7 +187,7 @@
 		}
 	}
 	s.edit(id.Service).removeKey(id.Key)
-	s.releaseNames(split)
+	s.removeReferences(split)
 	if covering.Owner != "" {
 		covering.Fence = c.fence
 		s.edit(id.Service).set(covering)
@@ -195,27 +197,28 @@
 
 func (s *State) replaceAssignment(next Assignment) {
 	old, existed := s.tables.entries[next.Shard.Service].get(next.Shard)
-	s.useServer(next.Owner)
-	s.useServer(next.Standby)
+	s.addReference(next.Owner)
+	s.addReference(next.Standby)
 	s.edit(next.Shard.Service).set(next)
 	if existed {
-		s.releaseNames(old)
+		s.removeReferences(old)
 	}
 }
 
-func (s *State) releaseNames(a Assignment) {
-	s.releaseServer(a.Owner)
-	s.releaseServer(a.Standby)
+func (s *State) removeReferences(a Assignment) {
+	s.removeReference(a.Owner)
+	s.removeReference(a.Standby)
 }
 
-// releaseStandbys releases the names in a table that is about to be dropped.
-func (s *State) releaseStandbys(service topo.Service) {
+// removeTableReferences removes the references of a table that is about to be
+// dropped.
+func (s *State) removeTableReferences(service topo.Service) {
 	table := s.tables.entries[service]
 	for index := range table.count {
-		s.releaseNames(*table.at(index))
+		s.removeReferences(*table.at(index))
 	}
 	for _, split := range table.keys {
-		s.releaseNames(split)
+		s.removeReferences(split)
 	}
 }
 
@@ -235,4 +238,4 @@
 	return string(group) + " " + term.String()
 }
 
-func runText(r run) string { return string(r.node) + "@" + string(r.boot) }
+func incarnationText(r incarnation) string { return string(r.node) + "@" + string(r.boot) }
--- a/state/apply_site.go
+++ b/state/apply_site.go
@@ -25,7 +25,7 @@
 	if conflict := s.checkTables(site); conflict != nil {
 		return conflict
 	}
-	s.noteLimits(offset, site)
+	s.recordPastLimits(offset, site)
 	s.replaceTables(site)
 	s.site = site
 	s.siteText = body.GetText()
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// checkTables refuses a site that would change the shard count of a service
+// checkTables rejects a site configuration that would change the shard count of a service
 // whose shards are owned, or make such a service unkeyed.
 func (s *State) checkTables(site *siteconfig.Site) *Conflict {
 	for _, name := range sortedKeys(s.tables.entries) {
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// keyedShards returns how many hash ranges a service has; 0 when unkeyed.
+// keyedShards returns the number of hash ranges of a service; 0 when unkeyed.
 func keyedShards(service *siteconfig.Service) uint32 {
 	if !service.Keyed {
 		return 0
@@ -62,9 +62,9 @@
 	return service.Shards
 }
 
-// noteLimits remembers every MaxDisconnected that the new site shortens or
-// drops.
-func (s *State) noteLimits(offset topo.Offset, site *siteconfig.Site) {
+// recordPastLimits records every MaxDisconnected that the new site
+// configuration changes or drops.
+func (s *State) recordPastLimits(offset topo.Offset, site *siteconfig.Site) {
 	if s.site == nil {
 		return
 	}
@@ -76,8 +76,8 @@
 	}
 }
 
-// replaceTables makes the tables those of the new site, and keeps the table of
-// a removed service until none of its shards has an owner.
+// replaceTables replaces the tables by those of the new site configuration. The
+// table of a removed service is kept until none of its shards has an owner.
 func (s *State) replaceTables(site *siteconfig.Site) {
 	for name, table := range s.tables.entries {
 		service, listed := site.Services[name]
@@ -116,12 +116,12 @@
 
 // forgetService drops a table without owned shards.
 func (s *State) forgetService(name topo.Service) {
-	s.releaseStandbys(name)
+	s.removeTableReferences(name)
 	s.dropTable(name)
 	s.retiring.remove(name)
 }
 
-// dropDrained forgets a retiring service once none of its shards has an owner.
+// dropDrained drops a retiring service once none of its shards has an owner.
 func (s *State) dropDrained(name topo.Service) {
 	if !s.isRetiring(name) || s.tables.entries[name].owned > 0 {
 		return
--- a/state/apply_terms.go
+++ b/state/apply_terms.go
@@ -9,7 +9,7 @@
 )
 
 func (s *State) applyClaimTerm(offset topo.Offset, body *bspb.ClaimTerm) *Conflict {
-	if conflict := checkClaim(body); conflict != nil {
+	if conflict := validateClaim(body); conflict != nil {
 		return conflict
 	}
 	id := topo.GroupID(body.GetGroup())
@@ -45,11 +45,11 @@
 		HeldSince:   heldSince,
 		Former:      current.FormerAfter(body.GetSettled()),
 	})
-	s.pruneLostRuns()
+	s.pruneLostIncarnations()
 	return nil
 }
 
-func checkClaim(body *bspb.ClaimTerm) *Conflict {
+func validateClaim(body *bspb.ClaimTerm) *Conflict {
 	if body.GetGroup() == "" || body.GetNode() == "" || body.GetBoot() == "" {
 		return &Conflict{Reason: ReasonMalformed, Subject: "group, node or boot missing"}
 	}
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// checkContinued accepts a continued term only from the standby lessor to whom
+// checkContinued accepts a continued term only from the standby lessor to which
 // the current term allocated it.
 func checkContinued(body *bspb.ClaimTerm, current Group) *Conflict {
 	continued := termFromProto(body.GetContinued())
@@ -74,33 +74,33 @@
 			InForce:  current.Term.Standby().String(),
 		}
 	}
-	claimant := run{node: topo.NodeID(body.GetNode()), boot: topo.BootID(body.GetBoot())}
-	standby := run{node: current.Standby, boot: current.StandbyBoot}
+	claimant := incarnation{node: topo.NodeID(body.GetNode()), boot: topo.BootID(body.GetBoot())}
+	standby := incarnation{node: current.Standby, boot: current.StandbyBoot}
 	if claimant != standby {
 		return &Conflict{
 			Reason:   ReasonStandby,
 			Subject:  body.GetGroup(),
-			Expected: runText(claimant),
-			InForce:  runText(standby),
+			Expected: incarnationText(claimant),
+			InForce:  incarnationText(standby),
 		}
 	}
 	return nil
 }
 
-// checkSettled accepts the word that earlier leases ended only from the lessor
-// of the current term.
+// checkSettled accepts the statement that earlier leases have ended only from
+// the lessor of the current term.
 func checkSettled(body *bspb.ClaimTerm, current Group) *Conflict {
 	if !body.GetSettled() {
 		return nil
 	}
-	claimant := run{node: topo.NodeID(body.GetNode()), boot: topo.BootID(body.GetBoot())}
-	lessor := run{node: current.Lessor, boot: current.LessorBoot}
+	claimant := incarnation{node: topo.NodeID(body.GetNode()), boot: topo.BootID(body.GetBoot())}
+	lessor := incarnation{node: current.Lessor, boot: current.LessorBoot}
 	if claimant != lessor || !termFromProto(body.GetContinued()).IsZero() {
 		return &Conflict{
 			Reason:   ReasonTerm,
 			Subject:  body.GetGroup(),
-			Expected: runText(claimant),
-			InForce:  runText(lessor),
+			Expected: incarnationText(claimant),
+			InForce:  incarnationText(lessor),
 		}
 	}
 	return nil
--- a/state/apply_test.go
+++ b/state/apply_test.go
@@ -42,7 +42,7 @@
 	return l, group.Term, other.Term
 }
 
-func TestTwoPublishersOnOneBase(t *testing.T) {
+func TestSecondPublishOnSameBaseIsRejected(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := newLog()
 	g.Expect(l.add("x", publish(0, keyed("wells", 4, 0))).Accepted).To(gomega.BeTrue())
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestEachAssignmentStandsAlone(t *testing.T) {
+func TestAssignmentsAreAppliedIndependently(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l, termA, _ := site(t)
 	result := l.add("n1@b1", assign(groupA, termA,
@@ -115,7 +115,7 @@
 	g.Expect(a.Owner).To(gomega.Equal(topo.ServerID("a1")))
 }
 
-func TestMergeNeverBringsAnEndedFenceBack(t *testing.T) {
+func TestMergeNeverRestoresAnEndedFence(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l, termA, _ := site(t)
 	first := l.add("n1@b1", assign(groupA, termA, give(shard(0), topo.Fence{}, "a1", "a2")))
@@ -224,9 +224,9 @@
 	g.Expect(l.state.View().ShardCount(wells)).To(gomega.Equal(uint32(8)))
 }
 
-// A lessor that is cut off may still go by a MaxDisconnected that a newer site
-// configuration shortened, so those who take over must wait the longer one.
-func TestShortenedLimitStillBindsUntilSettled(t *testing.T) {
+// A disconnected lessor may still use a MaxDisconnected that a newer site
+// configuration shortened, so a lessor that takes over must wait the longer one.
+func TestShortenedLimitAppliesUntilSettled(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l, termA, _ := site(t)
 	publishLimit := func(base uint64, limit int64) {
@@ -263,7 +263,7 @@
 	g.Expect(l.state.View().ServerLost("a2")).To(gomega.BeFalse())
 	l.add("n1@b2", joinNode("n1", "b2"))
 	g.Expect(l.state.View().NodeLost("n1")).To(gomega.BeFalse())
-	g.Expect(l.state.View().RunLost("n1", "b1")).To(gomega.BeTrue(), "a group still names that run")
+	g.Expect(l.state.View().RunLost("n1", "b1")).To(gomega.BeTrue(), "a group still names that incarnation")
 	l.add("n2@b1", claimRecord(claim(groupA, termA, "n2", "n3")))
 	g.Expect(l.state.View().RunLost("n1", "b1")).To(gomega.BeFalse())
 	refused := l.add("x", removeNode("n1", "b1"))
@@ -274,9 +274,9 @@
 	g := gomega.NewWithT(t)
 	l := newLog()
 	l.add("n1@b1", joinNode("n1", "b1"))
-	for i := range 3 * retiredWriters {
+	for i := range 3 * maxInactiveWriters {
 		l.add("other@"+string(rune('a'+i%26))+time.Duration(i).String(), confirmLoss(nil, nil))
 	}
-	g.Expect(len(l.state.writers.entries)).To(gomega.BeNumerically("<=", retiredWriters+1))
+	g.Expect(len(l.state.writers.entries)).To(gomega.BeNumerically("<=", maxInactiveWriters+1))
 	g.Expect(l.state.LastSequence("n1@b1")).To(gomega.Equal(uint64(1)), "a current run is never forgotten")
 }
--- a/state/bench_test.go
+++ b/state/bench_test.go
@@ -34,7 +34,7 @@
 	return l, group.Term
 }
 
-// move gives shard 0 to the other of two servers of group 0.
+// move moves shard 0 from one of two servers of group 0 to the other.
 func move(l *log, term topo.Term, n int) Result {
 	a, _ := l.state.View().Shard(shard(0))
 	owner := fmt.Sprintf("server-%04d", 10*(n%2))
--- a/state/helpers_test.go
+++ b/state/helpers_test.go
@@ -85,7 +85,7 @@
 	}}}
 }
 
-// encoded returns a state's snapshot as bytes, to compare.
+// encoded returns a state's snapshot as bytes, for comparison.
 func encoded(f Frozen) string {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(f.Snapshot())
 	if err != nil {
--- a/state/limits.go
+++ b/state/limits.go
@@ -7,13 +7,14 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// maxPastLimits bounds the history kept for one service. When it is full, the
-// two oldest entries become one that is at least as long.
+// maxPastLimits limits the history of one service. When it is full, the two
+// oldest entries are merged into one that is at least as long as both.
 const maxPastLimits = 8
 
 // pastLimit is a MaxDisconnected that was in force until a record. A lessor
-// cut off before that record may still go by it, so a lower value in a newer
-// site configuration does not shorten the wait of those who take over from it.
+// that was disconnected before that record may still use it, so a lower value
+// in a newer site configuration does not shorten the wait of a lessor that takes
+// over from it.
 type pastLimit struct {
 	until topo.Offset
 	limit time.Duration
@@ -23,7 +24,7 @@
 type pastLimits []pastLimit
 
 // replaced returns the history after limit was replaced by the record at
-// offset. The receiver is not changed, since Views may hold it.
+// offset. The receiver is not modified, because Views may reference it.
 func (p pastLimits) replaced(limit time.Duration, offset topo.Offset) pastLimits {
 	var kept pastLimits
 	for _, past := range p {
@@ -39,7 +40,7 @@
 	return kept
 }
 
-// longest returns the longest of current and what was in force after since.
+// longest returns the longest of current and the limits in force after since.
 func (p pastLimits) longest(current time.Duration, since topo.Offset) time.Duration {
 	for _, past := range p {
 		if past.until > since {
--- a/state/former.go
+++ b/state/previous_lessors.go
@@ -6,19 +6,23 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// formerMost bounds the runs that are listed for a group. Nodes that suspect each
-// other take the term in turn: many terms, but few runs.
-const formerMost = 16
+// maxPreviousIncarnations limits the incarnations listed for a group. Nodes that
+// suspect each other claim the term alternately, which makes many terms but few
+// incarnations.
+const maxPreviousIncarnations = 16
 
-// Former lists the runs of nodes that were lessor or standby lessor in earlier
-// terms of a group, and so may have renewed leases in them. It is immutable.
+// Former lists the incarnations of nodes that were lessor or standby lessor in
+// earlier terms of a group and therefore may have renewed leases in them. It is
+// immutable.
 type Former struct {
-	Runs []FormerRun // by their latest terms, the latest first
-	// Since is the offset of the first term from which on no run is missing.
+	Runs []FormerRun // ordered by latest term, the latest first
+	// Since is the offset of the first term from which on no incarnation is
+	// missing.
 	Since topo.Offset
 }
 
-// FormerRun is one run of a node and the latest terms in which it had a part.
+// FormerRun is one incarnation of a node with its latest terms as lessor and as
+// standby lessor.
 type FormerRun struct {
 	Node    topo.NodeID
 	Boot    topo.BootID
@@ -26,7 +30,8 @@
 	StoodBy topo.Term // as the standby lessor; zero if never
 }
 
-// Latest is the latest term in which the run had a part.
+// Latest returns the latest term in which the incarnation was lessor or standby
+// lessor.
 func (r FormerRun) Latest() topo.Term {
 	if r.Led.Less(r.StoodBy) {
 		return r.StoodBy
@@ -34,9 +39,9 @@
 	return r.Led
 }
 
-// FormerAfter returns the former runs of the term that follows this one. If the
-// lessor has told the log that it was settled, every lease of the terms before its
-// own has ended.
+// FormerAfter returns the previous incarnations for the term that follows this
+// one. settled means that the lessor has recorded in the log that every lease of
+// the terms before its own has ended.
 func (g Group) FormerAfter(settled bool) *Former {
 	if g.Term.IsZero() {
 		return nil
@@ -52,14 +57,15 @@
 	return next
 }
 
-// addEarlier adds the runs of the terms before, up to the limit.
+// addEarlier adds the incarnations of the earlier terms, up to
+// maxPreviousIncarnations.
 func (f *Former) addEarlier(earlier *Former) {
 	f.Since = earlier.Since
 	for _, run := range earlier.Runs {
 		if f.merge(run) {
 			continue
 		}
-		if len(f.Runs) == formerMost {
+		if len(f.Runs) == maxPreviousIncarnations {
 			f.Since = max(f.Since, run.Latest().Offset+1)
 			continue
 		}
@@ -67,7 +73,8 @@
 	}
 }
 
-// merge adds the earlier terms of a run that is listed already.
+// merge adds the earlier terms of an incarnation that is already listed and
+// reports whether it is listed.
 func (f *Former) merge(earlier FormerRun) bool {
 	for i := range f.Runs {
 		run := &f.Runs[i]
@@ -85,7 +92,7 @@
 	return false
 }
 
-func formerToProto(f *Former) (runs []*bspb.FormerRun, since uint64) {
+func previousToProto(f *Former) (runs []*bspb.FormerRun, since uint64) {
 	if f == nil {
 		return nil, 0
 	}
@@ -107,7 +114,7 @@
 	return ordinalToProto(t.Ordinal)
 }
 
-func formerFromProto(runs []*bspb.FormerRun, since uint64) *Former {
+func previousFromProto(runs []*bspb.FormerRun, since uint64) *Former {
 	if since == 0 {
 		return nil
 	}
--- a/state/former_test.go
+++ b/state/previous_lessors_test.go
@@ -8,7 +8,7 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// claimed returns the group that follows another when a node claims it.
+// claimed returns the group after a node has claimed its term.
 func claimed(current Group, offset topo.Offset, lessor, standby topo.NodeID, settled bool) Group {
 	return Group{
 		Term: topo.MakeTerm(offset, 0), Lessor: lessor, LessorBoot: "1", Standby: standby, StandbyBoot: "1",
@@ -20,7 +20,7 @@
 	return FormerRun{Node: node, Boot: "1", Led: topo.MakeTerm(led, 0), StoodBy: topo.MakeTerm(stoodBy, 0)}
 }
 
-func TestFormerRunsAreKeptUpToASettledTerm(t *testing.T) {
+func TestPreviousIncarnationsAreKeptUpToASettledTerm(t *testing.T) {
 	g := gomega.NewWithT(t)
 	group := claimed(Group{}, 1, "a", "b", false)
 	g.Expect(group.Former).To(gomega.BeNil())
@@ -32,19 +32,19 @@
 	g.Expect(group.Former).To(gomega.Equal(&Former{
 		Runs: []FormerRun{formerRun("b", 2, 1), formerRun("a", 1, 0)}, Since: 1,
 	}))
-	group = claimed(group, 4, "c", "b", true) // c tells that every lease before term 3 ended
+	group = claimed(group, 4, "c", "b", true) // c records that every lease before term 3 has ended
 	g.Expect(group.Former).To(gomega.Equal(&Former{
 		Runs: []FormerRun{formerRun("c", 3, 0), formerRun("a", 0, 3)}, Since: 3,
 	}))
-	runs, since := formerToProto(group.Former)
-	g.Expect(formerFromProto(runs, since)).To(gomega.Equal(group.Former))
-	g.Expect(formerFromProto(formerToProto(nil))).To(gomega.BeNil())
+	runs, since := previousToProto(group.Former)
+	g.Expect(previousFromProto(runs, since)).To(gomega.Equal(group.Former))
+	g.Expect(previousFromProto(previousToProto(nil))).To(gomega.BeNil())
 }
 
-// Nodes that suspect each other claim in turn. A list bounded by terms lost the
-// latest settled one within seconds, and a lost server's keys waited for
-// maxDisconnected.
-func TestClaimsInTurnLoseNoFormerRun(t *testing.T) {
+// Nodes that suspect each other claim the term alternately. A list limited by
+// the number of terms would drop the latest settled term within seconds, and the
+// keys of a lost server would wait for maxDisconnected.
+func TestAlternatingClaimsKeepAllPreviousIncarnations(t *testing.T) {
 	g := gomega.NewWithT(t)
 	nodes := []topo.NodeID{"a", "b", "c"}
 	group := claimed(Group{}, 1, "a", "b", false)
@@ -56,14 +56,14 @@
 	}))
 }
 
-func TestFormerRunsBeyondTheLimitAreKnownToBeMissing(t *testing.T) {
+func TestPreviousIncarnationsBeyondTheLimitAreReportedMissing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	group := claimed(Group{}, 1, "n1", "", false)
-	const last = formerMost + 3
+	const last = maxPreviousIncarnations + 3
 	for offset := topo.Offset(2); offset <= last; offset++ {
 		group = claimed(group, offset, topo.NodeID("n"+offsetText(offset)), "", false)
 	}
-	g.Expect(group.Former.Runs).To(gomega.HaveLen(formerMost))
+	g.Expect(group.Former.Runs).To(gomega.HaveLen(maxPreviousIncarnations))
 	g.Expect(group.Former.Runs[0]).To(gomega.Equal(formerRun("n"+topo.NodeID(offsetText(last-1)), last-1, 0)))
-	g.Expect(group.Former.Since).To(gomega.Equal(topo.Offset(last - formerMost)))
+	g.Expect(group.Former.Since).To(gomega.Equal(topo.Offset(last - maxPreviousIncarnations)))
 }
--- a/state/rapid_test.go
+++ b/state/rapid_test.go
@@ -14,13 +14,13 @@
 
 const modelShards = 3
 
-// machine drives a State with records that are mostly valid, and checks what
-// must hold after each one.
+// machine applies mostly valid records to a State and checks the invariants
+// after each record.
 type machine struct {
 	log      *log
-	replica  *State            // applies the same records, restored now and then
-	appended []*bspb.Record    // for repeats
-	fences   map[string]string // last fence seen in force, by service and key
+	replica  *State            // applies the same records, occasionally restored from a snapshot
+	appended []*bspb.Record    // for repeated appends
+	fences   map[string]string // last fence observed in force, by service and key
 	ended    map[string]bool   // key and fence that were in force and ended
 	version  uint64
 	held     *View // a view taken earlier
@@ -43,7 +43,7 @@
 	before := m.log.state.View()
 	result := m.log.add(writer, rec)
 	m.appended = append(m.appended, rec)
-	m.checkRights(t, before, rec, result)
+	m.checkFencesAndTerms(t, before, rec, result)
 	m.mirror(t, rec, result)
 }
 
@@ -54,9 +54,9 @@
 	}
 }
 
-// checkRights checks that shards with an owner were changed only by the lessor
-// of the owner's group, one change a record.
-func (m *machine) checkRights(t *rapid.T, before *View, rec *bspb.Record, result Result) {
+// checkFencesAndTerms checks that shards with an owner were changed only
+// by the lessor of the owner's group, at most once in each record.
+func (m *machine) checkFencesAndTerms(t *rapid.T, before *View, rec *bspb.Record, result Result) {
 	body := rec.GetAssignShards()
 	if body == nil {
 		m.checkKept(t, before)
@@ -167,7 +167,7 @@
 	m.step(t, body.GetNode()+"@b1", claimRecord(body))
 }
 
-// assign changes one or two shards, mostly with what is in force.
+// assign changes one or two shards, mostly with the fences and terms in force.
 func (m *machine) assign(t *rapid.T) {
 	view := m.log.state.View()
 	group := pick(t, "group", modelGroups)
@@ -203,7 +203,7 @@
 	m.step(t, "n0@b1", assign(group, term, assignments...))
 }
 
-// someServer names a server, mostly one of the service.
+// someServer returns the name of a server, mostly one of the service.
 func (m *machine) someServer(t *rapid.T, service topo.Service) string {
 	var fit []string
 	for _, id := range modelServers[1:] {
@@ -218,7 +218,7 @@
 	return pick(t, "fit", fit)
 }
 
-// begin brings up a site with all servers live and all groups claimed.
+// begin creates a site with all servers live and all groups claimed.
 func (m *machine) begin(t *rapid.T) {
 	m.step(t, "op", publish(0, keyed("s0", modelShards, 0), keyed("s1", modelShards, 0)))
 	for i, id := range modelServers[1:] {
@@ -230,7 +230,7 @@
 	}
 }
 
-// repeat applies a record again; nothing but the offset may change.
+// repeat applies a record again; only the offset may change.
 func (m *machine) repeat(t *rapid.T) {
 	if len(m.appended) == 0 {
 		t.Skip("nothing to repeat")
@@ -249,7 +249,7 @@
 	}
 }
 
-// restore replaces the replica by what its own snapshot restores.
+// restore replaces the replica by a state restored from its own snapshot.
 func (m *machine) restore(t *rapid.T) {
 	restored, err := Restore(m.replica.Snapshot())
 	if err != nil {
@@ -258,13 +258,13 @@
 	m.replica = restored
 }
 
-// hold keeps a view, which must never change again.
+// hold keeps a view, which must not change afterwards.
 func (m *machine) hold(*rapid.T) {
 	m.held = m.log.state.View()
 	m.heldAs = encoded(Frozen{view: m.held})
 }
 
-// check holds after every step.
+// check verifies the invariants after every step.
 func (m *machine) check(t *rapid.T) {
 	view := m.log.state.View()
 	if view.SiteVersion() < m.version {
@@ -279,12 +279,12 @@
 	}
 	m.checkFences(t, view)
 	m.checkServers(t, view)
-	checkNames(t, view)
-	checkNames(t, m.replica.View())
+	checkServerShards(t, view)
+	checkServerShards(t, m.replica.View())
 }
 
-// checkFences checks for sample keys that a fence that ended never returns,
-// and that the fence in force grows.
+// checkFences checks for sample keys that an ended fence never comes into
+// force again and that the fence in force increases.
 func (m *machine) checkFences(t *rapid.T, view *View) {
 	for _, service := range modelServices {
 		for index := range uint32(modelShards) {
@@ -316,8 +316,8 @@
 	}
 }
 
-// checkServers checks that every owner and standby is known, and that the
-// counts of uses are those of the tables.
+// checkServers checks that every owner and standby is known and that the
+// reference counts match the tables.
 func (m *machine) checkServers(t *rapid.T, view *View) {
 	uses := map[topo.ServerID]int{}
 	for _, service := range view.Tables() {
@@ -334,13 +334,13 @@
 	}
 	delete(uses, "")
 	for id, want := range uses {
-		if known, exists := m.log.state.serverRecords[id]; !exists || known.uses != want {
-			t.Fatalf("server %s: %d uses, known as %+v", id, want, known)
+		if known, exists := m.log.state.serverRecords[id]; !exists || known.references != want {
+			t.Fatalf("server %s: %d references, known as %+v", id, want, known)
 		}
 	}
 	for id, known := range m.log.state.serverRecords {
-		if known.uses != uses[id] {
-			t.Fatalf("server %s: %d uses, known as %+v", id, uses[id], known)
+		if known.references != uses[id] {
+			t.Fatalf("server %s: %d references, known as %+v", id, uses[id], known)
 		}
 	}
 }
--- a/state/restore.go
+++ b/state/restore.go
@@ -8,7 +8,8 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// maxRestoredShards bounds the shards of one service, against a corrupt count.
+// maxRestoredShards limits the shards of one service, as protection against a
+// corrupt count.
 const maxRestoredShards = 1 << 24
 
 // Restore returns the state of a snapshot. It fails with a *SnapshotError.
@@ -60,7 +61,8 @@
 	return nil
 }
 
-// restoreTables makes empty tables as large as the listed hash ranges need.
+// restoreTables creates empty tables of the size that the listed hash ranges
+// need.
 func (s *State) restoreTables(snapshot *bspb.Snapshot) error {
 	counts := map[topo.Service]uint32{}
 	for _, entry := range snapshot.GetShards() {
@@ -112,17 +114,18 @@
 		if !exists || a.Shard.Index >= table.count {
 			return &SnapshotError{Problem: "shard without a table: " + a.Shard.String()}
 		}
-		if !s.knows(a.Owner) || !s.knows(a.Standby) {
+		if !s.isKnownServer(a.Owner) || !s.isKnownServer(a.Standby) {
 			return &SnapshotError{Problem: "shard of an unknown server: " + a.Shard.String()}
 		}
-		s.useServer(a.Owner)
-		s.useServer(a.Standby)
+		s.addReference(a.Owner)
+		s.addReference(a.Standby)
 		s.edit(a.Shard.Service).set(a)
 	}
 	return nil
 }
 
-func (s *State) knows(id topo.ServerID) bool {
+// isKnownServer reports whether a server exists or the name is empty.
+func (s *State) isKnownServer(id topo.ServerID) bool {
 	_, exists := s.serverRecords[id]
 	return exists || id == ""
 }
@@ -136,7 +139,7 @@
 		if !valid {
 			return &SnapshotError{Problem: "lost node " + name}
 		}
-		s.lostRuns.set(run{node: node, boot: boot}, true)
+		s.lostIncarnations.set(incarnation{node: node, boot: boot}, true)
 	}
 	return nil
 }
--- a/state/restore_test.go
+++ b/state/restore_test.go
@@ -8,8 +8,7 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// Whatever snapshot arrives, it restores to a state that equals it, or fails
-// with a typed error.
+// Any snapshot either restores to an equal state or fails with a typed error.
 func FuzzRestore(f *testing.F) {
 	f.Add([]byte{})
 	data, err := proto.Marshal(New().Snapshot())
--- a/state/result.go
+++ b/state/result.go
@@ -8,29 +8,29 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// Reason says why a record, or one assignment of it, had no effect.
+// Reason is the reason why a record, or one assignment of it, had no effect.
 type Reason int
 
 // Reasons.
 const (
-	ReasonDuplicate     Reason = iota + 1 // writer and sequence were applied before
-	ReasonMalformed                       // the record breaks a rule of its own
-	ReasonBase                            // another site configuration is in force
-	ReasonShardsOwned                     // the change needs shards without owners
-	ReasonBoot                            // another run of the node is current
-	ReasonTerm                            // another term is in force
-	ReasonStandby                         // not the standby lessor of the term in force
-	ReasonFence                           // another fence is in force
-	ReasonNoShard                         // no such service, hash range or split key
-	ReasonNoServer                        // the named server cannot take the shard
-	ReasonOwnersDiffer                    // split key and hash range have different owners
-	ReasonLineage                         // another rebase came first
-	ReasonNothingNamed                    // nothing that the record names is known
-	ReasonChanged                         // changed after the state that was decided on
-	reasonAfterLastName                   // not a reason
+	ReasonDuplicate    Reason = iota + 1 // writer and sequence were applied before
+	ReasonMalformed                      // the record is invalid by itself
+	ReasonBase                           // another site configuration is in force
+	ReasonShardsOwned                    // the change needs shards without owners
+	ReasonBoot                           // another incarnation of the node is current
+	ReasonTerm                           // another term is in force
+	ReasonStandby                        // not the standby lessor of the term in force
+	ReasonFence                          // another fence is in force
+	ReasonNoShard                        // no such service, hash range or split key
+	ReasonNoServer                       // the named server is not eligible for the shard
+	ReasonOwnersDiffer                   // split key and hash range have different owners
+	ReasonLineage                        // another rebase was applied first
+	ReasonNothingNamed                   // the record names only unknown servers and nodes
+	ReasonChanged                        // changed after the state on which the writer decided
+	reasonCount                          // number of reasons, including 0
 )
 
-var reasonNames = [reasonAfterLastName]string{
+var reasonNames = [reasonCount]string{
 	ReasonDuplicate:    "duplicate",
 	ReasonMalformed:    "malformed",
 	ReasonBase:         "base-version",
@@ -49,13 +49,13 @@
 
 // String returns the reason's name.
 func (r Reason) String() string {
-	if r <= 0 || r >= reasonAfterLastName {
+	if r <= 0 || r >= reasonCount {
 		return "none"
 	}
 	return reasonNames[r]
 }
 
-// Conflict says why a record, or one assignment of it, had no effect.
+// Conflict describes why a record, or one assignment of it, had no effect.
 type Conflict struct {
 	Reason   Reason
 	Subject  string // the shard, group, node, server or service
@@ -81,18 +81,18 @@
 	Conflict *Conflict
 }
 
-// Result says what applying one record did.
+// Result describes the effect of applying one record.
 type Result struct {
 	Offset topo.Offset
-	// Accepted is true when the record's expectation held; for AssignShards,
-	// when any assignment took effect.
+	// Accepted is true when the record took effect; for AssignShards, when any
+	// assignment took effect.
 	Accepted bool
 	// Rejected lists the assignments of AssignShards without effect, ascending.
 	Rejected []Rejection
 	// Conflict is set when the record was not accepted.
 	Conflict *Conflict
 	// Rebase is set when the record restarts the state from a snapshot. The
-	// state is then unchanged: the caller builds the new one with Restore,
+	// state is then unchanged: the caller builds the new state with Restore,
 	// Resume, the records from Rebase.resume up to this one, and
 	// CompleteRebase.
 	Rebase *bspb.Rebase
--- a/state/names.go
+++ b/state/server_shards.go
@@ -8,45 +8,46 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// names lists the shards of one table whose assignments name a server. The
-// lists are in order of hash range, then key, and are replaced, never changed,
-// once a View holds them.
-type names struct {
+// serverShards lists the shards of one table whose assignments name a server.
+// The lists are in order of hash range, then key. Once a View references them
+// they are replaced, never modified.
+type serverShards struct {
 	owned   []topo.ShardID
 	standby []topo.ShardID
 }
 
-func (n names) empty() bool { return len(n.owned) == 0 && len(n.standby) == 0 }
+func (n serverShards) empty() bool { return len(n.owned) == 0 && len(n.standby) == 0 }
 
 // compareShardIDs orders shards of one service.
 func compareShardIDs(a, b topo.ShardID) int {
 	return cmp.Or(cmp.Compare(a.Index, b.Index), cmp.Compare(a.Key, b.Key))
 }
 
-// rename keeps the lists equal to the assignments when one is replaced.
-func (e *tableEdit) rename(old, next Assignment) {
+// updateServerShards keeps the lists consistent with the assignments when an
+// assignment is replaced.
+func (e *tableEdit) updateServerShards(old, next Assignment) {
 	if old.Owner != next.Owner {
-		e.changeNames(old.Owner, func(n *names) { n.owned = without(n.owned, old.Shard) })
-		e.changeNames(next.Owner, func(n *names) { n.owned = with(n.owned, next.Shard) })
+		e.editServerShards(old.Owner, func(n *serverShards) { n.owned = without(n.owned, old.Shard) })
+		e.editServerShards(next.Owner, func(n *serverShards) { n.owned = with(n.owned, next.Shard) })
 	}
 	if old.Standby != next.Standby {
-		e.changeNames(old.Standby, func(n *names) { n.standby = without(n.standby, old.Shard) })
-		e.changeNames(next.Standby, func(n *names) { n.standby = with(n.standby, next.Shard) })
+		e.editServerShards(old.Standby, func(n *serverShards) { n.standby = without(n.standby, old.Shard) })
+		e.editServerShards(next.Standby, func(n *serverShards) { n.standby = with(n.standby, next.Shard) })
 	}
 }
 
-// changeNames changes a server's lists, after copying what a View may hold. The
-// empty name stands for no server.
-func (e *tableEdit) changeNames(id topo.ServerID, change func(*names)) {
+// editServerShards modifies a server's lists, after copying those that a View
+// may reference. The empty name means no server.
+func (e *tableEdit) editServerShards(id topo.ServerID, change func(*serverShards)) {
 	if id == "" {
 		return
 	}
-	if !e.freshNames {
-		e.table.names = maps.Clone(e.table.names)
-		e.freshNames = true
+	if !e.freshByServer {
+		e.table.byServer = maps.Clone(e.table.byServer)
+		e.freshByServer = true
 		e.freshLists = map[topo.ServerID]bool{}
 	}
-	lists := e.table.names[id]
+	lists := e.table.byServer[id]
 	if !e.freshLists[id] {
 		lists.owned = slices.Clone(lists.owned)
 		lists.standby = slices.Clone(lists.standby)
@@ -54,10 +55,10 @@
 	}
 	change(&lists)
 	if lists.empty() {
-		delete(e.table.names, id)
+		delete(e.table.byServer, id)
 		return
 	}
-	e.table.names[id] = lists
+	e.table.byServer[id] = lists
 }
 
 func with(list []topo.ShardID, id topo.ShardID) []topo.ShardID {
@@ -68,7 +69,8 @@
 	return slices.Insert(list, at, id)
 }
 
-// without returns nil for an empty list, so that equal states stay equal.
+// without returns nil instead of an empty list, so that states with the same
+// content compare equal.
 func without(list []topo.ShardID, id topo.ShardID) []topo.ShardID {
 	at, found := slices.BinarySearchFunc(list, id, compareShardIDs)
 	if !found {
@@ -87,7 +89,7 @@
 	if !exists {
 		return nil
 	}
-	return table.names[server].owned
+	return table.byServer[server].owned
 }
 
 // StandbyOf lists a service's shards for which a server is the standby, in the
@@ -97,7 +99,7 @@
 	if !exists {
 		return nil
 	}
-	return table.names[server].standby
+	return table.byServer[server].standby
 }
 
 // EachSplit calls visit for every split key of a service, in no order.
--- a/state/names_test.go
+++ b/state/server_shards_test.go
@@ -12,8 +12,8 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// checkNames checks that the lists by server say what the assignments say.
-func checkNames(t *rapid.T, view *View) {
+// checkServerShards checks that the lists by server agree with the assignments.
+func checkServerShards(t *rapid.T, view *View) {
 	for _, service := range view.Tables() {
 		owned, standby := map[topo.ServerID][]topo.ShardID{}, map[topo.ServerID][]topo.ShardID{}
 		view.EachShard(service, func(a Assignment) bool {
@@ -36,9 +36,9 @@
 	}
 }
 
-// A server that is given many shards by one record has all of them, and a View
-// taken before keeps its own lists.
-func TestListsByServerOfAnOlderViewStay(t *testing.T) {
+// One record may assign many shards to a server: the server's list then has all
+// of them, and a View taken before keeps its own lists.
+func TestOlderViewKeepsItsServerShards(t *testing.T) {
 	const shards = 300
 	l := newLog()
 	l.add("op", publish(0, keyed("s0", shards, 0)))
--- a/state/snapshot.go
+++ b/state/snapshot.go
@@ -12,8 +12,8 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// SnapshotFormat is the format of the snapshots that this release writes, and
-// the highest that it reads.
+// SnapshotFormat is the format of the snapshots that this release writes and
+// the highest format that it reads.
 const SnapshotFormat = 1
 
 // SnapshotError reports a snapshot from which no state can be restored.
@@ -33,17 +33,17 @@
 // Unwrap returns the cause.
 func (e *SnapshotError) Unwrap() error { return e.Cause }
 
-// Frozen is an immutable picture of a whole state, from which a snapshot can be
-// encoded while the state goes on.
+// Frozen is an immutable copy of a whole state, from which a snapshot can be
+// encoded while records are applied to the state.
 type Frozen struct {
 	view    *View
 	removed map[topo.ServerID]bool
-	changed map[topo.ServerID]topo.Offset // by which record each server was
+	changed map[topo.ServerID]topo.Offset // offset of the record that last changed each server
 	writers []writerEntry
 }
 
-// Freeze returns a picture of the whole state. Its cost does not depend on the
-// number of shards.
+// Freeze returns an immutable copy of the whole state. Its cost does not depend
+// on the number of shards.
 func (s *State) Freeze() Frozen {
 	frozen := Frozen{
 		view:    s.View(),
@@ -123,8 +123,8 @@
 	for _, id := range sortedKeys(view.groups) {
 		snapshot.Groups = append(snapshot.Groups, groupToProto(view.groups[id]))
 	}
-	for lost := range view.lostRuns {
-		snapshot.LostNodes = append(snapshot.LostNodes, runText(lost))
+	for lost := range view.lostIncarnations {
+		snapshot.LostNodes = append(snapshot.LostNodes, incarnationText(lost))
 	}
 	slices.Sort(snapshot.LostNodes)
 }
@@ -169,7 +169,7 @@
 }
 
 func groupToProto(group Group) *bspb.GroupEntry {
-	runs, since := formerToProto(group.Former)
+	runs, since := previousToProto(group.Former)
 	return &bspb.GroupEntry{
 		Group:       string(group.ID),
 		Term:        ordinalToProto(group.Term.Ordinal),
@@ -192,7 +192,7 @@
 		Standby:     topo.NodeID(entry.GetStandby()),
 		StandbyBoot: topo.BootID(entry.GetStandbyBoot()),
 		HeldSince:   topo.Offset(entry.GetHeldSince()),
-		Former:      formerFromProto(entry.GetFormerRuns(), entry.GetFormerSince()),
+		Former:      previousFromProto(entry.GetFormerRuns(), entry.GetFormerSince()),
 	}
 }
 
--- a/state/snapshot_view.go
+++ b/state/snapshot_view.go
@@ -7,22 +7,22 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// View is an immutable picture of the state after one record. All methods are
-// safe for concurrent use and none allocates unless it says so.
+// View is an immutable snapshot of the state after one record. All methods are
+// safe for concurrent use, and none allocates unless its comment says so.
 type View struct {
-	applied     topo.Offset
-	lineage     topo.Offset
-	siteVersion uint64
-	siteText    []byte
-	site        *siteconfig.Site
-	tables      map[topo.Service]*shardTable
-	retiring    map[topo.Service]*siteconfig.Service
-	limits      map[topo.Service]pastLimits
-	servers     map[topo.ServerID]Server
-	nodes       map[topo.NodeID]Node
-	groups      map[topo.GroupID]Group
-	lostServers map[topo.ServerID]bool
-	lostRuns    map[run]bool
+	applied          topo.Offset
+	lineage          topo.Offset
+	siteVersion      uint64
+	siteText         []byte
+	site             *siteconfig.Site
+	tables           map[topo.Service]*shardTable
+	retiring         map[topo.Service]*siteconfig.Service
+	limits           map[topo.Service]pastLimits
+	servers          map[topo.ServerID]Server
+	nodes            map[topo.NodeID]Node
+	groups           map[topo.GroupID]Group
+	lostServers      map[topo.ServerID]bool
+	lostIncarnations map[incarnation]bool
 }
 
 // Applied returns the offset of the last record applied.
@@ -31,7 +31,8 @@
 // Site returns the site configuration in force; nil before the first.
 func (v *View) Site() *siteconfig.Site { return v.site }
 
-// SiteVersion returns the version in force; 0 before the first.
+// SiteVersion returns the version of the site configuration in force; 0 before
+// the first.
 func (v *View) SiteVersion() uint64 { return v.siteVersion }
 
 // SiteText returns the operator's text of the version in force.
@@ -46,10 +47,10 @@
 	return service, exists
 }
 
-// Retiring returns the services that left the site configuration while some of
-// their shards had an owner, as last configured. Their shards keep being
-// served until each is released by an assignment without an owner. The map
-// must not be changed.
+// Retiring returns, as last configured, the services that were removed from the
+// site configuration while some of their shards had an owner. Their shards are
+// served until each is released by an assignment without an owner. The map must
+// not be modified.
 func (v *View) Retiring() map[topo.Service]*siteconfig.Service { return v.retiring }
 
 // ActiveService returns a service of the site configuration in force or, if it
@@ -62,10 +63,11 @@
 	return service, retiring, retiring
 }
 
-// DisconnectedLimit returns the longest MaxDisconnected by which a lessor of
-// the group may go for a service: the value in force and every one that was in
-// force since Group.HeldSince. A lessor that is cut off has not seen that a
-// newer site configuration shortened it, so whoever takes over waits this long.
+// DisconnectedLimit returns the longest MaxDisconnected that a lessor of
+// the group may use for a service: the maximum of the value in force and every
+// value in force since Group.HeldSince. A disconnected lessor has not received
+// the newer site configuration that shortened it, so a lessor that takes over
+// waits this long.
 func (v *View) DisconnectedLimit(name topo.Service, group topo.GroupID) time.Duration {
 	service, exists, _ := v.ActiveService(name)
 	if !exists {
@@ -83,7 +85,7 @@
 	return names
 }
 
-// ShardCount returns how many hash ranges a service has; 0 without a table.
+// ShardCount returns the number of hash ranges of a service; 0 without a table.
 func (v *View) ShardCount(name topo.Service) uint32 {
 	table, exists := v.tables[name]
 	if !exists {
@@ -142,7 +144,7 @@
 	return server, exists
 }
 
-// Servers returns all backend servers. The map must not be changed.
+// Servers returns all backend servers. The map must not be modified.
 func (v *View) Servers() map[topo.ServerID]Server { return v.servers }
 
 // Node returns one entry node.
@@ -151,7 +153,7 @@
 	return node, exists
 }
 
-// Nodes returns all entry nodes. The map must not be changed.
+// Nodes returns all entry nodes. The map must not be modified.
 func (v *View) Nodes() map[topo.NodeID]Node { return v.nodes }
 
 // Group returns one lessor group.
@@ -160,19 +162,19 @@
 	return group, exists
 }
 
-// Groups returns all lessor groups. The map must not be changed.
+// Groups returns all lessor groups. The map must not be modified.
 func (v *View) Groups() map[topo.GroupID]Group { return v.groups }
 
 // ServerLost reports whether a server is confirmed to be lost.
 func (v *View) ServerLost(id topo.ServerID) bool { return v.lostServers[id] }
 
-// NodeLost reports whether a node's current run, or the last one known, is
-// confirmed to be lost.
+// NodeLost reports whether a node's current incarnation is confirmed to be lost
+// or, for a removed node, any known incarnation.
 func (v *View) NodeLost(id topo.NodeID) bool {
 	if node, exists := v.nodes[id]; exists {
-		return v.lostRuns[run{node: id, boot: node.Boot}]
+		return v.lostIncarnations[incarnation{node: id, boot: node.Boot}]
 	}
-	for lost := range v.lostRuns {
+	for lost := range v.lostIncarnations {
 		if lost.node == id {
 			return true
 		}
@@ -180,9 +182,9 @@
 	return false
 }
 
-// RunLost reports whether one run of a node is confirmed to be lost.
+// RunLost reports whether one incarnation of a node is confirmed to be lost.
 func (v *View) RunLost(id topo.NodeID, boot topo.BootID) bool {
-	return v.lostRuns[run{node: id, boot: boot}]
+	return v.lostIncarnations[incarnation{node: id, boot: boot}]
 }
 
 // Lineage returns the offset of the last rebase; 0 when there was none.
--- a/state/state.go
+++ b/state/state.go
@@ -8,23 +8,23 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// run names one run of a node.
-type run struct {
+// incarnation identifies one incarnation of a node.
+type incarnation struct {
 	node topo.NodeID
 	boot topo.BootID
 }
 
-// serverRecord is a server with what only Apply needs to know of it.
+// serverRecord is a server with the data that only Apply needs.
 type serverRecord struct {
-	server  Server
-	uses    int         // assignments that name it as owner or standby
-	removed bool        // goes when uses is 0
-	changed topo.Offset // of the record that last changed it
+	server     Server
+	references int         // assignments that name it as owner or standby
+	removed    bool        // dropped when references is 0
+	changed    topo.Offset // of the record that last changed it
 }
 
 // State is the mutable state of one process. It is not safe for concurrent
-// use; Views taken from it are. Two States that applied the same records are
-// equal.
+// use, but Views taken from it are. Two States that applied the same records
+// are equal.
 type State struct {
 	applied     topo.Offset
 	lineage     topo.Offset // offset of the last rebase
@@ -40,8 +40,8 @@
 	nodes    cowMap[topo.NodeID, Node]
 	groups   cowMap[topo.GroupID, Group]
 
-	lostServers cowMap[topo.ServerID, bool]
-	lostRuns    cowMap[run, bool]
+	lostServers      cowMap[topo.ServerID, bool]
+	lostIncarnations cowMap[incarnation, bool]
 
 	serverRecords map[topo.ServerID]*serverRecord
 	writers       *writerTable
@@ -52,17 +52,17 @@
 // New returns the state before the first record.
 func New() *State {
 	return &State{
-		tables:        newCowMap[topo.Service, *shardTable](),
-		edits:         map[topo.Service]*tableEdit{},
-		retiring:      newCowMap[topo.Service, *siteconfig.Service](),
-		limits:        newCowMap[topo.Service, pastLimits](),
-		servers:       newCowMap[topo.ServerID, Server](),
-		nodes:         newCowMap[topo.NodeID, Node](),
-		groups:        newCowMap[topo.GroupID, Group](),
-		lostServers:   newCowMap[topo.ServerID, bool](),
-		lostRuns:      newCowMap[run, bool](),
-		serverRecords: map[topo.ServerID]*serverRecord{},
-		writers:       newWriterTable(),
+		tables:           newCowMap[topo.Service, *shardTable](),
+		edits:            map[topo.Service]*tableEdit{},
+		retiring:         newCowMap[topo.Service, *siteconfig.Service](),
+		limits:           newCowMap[topo.Service, pastLimits](),
+		servers:          newCowMap[topo.ServerID, Server](),
+		nodes:            newCowMap[topo.NodeID, Node](),
+		groups:           newCowMap[topo.GroupID, Group](),
+		lostServers:      newCowMap[topo.ServerID, bool](),
+		lostIncarnations: newCowMap[incarnation, bool](),
+		serverRecords:    map[topo.ServerID]*serverRecord{},
+		writers:          newWriterTable(),
 	}
 }
 
@@ -73,42 +73,42 @@
 func (s *State) Lineage() topo.Offset { return s.lineage }
 
 // Apply applies the record at offset, which must be the one after Applied. It
-// is deterministic and, with Skip, the only thing that changes the state.
+// is deterministic. Only Apply and Skip change the state.
 func (s *State) Apply(offset topo.Offset, rec *bspb.Record) Result {
 	if rec.GetSequence() <= s.writers.last(rec.GetWriter()) {
 		s.Skip(offset)
-		return refused(offset, &Conflict{Reason: ReasonDuplicate, Subject: rec.GetWriter()})
+		return rejected(offset, &Conflict{Reason: ReasonDuplicate, Subject: rec.GetWriter()})
 	}
 	if body := rec.GetRebase(); body != nil && topo.Offset(body.GetLineage()) == s.lineage {
 		return Result{Offset: offset, Accepted: true, Rebase: body}
 	}
 	result := s.applyBody(offset, rec)
-	s.noteWriter(rec)
+	s.recordWriter(rec)
 	s.Skip(offset)
 	return result
 }
 
-// Skip passes over an entry that this release cannot read.
+// Skip advances past an entry that this release cannot read.
 func (s *State) Skip(offset topo.Offset) {
 	s.applied = offset
 	s.view = nil
 }
 
-// Resume makes a restored state go on at offset although records before it
-// are lost. Only the building of a rebased state uses it.
+// Resume makes a restored state continue at offset although records before it
+// are lost. It is used only while a rebased state is built.
 func (s *State) Resume(offset topo.Offset) { s.Skip(offset - 1) }
 
-// CompleteRebase ends the building of a rebased state with the Rebase record
-// that began it.
+// CompleteRebase completes the rebased state with the Rebase record that started
+// the rebase.
 func (s *State) CompleteRebase(offset topo.Offset, rec *bspb.Record) {
 	s.lineage = offset
-	s.noteWriter(rec)
+	s.recordWriter(rec)
 	s.Skip(offset)
 }
 
-func (s *State) noteWriter(rec *bspb.Record) {
+func (s *State) recordWriter(rec *bspb.Record) {
 	s.writers.record(rec.GetWriter(), rec.GetSequence())
-	s.writers.prune(len(s.nodes.entries)+retiredWriters, s.currentRun)
+	s.writers.prune(len(s.nodes.entries)+maxInactiveWriters, s.currentRun)
 }
 
 func (s *State) currentRun(writer string) bool {
@@ -123,57 +123,57 @@
 func (s *State) applyBody(offset topo.Offset, rec *bspb.Record) Result {
 	switch body := rec.GetBody().(type) {
 	case *bspb.Record_PublishSite:
-		return settle(offset, s.applyPublishSite(offset, body.PublishSite))
+		return resultOf(offset, s.applyPublishSite(offset, body.PublishSite))
 	case *bspb.Record_JoinNode:
-		return settle(offset, s.applyJoinNode(body.JoinNode))
+		return resultOf(offset, s.applyJoinNode(body.JoinNode))
 	case *bspb.Record_RemoveNode:
-		return settle(offset, s.applyRemoveNode(body.RemoveNode))
+		return resultOf(offset, s.applyRemoveNode(body.RemoveNode))
 	case *bspb.Record_UpdateServers:
-		return settle(offset, s.applyUpdateServers(offset, body.UpdateServers))
+		return resultOf(offset, s.applyUpdateServers(offset, body.UpdateServers))
 	case *bspb.Record_ClaimTerm:
-		return settle(offset, s.applyClaimTerm(offset, body.ClaimTerm))
+		return resultOf(offset, s.applyClaimTerm(offset, body.ClaimTerm))
 	case *bspb.Record_AssignShards:
 		return s.applyAssignShards(offset, body.AssignShards)
 	case *bspb.Record_ConfirmLoss:
-		return settle(offset, s.applyConfirmLoss(body.ConfirmLoss))
+		return resultOf(offset, s.applyConfirmLoss(body.ConfirmLoss))
 	case *bspb.Record_CheckpointChunk:
-		return settle(offset, nil)
+		return resultOf(offset, nil)
 	case *bspb.Record_Rebase:
-		return refused(offset, &Conflict{
+		return rejected(offset, &Conflict{
 			Reason:   ReasonLineage,
 			Expected: offsetText(topo.Offset(body.Rebase.GetLineage())),
 			InForce:  offsetText(s.lineage),
 		})
 	}
-	return refused(offset, &Conflict{Reason: ReasonMalformed, Subject: "record without a known body"})
+	return rejected(offset, &Conflict{Reason: ReasonMalformed, Subject: "record without a known body"})
 }
 
-// View returns an immutable picture of the state. Taking it again without a
-// change in between costs nothing.
+// View returns an immutable snapshot of the state. Without a change in between,
+// it returns the same View again at no cost.
 func (s *State) View() *View {
 	if s.view != nil {
 		return s.view
 	}
 	clear(s.edits)
 	s.view = &View{
-		applied:     s.applied,
-		lineage:     s.lineage,
-		siteVersion: s.siteVersion,
-		siteText:    s.siteText,
-		site:        s.site,
-		tables:      s.tables.share(),
-		retiring:    s.retiring.share(),
-		limits:      s.limits.share(),
-		servers:     s.servers.share(),
-		nodes:       s.nodes.share(),
-		groups:      s.groups.share(),
-		lostServers: s.lostServers.share(),
-		lostRuns:    s.lostRuns.share(),
+		applied:          s.applied,
+		lineage:          s.lineage,
+		siteVersion:      s.siteVersion,
+		siteText:         s.siteText,
+		site:             s.site,
+		tables:           s.tables.share(),
+		retiring:         s.retiring.share(),
+		limits:           s.limits.share(),
+		servers:          s.servers.share(),
+		nodes:            s.nodes.share(),
+		groups:           s.groups.share(),
+		lostServers:      s.lostServers.share(),
+		lostIncarnations: s.lostIncarnations.share(),
 	}
 	return s.view
 }
 
-// edit returns a service's table for a change; the service must have one.
+// edit returns a service's table for modification; the service must have one.
 func (s *State) edit(service topo.Service) *tableEdit {
 	if edit, exists := s.edits[service]; exists {
 		return edit
@@ -189,13 +189,13 @@
 	s.tables.remove(service)
 }
 
-func settle(offset topo.Offset, conflict *Conflict) Result {
+func resultOf(offset topo.Offset, conflict *Conflict) Result {
 	return Result{Offset: offset, Accepted: conflict == nil, Conflict: conflict}
 }
 
-func refused(offset topo.Offset, conflict *Conflict) Result {
+func rejected(offset topo.Offset, conflict *Conflict) Result {
 	return Result{Offset: offset, Conflict: conflict}
 }
 
-// LastSequence returns the last sequence applied of a writer; 0 for none.
+// LastSequence returns the last sequence applied for a writer; 0 for none.
 func (s *State) LastSequence(writer string) uint64 { return s.writers.last(writer) }
--- a/state/table.go
+++ b/state/table.go
@@ -14,19 +14,19 @@
 // shardPage holds neighbouring hash ranges.
 type shardPage [pageShards]Assignment
 
-// shardTable is one service's assignments. It is replaced, never changed, once
-// a View holds it; pages that did not change are shared between tables.
+// shardTable contains one service's assignments. Once a View references it, it
+// is replaced, never modified; unchanged pages are shared between tables.
 type shardTable struct {
-	count uint32 // hash ranges
-	pages []*shardPage
-	keys  map[string]Assignment // split keys
-	owned int                   // hash ranges and split keys with an owner
-	names map[topo.ServerID]names
+	count    uint32 // hash ranges
+	pages    []*shardPage
+	keys     map[string]Assignment // split keys
+	owned    int                   // hash ranges and split keys with an owner
+	byServer map[topo.ServerID]serverShards
 }
 
-// newShardTable returns a table of a service's unowned hash ranges.
+// newShardTable returns a table of a service's hash ranges, all without owner.
 func newShardTable(service topo.Service, count uint32) *shardTable {
-	table := &shardTable{count: count, keys: map[string]Assignment{}, names: map[topo.ServerID]names{}}
+	table := &shardTable{count: count, keys: map[string]Assignment{}, byServer: map[topo.ServerID]serverShards{}}
 	for first := uint32(0); first < count; first += pageShards {
 		page := &shardPage{}
 		for i := range min(pageShards, count-first) {
@@ -37,7 +37,7 @@
 	return table
 }
 
-// at returns a hash range; index must be below count.
+// at returns the assignment of a hash range; index must be below count.
 func (t *shardTable) at(index uint32) *Assignment {
 	return &t.pages[index/pageShards][index%pageShards]
 }
@@ -54,22 +54,23 @@
 	return *t.at(id.Index), true
 }
 
-// tableEdit is a table that may be changed until the next View is taken.
+// tableEdit is a table that may be modified until the next View is taken. The
+// fresh parts are copies that no View references.
 type tableEdit struct {
-	table      *shardTable
-	freshPages []bool // pages that no View holds
-	freshKeys  bool
-	freshNames bool                   // the map
-	freshLists map[topo.ServerID]bool // its lists
+	table         *shardTable
+	freshPages    []bool // by page number
+	freshKeys     bool
+	freshByServer bool                   // the map of lists by server
+	freshLists    map[topo.ServerID]bool // the lists of each server
 }
 
 func editTable(original *shardTable) *tableEdit {
 	clone := &shardTable{
-		count: original.count,
-		pages: slices.Clone(original.pages),
-		keys:  original.keys,
-		owned: original.owned,
-		names: original.names,
+		count:    original.count,
+		pages:    slices.Clone(original.pages),
+		keys:     original.keys,
+		owned:    original.owned,
+		byServer: original.byServer,
 	}
 	return &tableEdit{table: clone, freshPages: make([]bool, len(clone.pages))}
 }
@@ -78,7 +79,7 @@
 func (e *tableEdit) set(a Assignment) {
 	old, _ := e.table.get(a.Shard)
 	e.table.owned += ownedCount(a) - ownedCount(old)
-	e.rename(old, a)
+	e.updateServerShards(old, a)
 	if a.Shard.Key != "" {
 		e.writableKeys()[a.Shard.Key] = a
 		return
@@ -96,7 +97,7 @@
 func (e *tableEdit) removeKey(key string) {
 	old := e.table.keys[key]
 	e.table.owned -= ownedCount(old)
-	e.rename(old, Assignment{})
+	e.updateServerShards(old, Assignment{})
 	delete(e.writableKeys(), key)
 }
 
--- a/state/basis_test.go
+++ b/state/update_basis_test.go
@@ -17,9 +17,9 @@
 	return rec
 }
 
-// TestServersChangedSinceTheBasisAreLeft lets a writer that decided on an old
-// state write late.
-func TestServersChangedSinceTheBasisAreLeft(t *testing.T) {
+// TestServersChangedSinceTheBasisAreKept writes late a record that the
+// writer decided on an old state.
+func TestServersChangedSinceTheBasisAreKept(t *testing.T) {
 	late := server("s1", "logs", "g", PhaseLive)
 	cases := []struct {
 		name     string
@@ -80,9 +80,9 @@
 	g.Expect(restored.Apply(restored.Applied()+1, late).Accepted).To(gomega.BeFalse())
 }
 
-// TestALateLossDoesNotMarkANewRun confirms the loss of a run after the node was
-// restarted, and of a server after it returned.
-func TestALateLossDoesNotMarkANewRun(t *testing.T) {
+// TestLateLossDoesNotMarkNewIncarnation confirms the loss of an incarnation
+// after the node was restarted, and of a server after it returned.
+func TestLateLossDoesNotMarkNewIncarnation(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := newLog()
 	l.add("op", joinNode("n1", "b1"))
--- a/state/view.go
+++ b/state/view.go
@@ -1,5 +1,5 @@
-// Package state is the site's replicated state: a pure, deterministic fold of
-// the platform's log. Apply is the only thing that changes it. Readers get
+// Package state implements the site's replicated state: a deterministic state
+// machine over the platform's log. The state changes only by Apply. Readers use
 // immutable Views.
 package state
 
@@ -9,13 +9,14 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Assignment says who owns a shard. The zero Fence means that nobody does.
+// Assignment names the owner and the standby of a shard. The zero Fence means
+// that the shard has no owner.
 type Assignment struct {
 	Shard topo.ShardID
 	Fence topo.Fence // of the owner; the standby's is Fence.Standby()
 	Owner topo.ServerID
-	// OwnerBoot is the run of the owner to which the fence belongs. Empty until
-	// the lessor has seen the owner.
+	// OwnerBoot is the incarnation of the owner to which the fence belongs. It is
+	// empty until the lessor has observed the owner.
 	OwnerBoot topo.BootID
 	Standby   topo.ServerID // may be empty
 }
@@ -25,8 +26,8 @@
 
 // Phases.
 const (
-	PhaseLive     Phase = iota + 1 // takes new ownership
-	PhaseDraining                  // keeps serving, gets nothing new
+	PhaseLive     Phase = iota + 1 // accepts new ownership
+	PhaseDraining                  // keeps serving, receives no new shards
 	PhaseGone                      // confirmed by the platform to have stopped
 )
 
@@ -40,7 +41,7 @@
 	Phase   Phase
 }
 
-// Node is one run of an entry VM's process.
+// Node is one incarnation of an entry VM's process.
 type Node struct {
 	ID          topo.NodeID
 	Boot        topo.BootID
@@ -57,21 +58,21 @@
 	LessorBoot  topo.BootID
 	Standby     topo.NodeID // may be empty
 	StandbyBoot topo.BootID
-	// HeldSince is the offset since which lessors of the group may not have
-	// ended; see View.DisconnectedLimit.
+	// HeldSince is the offset of the earliest term whose lessor may still be
+	// active; see View.DisconnectedLimit.
 	HeldSince topo.Offset
-	// Former lists the runs of earlier terms; nil in the first one, and where they
-	// are not known.
+	// Previous lists the incarnations of earlier terms; nil in the first term and
+	// when they are not known.
 	Former *Former
 }
 
-// Source gives the current view and tells of newer ones. The follower
+// Source provides the current view and reports newer ones. The follower
 // implements it.
 type Source interface {
 	// View returns the latest immutable view; never nil.
 	View() *View
-	// Changed returns a channel that is closed when a view newer than the one
-	// now returned by View exists.
+	// Changed returns a channel that is closed when a view exists that is newer
+	// than the one that View returns now.
 	Changed() <-chan struct{}
 	// WaitApplied blocks until the record at offset has been applied.
 	WaitApplied(ctx context.Context, offset topo.Offset) error
--- a/state/writers.go
+++ b/state/writers.go
@@ -2,14 +2,14 @@
 
 import "container/list"
 
-// retiredWriters is how many writers that are not the current run of a node
-// are remembered. At 170 restarts a day it covers six days, far longer than
-// an append can be under way.
-const retiredWriters = 1024
+// maxInactiveWriters is the number of remembered writers that are not the
+// current incarnation of a node. At 170 restarts a day it covers six days, far
+// longer than an append can be in flight.
+const maxInactiveWriters = 1024
 
-// writerTable remembers the last sequence applied for each writer, least
-// recently heard first. Current runs of nodes are never forgotten; of the
-// others the most recent retiredWriters are kept.
+// writerTable stores the last sequence applied for each writer, in order of the
+// writers' last records, the oldest first. Current incarnations of nodes are
+// never evicted; of the others the most recent maxInactiveWriters are kept.
 type writerTable struct {
 	order   *list.List // of *writerEntry
 	entries map[string]*list.Element
@@ -32,7 +32,7 @@
 	return 0
 }
 
-// record notes a sequence as applied.
+// record stores a sequence as applied.
 func (w *writerTable) record(writer string, sequence uint64) {
 	element, exists := w.entries[writer]
 	if !exists {
@@ -43,8 +43,8 @@
 	w.order.MoveToBack(element)
 }
 
-// prune forgets the least recently heard writers beyond limit that are not
-// current.
+// prune evicts the writers beyond limit that are not current, those with the
+// oldest records first.
 func (w *writerTable) prune(limit int, current func(writer string) bool) {
 	for element := w.order.Front(); element != nil && len(w.entries) > limit; {
 		next := element.Next()
@@ -57,7 +57,8 @@
 	}
 }
 
-// each visits the entries, least recently heard first.
+// each visits the entries in order of the writers' last records, the oldest
+// first.
 func (w *writerTable) each(visit func(writerEntry)) {
 	for element := w.order.Front(); element != nil; element = element.Next() {
 		visit(*element.Value.(*writerEntry))
