--- a/state/apply_members.go
+++ b/state/apply_members.go
@@ -81,19 +81,19 @@
 // incarnationsOf returns the node's current incarnation and its
 // incarnations that groups name as lessor or standby lessor.
 func (s *State) incarnationsOf(id topo.NodeID) []incarnation {
-	var runs []incarnation
+	var incarnations []incarnation
 	if node, exists := s.nodes.get(id); exists {
-		runs = append(runs, incarnation{node: id, boot: node.Boot})
+		incarnations = append(incarnations, incarnation{node: id, boot: node.Boot})
 	}
 	for _, group := range s.groups.entries {
 		if group.Lessor == id {
-			runs = append(runs, incarnation{node: id, boot: group.LessorBoot})
+			incarnations = append(incarnations, incarnation{node: id, boot: group.LessorBoot})
 		}
 		if group.Standby == id {
-			runs = append(runs, incarnation{node: id, boot: group.StandbyBoot})
+			incarnations = append(incarnations, incarnation{node: id, boot: group.StandbyBoot})
 		}
 	}
-	return runs
+	return incarnations
 }
 
 // pruneLostIncarnations removes the lost marks of incarnations that are
--- a/state/apply_test.go
+++ b/state/apply_test.go
@@ -278,5 +278,5 @@
 		l.add("other@"+string(rune('a'+i%26))+time.Duration(i).String(), confirmLoss(nil, nil))
 	}
 	g.Expect(len(l.state.writers.entries)).To(gomega.BeNumerically("<=", maxInactiveWriters+1))
-	g.Expect(l.state.LastSequence("n1@b1")).To(gomega.Equal(uint64(1)), "a current run is never forgotten")
+	g.Expect(l.state.LastSequence("n1@b1")).To(gomega.Equal(uint64(1)), "a current incarnation is never evicted")
 }
--- a/state/previous_lessors.go
+++ b/state/previous_lessors.go
@@ -61,15 +61,15 @@
 // maxPreviousIncarnations.
 func (f *Former) addEarlier(earlier *Former) {
 	f.Since = earlier.Since
-	for _, run := range earlier.Runs {
-		if f.merge(run) {
+	for _, entry := range earlier.Runs {
+		if f.merge(entry) {
 			continue
 		}
 		if len(f.Runs) == maxPreviousIncarnations {
-			f.Since = max(f.Since, run.Latest().Offset+1)
+			f.Since = max(f.Since, entry.Latest().Offset+1)
 			continue
 		}
-		f.Runs = append(f.Runs, run)
+		f.Runs = append(f.Runs, entry)
 	}
 }
 
@@ -77,26 +77,26 @@
 // reports whether it is listed.
 func (f *Former) merge(earlier FormerRun) bool {
 	for i := range f.Runs {
-		run := &f.Runs[i]
-		if run.Node != earlier.Node || run.Boot != earlier.Boot {
+		entry := &f.Runs[i]
+		if entry.Node != earlier.Node || entry.Boot != earlier.Boot {
 			continue
 		}
-		if run.Led.IsZero() {
-			run.Led = earlier.Led
+		if entry.Led.IsZero() {
+			entry.Led = earlier.Led
 		}
-		if run.StoodBy.IsZero() {
-			run.StoodBy = earlier.StoodBy
+		if entry.StoodBy.IsZero() {
+			entry.StoodBy = earlier.StoodBy
 		}
 		return true
 	}
 	return false
 }
 
-func previousToProto(f *Former) (runs []*bspb.FormerRun, since uint64) {
-	if f == nil {
+func previousToProto(previous *Former) (runs []*bspb.FormerRun, since uint64) {
+	if previous == nil {
 		return nil, 0
 	}
-	for _, run := range f.Runs {
+	for _, run := range previous.Runs {
 		runs = append(runs, &bspb.FormerRun{
 			Node:    string(run.Node),
 			Boot:    string(run.Boot),
@@ -104,7 +104,7 @@
 			StoodBy: optionalOrdinal(run.StoodBy),
 		})
 	}
-	return runs, uint64(f.Since)
+	return runs, uint64(previous.Since)
 }
 
 func optionalOrdinal(t topo.Term) *bspb.Ordinal {
@@ -118,14 +118,14 @@
 	if since == 0 {
 		return nil
 	}
-	f := &Former{Since: topo.Offset(since)}
+	previous := &Former{Since: topo.Offset(since)}
 	for _, run := range runs {
-		f.Runs = append(f.Runs, FormerRun{
+		previous.Runs = append(previous.Runs, FormerRun{
 			Node:    topo.NodeID(run.GetNode()),
 			Boot:    topo.BootID(run.GetBoot()),
 			Led:     termFromProto(run.GetLed()),
 			StoodBy: termFromProto(run.GetStoodBy()),
 		})
 	}
-	return f
+	return previous
 }
--- a/state/previous_lessors_test.go
+++ b/state/previous_lessors_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-func formerRun(node topo.NodeID, led, stoodBy topo.Offset) FormerRun {
+func previousIncarnation(node topo.NodeID, led, stoodBy topo.Offset) FormerRun {
 	return FormerRun{Node: node, Boot: "1", Led: topo.MakeTerm(led, 0), StoodBy: topo.MakeTerm(stoodBy, 0)}
 }
 
@@ -26,15 +26,15 @@
 	g.Expect(group.Former).To(gomega.BeNil())
 	group = claimed(group, 2, "b", "", false)
 	g.Expect(group.Former).To(gomega.Equal(&Former{
-		Runs: []FormerRun{formerRun("a", 1, 0), formerRun("b", 0, 1)}, Since: 1,
+		Runs: []FormerRun{previousIncarnation("a", 1, 0), previousIncarnation("b", 0, 1)}, Since: 1,
 	}))
 	group = claimed(group, 3, "c", "a", false)
 	g.Expect(group.Former).To(gomega.Equal(&Former{
-		Runs: []FormerRun{formerRun("b", 2, 1), formerRun("a", 1, 0)}, Since: 1,
+		Runs: []FormerRun{previousIncarnation("b", 2, 1), previousIncarnation("a", 1, 0)}, Since: 1,
 	}))
 	group = claimed(group, 4, "c", "b", true) // c records that every lease before term 3 has ended
 	g.Expect(group.Former).To(gomega.Equal(&Former{
-		Runs: []FormerRun{formerRun("c", 3, 0), formerRun("a", 0, 3)}, Since: 3,
+		Runs: []FormerRun{previousIncarnation("c", 3, 0), previousIncarnation("a", 0, 3)}, Since: 3,
 	}))
 	runs, since := previousToProto(group.Former)
 	g.Expect(previousFromProto(runs, since)).To(gomega.Equal(group.Former))
@@ -52,7 +52,7 @@
 		group = claimed(group, offset, nodes[offset%3], nodes[(offset+1)%3], false)
 	}
 	g.Expect(group.Former).To(gomega.Equal(&Former{
-		Runs: []FormerRun{formerRun("a", 99, 98), formerRun("b", 97, 99), formerRun("c", 98, 97)}, Since: 1,
+		Runs: []FormerRun{previousIncarnation("a", 99, 98), previousIncarnation("b", 97, 99), previousIncarnation("c", 98, 97)}, Since: 1,
 	}))
 }
 
@@ -64,6 +64,6 @@
 		group = claimed(group, offset, topo.NodeID("n"+offsetText(offset)), "", false)
 	}
 	g.Expect(group.Former.Runs).To(gomega.HaveLen(maxPreviousIncarnations))
-	g.Expect(group.Former.Runs[0]).To(gomega.Equal(formerRun("n"+topo.NodeID(offsetText(last-1)), last-1, 0)))
+	g.Expect(group.Former.Runs[0]).To(gomega.Equal(previousIncarnation("n"+topo.NodeID(offsetText(last-1)), last-1, 0)))
 	g.Expect(group.Former.Since).To(gomega.Equal(topo.Offset(last - maxPreviousIncarnations)))
 }
--- a/state/rapid_test.go
+++ b/state/rapid_test.go
@@ -319,12 +319,12 @@
 // checkServers checks that every owner and standby is known and that the
 // reference counts match the tables.
 func (m *machine) checkServers(t *rapid.T, view *View) {
-	uses := map[topo.ServerID]int{}
+	references := map[topo.ServerID]int{}
 	for _, service := range view.Tables() {
 		owned := 0
 		view.EachShard(service, func(a Assignment) bool {
-			uses[a.Owner]++
-			uses[a.Standby]++
+			references[a.Owner]++
+			references[a.Standby]++
 			owned += ownedCount(a)
 			return true
 		})
@@ -332,15 +332,15 @@
 			t.Fatalf("%s: counted %d owned, table says %d", service, owned, view.tables[service].owned)
 		}
 	}
-	delete(uses, "")
-	for id, want := range uses {
+	delete(references, "")
+	for id, want := range references {
 		if known, exists := m.log.state.serverRecords[id]; !exists || known.references != want {
 			t.Fatalf("server %s: %d references, known as %+v", id, want, known)
 		}
 	}
 	for id, known := range m.log.state.serverRecords {
-		if known.references != uses[id] {
-			t.Fatalf("server %s: %d references, known as %+v", id, uses[id], known)
+		if known.references != references[id] {
+			t.Fatalf("server %s: %d references, known as %+v", id, references[id], known)
 		}
 	}
 }
