--- a/ticket/bench_test.go
+++ b/ticket/bench_test.go
@@ -4,7 +4,6 @@
 	"testing"
 )
 
-// BenchmarkParse reads one ticket's text.
 func BenchmarkParse(b *testing.B) {
 	text := sample().String()
 	b.ReportAllocs()
@@ -15,8 +14,8 @@
 	}
 }
 
-// BenchmarkRecord takes one new ticket through a full record, so that each
-// drops another.
+// BenchmarkRecord adds new tickets to a full record, so that each one drops an
+// older one.
 func BenchmarkRecord(b *testing.B) {
 	r := NewRecord(DefaultLimits())
 	ticket := sample()
--- a/ticket/record.go
+++ b/ticket/record.go
@@ -6,21 +6,23 @@
 	"time"
 )
 
-// Verdict says what to do with a request that carries a ticket.
+// Verdict is the decision on a request that carries a ticket.
 type Verdict int
 
 // Verdicts.
 const (
-	// Run: it never ran and may run now; Finish or Abandon must follow.
+	// Run: the ticket never ran and may run now; Finish or Abandon must follow.
 	Run Verdict = iota + 1
-	// Replay: it ran, and this is its answer.
+	// Replay: the ticket ran, and its answer is returned.
 	Replay
-	// Duplicate: it is being run now; the outcome of this attempt is unknown.
+	// Duplicate: the ticket is being run now; the outcome of this attempt is
+	// unknown.
 	Duplicate
-	// Gone: it ran, but its answer is not kept; unknown.
+	// Gone: the ticket ran, but its answer is not stored; the outcome is
+	// unknown.
 	Gone
-	// Stale: the ticket is of another ownership, or was dropped from the
-	// record; it may have run; unknown.
+	// Stale: the ticket belongs to another ownership or was dropped from the
+	// record. It may have run; the outcome is unknown.
 	Stale
 	// Mismatch: the ticket was issued or used for another request. This request
 	// did not run.
@@ -46,16 +48,17 @@
 	return "none"
 }
 
-// Limits bound a Record.
+// Limits are the size limits of a Record.
 type Limits struct {
-	Tickets     int           // remembered, besides those being run
+	Tickets     int           // finished tickets; running ones are not limited
 	AnswerBytes int           // of all stored answers
-	AnswerSize  int           // of one stored answer; longer ones are Gone
-	Issuers     int           // with a floor of their own
+	AnswerSize  int           // of one stored answer; the ticket of a longer one is Gone
+	Issuers     int           // issuers that have a floor
 	Age         time.Duration // after which a finished ticket is dropped
 }
 
-// DefaultLimits hold a few minutes of a busy server's tickets in about 20 MB.
+// DefaultLimits returns limits that keep the tickets of a busy server for a few
+// minutes in about 20 MB.
 func DefaultLimits() Limits {
 	return Limits{
 		Tickets:     20_000,
@@ -69,10 +72,10 @@
 // Request is a request that carries a ticket.
 type Request struct {
 	Ticket Ticket
-	// Subject of the service and key that the request is for.
+	// Subject is SubjectOf the service and key of the request.
 	Subject uint64
-	// Fingerprint of method and path, so that a ticket used again for another
-	// request is not given the first one's answer.
+	// Fingerprint is a digest of method and path, so that a request that reuses
+	// the ticket of another request does not receive that request's answer.
 	Fingerprint uint64
 }
 
@@ -83,7 +86,7 @@
 	Body   []byte
 }
 
-// size returns the bytes that the answer takes, roughly.
+// size returns the approximate size of the answer in bytes.
 func (a *Answer) size() int {
 	size := len(a.Body)
 	for name, values := range a.Header {
@@ -94,12 +97,12 @@
 	return size
 }
 
-// Record remembers which tickets ran, and their answers, within its limits. It
-// is safe for concurrent use.
+// Record stores which tickets ran, and their answers, within its limits. It is
+// safe for concurrent use.
 //
-// What is dropped to stay within the limits is not forgotten altogether: a
-// floor for each issuer remembers the highest sequence dropped, and every ticket
-// at or below it is Stale from then on.
+// For each issuer a floor stores the highest sequence that was dropped to stay
+// within the limits. Every ticket at or below the floor is Stale from then on,
+// so that a dropped ticket never runs again.
 type Record struct {
 	limits Limits
 
@@ -109,41 +112,41 @@
 	bodies   *list.List // of *entry with a stored answer, oldest first
 	bytes    int
 	floors   map[Issuer]uint64
-	// youngestDropped: issuers without a floor of their own that are not
-	// younger than this are Stale altogether.
-	youngestDropped int64
-	dropped         uint64
+	// latestDroppedStart: all tickets of issuers that have no floor and that
+	// started at or before this time (Unix milliseconds) are Stale.
+	latestDroppedStart int64
+	dropped            uint64
 }
 
 // entry is one ticket that ran or is being run.
 type entry struct {
-	ticket      Ticket
-	fingerprint uint64
-	running     bool
-	answer      *Answer
-	at          time.Time // when it finished
-	inFinished  *list.Element
-	inBodies    *list.Element
+	ticket          Ticket
+	fingerprint     uint64
+	running         bool
+	answer          *Answer
+	finishedAt      time.Time // when it finished
+	finishedElement *list.Element
+	bodyElement     *list.Element
 }
 
 // NewRecord returns an empty record.
 func NewRecord(limits Limits) *Record {
 	return &Record{
-		limits:          limits,
-		entries:         map[Ticket]*entry{},
-		finished:        list.New(),
-		bodies:          list.New(),
-		floors:          map[Issuer]uint64{},
-		youngestDropped: -1,
+		limits:             limits,
+		entries:            map[Ticket]*entry{},
+		finished:           list.New(),
+		bodies:             list.New(),
+		floors:             map[Issuer]uint64{},
+		latestDroppedStart: -1,
 	}
 }
 
-// Begin decides about a request under the scope in force. The answer is set
-// only with Replay and must not be changed.
+// Begin decides on a request under the scope in force. The answer is set only
+// with Replay and must not be modified.
 func (r *Record) Begin(req Request, current Scope, now time.Time) (Verdict, *Answer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.dropOld(now)
+	r.dropExpired(now)
 	if req.Subject != req.Ticket.Subject {
 		return Mismatch, nil
 	}
@@ -169,8 +172,8 @@
 	return Replay, e.answer
 }
 
-// Finish stores the answer of a ticket that Begin let run. A nil answer, or one
-// that is too long, is Gone for later requests.
+// Finish stores the answer of a ticket for which Begin returned Run. If the
+// answer is nil or too long, the ticket is Gone for later requests.
 func (r *Record) Finish(t Ticket, answer *Answer, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -179,18 +182,18 @@
 		return
 	}
 	done.running = false
-	done.at = now
-	done.inFinished = r.finished.PushBack(done)
+	done.finishedAt = now
+	done.finishedElement = r.finished.PushBack(done)
 	if answer != nil && answer.size() <= r.limits.AnswerSize {
 		done.answer = answer
-		done.inBodies = r.bodies.PushBack(done)
+		done.bodyElement = r.bodies.PushBack(done)
 		r.bytes += answer.size()
 	}
-	r.shrink()
+	r.enforceLimits()
 }
 
-// Abandon forgets a ticket that Begin let run and that, provably, did not run
-// after all.
+// Abandon removes a ticket for which Begin returned Run and that provably did
+// not run.
 func (r *Record) Abandon(t Ticket) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/ticket/record_limits.go
+++ b/ticket/record_limits.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// dropOld drops finished tickets that are past the age limit.
-func (r *Record) dropOld(now time.Time) {
+// dropExpired drops finished tickets that exceed the age limit.
+func (r *Record) dropExpired(now time.Time) {
 	for front := r.finished.Front(); front != nil; front = r.finished.Front() {
 		oldest := front.Value.(*entry)
-		if now.Sub(oldest.at) <= r.limits.Age {
+		if now.Sub(oldest.finishedAt) <= r.limits.Age {
 			return
 		}
 		r.drop(oldest)
 	}
 }
 
-// shrink brings the record back within its limits, oldest first: answers are
-// dropped before tickets.
-func (r *Record) shrink() {
+// enforceLimits drops the oldest answers and then the oldest tickets until the
+// record is within its limits.
+func (r *Record) enforceLimits() {
 	for r.bytes > r.limits.AnswerBytes {
 		r.dropAnswer(r.bodies.Front().Value.(*entry))
 	}
@@ -24,51 +24,51 @@
 	}
 }
 
-func (r *Record) dropAnswer(old *entry) {
-	if old.inBodies == nil {
+func (r *Record) dropAnswer(finished *entry) {
+	if finished.bodyElement == nil {
 		return
 	}
-	r.bodies.Remove(old.inBodies)
-	old.inBodies = nil
-	r.bytes -= old.answer.size()
-	old.answer = nil
+	r.bodies.Remove(finished.bodyElement)
+	finished.bodyElement = nil
+	r.bytes -= finished.answer.size()
+	finished.answer = nil
 }
 
-func (r *Record) drop(old *entry) {
-	r.dropAnswer(old)
-	r.finished.Remove(old.inFinished)
-	delete(r.entries, old.ticket)
+func (r *Record) drop(finished *entry) {
+	r.dropAnswer(finished)
+	r.finished.Remove(finished.finishedElement)
+	delete(r.entries, finished.ticket)
 	r.dropped++
-	r.raiseFloor(old.ticket)
+	r.raiseFloor(finished.ticket)
 }
 
-// raiseFloor makes a dropped ticket, and those of its issuer before it, Stale.
+// raiseFloor makes a dropped ticket and all earlier tickets of its issuer Stale.
 func (r *Record) raiseFloor(t Ticket) {
 	floor, exists := r.floors[t.Issuer]
-	if !exists && t.Issuer.Born <= r.youngestDropped {
-		// All of that issuer's tickets are Stale already. A floor of its own
-		// could be lower than one that was given up before.
+	if !exists && t.Issuer.Born <= r.latestDroppedStart {
+		// All of the issuer's tickets are Stale already. A new floor for it could
+		// be lower than a floor of it that was dropped before.
 		return
 	}
 	r.floors[t.Issuer] = max(floor, t.Sequence)
 	for len(r.floors) > r.limits.Issuers {
-		r.dropEldestIssuer()
+		r.dropOldestIssuer()
 	}
 }
 
-// dropEldestIssuer gives up the floor of the issuer that started first; it and
-// every issuer that is not younger have all their tickets Stale from now on,
-// unless they have a floor of their own.
-func (r *Record) dropEldestIssuer() {
-	var eldest Issuer
+// dropOldestIssuer drops the floor of the issuer that started first. From then
+// on all tickets of this issuer, and of every issuer that started no later and
+// has no floor, are Stale.
+func (r *Record) dropOldestIssuer() {
+	var oldest Issuer
 	first := true
 	for issuer := range r.floors {
-		if first || issuer.Born < eldest.Born {
-			eldest, first = issuer, false
+		if first || issuer.Born < oldest.Born {
+			oldest, first = issuer, false
 		}
 	}
-	delete(r.floors, eldest)
-	r.youngestDropped = max(r.youngestDropped, eldest.Born)
+	delete(r.floors, oldest)
+	r.latestDroppedStart = max(r.latestDroppedStart, oldest.Born)
 }
 
 // belowFloor reports whether a ticket that is not in the record may have been
@@ -77,10 +77,10 @@
 	if floor, exists := r.floors[t.Issuer]; exists {
 		return t.Sequence <= floor
 	}
-	return t.Issuer.Born <= r.youngestDropped
+	return t.Issuer.Born <= r.latestDroppedStart
 }
 
-// Dump describes a record for the state dump.
+// Dump contains a record's sizes for the state dump.
 type Dump struct {
 	Running     int
 	Finished    int
@@ -89,7 +89,7 @@
 	Dropped     uint64 // tickets dropped so far
 }
 
-// Dump returns the record's size.
+// Dump returns the record's sizes.
 func (r *Record) Dump() Dump {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/ticket/record_test.go
+++ b/ticket/record_test.go
@@ -47,7 +47,7 @@
 	g.Expect(begin(elsewhere, ticket.Scope)).To(gomega.Equal(Mismatch))
 }
 
-func TestAnswersThatAreNotKeptAreGone(t *testing.T) {
+func TestDiscardedAnswersAreGone(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := NewRecord(Limits{Tickets: 10, AnswerBytes: 8, AnswerSize: 6, Issuers: 4, Age: time.Minute})
 	tickets := make([]Ticket, 4)
@@ -69,7 +69,7 @@
 	g.Expect(r.Dump().AnswerBytes).To(gomega.Equal(len("second")))
 }
 
-func TestDroppedTicketsAreStaleForGood(t *testing.T) {
+func TestDroppedTicketsStayStale(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := NewRecord(Limits{Tickets: 10, AnswerBytes: 100, AnswerSize: 10, Issuers: 4, Age: time.Minute})
 	ticket := sample()
@@ -86,8 +86,8 @@
 	g.Expect(verdict).To(gomega.Equal(Run))
 }
 
-// site is several owners of one key in turn, each with its record. Tickets
-// reach any of them, at any time and in any order.
+// site simulates the successive owners of one key, each with its own record.
+// Tickets reach any of them at any time and in any order.
 type site struct {
 	records map[int]*Record
 	fence   topo.Fence // in force
@@ -135,7 +135,7 @@
 	s.issuers = append(s.issuers, source)
 }
 
-// send brings a ticket to the owner in force.
+// send sends a ticket to the owner in force.
 func (s *site) send(t *rapid.T, ticket Ticket) {
 	verdict, answer := s.records[s.owner].Begin(requestOf(ticket), FenceScope(s.fence), s.now)
 	_, ran := s.ran[ticket]
@@ -151,14 +151,15 @@
 			t.Fatalf("%v was answered %q, replayed %q", ticket, s.ran[ticket], answer.Body)
 		}
 	case Mismatch:
-		t.Fatalf("%v refused as of another request", ticket)
+		t.Fatalf("%v rejected as a ticket of another request", ticket)
 	}
 }
 
-// finish ends a run; the server may find that it never began to take effect.
-func (s *site) finish(ticket Ticket, owner int, took bool) {
+// finish ends the execution of a ticket. tookEffect is false when the server finds
+// that the execution had no effect.
+func (s *site) finish(ticket Ticket, owner int, tookEffect bool) {
 	delete(s.running, ticket)
-	if !took {
+	if !tookEffect {
 		delete(s.ran, ticket)
 		s.records[owner].Abandon(ticket)
 		return
--- a/ticket/source.go
+++ b/ticket/source.go
@@ -6,7 +6,7 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Source issues the tickets of one run of an entry node. It is safe for
+// Source issues the tickets of one incarnation of an entry node. It is safe for
 // concurrent use if its random function is.
 type Source struct {
 	issuer   Issuer
@@ -14,10 +14,10 @@
 	sequence atomic.Uint64
 }
 
-// NewSource returns a source for one run of a node. A boot must never be used
-// by two sources, and its characters must be printable ASCII without spaces,
-// quotation marks, backslashes and hyphens. random must be impossible to guess
-// for callers.
+// NewSource returns a source for one incarnation of a node. A boot must never be
+// used by two sources, and its characters must be printable ASCII without
+// spaces, quotation marks, backslashes and hyphens. The results of random must
+// be unpredictable for callers.
 func NewSource(issuer Issuer, random func() uint64) (*Source, error) {
 	source := &Source{issuer: issuer, random: random}
 	sample := Ticket{Scope: Scope{Kind: ScopeFence}, Issuer: issuer, Sequence: 1}
@@ -38,10 +38,10 @@
 	}
 }
 
-// Issued returns how many tickets were issued.
+// Issued returns the number of issued tickets.
 func (s *Source) Issued() uint64 { return s.sequence.Load() }
 
-// IssuerError reports a node or boot name that cannot stand in a ticket.
+// IssuerError reports a node or boot name that is not allowed in a ticket.
 type IssuerError struct{ Issuer Issuer }
 
 // Error implements error.
--- a/ticket/ticket.go
+++ b/ticket/ticket.go
@@ -1,11 +1,11 @@
-// Package ticket holds at-most-once: the tickets that entry nodes issue as
-// idempotency keys, and the bounded Record by which whoever runs a request
-// makes sure that a ticket never runs twice. Everything here is pure or a plain
-// data structure: time and randomness come in as arguments.
+// Package ticket implements at-most-once execution: the tickets that entry nodes
+// issue as idempotency keys, and the bounded Record with which the process that
+// runs requests ensures that a ticket never runs twice. The package has no clock
+// and no source of randomness; callers pass both as arguments.
 //
 // A ticket names the ownership in force when it was issued. The owner runs it
-// only under that same ownership and only if its record does not hold it, so a
-// ticket that an earlier owner may have run is never run by a later one.
+// only under the same ownership and only if its record does not contain it, so a
+// ticket that an earlier owner may have run is never run by a later owner.
 package ticket
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// ScopeKind says what a ticket is bound to.
+// ScopeKind is the kind of scope that a ticket is bound to.
 type ScopeKind byte
 
 // Scope kinds.
@@ -41,12 +41,12 @@
 // TermScope returns the scope of one lessor's term.
 func TermScope(term topo.Term) Scope { return Scope{Kind: ScopeTerm, Ordinal: term.Ordinal} }
 
-// Issuer names one run of the entry node that issued a ticket.
+// Issuer identifies the incarnation of the entry node that issued a ticket.
 type Issuer struct {
 	Node topo.NodeID
 	Boot topo.BootID
-	// Born is when that run started, in Unix milliseconds by its own clock. It
-	// orders issuers by age and decides nothing else.
+	// Born is the start time of the incarnation, in Unix milliseconds by its own
+	// clock. It is used only to order issuers by age.
 	Born int64
 }
 
@@ -54,9 +54,9 @@
 type Ticket struct {
 	Scope    Scope
 	Issuer   Issuer
-	Sequence uint64 // counts the issuer's tickets from 1
+	Sequence uint64 // number of the ticket, from 1, for the issuer
 	Subject  uint64 // SubjectOf the service and key
-	Random   uint64 // makes the ticket impossible to guess
+	Random   uint64 // makes the ticket unpredictable
 }
 
 // SubjectOf returns the digest that binds a ticket to a service and key.
@@ -69,7 +69,7 @@
 	separator  = "-"
 	fieldCount = 8
 	hexBase    = 16
-	// MaxLength is the most bytes that a ticket's text may have.
+	// MaxLength is the maximum length of a ticket's text in bytes.
 	MaxLength = 512
 )
 
@@ -89,48 +89,48 @@
 	return strings.Join(fields, separator)
 }
 
-// Parse reads the value of an Idempotency-Key header: what String wrote, with
-// or without the quotation marks that the header's published form asks for. The
-// error is a *ParseError.
+// Parse parses the value of an Idempotency-Key header: the result of String,
+// with or without the quotation marks that the header's specification requires.
+// The error is a *ParseError.
 func Parse(text string) (Ticket, error) {
-	refuse := func(problem string) (Ticket, error) {
+	fail := func(problem string) (Ticket, error) {
 		return Ticket{}, &ParseError{Problem: problem}
 	}
 	if len(text) > MaxLength {
-		return refuse("too long")
+		return fail("too long")
 	}
 	fields := strings.SplitN(unquote(text), separator, fieldCount)
 	if len(fields) != fieldCount || fields[0] != formatName {
-		return refuse("not issued by an entry node")
+		return fail("not issued by an entry node")
 	}
 	var t Ticket
 	var err error
 	if t.Scope, err = parseScope(fields[1]); err != nil {
-		return refuse("scope")
+		return fail("scope")
 	}
 	if t.Sequence, err = strconv.ParseUint(fields[2], 10, 64); err != nil || t.Sequence == 0 {
-		return refuse("sequence")
+		return fail("sequence")
 	}
 	if t.Subject, err = strconv.ParseUint(fields[3], hexBase, 64); err != nil {
-		return refuse("subject")
+		return fail("subject")
 	}
 	if t.Random, err = strconv.ParseUint(fields[4], hexBase, 64); err != nil {
-		return refuse("random")
+		return fail("random")
 	}
 	if t.Issuer.Born, err = strconv.ParseInt(fields[5], 10, 64); err != nil || t.Issuer.Born < 0 {
-		return refuse("start time")
+		return fail("start time")
 	}
 	t.Issuer.Boot = topo.BootID(fields[6])
 	t.Issuer.Node = topo.NodeID(fields[7])
 	if !validName(fields[6]) || !validName(fields[7]) {
-		return refuse("issuer")
+		return fail("issuer")
 	}
-	return canonical(t, text)
+	return checkCanonical(t, text)
 }
 
-// canonical refuses a second spelling of a ticket, which would otherwise be
-// taken for another one by whoever compares the text.
-func canonical(t Ticket, text string) (Ticket, error) {
+// checkCanonical rejects a second spelling of a ticket, because code that
+// compares the text would treat it as another ticket.
+func checkCanonical(t Ticket, text string) (Ticket, error) {
 	if t.String() != unquote(text) {
 		return Ticket{}, &ParseError{Problem: "not in canonical form"}
 	}
@@ -169,7 +169,8 @@
 	return Scope{Kind: kind, Ordinal: ordinal}, nil
 }
 
-// validName accepts the characters that may stand in a header's quoted string.
+// validName reports whether a name is not empty and has only characters that are
+// allowed in a header's quoted string.
 func validName(name string) bool {
 	for _, char := range []byte(name) {
 		if char <= ' ' || char >= 0x7f || char == '"' || char == '\\' {
--- a/ticket/ticket_test.go
+++ b/ticket/ticket_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestTicketReadsBackTheSame(t *testing.T) {
+func TestTicketRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ordinal := topo.Ordinal{Offset: topo.Offset(rapid.Uint64().Draw(t, "offset")), Rank: rapid.Uint32().Draw(t, "rank")}
 		ticket := Ticket{
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestSourceCountsAndRefusesUnusableNames(t *testing.T) {
+func TestSourceNumbersTicketsAndRejectsInvalidNames(t *testing.T) {
 	g := gomega.NewWithT(t)
 	random := func() uint64 { return 9 }
 	source, err := NewSource(Issuer{Node: "n-1", Boot: "b", Born: 1}, random)
