--- a/buffer/buffer.go
+++ b/buffer/buffer.go
@@ -11,32 +11,34 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Buffer is the runtime around a Book. Methods may be called concurrently.
+// Buffer is a Tracker that is safe for concurrent use.
 type Buffer struct {
-	outages atomic.Int64 // a cheap look before the lock
+	outages atomic.Int64 // checked before taking the lock; updated under mu
 
-	mu       sync.Mutex
-	book     *Book
-	wakes    map[uint64]chan Wake
-	sequence uint64
-	joined   uint64
-	refused  uint64
+	mu      sync.Mutex
+	tracker *Book
+	wakes   map[uint64]chan Wake
+	lastID  uint64
+	joined  uint64
+	refused uint64
 }
 
-// Wake tells a waiting request what to do: probe, be refused, or decide anew.
+// Wake is the instruction for a waiting request: probe, be refused or, if
+// neither is set, decide again.
 type Wake struct {
 	Probe   bool
 	Refused bool
 	Refusal Refusal
 }
 
-// New returns an empty buffer in which at most `most` requests of each service
-// wait.
-func New(most int) *Buffer {
-	return &Buffer{book: NewBook(most), wakes: map[uint64]chan Wake{}}
+// New returns an empty buffer in which at most maxWaiters requests of each
+// service wait.
+func New(maxWaiters int) *Buffer {
+	return &Buffer{tracker: NewBook(maxWaiters), wakes: map[uint64]chan Wake{}}
 }
 
-// Plan decides what a request does about keys, the first that is out counting.
+// Plan decides on the action of a request on keys. The first key with an outage
+// determines it and is returned.
 func (b *Buffer) Plan(now time.Time, keys ...Key) (Plan, Key) {
 	if b.outages.Load() == 0 {
 		return Proceed, Key{}
@@ -44,29 +46,30 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, key := range keys {
-		if plan := b.book.Plan(now, key); plan != Proceed {
+		if plan := b.tracker.Plan(now, key); plan != Proceed {
 			return plan, key
 		}
 	}
 	return Proceed, Key{}
 }
 
-// Failed tells that a key cannot be served.
+// Failed reports that a key cannot be served.
 func (b *Buffer) Failed(now time.Time, key Key, cause Cause) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.book.Failed(now, key, cause, rand.Float64())
-	b.note()
+	b.tracker.Failed(now, key, cause, rand.Float64())
+	b.updateOutageCount()
 }
 
-// Abandoned tells that a probe ended without a result.
+// Abandoned reports that a probe ended without a result.
 func (b *Buffer) Abandoned(key Key) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.book.Abandoned(key)
+	b.tracker.Abandoned(key)
 }
 
-// Recovered tells that a key is served; whoever waited for it decides anew.
+// Recovered reports that keys are served again; the requests that waited for
+// them decide again.
 func (b *Buffer) Recovered(now time.Time, keys ...Key) {
 	if b.outages.Load() == 0 {
 		return
@@ -74,14 +77,15 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, key := range keys {
-		for _, waiter := range b.book.Recovered(now, key) {
+		for _, waiter := range b.tracker.Recovered(now, key) {
 			b.wake(waiter.ID, Wake{})
 		}
 	}
-	b.note()
+	b.updateOutageCount()
 }
 
-// Passed tells that what keys stood for is served in another way.
+// ServedElsewhere reports that the shards or groups of keys are served by
+// another owner or lessor.
 func (b *Buffer) Passed(now time.Time, keys ...Key) {
 	if len(keys) == 0 || b.outages.Load() == 0 {
 		return
@@ -89,11 +93,11 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, key := range keys {
-		b.book.Passed(now, key)
+		b.tracker.Passed(now, key)
 	}
 }
 
-// Ticket is one request's wait.
+// Ticket represents one waiting request.
 type Ticket struct {
 	C      <-chan Wake // receives once
 	buffer *Buffer
@@ -101,22 +105,22 @@
 	id     uint64
 }
 
-// Join lets a request wait until it is told what to do, or leaves. The ticket
-// is nil when the request is to be refused at once.
+// Join adds a request to the waiters of a key until it receives a Wake or
+// leaves. The ticket is nil when the request must be refused at once.
 func (b *Buffer) Join(now time.Time, key Key, service topo.Service, deadline time.Time) (*Ticket, Refusal) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.sequence++
-	id := b.sequence
+	b.lastID++
+	id := b.lastID
 	wake := make(chan Wake, 1)
-	refusal, refused := b.book.Join(now, key, Waiter{ID: id, Service: service, Deadline: deadline})
+	refusal, refused := b.tracker.Join(now, key, Waiter{ID: id, Service: service, Deadline: deadline})
 	if refused {
 		b.refused++
 		return nil, refusal
 	}
 	ticket := &Ticket{C: wake, buffer: b, key: key, id: id}
-	if !b.waits(key) {
-		wake <- Wake{} // it recovered meanwhile
+	if !b.hasOutage(key) {
+		wake <- Wake{} // the key recovered in the meantime
 		return ticket, Refusal{}
 	}
 	b.joined++
@@ -124,43 +128,44 @@
 	return ticket, Refusal{}
 }
 
-func (b *Buffer) waits(key Key) bool {
-	_, out := b.book.outages[key]
+func (b *Buffer) hasOutage(key Key) bool {
+	_, out := b.tracker.outages[key]
 	return out
 }
 
-// Leave ends the wait. A probe that the request was told to make meanwhile is
-// left to another.
+// Leave ends the wait. If the request was selected to probe in the meantime, the
+// probe is abandoned so that another request can make it.
 func (t *Ticket) Leave() {
 	t.buffer.mu.Lock()
 	defer t.buffer.mu.Unlock()
 	delete(t.buffer.wakes, t.id)
-	if t.buffer.book.Leave(t.key, t.id) {
+	if t.buffer.tracker.Leave(t.key, t.id) {
 		return
 	}
 	select {
 	case wake := <-t.C:
 		if wake.Probe {
-			t.buffer.book.Abandoned(t.key)
+			t.buffer.tracker.Abandoned(t.key)
 		}
 	default:
 	}
 }
 
-// Sweep refuses requests without hope and chooses who probes.
+// Sweep refuses requests that are not expected to be served by their deadlines
+// and selects the requests that probe.
 func (b *Buffer) Sweep(now time.Time) {
 	if b.outages.Load() == 0 {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, swept := range b.book.Sweep(now) {
+	for _, swept := range b.tracker.Sweep(now) {
 		if !swept.Probe {
 			b.refused++
 		}
 		b.wake(swept.ID, Wake{Probe: swept.Probe, Refused: !swept.Probe, Refusal: swept.Refusal})
 	}
-	b.note()
+	b.updateOutageCount()
 }
 
 func (b *Buffer) wake(id uint64, wake Wake) {
@@ -170,9 +175,9 @@
 	}
 }
 
-func (b *Buffer) note() { b.outages.Store(int64(b.book.Outages())) }
+func (b *Buffer) updateOutageCount() { b.outages.Store(int64(b.tracker.Outages())) }
 
-// Stats is the buffer's state for dumps and metrics.
+// Stats contains the buffer's counts for dumps and metrics.
 type Stats struct {
 	Waiting int
 	Outages int
@@ -180,15 +185,15 @@
 	Refused uint64
 }
 
-// Stats returns the buffer's state now.
+// Stats returns the current counts.
 func (b *Buffer) Stats() Stats {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return Stats{Waiting: b.book.Waiting(), Outages: b.book.Outages(), Joined: b.joined, Refused: b.refused}
+	return Stats{Waiting: b.tracker.Waiting(), Outages: b.tracker.Outages(), Joined: b.joined, Refused: b.refused}
 }
 
-// Wait blocks until the request is told what to do, a newer view or overlay
-// exists (then it decides anew), or ctx ends.
+// Wait blocks until the request receives a Wake, a newer view or overlay exists
+// (then the request decides again), or ctx ends.
 func (t *Ticket) Wait(ctx context.Context, view, overlay <-chan struct{}) (Wake, error) {
 	select {
 	case wake := <-t.C:
@@ -203,13 +208,13 @@
 	return Wake{}, nil
 }
 
-// Out reports whether any of the keys is out, so that a request with a choice
-// goes elsewhere.
+// HasOutage reports whether any of the keys has an outage, so that a request that
+// has a choice of servers can use another one.
 func (b *Buffer) Out(keys ...Key) bool {
 	if b.outages.Load() == 0 {
 		return false
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return slices.ContainsFunc(keys, b.waits)
+	return slices.ContainsFunc(keys, b.hasOutage)
 }
--- a/buffer/buffer_test.go
+++ b/buffer/buffer_test.go
@@ -12,8 +12,8 @@
 	"github.com/burdockspindle/burdockspindle/buffer"
 )
 
-// TestWaitersAreWokenOnRecovery: many wait, one probes, and when the key is
-// served again all of them go on.
+// TestWaitersAreWokenOnRecovery: one of many waiting requests probes, and
+// when the key is served again all of them continue.
 func TestWaitersAreWokenOnRecovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -23,9 +23,9 @@
 		var woken []buffer.Wake
 		var wait sync.WaitGroup
 		for range 20 {
-			place, _ := b.Join(time.Now(), key, "logs", time.Now().Add(time.Minute))
+			ticket, _ := b.Join(time.Now(), key, "logs", time.Now().Add(time.Minute))
 			wait.Go(func() {
-				wake, err := place.Wait(context.Background(), nil, nil)
+				wake, err := ticket.Wait(context.Background(), nil, nil)
 				mu.Lock()
 				defer mu.Unlock()
 				g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -49,40 +49,40 @@
 	})
 }
 
-func TestNewerViewOrEndOfContextEndsTheWait(t *testing.T) {
+func TestNewerViewOrCanceledContextEndsTheWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		b := buffer.New(100)
 		b.Failed(time.Now(), key, buffer.Unreachable)
 		deadline := time.Now().Add(time.Minute)
 		changed := make(chan struct{})
-		place, _ := b.Join(time.Now(), key, "logs", deadline)
+		ticket, _ := b.Join(time.Now(), key, "logs", deadline)
 		close(changed)
-		wake, err := place.Wait(context.Background(), changed, nil)
+		wake, err := ticket.Wait(context.Background(), changed, nil)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(wake).To(gomega.Equal(buffer.Wake{}))
 		g.Expect(b.Stats().Waiting).To(gomega.BeZero())
 
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		place, _ = b.Join(time.Now(), key, "logs", deadline)
-		_, err = place.Wait(ctx, nil, nil)
+		ticket, _ = b.Join(time.Now(), key, "logs", deadline)
+		_, err = ticket.Wait(ctx, nil, nil)
 		g.Expect(err).To(gomega.MatchError(context.DeadlineExceeded))
 		g.Expect(b.Stats().Waiting).To(gomega.BeZero())
 	})
 }
 
-// TestLeavingProbeIsNotLost: a request that was chosen to probe and leaves hands
-// the probe to the next.
+// TestLeavingProbeIsNotLost: when a request that was selected to probe leaves,
+// another request can probe.
 func TestLeavingProbeIsNotLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		b := buffer.New(100)
 		b.Failed(time.Now(), key, buffer.Unreachable)
-		place, _ := b.Join(time.Now(), key, "logs", time.Now().Add(time.Minute))
+		ticket, _ := b.Join(time.Now(), key, "logs", time.Now().Add(time.Minute))
 		time.Sleep(100 * time.Millisecond)
-		b.Sweep(time.Now()) // chooses it
-		place.Leave()
+		b.Sweep(time.Now()) // selects the request to probe
+		ticket.Leave()
 		plan, _ := b.Plan(time.Now(), key)
 		g.Expect(plan).To(gomega.Equal(buffer.Probe))
 	})
