--- a/exchange/body.go
+++ b/exchange/body.go
@@ -7,26 +7,26 @@
 	"sync"
 )
 
-// Body is a request body that can be sent more than once as long as nothing
-// beyond its buffered beginning was read. All methods may be called
+// Body is a request body that can be sent repeatedly as long as nothing beyond
+// its buffered prefix was read. All methods may be called
 // concurrently: an abandoned attempt may still be reading while the next one
 // starts.
 type Body struct {
 	length int64 // -1 when not known
 	limit  int64
 
-	mu      sync.Mutex
-	prefix  []byte
-	rest    io.Reader // nil when prefix is the whole body
-	touched bool      // a byte of rest was asked for
-	current *bodyReader
-	failure error // first error from rest, other than io.EOF
+	mu         sync.Mutex
+	prefix     []byte
+	rest       io.Reader // nil when prefix is the whole body
+	consumed   bool      // a read from rest was started
+	current    *bodyReader
+	firstError error // first error from rest, other than io.EOF
 }
 
-// NewBody prepares a body of a declared length (-1 when not known) that may
-// have at most limit bytes. It reads up to buffer bytes ahead when the body
-// then is whole or its length is not known. It returns nil for an empty body.
-// Errors are *TooLargeError and *UnreadableError.
+// NewBody returns a body of a declared length (-1 when not known) that may have
+// at most limit bytes. It reads up to buffer bytes ahead if the declared length
+// fits into the buffer or is not known. It returns nil for an empty body. Errors
+// are *TooLargeError and *UnreadableError.
 func NewBody(source io.Reader, length, limit int64, buffer int) (*Body, error) {
 	if length > limit {
 		return nil, &TooLargeError{Limit: limit}
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// Length is the number of bytes, or -1 when not known.
+// Length returns the number of bytes, or -1 when not known.
 func (b *Body) Length() int64 {
 	if b == nil {
 		return 0
@@ -76,37 +76,38 @@
 	return b.length
 }
 
-// Replayable reports whether the body can be sent (again) from its beginning.
+// Replayable reports whether the body can be sent, or sent again, from its
+// beginning.
 func (b *Body) Replayable() bool {
 	if b == nil {
 		return true
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return !b.touched
+	return !b.consumed
 }
 
-// Failure returns why the caller's body could not be passed on, if so:
-// *TooLargeError or *UnreadableError.
+// Failure returns the error because of which the caller's body could not be
+// passed on, a *TooLargeError or *UnreadableError; nil if there was none.
 func (b *Body) Failure() error {
 	if b == nil {
 		return nil
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.failure
+	return b.firstError
 }
 
-// Open returns a reader over the whole body and makes readers returned earlier
-// fail with *ReplacedError. It returns nil for no body, and a *ConsumedError
-// when the body is no longer replayable.
+// Open returns a reader of the whole body. Readers returned earlier fail with
+// *ReplacedError from then on. The reader is nil when there is no body, and the
+// error is a *ConsumedError when the body is no longer replayable.
 func (b *Body) Open() (io.Reader, error) {
 	if b == nil {
 		return nil, nil
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.touched {
+	if b.consumed {
 		return nil, &ConsumedError{}
 	}
 	b.current = &bodyReader{body: b}
@@ -114,8 +115,8 @@
 }
 
 type bodyReader struct {
-	body *Body
-	read int64
+	body   *Body
+	offset int64
 }
 
 // Read implements io.Reader.
@@ -128,12 +129,12 @@
 		return count, err
 	}
 	count, err = r.body.rest.Read(p)
-	r.read += int64(count)
-	return count, r.body.checkRead(r.read, err)
+	r.offset += int64(count)
+	return count, r.body.checkRead(r.offset, err)
 }
 
-// readPrefix serves the buffered beginning, or marks the body as consumed and
-// says that the rest must be read.
+// readPrefix reads from the buffered prefix. After the prefix it marks the body
+// as consumed and returns fromRest true, so that the caller reads from rest.
 func (r *bodyReader) readPrefix(p []byte) (count int, fromRest bool, err error) {
 	b := r.body
 	b.mu.Lock()
@@ -141,15 +142,15 @@
 	if b.current != r {
 		return 0, false, &ReplacedError{}
 	}
-	if r.read < int64(len(b.prefix)) {
-		count = copy(p, b.prefix[r.read:])
-		r.read += int64(count)
+	if r.offset < int64(len(b.prefix)) {
+		count = copy(p, b.prefix[r.offset:])
+		r.offset += int64(count)
 		return count, false, nil
 	}
 	if b.rest == nil {
 		return 0, false, io.EOF
 	}
-	b.touched = true
+	b.consumed = true
 	return 0, true, nil
 }
 
@@ -168,19 +169,19 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.failure == nil {
-		b.failure = err
+	if b.firstError == nil {
+		b.firstError = err
 	}
 	return err
 }
 
-// TooLargeError reports a body above the limit.
+// TooLargeError reports a body that exceeds the limit.
 type TooLargeError struct{ Limit int64 }
 
 // Error implements error.
 func (e *TooLargeError) Error() string { return "request body is larger than its limit" }
 
-// UnreadableError reports that the caller's body could not be read whole.
+// UnreadableError reports that the caller's body could not be read completely.
 type UnreadableError struct{ Cause error }
 
 // Error implements error.
@@ -195,7 +196,7 @@
 // Error implements error.
 func (e *ConsumedError) Error() string { return "request body was already passed on" }
 
-// ReplacedError reports a read by an attempt that was given up.
+// ReplacedError reports a read by an abandoned attempt.
 type ReplacedError struct{}
 
 // Error implements error.
--- a/exchange/body_test.go
+++ b/exchange/body_test.go
@@ -14,9 +14,9 @@
 	"github.com/burdockspindle/burdockspindle/exchange"
 )
 
-// TestBodies draws lengths, limits and buffer sizes: a body is passed on whole
-// or fails, is replayable exactly as long as nothing unbuffered was read, and
-// is never longer than its limit.
+// TestBodies generates lengths, limits and buffer sizes: a body is passed on
+// completely or fails, is replayable exactly as long as nothing unbuffered was
+// read, and never exceeds its limit.
 func TestBodies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		content := bytes.Repeat([]byte("x"), rapid.IntRange(0, 40).Draw(t, "size"))
@@ -64,7 +64,7 @@
 	})
 }
 
-func TestEarlierReaderIsCutOff(t *testing.T) {
+func TestEarlierReaderFailsAfterReopen(t *testing.T) {
 	g := gomega.NewWithT(t)
 	body, err := exchange.NewBody(strings.NewReader("hello"), 5, 100, 10)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -77,7 +77,7 @@
 	g.Expect(io.ReadAll(second)).To(gomega.Equal([]byte("hello")))
 }
 
-func TestBrokenCallerBody(t *testing.T) {
+func TestUnreadableCallerBody(t *testing.T) {
 	g := gomega.NewWithT(t)
 	source := io.MultiReader(strings.NewReader("abcdef"), iotest.ErrReader(io.ErrUnexpectedEOF))
 	body, err := exchange.NewBody(source, -1, 100, 4)
@@ -89,7 +89,7 @@
 	g.Expect(body.Replayable()).To(gomega.BeFalse())
 }
 
-func TestDeclaredLengthIsKept(t *testing.T) {
+func TestDeclaredLengthIsChecked(t *testing.T) {
 	g := gomega.NewWithT(t)
 	_, err := exchange.NewBody(strings.NewReader("abc"), 5, 100, 10)
 	g.Expect(err).To(gomega.BeAssignableToTypeOf(&exchange.UnreadableError{}))
