--- a/outcome/outcome.go
+++ b/outcome/outcome.go
@@ -1,7 +1,7 @@
-// Package outcome maps what became of the attempts at a request to what the
-// caller is told. "Not run" is said only where it is proven: nothing was sent,
-// or the owner itself said so, and no earlier attempt may have run. The package
-// is pure.
+// Package outcome maps the results of a request's attempts to the outcome that
+// is reported to the caller. "Not run" is reported only when it is proven: nothing
+// was sent, or the owner itself reported it, and no earlier attempt may have run.
+// The functions of the package have no side effects.
 package outcome
 
 import (
@@ -12,28 +12,28 @@
 	"github.com/burdockspindle/burdockspindle/serverapi"
 )
 
-// Verdict is what is known of one attempt, or of a whole request.
+// Verdict is the known outcome of one attempt or of a whole request.
 type Verdict struct {
 	Outcome serverapi.Outcome
 	Reason  serverapi.Reason
-	// RetryAfter is when to come back; 0 when coming back does not help.
+	// RetryAfter is the retry delay; 0 when a retry does not help.
 	RetryAfter time.Duration
 }
 
-// Answered is the verdict on a whole answer of the owner.
+// Answered returns the verdict on a complete answer of the owner.
 func Answered() Verdict { return Verdict{Outcome: serverapi.OutcomeAnswered} }
 
-// NotRun is the verdict on a request that is proven not to have run.
+// NotRun returns the verdict on a request that is proven not to have run.
 func NotRun(reason serverapi.Reason) Verdict {
 	return Verdict{Outcome: serverapi.OutcomeNotRun, Reason: reason}
 }
 
-// Unknown is the verdict on a request that may have run.
+// Unknown returns the verdict on a request that may have run.
 func Unknown(reason serverapi.Reason) Verdict {
 	return Verdict{Outcome: serverapi.OutcomeUnknown, Reason: reason}
 }
 
-// Later returns the verdict with a time to come back.
+// Later returns the verdict with a retry delay.
 func (v Verdict) Later(wait time.Duration) Verdict {
 	v.RetryAfter = wait
 	return v
@@ -42,8 +42,8 @@
 // NotRunProven reports whether the request did not run.
 func (v Verdict) NotRunProven() bool { return v.Outcome == serverapi.OutcomeNotRun }
 
-// Said reads the outcome and reason headers of an answer. No outcome means
-// answered; one that is not known means unknown.
+// Said returns the verdict for the outcome and reason headers of an answer. An
+// empty outcome means answered; an unrecognized outcome means unknown.
 func Said(outcome serverapi.Outcome, reason serverapi.Reason) Verdict {
 	switch outcome {
 	case "", serverapi.OutcomeAnswered:
@@ -54,15 +54,15 @@
 	return Unknown(reason)
 }
 
-// Failure describes an attempt that brought no answer.
+// Failure describes an attempt that ended without an answer.
 type Failure struct {
 	Sent     bool // false only if it is proven that no byte of the request left
 	Silent   bool // the connection made no progress
-	Canceled bool // the caller went away
+	Canceled bool // the caller canceled the request
 	Deadline bool // the deadline passed
 }
 
-// Failed is the verdict on an attempt that brought no answer.
+// Failed returns the verdict on an attempt that ended without an answer.
 func Failed(f Failure) Verdict {
 	reason := f.reason()
 	if f.Sent {
@@ -85,7 +85,7 @@
 	return callerapi.ReasonNotSent
 }
 
-// Tally joins the verdicts of a request's attempts.
+// Tally combines the verdicts of a request's attempts.
 type Tally struct {
 	attempts  int
 	uncertain *Verdict // first attempt that may have run
@@ -99,32 +99,32 @@
 	}
 }
 
-// Attempts is the number of attempts recorded.
+// Attempts returns the number of attempts recorded.
 func (t *Tally) Attempts() int { return t.attempts }
 
 // MayHaveRun reports whether an attempt may have run without an answer.
 func (t *Tally) MayHaveRun() bool { return t.uncertain != nil }
 
-// Final is what the caller is told when last is the last thing known: a whole
-// answer stands, and a last attempt that ran nothing stands only if no earlier
-// attempt may have run.
+// Final returns the verdict for the caller after the last verdict: a complete
+// answer is final, and a last attempt that did not run is final only if no
+// earlier attempt may have run.
 func (t *Tally) Final(last Verdict) Verdict {
-	if ranNothing(last) && t.uncertain != nil {
+	if didNotRun(last) && t.uncertain != nil {
 		return t.uncertain.Later(last.RetryAfter)
 	}
 	return last
 }
 
-// ranNothing reports whether an attempt ran nothing itself. A stale ticket may
+// didNotRun reports whether an attempt itself did not run. A stale ticket may
 // have run in an earlier use, which makes the request's outcome unknown, but not
-// in the attempt that is refused for it: a caller that uses a ticket for the
-// first time may rely on that.
-func ranNothing(v Verdict) bool {
+// in the attempt that is refused because of it. A caller that uses a ticket for
+// the first time may rely on that.
+func didNotRun(v Verdict) bool {
 	return v.Outcome == serverapi.OutcomeNotRun || v.Reason == serverapi.ReasonStaleTicket
 }
 
-// notRunStatus lists the statuses of requests that did not run; the others have
-// 503.
+// notRunStatus maps the reasons of requests that did not run to their statuses;
+// all other reasons have 503.
 var notRunStatus = map[serverapi.Reason]int{
 	callerapi.ReasonNoSuchPath:       http.StatusNotFound,
 	callerapi.ReasonUnknownService:   http.StatusNotFound,
@@ -148,8 +148,8 @@
 	serverapi.ReasonDeadline:         http.StatusGatewayTimeout,
 }
 
-// unknownStatus lists the statuses of requests that may have run; the others
-// have 502.
+// unknownStatus maps the reasons of requests that may have run to their
+// statuses; all other reasons have 502.
 var unknownStatus = map[serverapi.Reason]int{
 	callerapi.ReasonSilent:        http.StatusGatewayTimeout,
 	serverapi.ReasonDeadline:      http.StatusGatewayTimeout,
@@ -159,7 +159,8 @@
 	serverapi.ReasonOwnershipLost: http.StatusConflict,
 }
 
-// Status is the HTTP status of an answer that an entry node gives itself.
+// Status returns the HTTP status of an answer that an entry node generates
+// itself.
 func (v Verdict) Status() int {
 	statuses, status := notRunStatus, http.StatusServiceUnavailable
 	if v.Outcome != serverapi.OutcomeNotRun {
--- a/outcome/outcome_test.go
+++ b/outcome/outcome_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestWhatServersSay(t *testing.T) {
+func TestServerHeaders(t *testing.T) {
 	rows := []struct {
 		outcome serverapi.Outcome
 		reason  serverapi.Reason
@@ -64,9 +64,10 @@
 	}
 }
 
-// TestStaleTicketsSayNothingOfEarlierAttempts: a stale ticket stands only where
-// no earlier attempt may have run, so that a first use is known not to have run.
-func TestStaleTicketsSayNothingOfEarlierAttempts(t *testing.T) {
+// TestStaleTicketDoesNotHideEarlierAttempts: the verdict on a stale
+// ticket is final only if no earlier attempt may have run, so that a first use is
+// known not to have run.
+func TestStaleTicketDoesNotHideEarlierAttempts(t *testing.T) {
 	stale := outcome.Unknown(serverapi.ReasonStaleTicket)
 	rows := []struct {
 		name    string
@@ -94,8 +95,8 @@
 	}
 }
 
-// TestNotRunNeedsProofOfEveryAttempt draws the attempts of a request: the caller
-// is told "not run" only if none of them may have run.
+// TestNotRunNeedsProofOfEveryAttempt generates the attempts of a request: "not
+// run" is reported only if none of them may have run.
 func TestNotRunNeedsProofOfEveryAttempt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		outcomes := rapid.SliceOfN(rapid.SampledFrom([]serverapi.Outcome{
@@ -109,20 +110,20 @@
 		}
 		final := tally.Final(outcome.NotRun(callerapi.ReasonTooLate).Later(time.Second))
 		if final.NotRunProven() == mayHaveRun {
-			t.Fatalf("attempts %v: told %v", outcomes, final.Outcome)
+			t.Fatalf("attempts %v: reported %v", outcomes, final.Outcome)
 		}
 		if final.RetryAfter != time.Second {
-			t.Fatalf("time to come back was lost")
+			t.Fatalf("retry delay was lost")
 		}
 		if tally.Final(outcome.Answered()) != outcome.Answered() {
-			t.Fatalf("a whole answer must stand")
+			t.Fatalf("a complete answer must be final")
 		}
 	})
 }
 
-// TestStatusesTellOutcomesApart keeps the documented rule: what may have run
-// has no 4xx status but 409.
-func TestStatusesTellOutcomesApart(t *testing.T) {
+// TestStatusesDistinguishOutcomes checks the documented rule: a request that
+// may have run has no 4xx status other than 409.
+func TestStatusesDistinguishOutcomes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, reason := range []serverapi.Reason{
 		callerapi.ReasonBodyTooLarge, callerapi.ReasonBodyUnreadable, callerapi.ReasonCanceled,
