--- a/submit/submit.go
+++ b/submit/submit.go
@@ -1,6 +1,6 @@
-// Package submit writes a duty's records to the log, one batch at a time. While
-// a batch is being written the duty's further decisions are put off, and made
-// anew from the state that then holds, so that nothing out of date queues up.
+// Package submit writes a duty's records to the log, one batch at a time. While a
+// batch is being written, the duty's further decisions are deferred and made
+// again from the state after the batch, so that no stale records are queued.
 package submit
 
 import (
@@ -16,24 +16,24 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// Timeout bounds the writing of one record.
+// Timeout limits the time for writing one record.
 const Timeout = 10 * time.Second
 
-// After a batch in which a record's fate was not learnt, or a record had no
-// effect, the writer takes no further batch for a while that doubles from
-// pauseFirst to pauseMost, so that a duty does not turn an outage of the log, or
-// an old picture of the state, into a load of its own.
+// After a batch in which a record's outcome is unknown, or a record had no
+// effect, the writer accepts no further batch for a pause that doubles from
+// minPause to maxPause, so that a duty does not add load to the log during an
+// outage of the log or while its own view of the state is stale.
 const (
-	pauseFirst = 50 * time.Millisecond
-	pauseMost  = time.Second
+	minPause = 50 * time.Millisecond
+	maxPause = time.Second
 )
 
-// Submission is one record and what is done with its fate.
+// Submission is one record with the callback for its outcome.
 type Submission struct {
 	Record *bspb.Record
-	// Done is called with the fate, or with the error that left it unknown. It
-	// may be nil.
-	Done func(fate follower.Fate, err error)
+	// Done is called with the outcome, or with the error because of which it is
+	// unknown. It may be nil.
+	Done func(outcome follower.Fate, err error)
 }
 
 // Writer writes batches. Offer may be called concurrently with Run.
@@ -42,12 +42,12 @@
 	queue    *ring.Ring[[]Submission]
 	busy     atomic.Bool
 	finished chan struct{}
-	putOff   atomic.Uint64
+	deferred atomic.Uint64
 	written  atomic.Uint64
 	failed   atomic.Uint64
 }
 
-// NewWriter returns a writer; Run must be started for it to write.
+// NewWriter returns a writer, which writes only while Run runs.
 func NewWriter(name string, appender follower.Appender) *Writer {
 	return &Writer{
 		appender: appender,
@@ -56,36 +56,36 @@
 	}
 }
 
-// Offer hands over a batch and reports whether it was taken: an empty batch, or
-// any while another is being written, is not.
+// Offer queues a batch and reports whether it was accepted. An empty batch is not
+// accepted, nor is any batch while another one is being written.
 func (w *Writer) Offer(ctx context.Context, batch []Submission) bool {
 	if len(batch) == 0 {
 		return false
 	}
 	if !w.busy.CompareAndSwap(false, true) {
-		w.putOff.Add(1)
+		w.deferred.Add(1)
 		return false
 	}
-	// There is room, since the writer was idle.
+	// The queue has a free slot because the writer was idle.
 	return w.queue.Put(ctx, batch) == nil
 }
 
-// Finished receives after a batch was written.
+// Finished returns a channel that receives a value after a batch was written.
 func (w *Writer) Finished() <-chan struct{} { return w.finished }
 
-// Run writes until ctx ends.
+// Run writes batches until ctx ends.
 func (w *Writer) Run(ctx context.Context) {
-	pause := pauseFirst
+	pause := minPause
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case batch := <-w.queue.Items():
 			if w.writeAll(ctx, batch) {
-				pause = pauseFirst
+				pause = minPause
 			} else {
 				sleep(ctx, pause)
-				pause = min(2*pause, pauseMost)
+				pause = min(2*pause, maxPause)
 			}
 			w.finish()
 		}
@@ -97,46 +97,47 @@
 	clock.Wait(ctx, pause/2+rand.N(pause/2))
 }
 
-// writeAll reports whether every record is known to have taken effect.
+// writeAll writes a batch and reports whether every record is known to have
+// taken effect.
 func (w *Writer) writeAll(ctx context.Context, batch []Submission) bool {
-	whole := true
-	for _, one := range batch {
-		whole = w.write(ctx, one) && whole
+	allAccepted := true
+	for _, submission := range batch {
+		allAccepted = w.write(ctx, submission) && allAccepted
 	}
-	return whole
+	return allAccepted
 }
 
 func (w *Writer) finish() {
 	w.busy.Store(false)
 	select {
 	case w.finished <- struct{}{}:
-	default: // an earlier one was not received yet
+	default: // an earlier value was not received yet
 	}
 }
 
-func (w *Writer) write(ctx context.Context, one Submission) bool {
+func (w *Writer) write(ctx context.Context, submission Submission) bool {
 	ctx, cancel := context.WithTimeout(ctx, Timeout)
 	defer cancel()
-	fate, err := w.appender.Submit(ctx, one.Record)
+	outcome, err := w.appender.Submit(ctx, submission.Record)
 	w.written.Add(1)
 	if err != nil {
 		w.failed.Add(1)
 	}
-	if one.Done != nil {
-		one.Done(fate, err)
+	if submission.Done != nil {
+		submission.Done(outcome, err)
 	}
-	return err == nil && fate.Accepted
+	return err == nil && outcome.Accepted
 }
 
-// Dump is the writer's part of the state dump.
+// Dump contains the writer's counts for the state dump.
 type Dump struct {
-	Busy    bool   `json:"busy"`
-	PutOff  uint64 `json:"putOff"`
-	Written uint64 `json:"written"`
-	Failed  uint64 `json:"failed"` // of those written, fate not learnt
+	Busy     bool   `json:"busy"`
+	Deferred uint64 `json:"putOff"`
+	Written  uint64 `json:"written"`
+	Failed   uint64 `json:"failed"` // records of Written whose outcome is unknown
 }
 
 // Dump returns the writer's counts.
 func (w *Writer) Dump() Dump {
-	return Dump{Busy: w.busy.Load(), PutOff: w.putOff.Load(), Written: w.written.Load(), Failed: w.failed.Load()}
+	return Dump{Busy: w.busy.Load(), Deferred: w.deferred.Load(), Written: w.written.Load(), Failed: w.failed.Load()}
 }
--- a/submit/submit_outage_test.go
+++ b/submit/submit_outage_test.go
@@ -17,13 +17,13 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// refusing is an appender whose log refuses at once while down.
-type refusing struct {
+// rejectingAppender is an appender that returns an error at once while down.
+type rejectingAppender struct {
 	down  atomic.Bool
 	calls atomic.Int64
 }
 
-func (r *refusing) Submit(context.Context, *bspb.Record) (follower.Fate, error) {
+func (r *rejectingAppender) Submit(context.Context, *bspb.Record) (follower.Fate, error) {
 	r.calls.Add(1)
 	if r.down.Load() {
 		return follower.Fate{}, &platlog.UnavailableError{Op: "append", Cause: context.DeadlineExceeded}
@@ -31,12 +31,12 @@
 	return follower.Fate{Accepted: true}, nil
 }
 
-// A duty decides anew as soon as its writer has finished, so the writer must
-// slow it down while the log refuses.
-func TestARefusingLogIsAskedOnlyAFewTimesASecond(t *testing.T) {
+// A duty decides again as soon as its writer has finished, so the writer must
+// slow the duty down while the log is unavailable.
+func TestUnavailableLogReceivesFewAppends(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		log := &refusing{}
+		log := &rejectingAppender{}
 		log.down.Store(true)
 		writer := submit.NewWriter("outage", log)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -47,7 +47,7 @@
 		time.Sleep(outage * time.Second)
 		synctest.Wait()
 		g.Expect(log.calls.Load()).To(gomega.BeNumerically("<=", 3*outage))
-		g.Expect(log.calls.Load()).To(gomega.BeNumerically(">=", outage/2), "it goes on asking")
+		g.Expect(log.calls.Load()).To(gomega.BeNumerically(">=", outage/2), "it continues to append")
 
 		log.down.Store(false)
 		time.Sleep(2 * time.Second)
@@ -55,7 +55,7 @@
 		refused := log.calls.Load()
 		time.Sleep(10 * time.Millisecond)
 		synctest.Wait()
-		g.Expect(log.calls.Load()).To(gomega.BeNumerically(">", refused), "no pause once the log answers")
+		g.Expect(log.calls.Load()).To(gomega.BeNumerically(">", refused), "no pause once the log is available")
 
 		cancel()
 		time.Sleep(pauseOfOfferForever)
--- a/submit/submit_test.go
+++ b/submit/submit_test.go
@@ -14,9 +14,9 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// appender answers each record after a time.
+// appender responds to each record after a delay.
 type appender struct {
-	takes    time.Duration
+	delay    time.Duration
 	accepted bool
 	writes   []time.Time
 }
@@ -26,14 +26,14 @@
 	select {
 	case <-ctx.Done():
 		return follower.Fate{}, &follower.UnknownFateError{Cause: ctx.Err()}
-	case <-time.After(a.takes):
+	case <-time.After(a.delay):
 		return follower.Fate{Accepted: a.accepted}, nil
 	}
 }
 
-// offering offers a batch whenever the last is done, for a time, and returns
-// how many were taken.
-func offering(w *submit.Writer, d time.Duration) int {
+// offerRepeatedly offers a batch whenever the previous one is finished, for the
+// duration d, and returns the number of accepted batches.
+func offerRepeatedly(w *submit.Writer, d time.Duration) int {
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	defer cancel()
 	go w.Run(ctx)
@@ -54,25 +54,25 @@
 func TestBatchesAreWrittenOneAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		a := &appender{takes: 100 * time.Millisecond, accepted: true}
-		g.Expect(offering(submit.NewWriter("test", a), time.Minute)).To(gomega.BeNumerically("~", 600, 1))
+		a := &appender{delay: 100 * time.Millisecond, accepted: true}
+		g.Expect(offerRepeatedly(submit.NewWriter("test", a), time.Minute)).To(gomega.BeNumerically("~", 600, 1))
 	})
 }
 
-func TestRecordsWithoutEffectAreNotRepeatedInHaste(t *testing.T) {
+func TestRecordsWithoutEffectAreDelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		a := &appender{}
-		g.Expect(offering(submit.NewWriter("test", a), time.Minute)).To(gomega.BeNumerically("~", 80, 20))
+		g.Expect(offerRepeatedly(submit.NewWriter("test", a), time.Minute)).To(gomega.BeNumerically("~", 80, 20))
 	})
 }
 
-func TestOffersWhileBusyAreNotTaken(t *testing.T) {
+func TestOffersWhileBusyAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		w := submit.NewWriter("test", &appender{takes: time.Hour})
+		w := submit.NewWriter("test", &appender{delay: time.Hour})
 		go w.Run(ctx)
 		batch := []submit.Submission{{Record: &bspb.Record{}}}
 		g.Expect(w.Offer(ctx, nil)).To(gomega.BeFalse())
@@ -80,7 +80,7 @@
 		g.Expect(w.Offer(ctx, batch)).To(gomega.BeFalse())
 		time.Sleep(submit.Timeout + time.Second)
 		synctest.Wait()
-		g.Expect(w.Offer(ctx, batch)).To(gomega.BeTrue(), "a record of unknown fate is given up")
-		g.Expect(w.Dump().PutOff).To(gomega.BeEquivalentTo(1))
+		g.Expect(w.Offer(ctx, batch)).To(gomega.BeTrue(), "a record of unknown outcome is abandoned")
+		g.Expect(w.Dump().Deferred).To(gomega.BeEquivalentTo(1))
 	})
 }
