--- a/state/apply_test.go
+++ b/state/apply_test.go
@@ -56,35 +56,35 @@
 
 func TestAssignmentExpectations(t *testing.T) {
 	l, termA, termB := site(t)
-	first := l.add("n1@b1", assign(groupA, termA, give(shard(0), topo.Fence{}, "a1", "a2")))
+	first := l.add("n1@b1", assign(groupA, termA, newAssignment(shard(0), topo.Fence{}, "a1", "a2")))
 	fence := topo.MakeFence(first.Offset, 0)
 	split := topo.ShardID{Service: wells, Index: 0, Key: keyIn(0, 4, 0)}
 	wrongRange := topo.ShardID{Service: wells, Index: 1, Key: split.Key}
-	merge := give(split, fence, "a1", "")
+	merge := newAssignment(split, fence, "a1", "")
 	merge.Merge = true
 	cases := []struct {
 		name   string
 		rec    *bspb.Record
 		reason Reason // 0 when accepted
 	}{
-		{"no service", assign(groupA, termA, give(topo.ShardID{Service: "none"}, topo.Fence{}, "a1", "")), ReasonNoShard},
-		{"no range", assign(groupA, termA, give(shard(4), topo.Fence{}, "a1", "")), ReasonNoShard},
-		{"key of another range", assign(groupA, termA, give(wrongRange, topo.Fence{}, "a1", "")), ReasonNoShard},
-		{"owned, expected none", assign(groupA, termA, give(shard(0), topo.Fence{}, "a2", "")), ReasonFence},
-		{"other group's term", assign(groupB, termB, give(shard(0), fence, "b1", "")), ReasonTerm},
-		{"standby's term", assign(groupA, termA.Standby(), give(shard(0), fence, "a2", "")), ReasonTerm},
-		{"no term", assign("", topo.Term{}, give(shard(0), fence, "a2", "")), ReasonTerm},
-		{"unknown server", assign(groupA, termA, give(shard(0), fence, "zz", "")), ReasonNoServer},
-		{"unknown standby", assign(groupA, termA, give(shard(0), fence, "a2", "zz")), ReasonNoServer},
-		{"no owner", assign(groupA, termA, give(shard(0), fence, "", "")), ReasonNoServer},
-		{"owner is standby", assign(groupA, termA, give(shard(0), fence, "a1", "a1")), ReasonMalformed},
+		{"no service", assign(groupA, termA, newAssignment(topo.ShardID{Service: "none"}, topo.Fence{}, "a1", "")), ReasonNoShard},
+		{"no range", assign(groupA, termA, newAssignment(shard(4), topo.Fence{}, "a1", "")), ReasonNoShard},
+		{"key of another range", assign(groupA, termA, newAssignment(wrongRange, topo.Fence{}, "a1", "")), ReasonNoShard},
+		{"owned, expected none", assign(groupA, termA, newAssignment(shard(0), topo.Fence{}, "a2", "")), ReasonFence},
+		{"other group's term", assign(groupB, termB, newAssignment(shard(0), fence, "b1", "")), ReasonTerm},
+		{"standby's term", assign(groupA, termA.Standby(), newAssignment(shard(0), fence, "a2", "")), ReasonTerm},
+		{"no term", assign("", topo.Term{}, newAssignment(shard(0), fence, "a2", "")), ReasonTerm},
+		{"unknown server", assign(groupA, termA, newAssignment(shard(0), fence, "zz", "")), ReasonNoServer},
+		{"unknown standby", assign(groupA, termA, newAssignment(shard(0), fence, "a2", "zz")), ReasonNoServer},
+		{"no owner", assign(groupA, termA, newAssignment(shard(0), fence, "", "")), ReasonNoServer},
+		{"owner is standby", assign(groupA, termA, newAssignment(shard(0), fence, "a1", "a1")), ReasonMalformed},
 		{"empty", assign(groupA, termA), ReasonMalformed},
-		{"split expecting none", assign(groupA, termA, give(split, topo.Fence{}, "a2", "")), ReasonFence},
-		{"split by another lessor", assign(groupB, termB, give(split, fence, "b1", "")), ReasonTerm},
+		{"split expecting none", assign(groupA, termA, newAssignment(split, topo.Fence{}, "a2", "")), ReasonFence},
+		{"split by another lessor", assign(groupB, termB, newAssignment(split, fence, "b1", "")), ReasonTerm},
 		{"merge of no split key", assign(groupA, termA, merge), ReasonNoShard},
-		{"unowned, by anyone", assign("", topo.Term{}, give(shard(1), topo.Fence{}, "b1", "")), 0},
-		{"split by the lessor", assign(groupA, termA, give(split, fence, "a2", "")), 0},
-		{"move by the lessor", assign(groupA, termA, give(shard(0), fence, "b1", "a1")), 0},
+		{"unowned, by anyone", assign("", topo.Term{}, newAssignment(shard(1), topo.Fence{}, "b1", "")), 0},
+		{"split by the lessor", assign(groupA, termA, newAssignment(split, fence, "a2", "")), 0},
+		{"move by the lessor", assign(groupA, termA, newAssignment(shard(0), fence, "b1", "a1")), 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -104,10 +104,10 @@
 	g := gomega.NewWithT(t)
 	l, termA, _ := site(t)
 	result := l.add("n1@b1", assign(groupA, termA,
-		give(shard(0), topo.Fence{}, "a1", ""),
-		give(shard(1), topo.MakeFence(3, 0), "a1", ""),
-		give(shard(0), topo.MakeFence(l.state.Applied()+1, 0), "a2", ""),
-		give(shard(2), topo.Fence{}, "a2", ""),
+		newAssignment(shard(0), topo.Fence{}, "a1", ""),
+		newAssignment(shard(1), topo.MakeFence(3, 0), "a1", ""),
+		newAssignment(shard(0), topo.MakeFence(l.state.Applied()+1, 0), "a2", ""),
+		newAssignment(shard(2), topo.Fence{}, "a2", ""),
 	))
 	g.Expect(result.Accepted).To(gomega.BeTrue())
 	g.Expect(result.RejectedIndexes()).To(gomega.Equal([]int{1, 2}))
@@ -118,20 +118,20 @@
 func TestMergeNeverRestoresAnEndedFence(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l, termA, _ := site(t)
-	first := l.add("n1@b1", assign(groupA, termA, give(shard(0), topo.Fence{}, "a1", "a2")))
+	first := l.add("n1@b1", assign(groupA, termA, newAssignment(shard(0), topo.Fence{}, "a1", "a2")))
 	rangeFence := topo.MakeFence(first.Offset, 0)
 	key := keyIn(0, 4, 0)
 	split := topo.ShardID{Service: wells, Index: 0, Key: key}
-	away := l.add("n1@b1", assign(groupA, termA, give(split, rangeFence, "a2", "")))
+	away := l.add("n1@b1", assign(groupA, termA, newAssignment(split, rangeFence, "a2", "")))
 	mergeOf := func(fence topo.Fence) *bspb.Record {
-		body := give(split, fence, "a1", "")
+		body := newAssignment(split, fence, "a1", "")
 		body.Merge = true
 		return assign(groupA, termA, body)
 	}
 	apart := l.add("n1@b1", mergeOf(topo.MakeFence(away.Offset, 0)))
 	g.Expect(apart.Conflict.Reason).To(gomega.Equal(ReasonOwnersDiffer))
 
-	back := l.add("n1@b1", assign(groupA, termA, give(split, topo.MakeFence(away.Offset, 0), "a1", "")))
+	back := l.add("n1@b1", assign(groupA, termA, newAssignment(split, topo.MakeFence(away.Offset, 0), "a1", "")))
 	merged := l.add("n1@b1", mergeOf(topo.MakeFence(back.Offset, 0)))
 	g.Expect(merged.Accepted).To(gomega.BeTrue())
 	a, _ := l.state.View().Lookup(wells, key)
@@ -144,19 +144,19 @@
 func TestServerThatOwnsShards(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l, termA, _ := site(t)
-	first := l.add("n1@b1", assign(groupA, termA, give(shard(0), topo.Fence{}, "a1", "a2")))
+	first := l.add("n1@b1", assign(groupA, termA, newAssignment(shard(0), topo.Fence{}, "a1", "a2")))
 	l.add("vms", update([]*bspb.ServerEntry{server("a1", "wells", groupB, PhaseDraining)}))
 	a1, _ := l.state.View().Server("a1")
 	g.Expect(a1.Group).To(gomega.Equal(topo.GroupID(groupA)))
 	g.Expect(a1.Phase).To(gomega.Equal(PhaseDraining))
-	refused := l.add("n1@b1", assign(groupA, termA, give(shard(1), topo.Fence{}, "a1", "")))
+	refused := l.add("n1@b1", assign(groupA, termA, newAssignment(shard(1), topo.Fence{}, "a1", "")))
 	g.Expect(refused.Conflict.Reason).To(gomega.Equal(ReasonNoServer))
 
 	l.add("vms", update(nil, "a1"))
 	a1, exists := l.state.View().Server("a1")
 	g.Expect(exists).To(gomega.BeTrue())
 	g.Expect(a1.Phase).To(gomega.Equal(PhaseGone))
-	moved := l.add("n1@b1", assign(groupA, termA, give(shard(0), topo.MakeFence(first.Offset, 0), "a2", "")))
+	moved := l.add("n1@b1", assign(groupA, termA, newAssignment(shard(0), topo.MakeFence(first.Offset, 0), "a2", "")))
 	g.Expect(moved.Accepted).To(gomega.BeTrue())
 	_, exists = l.state.View().Server("a1")
 	g.Expect(exists).To(gomega.BeFalse())
@@ -199,7 +199,7 @@
 func TestRetiringServiceIsDrainedFirst(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l, termA, _ := site(t)
-	first := l.add("n1@b1", assign(groupA, termA, give(shard(0), topo.Fence{}, "a1", "a2")))
+	first := l.add("n1@b1", assign(groupA, termA, newAssignment(shard(0), topo.Fence{}, "a1", "a2")))
 	fence := topo.MakeFence(first.Offset, 0)
 	changed := l.add("op", publish(1, keyed("wells", 8, 0)))
 	g.Expect(changed.Conflict.Reason).To(gomega.Equal(ReasonShardsOwned))
@@ -210,12 +210,12 @@
 	service, exists, retiring := view.ActiveService(wells)
 	g.Expect(service.Shards).To(gomega.Equal(uint32(4)))
 	g.Expect(exists && retiring).To(gomega.BeTrue())
-	refused := l.add("n1@b1", assign(groupA, termA, give(shard(1), topo.Fence{}, "a1", "")))
+	refused := l.add("n1@b1", assign(groupA, termA, newAssignment(shard(1), topo.Fence{}, "a1", "")))
 	g.Expect(refused.Conflict.Reason).To(gomega.Equal(ReasonNoShard))
-	moved := l.add("n1@b1", assign(groupA, termA, give(shard(0), fence, "a2", "")))
+	moved := l.add("n1@b1", assign(groupA, termA, newAssignment(shard(0), fence, "a2", "")))
 	g.Expect(moved.Accepted).To(gomega.BeTrue())
 
-	released := l.add("n1@b1", assign(groupA, termA, give(shard(0), topo.MakeFence(moved.Offset, 0), "", "")))
+	released := l.add("n1@b1", assign(groupA, termA, newAssignment(shard(0), topo.MakeFence(moved.Offset, 0), "", "")))
 	g.Expect(released.Accepted).To(gomega.BeTrue())
 	g.Expect(l.state.View().Retiring()).To(gomega.BeEmpty())
 	_, exists = l.state.View().Shard(shard(0))
@@ -251,7 +251,7 @@
 func TestLostMarks(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l, termA, _ := site(t)
-	l.add("n1@b1", assign(groupA, termA, give(shard(0), topo.Fence{}, "a1", "")))
+	l.add("n1@b1", assign(groupA, termA, newAssignment(shard(0), topo.Fence{}, "a1", "")))
 	g.Expect(l.add("op", confirmLoss([]string{"zz"}, []string{"zz"})).Conflict.Reason).To(gomega.Equal(ReasonNothingNamed))
 	l.add("op", confirmLoss([]string{"a1", "a2"}, []string{"n1"}))
 	view := l.state.View()
--- a/state/bench_test.go
+++ b/state/bench_test.go
@@ -26,7 +26,7 @@
 	for i := range uint32(benchShards) {
 		owner := fmt.Sprintf("server-%04d", i%1000)
 		standby := fmt.Sprintf("server-%04d", (i+10)%1000)
-		if !l.add("n1@b1", assign("", topo.Term{}, give(shard(i), topo.Fence{}, owner, standby))).Accepted {
+		if !l.add("n1@b1", assign("", topo.Term{}, newAssignment(shard(i), topo.Fence{}, owner, standby))).Accepted {
 			b.Fatal("not accepted")
 		}
 	}
@@ -38,7 +38,7 @@
 func move(l *log, term topo.Term, n int) Result {
 	a, _ := l.state.View().Shard(shard(0))
 	owner := fmt.Sprintf("server-%04d", 10*(n%2))
-	return l.add("n1@b1", assign("zone-a/0", term, give(shard(0), a.Fence, owner, "")))
+	return l.add("n1@b1", assign("zone-a/0", term, newAssignment(shard(0), a.Fence, owner, "")))
 }
 
 func BenchmarkApplyAssign(b *testing.B) {
@@ -51,7 +51,7 @@
 	for b.Loop() {
 		owner := fmt.Sprintf("server-%04d", 10*(n%2))
 		n++
-		result := l.add("n1@b1", assign("zone-a/0", group.Term, give(shard(0), next, owner, "")))
+		result := l.add("n1@b1", assign("zone-a/0", group.Term, newAssignment(shard(0), next, owner, "")))
 		next = topo.MakeFence(result.Offset, 0)
 	}
 }
--- a/state/helpers_test.go
+++ b/state/helpers_test.go
@@ -72,7 +72,7 @@
 	}}}
 }
 
-func give(shard topo.ShardID, expected topo.Fence, owner, standby string) *bspb.Assignment {
+func newAssignment(shard topo.ShardID, expected topo.Fence, owner, standby string) *bspb.Assignment {
 	return &bspb.Assignment{
 		Shard: shardToProto(shard), Expected: ordinalToProto(expected.Ordinal),
 		Owner: owner, Standby: standby,
--- a/state/limits.go
+++ b/state/limits.go
@@ -28,7 +28,7 @@
 func (p pastLimits) replaced(limit time.Duration, offset topo.Offset) pastLimits {
 	var kept pastLimits
 	for _, past := range p {
-		if longer(past.limit, limit) {
+		if isLonger(past.limit, limit) {
 			kept = append(kept, past)
 		}
 	}
@@ -50,7 +50,7 @@
 	return current
 }
 
-// longer reports whether a is strictly longer than b.
-func longer(a, b time.Duration) bool {
+// isLonger reports whether a is strictly longer than b.
+func isLonger(a, b time.Duration) bool {
 	return a != b && siteconfig.LongerDisconnected(a, b) == a
 }
--- a/state/previous_lessors_test.go
+++ b/state/previous_lessors_test.go
@@ -8,8 +8,8 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// claimed returns the group after a node has claimed its term.
-func claimed(current Group, offset topo.Offset, lessor, standby topo.NodeID, settled bool) Group {
+// afterClaim returns the group after a node has claimed its term.
+func afterClaim(current Group, offset topo.Offset, lessor, standby topo.NodeID, settled bool) Group {
 	return Group{
 		Term: topo.MakeTerm(offset, 0), Lessor: lessor, LessorBoot: "1", Standby: standby, StandbyBoot: "1",
 		Former: current.FormerAfter(settled),
@@ -22,17 +22,17 @@
 
 func TestPreviousIncarnationsAreKeptUpToASettledTerm(t *testing.T) {
 	g := gomega.NewWithT(t)
-	group := claimed(Group{}, 1, "a", "b", false)
+	group := afterClaim(Group{}, 1, "a", "b", false)
 	g.Expect(group.Former).To(gomega.BeNil())
-	group = claimed(group, 2, "b", "", false)
+	group = afterClaim(group, 2, "b", "", false)
 	g.Expect(group.Former).To(gomega.Equal(&Former{
 		Runs: []FormerRun{previousIncarnation("a", 1, 0), previousIncarnation("b", 0, 1)}, Since: 1,
 	}))
-	group = claimed(group, 3, "c", "a", false)
+	group = afterClaim(group, 3, "c", "a", false)
 	g.Expect(group.Former).To(gomega.Equal(&Former{
 		Runs: []FormerRun{previousIncarnation("b", 2, 1), previousIncarnation("a", 1, 0)}, Since: 1,
 	}))
-	group = claimed(group, 4, "c", "b", true) // c records that every lease before term 3 has ended
+	group = afterClaim(group, 4, "c", "b", true) // c records that every lease before term 3 has ended
 	g.Expect(group.Former).To(gomega.Equal(&Former{
 		Runs: []FormerRun{previousIncarnation("c", 3, 0), previousIncarnation("a", 0, 3)}, Since: 3,
 	}))
@@ -47,9 +47,9 @@
 func TestAlternatingClaimsKeepAllPreviousIncarnations(t *testing.T) {
 	g := gomega.NewWithT(t)
 	nodes := []topo.NodeID{"a", "b", "c"}
-	group := claimed(Group{}, 1, "a", "b", false)
+	group := afterClaim(Group{}, 1, "a", "b", false)
 	for offset := topo.Offset(2); offset <= 100; offset++ {
-		group = claimed(group, offset, nodes[offset%3], nodes[(offset+1)%3], false)
+		group = afterClaim(group, offset, nodes[offset%3], nodes[(offset+1)%3], false)
 	}
 	g.Expect(group.Former).To(gomega.Equal(&Former{
 		Runs: []FormerRun{previousIncarnation("a", 99, 98), previousIncarnation("b", 97, 99), previousIncarnation("c", 98, 97)}, Since: 1,
@@ -58,10 +58,10 @@
 
 func TestPreviousIncarnationsBeyondTheLimitAreReportedMissing(t *testing.T) {
 	g := gomega.NewWithT(t)
-	group := claimed(Group{}, 1, "n1", "", false)
+	group := afterClaim(Group{}, 1, "n1", "", false)
 	const last = maxPreviousIncarnations + 3
 	for offset := topo.Offset(2); offset <= last; offset++ {
-		group = claimed(group, offset, topo.NodeID("n"+offsetText(offset)), "", false)
+		group = afterClaim(group, offset, topo.NodeID("n"+offsetText(offset)), "", false)
 	}
 	g.Expect(group.Former.Runs).To(gomega.HaveLen(maxPreviousIncarnations))
 	g.Expect(group.Former.Runs[0]).To(gomega.Equal(previousIncarnation("n"+topo.NodeID(offsetText(last-1)), last-1, 0)))
--- a/state/rapid_test.go
+++ b/state/rapid_test.go
@@ -17,14 +17,14 @@
 // machine applies mostly valid records to a State and checks the invariants
 // after each record.
 type machine struct {
-	log      *log
-	replica  *State            // applies the same records, occasionally restored from a snapshot
-	appended []*bspb.Record    // for repeated appends
-	fences   map[string]string // last fence observed in force, by service and key
-	ended    map[string]bool   // key and fence that were in force and ended
-	version  uint64
-	held     *View // a view taken earlier
-	heldAs   string
+	log          *log
+	replica      *State            // applies the same records, occasionally restored from a snapshot
+	appended     []*bspb.Record    // for repeated appends
+	fences       map[string]string // last fence observed in force, by service and key
+	ended        map[string]bool   // key and fence that were in force and ended
+	version      uint64
+	heldView     *View // a view taken earlier
+	heldSnapshot string
 }
 
 var (
@@ -191,7 +191,7 @@
 		if rapid.IntRange(0, 6).Draw(t, "stale") == 0 {
 			fence = topo.MakeFence(view.Applied()+1, 0)
 		}
-		body := give(id, fence, m.someServer(t, id.Service), m.someServer(t, id.Service))
+		body := newAssignment(id, fence, m.someServer(t, id.Service), m.someServer(t, id.Service))
 		body.Merge = id.Key != "" && rapid.Bool().Draw(t, "merge")
 		assignments = append(assignments, body)
 	}
@@ -218,8 +218,8 @@
 	return pick(t, "fit", fit)
 }
 
-// begin creates a site with all servers live and all groups claimed.
-func (m *machine) begin(t *rapid.T) {
+// createSite creates a site with all servers live and all groups claimed.
+func (m *machine) createSite(t *rapid.T) {
 	m.step(t, "op", publish(0, keyed("s0", modelShards, 0), keyed("s1", modelShards, 0)))
 	for i, id := range modelServers[1:] {
 		entry := server(id, modelServices[i/3], modelGroups[i%2], PhaseLive)
@@ -260,8 +260,8 @@
 
 // hold keeps a view, which must not change afterwards.
 func (m *machine) hold(*rapid.T) {
-	m.held = m.log.state.View()
-	m.heldAs = encoded(Frozen{view: m.held})
+	m.heldView = m.log.state.View()
+	m.heldSnapshot = encoded(Frozen{view: m.heldView})
 }
 
 // check verifies the invariants after every step.
@@ -274,7 +274,7 @@
 	if encoded(m.log.state.Freeze()) != encoded(m.replica.Freeze()) {
 		t.Fatalf("replica differs:\n%v\n%v", m.log.state.Snapshot(), m.replica.Snapshot())
 	}
-	if m.held != nil && encoded(Frozen{view: m.held}) != m.heldAs {
+	if m.heldView != nil && encoded(Frozen{view: m.heldView}) != m.heldSnapshot {
 		t.Fatal("a view changed")
 	}
 	m.checkFences(t, view)
@@ -351,7 +351,7 @@
 			log: newLog(), replica: New(),
 			fences: map[string]string{}, ended: map[string]bool{},
 		}
-		m.begin(t)
+		m.createSite(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"publish": m.publish, "members": m.members, "servers": m.servers,
 			"claim": m.claim, "assign": m.assign, "assign 2": m.assign, "assign 3": m.assign, "assign 4": m.assign,
--- a/state/server_shards_test.go
+++ b/state/server_shards_test.go
@@ -46,7 +46,7 @@
 	l.add("n0@b1", claimRecord(claim("z/0", topo.Term{}, "n0", "n1")))
 	var all []*bspb.Assignment
 	for i := range uint32(shards) {
-		all = append(all, give(topo.ShardID{Service: "s0", Index: i}, topo.Fence{}, "v0", "v1"))
+		all = append(all, newAssignment(topo.ShardID{Service: "s0", Index: i}, topo.Fence{}, "v0", "v1"))
 	}
 	l.add("n0@b1", assign("z/0", topo.Term{}, all...))
 	before := l.state.View()
@@ -54,7 +54,7 @@
 
 	group, _ := before.Group("z/0")
 	current, _ := before.Shard(topo.ShardID{Service: "s0", Index: 7})
-	l.add("n0@b1", assign("z/0", group.Term, give(current.Shard, current.Fence, "v1", "v0")))
+	l.add("n0@b1", assign("z/0", group.Term, newAssignment(current.Shard, current.Fence, "v1", "v0")))
 
 	if fmt.Sprint(before.OwnedBy("s0", "v0")) != held {
 		t.Fatal("the older view's list changed")
--- a/state/state.go
+++ b/state/state.go
@@ -75,7 +75,7 @@
 // Apply applies the record at offset, which must be the one after Applied. It
 // is deterministic. Only Apply and Skip change the state.
 func (s *State) Apply(offset topo.Offset, rec *bspb.Record) Result {
-	if rec.GetSequence() <= s.writers.last(rec.GetWriter()) {
+	if rec.GetSequence() <= s.writers.lastSequence(rec.GetWriter()) {
 		s.Skip(offset)
 		return rejected(offset, &Conflict{Reason: ReasonDuplicate, Subject: rec.GetWriter()})
 	}
@@ -198,4 +198,4 @@
 }
 
 // LastSequence returns the last sequence applied for a writer; 0 for none.
-func (s *State) LastSequence(writer string) uint64 { return s.writers.last(writer) }
+func (s *State) LastSequence(writer string) uint64 { return s.writers.lastSequence(writer) }
--- a/state/writers.go
+++ b/state/writers.go
@@ -24,8 +24,8 @@
 	return &writerTable{order: list.New(), entries: map[string]*list.Element{}}
 }
 
-// last returns the last sequence applied for a writer; 0 for none.
-func (w *writerTable) last(writer string) uint64 {
+// lastSequence returns the last sequence applied for a writer; 0 for none.
+func (w *writerTable) lastSequence(writer string) uint64 {
 	if element, exists := w.entries[writer]; exists {
 		return element.Value.(*writerEntry).sequence
 	}
--- a/submit/submit_outage_test.go
+++ b/submit/submit_outage_test.go
@@ -58,17 +58,17 @@
 		g.Expect(log.calls.Load()).To(gomega.BeNumerically(">", refused), "no pause once the log is available")
 
 		cancel()
-		time.Sleep(pauseOfOfferForever)
+		time.Sleep(offerInterval)
 	})
 }
 
-const pauseOfOfferForever = time.Millisecond
+const offerInterval = time.Millisecond
 
 // offerForever offers a record whenever the writer is free, at most once a millisecond.
 func offerForever(ctx context.Context, writer *submit.Writer) {
 	for ctx.Err() == nil {
 		writer.Offer(ctx, []submit.Submission{{Record: &bspb.Record{}, Done: checkTyped}})
-		time.Sleep(pauseOfOfferForever)
+		time.Sleep(offerInterval)
 	}
 }
 
--- a/submit/submit_test.go
+++ b/submit/submit_test.go
@@ -37,15 +37,15 @@
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	defer cancel()
 	go w.Run(ctx)
-	taken := 0
+	accepted := 0
 	for {
 		if w.Offer(ctx, []submit.Submission{{Record: &bspb.Record{}}}) {
-			taken++
+			accepted++
 		}
 		select {
 		case <-ctx.Done():
 			synctest.Wait()
-			return taken
+			return accepted
 		case <-w.Finished():
 		}
 	}
--- a/ticket/record_limits.go
+++ b/ticket/record_limits.go
@@ -24,22 +24,22 @@
 	}
 }
 
-func (r *Record) dropAnswer(finished *entry) {
-	if finished.bodyElement == nil {
+func (r *Record) dropAnswer(e *entry) {
+	if e.bodyElement == nil {
 		return
 	}
-	r.bodies.Remove(finished.bodyElement)
-	finished.bodyElement = nil
-	r.bytes -= finished.answer.size()
-	finished.answer = nil
+	r.bodies.Remove(e.bodyElement)
+	e.bodyElement = nil
+	r.bytes -= e.answer.size()
+	e.answer = nil
 }
 
-func (r *Record) drop(finished *entry) {
-	r.dropAnswer(finished)
-	r.finished.Remove(finished.finishedElement)
-	delete(r.entries, finished.ticket)
+func (r *Record) drop(e *entry) {
+	r.dropAnswer(e)
+	r.finished.Remove(e.finishedElement)
+	delete(r.entries, e.ticket)
 	r.dropped++
-	r.raiseFloor(finished.ticket)
+	r.raiseFloor(e.ticket)
 }
 
 // raiseFloor makes a dropped ticket and all earlier tickets of its issuer Stale.
