--- a/buffer/buffer.go
+++ b/buffer/buffer.go
@@ -11,7 +11,7 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Buffer is a Tracker that is safe for concurrent use.
+// Buffer is an OutageTracker that is safe for concurrent use.
 type Buffer struct {
 	outages atomic.Int64 // checked before taking the lock; updated under mu
 
--- a/buffer/tracker.go
+++ b/buffer/tracker.go
@@ -3,7 +3,7 @@
 // request waits only while it is expected to be served by its deadline, and the
 // number of waiting requests is limited; otherwise it is refused at once with a
 // retry delay. While requests wait, one of them at a time probes whether the
-// owner is available again. Tracker is a data structure without I/O or locks;
+// owner is available again. OutageTracker is a data structure without I/O or locks;
 // Buffer makes it safe for concurrent use.
 package buffer
 
