--- a/state/helpers_test.go
+++ b/state/helpers_test.go
@@ -72,7 +72,7 @@
 	}}}
 }
 
-func give(shard topo.ShardID, expected topo.Fence, owner, standby string) *bspb.Assignment {
+func newAssignment(shard topo.ShardID, expected topo.Fence, owner, standby string) *bspb.Assignment {
 	return &bspb.Assignment{
 		Shard: shardToProto(shard), Expected: ordinalToProto(expected.Ordinal),
 		Owner: owner, Standby: standby,
@@ -85,7 +85,7 @@
 	}}}
 }
 
-// encoded returns a state's snapshot as bytes, to compare.
+// encoded returns a state's snapshot as bytes, for comparison.
 func encoded(f Frozen) string {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(f.Snapshot())
 	if err != nil {
--- a/state/names_test.go
+++ b/state/server_shards_test.go
@@ -12,8 +12,8 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// checkNames checks that the lists by server say what the assignments say.
-func checkNames(t *rapid.T, view *View) {
+// checkServerShards checks that the lists by server agree with the assignments.
+func checkServerShards(t *rapid.T, view *View) {
 	for _, service := range view.Tables() {
 		owned, standby := map[topo.ServerID][]topo.ShardID{}, map[topo.ServerID][]topo.ShardID{}
 		view.EachShard(service, func(a Assignment) bool {
@@ -36,9 +36,9 @@
 	}
 }
 
-// A server that is given many shards by one record has all of them, and a View
-// taken before keeps its own lists.
-func TestListsByServerOfAnOlderViewStay(t *testing.T) {
+// One record may assign many shards to a server: the server's list then has all
+// of them, and a View taken before keeps its own lists.
+func TestOlderViewKeepsItsServerShards(t *testing.T) {
 	const shards = 300
 	l := newLog()
 	l.add("op", publish(0, keyed("s0", shards, 0)))
@@ -46,7 +46,7 @@
 	l.add("n0@b1", claimRecord(claim("z/0", topo.Term{}, "n0", "n1")))
 	var all []*bspb.Assignment
 	for i := range uint32(shards) {
-		all = append(all, give(topo.ShardID{Service: "s0", Index: i}, topo.Fence{}, "v0", "v1"))
+		all = append(all, newAssignment(topo.ShardID{Service: "s0", Index: i}, topo.Fence{}, "v0", "v1"))
 	}
 	l.add("n0@b1", assign("z/0", topo.Term{}, all...))
 	before := l.state.View()
@@ -54,7 +54,7 @@
 
 	group, _ := before.Group("z/0")
 	current, _ := before.Shard(topo.ShardID{Service: "s0", Index: 7})
-	l.add("n0@b1", assign("z/0", group.Term, give(current.Shard, current.Fence, "v1", "v0")))
+	l.add("n0@b1", assign("z/0", group.Term, newAssignment(current.Shard, current.Fence, "v1", "v0")))
 
 	if fmt.Sprint(before.OwnedBy("s0", "v0")) != held {
 		t.Fatal("the older view's list changed")
