--- a/standin/platformlog/faults.go
+++ b/standin/platformlog/faults.go
@@ -12,46 +12,46 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Paths of fault injection.
+// Paths of the administration requests that inject faults.
 const (
-	PathFaults   = "/admin/faults"   // GET shows, POST replaces Faults
-	PathTruncate = "/admin/truncate" // POST drops old records, see Truncation
+	PathFaults   = "/admin/faults"   // GET returns and POST replaces Faults
+	PathTruncate = "/admin/truncate" // POST deletes old records, see Truncation
 )
 
 // maxAdminBytes bounds the body of an administration request.
 const maxAdminBytes = 64 << 10
 
-// Outage is how the service fails while it is down.
+// Outage selects how the service fails requests during an outage.
 type Outage string
 
-// Outages.
+// Kinds of outages.
 const (
 	OutageNone   Outage = ""
-	OutageRefuse Outage = "refuse" // answers 503 and says that nothing was appended
-	OutageCut    Outage = "cut"    // closes the connection without an answer
-	OutageSilent Outage = "silent" // never answers
+	OutageRefuse Outage = "refuse" // responds with 503 and states that nothing was appended
+	OutageCut    Outage = "cut"    // closes the connection without a response
+	OutageSilent Outage = "silent" // keeps the connection open and never responds
 )
 
-// Faults says what goes wrong. The zero value is a healthy service.
+// Faults configures the injected faults. The zero value injects none.
 type Faults struct {
 	Reads        Outage `json:"reads"`
 	Appends      Outage `json:"appends"`
-	SlowMs       int    `json:"slow_ms"`       // added to every call
-	LoseAnswers  int    `json:"lose_answers"`  // appends that take effect without an answer
-	LoseRequests int    `json:"lose_requests"` // appends that are lost without an answer
-	Repeat       int    `json:"repeat"`        // earlier records given again by each read
+	SlowMs       int    `json:"slow_ms"`       // delay added to every call
+	LoseAnswers  int    `json:"lose_answers"`  // number of next appends that take effect without a response
+	LoseRequests int    `json:"lose_requests"` // number of next appends that are dropped without a response
+	Repeat       int    `json:"repeat"`        // number of earlier records that each read returns again
 }
 
-// Truncation drops a stream's records below an offset.
+// Truncation deletes a stream's records below the offset First.
 type Truncation struct {
 	Stream string      `json:"stream"`
 	First  topo.Offset `json:"first"`
 }
 
-// faults is the current Faults. It is safe for concurrent use.
+// faults guards the current Faults. It is safe for concurrent use.
 type faults struct {
-	mu  sync.Mutex
-	now Faults
+	mu      sync.Mutex
+	current Faults
 }
 
 func newFaults() *faults { return &faults{} }
@@ -59,21 +59,21 @@
 func (f *faults) get() Faults {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.now
+	return f.current
 }
 
 func (f *faults) set(next Faults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.now = next
+	f.current = next
 }
 
-func (f *faults) readDown() Outage   { return f.get().Reads }
-func (f *faults) appendDown() Outage { return f.get().Appends }
+func (f *faults) readOutage() Outage   { return f.get().Reads }
+func (f *faults) appendOutage() Outage { return f.get().Appends }
 
-// pass delays a call, or ends it while the service is down; then it returns
-// false.
-func (f *faults) pass(w http.ResponseWriter, r *http.Request, outage func() Outage) bool {
+// apply delays a call by the injected latency and fails it during an outage. It
+// reports whether the call may proceed.
+func (f *faults) apply(w http.ResponseWriter, r *http.Request, outage func() Outage) bool {
 	if slow := time.Duration(f.get().SlowMs) * time.Millisecond; slow > 0 {
 		select {
 		case <-time.After(slow):
@@ -83,48 +83,49 @@
 	}
 	switch outage() {
 	case OutageRefuse:
-		refuse(w, http.StatusServiceUnavailable, logwire.CodeUnavailable, "injected outage")
+		writeError(w, http.StatusServiceUnavailable, logwire.CodeUnavailable, "injected outage")
 		return false
 	case OutageCut:
-		cut(w)
+		abortConnection(w)
 	case OutageSilent:
 		<-r.Context().Done()
-		cut(w)
+		abortConnection(w)
 	}
 	return true
 }
 
-func (f *faults) takeLostAnswer() bool  { return f.take(&f.now.LoseAnswers) }
-func (f *faults) takeLostRequest() bool { return f.take(&f.now.LoseRequests) }
+func (f *faults) takeAnswerLoss() bool  { return f.take(&f.current.LoseAnswers) }
+func (f *faults) takeRequestLoss() bool { return f.take(&f.current.LoseRequests) }
 
-func (f *faults) take(left *int) bool {
+func (f *faults) take(remaining *int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if *left <= 0 {
+	if *remaining <= 0 {
 		return false
 	}
-	*left--
+	*remaining--
 	return true
 }
 
-// repeatFrom returns where a read begins so that it gives records again.
+// repeatFrom returns the offset at which a read starts so that it returns
+// Faults.Repeat earlier records again, as far as the stream still has them.
 func (f *faults) repeatFrom(stream *memlog.Store, from topo.Offset) topo.Offset {
-	again := topo.Offset(max(f.get().Repeat, 0))
+	repeat := topo.Offset(max(f.get().Repeat, 0))
 	first, _ := stream.Bounds()
-	if again == 0 || from <= first {
+	if repeat == 0 || from <= first {
 		return from
 	}
-	if from <= first+again {
+	if from <= first+repeat {
 		return first
 	}
-	return from - again
+	return from - repeat
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (s *Service) SetFaults(next Faults) { s.faults.set(next) }
 
 func (s *Service) showFaults(w http.ResponseWriter, _ *http.Request) {
-	answer(w, http.StatusOK, s.faults.get())
+	writeJSON(w, http.StatusOK, s.faults.get())
 }
 
 func (s *Service) setFaults(w http.ResponseWriter, r *http.Request) {
@@ -133,11 +134,11 @@
 		return
 	}
 	if !next.Reads.valid() || !next.Appends.valid() {
-		refuse(w, http.StatusBadRequest, logwire.CodeInvalid, "unknown outage")
+		writeError(w, http.StatusBadRequest, logwire.CodeInvalid, "unknown outage")
 		return
 	}
 	s.SetFaults(next)
-	answer(w, http.StatusOK, s.faults.get())
+	writeJSON(w, http.StatusOK, s.faults.get())
 }
 
 func (o Outage) valid() bool {
@@ -152,15 +153,16 @@
 	stream := s.Stream(req.Stream)
 	stream.Truncate(req.First)
 	first, end := stream.Bounds()
-	answer(w, http.StatusOK, logwire.ReadResponse{Records: []logwire.Record{}, First: first, End: end})
+	writeJSON(w, http.StatusOK, logwire.ReadResponse{Records: []logwire.Record{}, First: first, End: end})
 }
 
-// decodeAdmin reads an administration request; unknown fields are refused.
-func decodeAdmin(w http.ResponseWriter, r *http.Request, into any) bool {
+// decodeAdmin decodes the body of an administration request and rejects unknown
+// fields. When it fails, it writes the error response and returns false.
+func decodeAdmin(w http.ResponseWriter, r *http.Request, target any) bool {
 	decoder := json.NewDecoder(io.LimitReader(r.Body, maxAdminBytes))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(into); err != nil {
-		refuse(w, http.StatusBadRequest, logwire.CodeInvalid, err.Error())
+	if err := decoder.Decode(target); err != nil {
+		writeError(w, http.StatusBadRequest, logwire.CodeInvalid, err.Error())
 		return false
 	}
 	return true
--- a/standin/platformlog/service.go
+++ b/standin/platformlog/service.go
@@ -1,6 +1,6 @@
 // Package platformlog is a stand-in for the platform's log service: an
-// http.Handler with retention limits and faults that can be injected. It keeps
-// everything in memory and is meant for tests, the demo and trial sites.
+// http.Handler with retention limits and fault injection. It keeps all records
+// in memory and is meant for tests, the demo and trial sites.
 package platformlog
 
 import (
@@ -23,11 +23,11 @@
 const (
 	maxReadWait   = 30 * time.Second
 	maxReadCount  = 2048
-	maxReadBytes  = 8 << 20 // of records in one answer, but always one record
-	requestMargin = 4096    // JSON around a record's base64
+	maxReadBytes  = 8 << 20 // record data in one response, which holds at least one record
+	requestMargin = 4096    // bytes of JSON around a record's base64
 )
 
-// Config is the service's limits. Zero values set no limit.
+// Config configures the service's limits. A zero value means no limit.
 type Config struct {
 	Retention        memlog.Retention
 	AppendsPerSecond int
@@ -44,7 +44,7 @@
 	streams map[string]*memlog.Store
 }
 
-// New returns a healthy service without records.
+// New returns a service without records and without injected faults.
 func New(config Config) *Service {
 	s := &Service{
 		config:  config,
@@ -65,7 +65,7 @@
 // ServeHTTP implements http.Handler.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// Stream returns a stream's store; the first call makes it.
+// Stream returns a stream's store and creates it on the first call.
 func (s *Service) Stream(name string) *memlog.Store {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,49 +80,49 @@
 func (s *Service) append(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 2*logwire.MaxRecordBytes+requestMargin))
 	if err != nil {
-		refuse(w, http.StatusRequestEntityTooLarge, logwire.CodeTooLarge, "body not read: "+err.Error())
+		writeError(w, http.StatusRequestEntityTooLarge, logwire.CodeTooLarge, "body not read: "+err.Error())
 		return
 	}
 	var req logwire.AppendRequest
 	if err := json.Unmarshal(body, &req); err != nil {
-		refuse(w, http.StatusBadRequest, logwire.CodeInvalid, "body is not JSON: "+err.Error())
+		writeError(w, http.StatusBadRequest, logwire.CodeInvalid, "body is not JSON: "+err.Error())
 		return
 	}
 	if len(req.Data) > logwire.MaxRecordBytes {
-		refuse(w, http.StatusRequestEntityTooLarge, logwire.CodeTooLarge, "record too large")
+		writeError(w, http.StatusRequestEntityTooLarge, logwire.CodeTooLarge, "record too large")
 		return
 	}
-	if !s.faults.pass(w, r, s.faults.appendDown) {
+	if !s.faults.apply(w, r, s.faults.appendOutage) {
 		return
 	}
-	if s.faults.takeLostRequest() {
-		cut(w)
+	if s.faults.takeRequestLoss() {
+		abortConnection(w)
 		return
 	}
 	if !s.rate.take(time.Now()) {
 		w.Header().Set("Retry-After", "1")
-		refuse(w, http.StatusTooManyRequests, logwire.CodeRateLimited, "too many appends a second")
+		writeError(w, http.StatusTooManyRequests, logwire.CodeRateLimited, "too many appends a second")
 		return
 	}
 	offset, err := s.Stream(r.PathValue("stream")).Append(context.WithoutCancel(r.Context()), req.Data)
 	if err != nil {
-		refuse(w, http.StatusServiceUnavailable, logwire.CodeUnavailable, err.Error())
+		writeError(w, http.StatusServiceUnavailable, logwire.CodeUnavailable, err.Error())
 		return
 	}
-	if s.faults.takeLostAnswer() {
-		cut(w)
+	if s.faults.takeAnswerLoss() {
+		abortConnection(w)
 		return
 	}
-	answer(w, http.StatusOK, logwire.AppendResponse{Offset: offset})
+	writeJSON(w, http.StatusOK, logwire.AppendResponse{Offset: offset})
 }
 
 func (s *Service) read(w http.ResponseWriter, r *http.Request) {
-	req, err := readRequest(r)
+	req, err := parseReadRequest(r)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, logwire.CodeInvalid, err.Error())
+		writeError(w, http.StatusBadRequest, logwire.CodeInvalid, err.Error())
 		return
 	}
-	if !s.faults.pass(w, r, s.faults.readDown) {
+	if !s.faults.apply(w, r, s.faults.readOutage) {
 		return
 	}
 	stream := s.Stream(r.PathValue("stream"))
@@ -130,7 +130,7 @@
 	batch, err := stream.Read(r.Context(), req)
 	var truncated *platlog.TruncatedError
 	if errors.As(err, &truncated) {
-		answer(w, http.StatusGone, logwire.ErrorResponse{
+		writeJSON(w, http.StatusGone, logwire.ErrorResponse{
 			Code:    logwire.CodeTruncated,
 			Message: err.Error(),
 			First:   truncated.First,
@@ -138,33 +138,34 @@
 		return
 	}
 	if err != nil {
-		return // the client has gone
+		return // the client has disconnected
 	}
-	answer(w, http.StatusOK, readResponse(batch))
+	writeJSON(w, http.StatusOK, newReadResponse(batch))
 }
 
-func readRequest(r *http.Request) (platlog.ReadRequest, error) {
-	from, err := number(r, logwire.ParamFrom, 1<<62)
+func parseReadRequest(r *http.Request) (platlog.ReadRequest, error) {
+	from, err := parseNumber(r, logwire.ParamFrom, 1<<62)
 	if err != nil {
 		return platlog.ReadRequest{}, err
 	}
-	most, err := number(r, logwire.ParamMax, maxReadCount)
+	maxRecords, err := parseNumber(r, logwire.ParamMax, maxReadCount)
 	if err != nil {
 		return platlog.ReadRequest{}, err
 	}
-	wait, err := number(r, logwire.ParamWait, uint64(maxReadWait.Milliseconds()))
+	wait, err := parseNumber(r, logwire.ParamWait, uint64(maxReadWait.Milliseconds()))
 	if err != nil {
 		return platlog.ReadRequest{}, err
 	}
 	return platlog.ReadRequest{
 		From: topo.Offset(from),
-		Max:  int(most),
+		Max:  int(maxRecords),
 		Wait: time.Duration(wait) * time.Millisecond,
 	}, nil
 }
 
-// number reads a parameter; absent is 0, and above most is most.
-func number(r *http.Request, name string, most uint64) (uint64, error) {
+// parseNumber parses a query parameter. It returns 0 when the parameter is absent
+// and caps the value at limit.
+func parseNumber(r *http.Request, name string, limit uint64) (uint64, error) {
 	text := strings.TrimSpace(r.URL.Query().Get(name))
 	if text == "" {
 		return 0, nil
@@ -173,7 +174,7 @@
 	if err != nil {
 		return 0, &ParameterError{Name: name, Text: text}
 	}
-	return min(value, most), nil
+	return min(value, limit), nil
 }
 
 // ParameterError reports a parameter that is not a number.
@@ -184,7 +185,7 @@
 	return "parameter " + e.Name + " is not a number: " + strconv.Quote(e.Text)
 }
 
-func readResponse(batch platlog.Batch) logwire.ReadResponse {
+func newReadResponse(batch platlog.Batch) logwire.ReadResponse {
 	response := logwire.ReadResponse{First: batch.First, End: batch.End, Records: []logwire.Record{}}
 	bytes := 0
 	for _, entry := range batch.Entries {
@@ -196,17 +197,17 @@
 	return response
 }
 
-// refuse answers that nothing was appended.
-func refuse(w http.ResponseWriter, status int, code logwire.Code, message string) {
+// writeError sends an error response which states that nothing was appended.
+func writeError(w http.ResponseWriter, status int, code logwire.Code, message string) {
 	appended := false
-	answer(w, status, logwire.ErrorResponse{Code: code, Message: message, Appended: &appended})
+	writeJSON(w, status, logwire.ErrorResponse{Code: code, Message: message, Appended: &appended})
 }
 
-func answer(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // the client has gone
+	_ = json.NewEncoder(w).Encode(body) // fails only when the client has disconnected
 }
 
-// cut ends the connection without an answer.
-func cut(http.ResponseWriter) { panic(http.ErrAbortHandler) }
+// abortConnection makes net/http close the connection without a response.
+func abortConnection(http.ResponseWriter) { panic(http.ErrAbortHandler) }
--- a/standin/platformlog/service_test.go
+++ b/standin/platformlog/service_test.go
@@ -33,7 +33,7 @@
 	return body
 }
 
-func TestRequestsThatAreRefused(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	service := platformlog.New(platformlog.Config{})
 	large := `{"data":"` + strings.Repeat("AAAA", logwire.MaxRecordBytes/3+1) + `"}`
 	cases := []struct {
