--- a/standin/vms/platform.go
+++ b/standin/vms/platform.go
@@ -1,6 +1,6 @@
-// Package vms is the stand-in for the platform's VM list: a list that lags in
-// both directions, goes away, and misleads on request. It serves the protocol
-// that modules/vmshttp reads, and modules/vmsmem uses it in one process.
+// Package vms is the stand-in for the platform's VM list. On request the list
+// shows additions and removals late, fails, or shows false rows. It serves the
+// protocol that modules/vmshttp reads; modules/vmsmem uses it within one process.
 package vms
 
 import (
@@ -13,21 +13,22 @@
 	"github.com/burdockspindle/burdockspindle/vmlist"
 )
 
-// Faults is what is wrong with the list. The zero value is a list without
-// lag.
+// Faults configures the injected faults. The zero value is an available list
+// without lag.
 type Faults struct {
-	// ShowLag is how late a VM's appearance, and its return to live, is shown.
+	// ShowLag is the delay until a VM's addition or its return to live is shown.
 	ShowLag time.Duration `json:"showLagNs"`
-	// HideLag is how late its leaving, its stop and its removal are shown.
+	// HideLag is the delay until a VM's change to leaving or gone, or its removal,
+	// is shown.
 	HideLag time.Duration `json:"hideLagNs"`
 	// Outage makes every read fail.
 	Outage bool `json:"outage"`
-	// Hang makes every read wait until the reader gives up.
+	// Hang makes every read block until its context ends.
 	Hang bool `json:"hang"`
 }
 
-// Platform keeps the truth about VMs and shows a list of it. Its methods may be
-// called concurrently.
+// Platform records the actual state of the VMs and derives the list from it. It
+// is safe for concurrent use.
 type Platform struct {
 	mu        sync.Mutex
 	histories map[string][]change // by ID, oldest first
@@ -36,10 +37,10 @@
 	reads     int
 }
 
-// change is what became true of a VM at a moment.
+// change is the state of a VM from a point in time on.
 type change struct {
 	at time.Time
-	vm *vmlist.VM // nil when it was removed
+	vm *vmlist.VM // nil after the removal
 }
 
 var _ vmlist.List = (*Platform)(nil)
@@ -49,11 +50,11 @@
 	return &Platform{histories: map[string][]change{}, overrides: map[string]*vmlist.VM{}}
 }
 
-// Put adds a VM or replaces what is true of it.
-func (p *Platform) Put(vm vmlist.VM) { p.note(vm.ID, &vm) }
+// Put adds a VM or replaces its state.
+func (p *Platform) Put(vm vmlist.VM) { p.appendChange(vm.ID, &vm) }
 
-// Remove takes a VM off the list.
-func (p *Platform) Remove(id string) { p.note(id, nil) }
+// Remove removes a VM.
+func (p *Platform) Remove(id string) { p.appendChange(id, nil) }
 
 // SetPhase changes a VM's phase; an unknown ID is ignored.
 func (p *Platform) SetPhase(id string, phase vmlist.Phase) {
@@ -68,27 +69,28 @@
 	p.histories[id] = append(history, change{at: time.Now(), vm: &vm})
 }
 
-func (p *Platform) note(id string, vm *vmlist.VM) {
+func (p *Platform) appendChange(id string, vm *vmlist.VM) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.histories[id] = append(p.histories[id], change{at: time.Now(), vm: vm})
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (p *Platform) SetFaults(faults Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = faults
 }
 
-// Mislead shows a VM in place of what is true of the ID; nil hides it.
+// Mislead makes the list show a VM in place of the actual state of the ID; nil
+// hides the ID.
 func (p *Platform) Mislead(id string, shown *vmlist.VM) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.overrides[id] = shown
 }
 
-// StopMisleading shows the truth about an ID again.
+// StopMisleading makes the list show the actual state of an ID again.
 func (p *Platform) StopMisleading(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -118,7 +120,7 @@
 	return p.faults
 }
 
-// Reads returns how often the list was asked for.
+// Reads returns the number of reads of the list.
 func (p *Platform) Reads() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,10 +132,10 @@
 	defer p.mu.Unlock()
 	list := []vmlist.VM{}
 	for id, history := range p.histories {
-		if _, misled := p.overrides[id]; misled {
+		if _, overridden := p.overrides[id]; overridden {
 			continue
 		}
-		if vm := p.visible(history, now); vm != nil {
+		if vm := p.visibleVM(history, now); vm != nil {
 			list = append(list, *vm)
 		}
 	}
@@ -146,8 +148,9 @@
 	return list
 }
 
-// visible returns the latest change whose lag has passed.
-func (p *Platform) visible(history []change, now time.Time) *vmlist.VM {
+// visibleVM returns the VM of the latest change whose lag has passed; nil when
+// the list shows none.
+func (p *Platform) visibleVM(history []change, now time.Time) *vmlist.VM {
 	for i := len(history) - 1; i >= 0; i-- {
 		lag := p.faults.HideLag
 		if vm := history[i].vm; vm != nil && vm.Phase == vmlist.PhaseLive {
--- a/standin/vms/serve.go
+++ b/standin/vms/serve.go
@@ -15,20 +15,21 @@
 	"github.com/burdockspindle/burdockspindle/vmlist"
 )
 
-// Paths of the stand-in's HTTP interface. PathVMs is the platform's protocol;
-// the others set up the stand-in.
+// Paths of the stand-in's HTTP interface. GET of PathVMs is the platform's
+// protocol; the other requests configure the stand-in.
 const (
 	PathVMs    = "/vms"    // GET the list; PUT a list's rows to add or replace them
 	PathVM     = "/vms/"   // DELETE /vms/ID; PUT /vms/ID/PHASE
 	PathFaults = "/faults" // PUT Faults
-	// PathMislead takes PUT of a list with at most one row to show in place of
-	// the truth about the ID, and DELETE to show the truth again.
+	// PathMislead takes PUT of a list with at most one row, which is shown in place
+	// of the actual state of the ID, and DELETE to show the actual state again.
 	PathMislead = "/mislead/"
 )
 
 const readHeaderTimeout = 5 * time.Second
 
-// Handler serves a platform's list and the requests that set it up.
+// Handler returns a handler for a platform's list and the requests that
+// configure it.
 func Handler(p *Platform) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathVMs, p.serveList)
@@ -36,12 +37,12 @@
 	mux.HandleFunc("PUT "+PathVM+"{id}/{phase}", p.servePhase)
 	mux.HandleFunc("DELETE "+PathVM+"{id}", p.serveRemove)
 	mux.HandleFunc("PUT "+PathFaults, p.serveFaults)
-	mux.HandleFunc("PUT "+PathMislead+"{id}", p.serveMislead)
-	mux.HandleFunc("DELETE "+PathMislead+"{id}", p.serveStopMisleading)
+	mux.HandleFunc("PUT "+PathMislead+"{id}", p.serveOverride)
+	mux.HandleFunc("DELETE "+PathMislead+"{id}", p.serveClearOverride)
 	return mux
 }
 
-// Serve answers on a listener until ctx ends.
+// Serve serves HTTP on a listener until ctx ends.
 func Serve(ctx context.Context, l net.Listener, p *Platform) error {
 	server := &http.Server{Handler: Handler(p), ReadHeaderTimeout: readHeaderTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
@@ -74,7 +75,8 @@
 	_, _ = w.Write(body)
 }
 
-// readRows reads a list from a request; it answers the request when it cannot.
+// readRows decodes a list from a request's body. When it fails, it writes the
+// error response and returns false.
 func readRows(w http.ResponseWriter, r *http.Request) ([]vmlist.VM, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, vmlist.MaxBytes))
 	if err != nil {
@@ -131,7 +133,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (p *Platform) serveMislead(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) serveOverride(w http.ResponseWriter, r *http.Request) {
 	rows, ok := readRows(w, r)
 	if !ok {
 		return
@@ -144,12 +146,12 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (p *Platform) serveStopMisleading(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) serveClearOverride(w http.ResponseWriter, r *http.Request) {
 	p.StopMisleading(r.PathValue("id"))
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// ServeError reports that serving ended by itself.
+// ServeError reports that serving ended before its context did.
 type ServeError struct{ Cause error }
 
 // Error implements error.
--- a/standin/vms/vms_test.go
+++ b/standin/vms/vms_test.go
@@ -19,8 +19,8 @@
 	return vmlist.VM{ID: "a", Role: vmlist.RoleEntry, Zone: "z", Phase: phase}
 }
 
-// TestLagIsCountedFromEachChange follows one VM through its life.
-func TestLagIsCountedFromEachChange(t *testing.T) {
+// TestLagIsMeasuredFromEachChange adds a VM, changes its phase and removes it.
+func TestLagIsMeasuredFromEachChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		p := vms.New()
@@ -47,8 +47,8 @@
 	})
 }
 
-// TestSetUpOverHTTP sets a platform up by the requests that the pages name.
-func TestSetUpOverHTTP(t *testing.T) {
+// TestConfigurationOverHTTP configures a platform by the documented requests.
+func TestConfigurationOverHTTP(t *testing.T) {
 	g := gomega.NewWithT(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
