--- a/standin/command/command.go
+++ b/standin/command/command.go
@@ -1,6 +1,6 @@
-// Package command holds the commands "standin log", "standin vms" and "standin
+// Package command provides the commands "standin log", "standin vms" and "standin
 // server", which run the platform's stand-ins and stand-in backend servers as
-// processes of their own.
+// separate processes.
 package command
 
 import (
@@ -28,8 +28,8 @@
 	stopTimeout       = 10 * time.Second
 )
 
-// untilSignal returns a context that ends with SIGTERM or SIGINT.
-func untilSignal(ctx context.Context) (context.Context, context.CancelFunc) {
+// signalContext returns a context that ends on SIGTERM or SIGINT.
+func signalContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 }
 
@@ -45,7 +45,7 @@
 	return listener, nil
 }
 
-// serveHTTP answers on a listener until ctx ends.
+// serveHTTP serves HTTP on a listener until ctx ends.
 func serveHTTP(ctx context.Context, listener net.Listener, handler http.Handler) error {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
--- a/standin/command/command_test.go
+++ b/standin/command/command_test.go
@@ -20,7 +20,7 @@
 	"github.com/burdockspindle/burdockspindle/vmlist"
 )
 
-// output is a writer that several goroutines may use.
+// output is a writer that is safe for concurrent use.
 type output struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -36,7 +36,7 @@
 	return &cli.Env{Stdout: &output{}, Stderr: &output{}, Getenv: func(string) string { return "" }}
 }
 
-func TestAServerPutsItselfOnTheListAndLeaves(t *testing.T) {
+func TestServerAnnouncesItselfAndLeavesTheList(t *testing.T) {
 	g := gomega.NewWithT(t)
 	platform := vms.New()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,7 +48,7 @@
 	serving, stop := context.WithCancel(ctx)
 	flags := &serverFlags{
 		id: "s1", service: "logs", zone: "a", address: defaultServerAddress, admin: "127.0.0.1:0",
-		vms: "http://" + listener.Addr().String() + "/", leaveAfter: time.Millisecond,
+		vms: "http://" + listener.Addr().String() + "/", drainPeriod: time.Millisecond,
 	}
 	done := make(chan error, 1)
 	go func() { done <- flags.run(serving, newEnv()) }()
@@ -70,9 +70,9 @@
 	g.Expect(rows()[0].Phase).To(gomega.Equal(vmlist.PhaseGone))
 }
 
-// The list may have taken the server although its answer never came: a run of CI stopped the
-// server between the two, and the list showed it as live for ever.
-func TestAServerThatIsStoppedWhileItIsAnnouncedLeavesTheList(t *testing.T) {
+// The list may have added the server although its response never arrived: a run of CI stopped
+// the server in between, and the list showed it as live indefinitely.
+func TestServerStoppedDuringAnnouncementLeavesTheList(t *testing.T) {
 	g := gomega.NewWithT(t)
 	serving, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -83,7 +83,7 @@
 		paths = append(paths, r.URL.Path)
 		mu.Unlock()
 		if r.URL.Path == vms.PathVMs {
-			_, _ = io.Copy(io.Discard, r.Body) // else the end of the connection is not seen
+			_, _ = io.Copy(io.Discard, r.Body) // otherwise the server does not detect that the connection was closed
 			stop()
 			<-r.Context().Done()
 		}
@@ -91,7 +91,7 @@
 	defer list.Close()
 	flags := &serverFlags{
 		id: "s1", service: "logs", zone: "a", address: defaultServerAddress,
-		vms: list.URL, leaveAfter: time.Millisecond, announceWithin: time.Minute,
+		vms: list.URL, drainPeriod: time.Millisecond, announceTimeout: time.Minute,
 	}
 	g.Expect(flags.run(serving, newEnv())).To(gomega.Succeed())
 	mu.Lock()
@@ -99,7 +99,7 @@
 	g.Expect(paths).To(gomega.Equal([]string{vms.PathVMs, vms.PathVM + "s1/" + string(phaseLeaving), vms.PathVM + "s1/" + string(phaseGone)}))
 }
 
-func TestAServerThatCannotBePutOnTheListDoesNotStart(t *testing.T) {
+func TestServerThatCannotAnnounceItselfDoesNotStart(t *testing.T) {
 	g := gomega.NewWithT(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -109,7 +109,7 @@
 	g.Expect(flags.run(context.Background(), newEnv())).To(gomega.BeAssignableToTypeOf(announce))
 }
 
-func TestAServerWaitsForAListThatStartsAfterIt(t *testing.T) {
+func TestServerWaitsForAListThatStartsLater(t *testing.T) {
 	g := gomega.NewWithT(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -119,11 +119,11 @@
 	defer cancel()
 	flags := &serverFlags{
 		id: "s1", service: "logs", zone: "a", address: defaultServerAddress,
-		vms: "http://" + address, announceWithin: time.Minute,
+		vms: "http://" + address, announceTimeout: time.Minute,
 	}
 	done := make(chan error, 1)
 	go func() { done <- flags.run(ctx, newEnv()) }()
-	g.Consistently(done, 3*announceEvery).ShouldNot(gomega.Receive())
+	g.Consistently(done, 3*announceInterval).ShouldNot(gomega.Receive())
 	platform := vms.New()
 	listener, err = net.Listen("tcp", address)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
--- a/standin/command/errors.go
+++ b/standin/command/errors.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// ListenError reports an address that cannot be listened on.
+// ListenError reports that listening on an address failed.
 type ListenError struct {
 	Address string
 	Cause   error
@@ -14,7 +14,7 @@
 // Unwrap returns the cause.
 func (e *ListenError) Unwrap() error { return e.Cause }
 
-// ServeError reports that serving ended by itself.
+// ServeError reports that serving ended before its context did.
 type ServeError struct {
 	Address string
 	Cause   error
@@ -26,10 +26,11 @@
 // Unwrap returns the cause.
 func (e *ServeError) Unwrap() error { return e.Cause }
 
-// AnnounceError reports that the stand-in VM list did not take a server's row.
+// AnnounceError reports that a request to the stand-in VM list about a server's row
+// failed.
 type AnnounceError struct {
 	URL    string
-	Status int // 0 without an answer
+	Status int // 0 without a response
 	Cause  error
 }
 
--- a/standin/command/row.go
+++ b/standin/command/row.go
@@ -19,16 +19,16 @@
 	phaseLeaving = vmlist.PhaseLeaving
 	phaseGone    = vmlist.PhaseGone
 	putTimeout   = 5 * time.Second
-	// announceEvery is the time between two tries to get on the list.
-	announceEvery = 100 * time.Millisecond
+	// announceInterval is the time between two attempts to add the server to the list.
+	announceInterval = 100 * time.Millisecond
 )
 
-// listRow is a server's row on the stand-in VM list. Without a URL nothing is
-// told.
+// listRow is a server's row on the stand-in VM list. Without a URL it sends no
+// requests.
 type listRow struct {
-	vms    string
-	vm     vmlist.VM
-	logger hclog.Logger
+	listURL string
+	vm      vmlist.VM
+	logger  hclog.Logger
 }
 
 func (f *serverFlags) vm(address string) vmlist.VM {
@@ -38,48 +38,48 @@
 	}
 }
 
-// announce puts the server on the list. It tries again for a while, since the
+// announce adds the server to the list. It retries until the timeout, because the
 // list may be started at the same time.
-func (r listRow) announce(ctx context.Context, within time.Duration) error {
-	if r.vms == "" {
+func (r listRow) announce(ctx context.Context, timeout time.Duration) error {
+	if r.listURL == "" {
 		return nil
 	}
 	body, err := vmlist.Encode([]vmlist.VM{r.vm})
 	if err != nil {
-		return &AnnounceError{URL: r.vms, Cause: err}
+		return &AnnounceError{URL: r.listURL, Cause: err}
 	}
-	giveUp := time.Now().Add(within)
+	deadline := time.Now().Add(timeout)
 	for {
 		err := r.put(ctx, vms.PathVMs, body)
 		if err == nil {
 			break
 		}
-		if ctx.Err() != nil || !time.Now().Before(giveUp) {
+		if ctx.Err() != nil || !time.Now().Before(deadline) {
 			return err
 		}
-		time.Sleep(announceEvery)
+		time.Sleep(announceInterval)
 	}
 	eventAnnounced.Log(r.logger, "address", r.vm.Address, "zone", r.vm.Zone)
 	return nil
 }
 
-// phase changes the server's phase on the list; a failure is only logged.
-func (r listRow) phase(phase vmlist.Phase) {
-	if r.vms == "" {
+// setPhase changes the server's phase on the list and logs a failure.
+func (r listRow) setPhase(phase vmlist.Phase) {
+	if r.listURL == "" {
 		return
 	}
 	path := vms.PathVM + url.PathEscape(r.vm.ID) + "/" + string(phase)
 	if err := r.put(context.Background(), path, nil); err != nil {
-		eventNotTold.Log(r.logger, "phase", string(phase), "error", err)
+		eventPhaseNotChanged.Log(r.logger, "phase", string(phase), "error", err)
 		return
 	}
-	eventWithdrawn.Log(r.logger, "phase", string(phase))
+	eventPhaseChanged.Log(r.logger, "phase", string(phase))
 }
 
 func (r listRow) put(ctx context.Context, path string, body []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, putTimeout)
 	defer cancel()
-	target := strings.TrimRight(r.vms, "/") + path
+	target := strings.TrimRight(r.listURL, "/") + path
 	request, err := http.NewRequestWithContext(ctx, http.MethodPut, target, bytes.NewReader(body))
 	if err != nil {
 		return &AnnounceError{URL: target, Cause: err}
--- a/standin/command/server.go
+++ b/standin/command/server.go
@@ -20,29 +20,29 @@
 	defaultConnections   = 100
 	defaultServiceTime   = 5 * time.Millisecond
 	defaultShape         = 0.3
-	defaultLeaveAfter    = 3 * time.Second
-	// defaultAnnounceWithin allows for a VM list that is started meanwhile.
-	defaultAnnounceWithin = 30 * time.Second
+	defaultDrainPeriod   = 3 * time.Second
+	// defaultAnnounceTimeout allows for a VM list that is started at the same time.
+	defaultAnnounceTimeout = 30 * time.Second
 )
 
-// serverFlags describe one stand-in server.
+// serverFlags holds the flags of "standin server".
 type serverFlags struct {
 	id, service, zone, region string
 	address, admin, vms       string
 	unkeyed, unfenced         bool
 	concurrency, connections  int
-	serviceTime, leaveAfter   time.Duration
-	announceWithin            time.Duration
+	serviceTime, drainPeriod  time.Duration
+	announceTimeout           time.Duration
 }
 
 func newServerCommand() cli.Command {
 	flags := serverFlags{
 		address: defaultServerAddress, concurrency: defaultConcurrency, connections: defaultConnections,
-		serviceTime: defaultServiceTime, leaveAfter: defaultLeaveAfter, announceWithin: defaultAnnounceWithin,
+		serviceTime: defaultServiceTime, drainPeriod: defaultDrainPeriod, announceTimeout: defaultAnnounceTimeout,
 	}
 	return cli.Command{
 		Name:        "standin server",
-		Description: "Run a stand-in backend server; SIGTERM drains it, tells the VM list, and stops it.",
+		Description: "Run a stand-in backend server; SIGTERM drains it, updates the VM list, and stops it.",
 		Flags:       flags.declare,
 		Run:         flags.run,
 	}
@@ -54,22 +54,22 @@
 	sub.String(&f.zone, "z", "zone", "its availability zone")
 	sub.String(&f.region, "", "region", "its region")
 	sub.String(&f.address, "l", "listen", "IP:port; port 0 lets the system choose")
-	sub.String(&f.admin, "", "admin-listen", "host:port at which it is told to misbehave and gives its history")
-	sub.String(&f.vms, "", "vms", "URL of the stand-in VM list to put itself on, such as http://127.0.0.1:7200")
+	sub.String(&f.admin, "", "admin-listen", "host:port of its administration, which injects faults and returns its history")
+	sub.String(&f.vms, "", "vms", "URL of the stand-in VM list to add itself to, such as http://127.0.0.1:7200")
 	sub.Bool(&f.unkeyed, "", "unkeyed", "own no shards: take any request of the service")
 	sub.Bool(&f.unfenced, "", "unfenced", "do not check fencing tokens")
-	sub.Int(&f.concurrency, "", "concurrency", "most requests at once")
-	sub.Int(&f.connections, "", "connections", "most connections")
-	sub.Duration(&f.serviceTime, "", "service-time", "mean time that one request takes")
-	sub.Duration(&f.announceWithin, "", "announce-within", "how long to try to get on the VM list")
-	sub.Duration(&f.leaveAfter, "", "leave-after", "how long it goes on serving after SIGTERM, while its shards move away")
+	sub.Int(&f.concurrency, "", "concurrency", "maximum number of concurrent requests; 0 for no limit")
+	sub.Int(&f.connections, "", "connections", "maximum number of open connections; 0 for no limit")
+	sub.Duration(&f.serviceTime, "", "service-time", "mean service time of a request")
+	sub.Duration(&f.announceTimeout, "", "announce-within", "how long to retry adding itself to the VM list")
+	sub.Duration(&f.drainPeriod, "", "leave-after", "how long it continues to serve after SIGTERM, while its shards are handed over")
 }
 
 func (f *serverFlags) check() error {
 	if f.id == "" || f.service == "" || f.zone == "" {
-		return &cli.UsageError{Problem: "standin server: --id, --service and --zone are needed"}
+		return &cli.UsageError{Problem: "standin server: --id, --service and --zone are required"}
 	}
-	if f.concurrency < 0 || f.connections < 0 || f.serviceTime < 0 || f.leaveAfter < 0 || f.announceWithin < 0 {
+	if f.concurrency < 0 || f.connections < 0 || f.serviceTime < 0 || f.drainPeriod < 0 || f.announceTimeout < 0 {
 		return &cli.UsageError{Problem: "standin server: limits and times must not be negative"}
 	}
 	return nil
@@ -79,7 +79,7 @@
 	if err := f.check(); err != nil {
 		return err
 	}
-	ctx, cancel := untilSignal(ctx)
+	ctx, cancel := signalContext(ctx)
 	defer cancel()
 	logger := newLogger(env, f.id)
 	s, err := f.newServer(ctx, logger)
@@ -90,18 +90,19 @@
 	if err != nil {
 		return err
 	}
-	row := listRow{vms: f.vms, logger: logger, vm: f.vm(address)}
-	// One that is stopped meanwhile may be on the list all the same, and leaves it.
-	if err := row.announce(ctx, f.announceWithin); err != nil && ctx.Err() == nil {
+	row := listRow{listURL: f.vms, logger: logger, vm: f.vm(address)}
+	// A server that is stopped during the announcement may be on the list although the
+	// call failed, so it leaves the list too.
+	if err := row.announce(ctx, f.announceTimeout); err != nil && ctx.Err() == nil {
 		s.Kill()
 		return err
 	}
 	<-ctx.Done()
-	return f.leave(s, row)
+	return f.shutDown(s, row)
 }
 
-// newServer returns the server and, if an address for it is given, serves its
-// administration and keeps its history.
+// newServer returns the server. If an administration address is given, it also
+// serves the administration there and keeps the server's history in memory.
 func (f *serverFlags) newServer(ctx context.Context, logger hclog.Logger) (*server.Server, error) {
 	config := f.config(logger)
 	if f.admin == "" {
@@ -109,7 +110,7 @@
 	}
 	recorded := &history.Memory{}
 	config.Recorder = recorded
-	config.Clock = history.WallClock() // shared with the other processes that record
+	config.Clock = history.WallClock() // shared with the other processes that record history
 	s := server.New(config)
 	listener, err := listen(f.admin)
 	if err != nil {
@@ -132,14 +133,15 @@
 	}
 }
 
-// leave drains the server while the list shows it as leaving, and stops it.
-func (f *serverFlags) leave(s *server.Server, row listRow) error {
+// shutDown drains the server for drainPeriod while the list shows it as leaving, and
+// then stops it.
+func (f *serverFlags) shutDown(s *server.Server, row listRow) error {
 	s.Drain(true)
-	row.phase(phaseLeaving)
-	time.Sleep(f.leaveAfter)
+	row.setPhase(phaseLeaving)
+	time.Sleep(f.drainPeriod)
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	err := s.Stop(ctx)
-	row.phase(phaseGone)
+	row.setPhase(phaseGone)
 	return err
 }
--- a/standin/command/vms.go
+++ b/standin/command/vms.go
@@ -27,8 +27,8 @@
 		Description: "Run a stand-in for the platform's list of VMs.",
 		Flags: func(sub *flaggy.Subcommand) {
 			sub.String(&address, "l", "listen", "host:port")
-			sub.Duration(&lag, "", "lag", "how late the list shows a change")
-			sub.String(&file, "f", "file", "JSON file with the rows to begin with")
+			sub.Duration(&lag, "", "lag", "delay until the list shows a change")
+			sub.String(&file, "f", "file", "JSON file with the initial rows")
 		},
 		Run: func(ctx context.Context, env *cli.Env) error {
 			if lag < 0 {
@@ -43,7 +43,8 @@
 	}
 }
 
-// newPlatform returns a list with the rows of a file; no file means none.
+// newPlatform returns a platform with the VMs of a file, or without VMs if file is
+// empty.
 func newPlatform(file string, lag time.Duration) (*vms.Platform, error) {
 	platform := vms.New()
 	if file != "" {
@@ -67,12 +68,12 @@
 }
 
 func runVMs(ctx context.Context, env *cli.Env, address string, platform *vms.Platform) error {
-	ctx, cancel := untilSignal(ctx)
+	ctx, cancel := signalContext(ctx)
 	defer cancel()
 	listener, err := listen(address)
 	if err != nil {
 		return err
 	}
-	eventVMsServes.Log(newLogger(env, "standin-vms"), "address", listener.Addr().String())
+	eventVMsServing.Log(newLogger(env, "standin-vms"), "address", listener.Addr().String())
 	return vms.Serve(ctx, listener, platform)
 }
