--- a/standin/server/admin.go
+++ b/standin/server/admin.go
@@ -7,26 +7,27 @@
 	"github.com/burdockspindle/burdockspindle/history"
 )
 
-// Paths of the administration of a stand-in server, by which a server in a
-// process of its own is told to misbehave. It is served on an address of its
-// own, so that it works while the server is frozen.
+// Paths of the administration of a stand-in server, which injects faults into a
+// server in a separate process. It has its own address, so that it works while
+// the server is frozen.
 const (
 	AdminFreeze   = "/standin/freeze"   // POST
 	AdminUnfreeze = "/standin/unfreeze" // POST
 	AdminRestart  = "/standin/restart"  // POST
 	AdminDrain    = "/standin/drain"    // POST
-	AdminSilence  = "/standin/silence"  // POST ?direction=in|out|both
+	AdminStall    = "/standin/silence"  // POST ?direction=in|out|both
 	AdminFaults   = "/standin/faults"   // POST Faults
 	AdminStats    = "/standin/stats"    // GET Stats
 	AdminDump     = "/standin/dump"     // GET Dump; blocks while frozen
 	AdminHistory  = "/standin/history"  // GET events as history.Encode writes them
 )
 
-// AdminHandler returns the administration's handler. recorded is where the
-// server records, for AdminHistory; nil when it is not kept in memory.
+// AdminHandler returns the handler of the administration. recorded is the
+// server's recorder, which AdminHistory returns; nil when the history is not kept
+// in memory.
 func (s *Server) AdminHandler(recorded *history.Memory) http.Handler {
 	mux := http.NewServeMux()
-	act := func(path string, action func(*http.Request) error) {
+	handlePost := func(path string, action func(*http.Request) error) {
 		mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 			if err := action(r); err != nil {
 				http.Error(w, err.Error(), http.StatusBadRequest)
@@ -35,15 +36,15 @@
 			w.WriteHeader(http.StatusNoContent)
 		})
 	}
-	always := func(action func()) func(*http.Request) error {
+	withoutError := func(action func()) func(*http.Request) error {
 		return func(*http.Request) error { action(); return nil }
 	}
-	act(AdminFreeze, always(s.Freeze))
-	act(AdminUnfreeze, always(s.Unfreeze))
-	act(AdminRestart, always(s.Restart))
-	act(AdminDrain, always(func() { s.Drain(true) }))
-	act(AdminSilence, s.adminSilence)
-	act(AdminFaults, s.adminFaults)
+	handlePost(AdminFreeze, withoutError(s.Freeze))
+	handlePost(AdminUnfreeze, withoutError(s.Unfreeze))
+	handlePost(AdminRestart, withoutError(s.Restart))
+	handlePost(AdminDrain, withoutError(func() { s.Drain(true) }))
+	handlePost(AdminStall, s.adminStall)
+	handlePost(AdminFaults, s.adminFaults)
 	mux.HandleFunc("GET "+AdminStats, func(w http.ResponseWriter, _ *http.Request) { sendJSON(w, s.Stats()) })
 	mux.HandleFunc("GET "+AdminDump, func(w http.ResponseWriter, _ *http.Request) { sendJSON(w, s.Dump()) })
 	mux.HandleFunc("GET "+AdminHistory, func(w http.ResponseWriter, _ *http.Request) {
@@ -57,7 +58,7 @@
 	return mux
 }
 
-func (s *Server) adminSilence(r *http.Request) error {
+func (s *Server) adminStall(r *http.Request) error {
 	direction := Direction(r.URL.Query().Get("direction"))
 	switch direction {
 	case DirectionIn, DirectionOut, DirectionBoth:
@@ -85,7 +86,7 @@
 	_ = encoder.Encode(value)
 }
 
-// AdminError reports an administration request that cannot be carried out.
+// AdminError reports an invalid administration request.
 type AdminError struct{ Problem string }
 
 // Error implements error.
--- a/standin/server/answer.go
+++ b/standin/server/answer.go
@@ -10,15 +10,15 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Answer is the body of a stand-in server's answer: one line of JSON, and then
-// Size bytes of filler that follow from CallerRequest, so that an answer that
-// was cut, mixed with another, or given to the wrong caller is found.
+// Answer is the body of a stand-in server's answer: one line of JSON, followed by
+// Size bytes of filler derived from CallerRequest, so that an answer that was
+// truncated, mixed with another, or sent to the wrong caller is detected.
 type Answer struct {
 	Server        topo.ServerID `json:"server"`
 	Boot          topo.BootID   `json:"boot"`
 	Service       topo.Service  `json:"service"`
 	Key           string        `json:"key"`
-	RequestID     string        `json:"requestId"` // of the attempt that ran
+	RequestID     string        `json:"requestId"` // of the attempt that was run
 	CallerRequest string        `json:"callerRequest"`
 	Method        string        `json:"method"`
 	BodyDigest    string        `json:"bodyDigest"` // DigestOf the request's body
@@ -26,8 +26,8 @@
 	Size          int64         `json:"size"`       // of the filler
 }
 
-// ReadAnswer reads a whole answer and checks its filler. Errors are
-// *AnswerError or r's own.
+// ReadAnswer reads an answer to its end and checks its filler. It returns an
+// *AnswerError or the error of r.
 func ReadAnswer(r io.Reader) (Answer, error) {
 	data, err := io.ReadAll(r)
 	if err != nil {
@@ -36,7 +36,7 @@
 	line, rest, found := bytes.Cut(data, []byte("\n"))
 	var answer Answer
 	if !found || json.Unmarshal(line, &answer) != nil {
-		return Answer{}, &AnswerError{Problem: "no line of JSON"}
+		return Answer{}, &AnswerError{Problem: "first line is not JSON"}
 	}
 	if int64(len(rest)) != answer.Size {
 		return answer, &AnswerError{Problem: "filler has " + strconv.Itoa(len(rest)) + " bytes"}
@@ -44,16 +44,16 @@
 	var want bytes.Buffer
 	_ = writeFiller(&want, answer.CallerRequest, answer.Size)
 	if !bytes.Equal(rest, want.Bytes()) {
-		return answer, &AnswerError{Problem: "filler of another request"}
+		return answer, &AnswerError{Problem: "filler does not match the caller's request"}
 	}
 	return answer, nil
 }
 
-// AnswerError reports an answer that is not whole.
+// AnswerError reports an incomplete or corrupt answer.
 type AnswerError struct{ Problem string }
 
 // Error implements error.
-func (e *AnswerError) Error() string { return "answer not whole: " + e.Problem }
+func (e *AnswerError) Error() string { return "incomplete or corrupt answer: " + e.Problem }
 
 // head returns the first line.
 func (a Answer) head() []byte {
@@ -63,10 +63,10 @@
 
 const fillerBlock = 4096
 
-// writeFiller writes size bytes of the seed repeated.
+// writeFiller writes size bytes of the repeated seed.
 func writeFiller(w io.Writer, seed string, size int64) error {
 	unit := seed + "|"
-	// A block holds whole repetitions, so that blocks can be joined.
+	// A block consists of complete repetitions, so that blocks can be concatenated.
 	block := strings.Repeat(unit, fillerBlock/len(unit)+1)
 	for size > 0 {
 		part := block[:min(size, int64(len(block)))]
--- a/standin/server/config.go
+++ b/standin/server/config.go
@@ -1,8 +1,8 @@
-// Package server is the stand-in backend server: it follows the published
-// protocol of package serverapi, keeps a counter per key in memory, counts what
-// reaches it, and can be told to misbehave. It is for tests, demo, experiment
-// and as an example for people who write backend servers; docs/SERVERS.md is
-// the text that goes with it.
+// Package server is the stand-in backend server: it implements the published
+// protocol of package serverapi, keeps a counter per key in memory, counts its
+// requests and connections, and supports fault injection. It is meant for tests,
+// the demo and experiments, and as an example for authors of backend servers;
+// docs/SERVERS.md describes the protocol.
 package server
 
 import (
@@ -21,54 +21,54 @@
 type Config struct {
 	ID      topo.ServerID
 	Service topo.Service
-	// Keyed servers own shards; others take any request of their service.
+	// Keyed servers own shards; others accept any request of their service.
 	Keyed bool
-	// ChecksFencing servers refuse requests for shards that they do not own,
-	// and keep the record of tickets.
+	// ChecksFencing servers refuse requests for shards that they do not own, and
+	// keep a record of tickets.
 	ChecksFencing bool
-	// Concurrency is the most requests run at once; more are shed. 0 means no
-	// limit.
+	// Concurrency is the maximum number of concurrent requests; the server sheds
+	// requests above it. 0 means no limit.
 	Concurrency int
-	// Connections is the most connections open at once; more are closed as
-	// soon as they are accepted. 0 means no limit.
+	// Connections is the maximum number of open connections; the server closes
+	// connections above it as soon as it accepts them. 0 means no limit.
 	Connections int
 	ServiceTime ServiceTime
 	ColdStart   ColdStart
-	// DriftPPM is how much faster than true time the server's clock runs, in
-	// parts per million; negative for slower.
+	// DriftPPM is the rate in parts per million by which the server's clock is
+	// faster than the shared clock; negative if it is slower.
 	DriftPPM int
 	Seed     uint64
 	Tickets  ticket.Limits
-	// Clock is the history's shared clock; by default one that starts now.
+	// Clock is the history's shared clock; by default a clock that starts now.
 	Clock    history.Clock
 	Recorder history.Recorder
-	// NewBoot names each run of the server; by default at random.
+	// NewBoot returns the boot ID of each incarnation; by default a random one.
 	NewBoot func() topo.BootID
 	Logger  hclog.Logger
 }
 
-// ServiceTime is the distribution of the time that one request takes: log-normal
-// with a mean and a shape. Shape 0 makes every request take the mean.
+// ServiceTime is the log-normal distribution of the service time of a request,
+// given by its mean and shape. With shape 0 every request takes the mean.
 type ServiceTime struct {
 	Mean  time.Duration
 	Shape float64
 }
 
-// ColdStart makes the first requests of a run slow: Factor times the service
-// time at the start, falling in a straight line to 1 over Duration.
+// ColdStart slows down the first requests of an incarnation: it multiplies the
+// service time by Factor at the start, decreasing linearly to 1 over Duration.
 type ColdStart struct {
 	Factor   float64
 	Duration time.Duration
 }
 
-// Direction says in which direction a connection goes silent, as seen from the
+// Direction is the direction in which a connection is stalled, as seen from the
 // server.
 type Direction string
 
 // Directions.
 const (
-	DirectionIn   Direction = "in"   // nothing reaches the server
-	DirectionOut  Direction = "out"  // nothing that the server writes arrives
+	DirectionIn   Direction = "in"   // the server receives nothing
+	DirectionOut  Direction = "out"  // nothing that the server writes is delivered
 	DirectionBoth Direction = "both" // both
 )
 
--- a/standin/server/dump.go
+++ b/standin/server/dump.go
@@ -5,11 +5,11 @@
 	"github.com/burdockspindle/burdockspindle/ticket"
 )
 
-// Stats returns what the server counted.
+// Stats returns a snapshot of the server's counters.
 func (s *Server) Stats() Stats {
-	stats := s.counters.read()
+	stats := s.counters.snapshot()
 	s.mu.Lock()
-	counted, boot := s.listener, s.life.boot
+	counted, boot := s.listener, s.incarnation.boot
 	s.mu.Unlock()
 	stats.Boot = string(boot)
 	stats.Draining = s.draining.Load()
@@ -20,7 +20,7 @@
 	return stats
 }
 
-// addTo fills in the connection counts.
+// addTo sets the connection counters.
 func (l *listener) addTo(stats *Stats) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -30,7 +30,7 @@
 	stats.TotalConnections = l.total
 }
 
-// Dump is the server's state for people to read.
+// Dump is the server's state in a human-readable form.
 type Dump struct {
 	Stats   Stats
 	Faults  Faults
@@ -40,10 +40,10 @@
 
 // Dump returns the server's state. It blocks while the server is frozen.
 func (s *Server) Dump() any {
-	run := s.current()
-	now := run.now()
-	run.mu.Lock()
-	holder := run.holder.Dump(now)
-	run.mu.Unlock()
-	return Dump{Stats: s.Stats(), Faults: s.faults.get(), Holder: holder, Tickets: run.tickets.Dump()}
+	inc := s.current()
+	now := inc.now()
+	inc.mu.Lock()
+	holder := inc.holder.Dump(now)
+	inc.mu.Unlock()
+	return Dump{Stats: s.Stats(), Faults: s.faults.get(), Holder: holder, Tickets: inc.tickets.Dump()}
 }
--- a/standin/server/faults.go
+++ b/standin/server/faults.go
@@ -9,90 +9,93 @@
 	"github.com/burdockspindle/burdockspindle/serverapi"
 )
 
-// Faults are the standing misbehaviours of a server. The zero value is a server
-// that behaves.
+// Faults configures the injected faults of a server, which last until they are
+// replaced. The zero value injects none.
 type Faults struct {
-	// Slow multiplies every service time; values up to 1 change nothing.
+	// Slow multiplies every service time; values up to 1 have no effect.
 	Slow float64 `json:"slow"`
-	// ShedRatio of requests are shed although there is room.
+	// ShedRatio is the fraction of requests that are shed below the concurrency
+	// limit.
 	ShedRatio float64 `json:"shedRatio"`
-	// LoseRatio of answers are dropped after the request ran: the connection is
-	// closed instead.
+	// LoseRatio is the fraction of answers that are dropped after the request ran:
+	// the server closes the connection instead.
 	LoseRatio float64 `json:"loseRatio"`
-	// LoseNext is how many of the next answers are dropped in the same way.
+	// LoseNext is the number of next answers that are dropped like those of
+	// LoseRatio.
 	LoseNext int `json:"loseNext"`
-	// Load, when set, is reported in place of the true one.
+	// Load, when set, is reported in place of the actual load.
 	Load *serverapi.Load `json:"load,omitempty"`
 	// IgnoreFences runs requests for shards that the server does not own.
 	IgnoreFences bool `json:"ignoreFences"`
-	// IgnoreTickets runs repeated tickets again.
+	// IgnoreTickets runs requests with repeated tickets again.
 	IgnoreTickets bool `json:"ignoreTickets"`
-	// WrongRequestID echoes another request's ID.
+	// WrongRequestID echoes an ID other than the request's.
 	WrongRequestID bool `json:"wrongRequestId"`
 }
 
-// faultBox guards the faults and the server's random numbers.
-type faultBox struct {
+// faultState guards the faults and the server's random number generator.
+type faultState struct {
 	mu     sync.Mutex
 	faults Faults
 	random *rand.Rand
 }
 
-func newFaultBox(seed uint64) *faultBox {
+func newFaultState(seed uint64) *faultState {
 	const stream = 0x5eed
-	return &faultBox{random: rand.New(rand.NewPCG(seed, stream))}
+	return &faultState{random: rand.New(rand.NewPCG(seed, stream))}
 }
 
-func (b *faultBox) set(faults Faults) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.faults = faults
+func (f *faultState) set(faults Faults) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.faults = faults
 }
 
-func (b *faultBox) get() Faults {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.faults
+func (f *faultState) get() Faults {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.faults
 }
 
-// shed decides whether a request is shed on purpose.
-func (b *faultBox) shed() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.faults.ShedRatio > 0 && b.random.Float64() < b.faults.ShedRatio
+// shed draws whether a request is shed by fault injection.
+func (f *faultState) shed() bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.faults.ShedRatio > 0 && f.random.Float64() < f.faults.ShedRatio
 }
 
-// lose decides whether an answer is dropped.
-func (b *faultBox) lose() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.faults.LoseNext > 0 {
-		b.faults.LoseNext--
+// dropAnswer draws whether an answer is dropped by fault injection.
+func (f *faultState) dropAnswer() bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.faults.LoseNext > 0 {
+		f.faults.LoseNext--
 		return true
 	}
-	return b.faults.LoseRatio > 0 && b.random.Float64() < b.faults.LoseRatio
+	return f.faults.LoseRatio > 0 && f.random.Float64() < f.faults.LoseRatio
 }
 
-// serviceTime draws the time that one request takes on a server that has run
-// for age.
-func (b *faultBox) serviceTime(dist ServiceTime, cold ColdStart, age time.Duration) time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// serviceTime draws the service time of a request in an incarnation of the given
+// age.
+func (f *faultState) serviceTime(dist ServiceTime, cold ColdStart, age time.Duration) time.Duration {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	seconds := dist.Mean.Seconds()
 	if dist.Shape > 0 {
 		// The mean of exp(N(-σ²/2, σ²)) is 1.
-		normal := b.random.NormFloat64()
+		normal := f.random.NormFloat64()
 		seconds *= math.Exp(dist.Shape*normal - dist.Shape*dist.Shape/2)
 	}
-	seconds *= cold.factor(age) * max(1, b.faults.Slow)
+	seconds *= cold.factor(age) * max(1, f.faults.Slow)
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// factor returns by how much a server that has run for age is slower.
+// factor returns the factor on the service time in an incarnation of the given
+// age.
 func (c ColdStart) factor(age time.Duration) float64 {
 	if age >= c.Duration || c.Factor <= 1 {
 		return 1
 	}
-	left := 1 - float64(age)/float64(c.Duration)
-	return 1 + (c.Factor-1)*left
+	remaining := 1 - float64(age)/float64(c.Duration)
+	return 1 + (c.Factor-1)*remaining
 }
--- a/standin/server/fuzz_test.go
+++ b/standin/server/fuzz_test.go
@@ -9,8 +9,8 @@
 	"github.com/burdockspindle/burdockspindle/serverapi"
 )
 
-// FuzzServe: whatever its headers say, a request that the server does not own
-// is answered as not run, with its own ID.
+// FuzzServe checks that a request for a shard which the server does not own is
+// answered as not run, with the request's own ID, whatever its headers contain.
 func FuzzServe(f *testing.F) {
 	f.Add("/serve/records/bore%207", "bore%207", "licensing/1", "9.0", "800", "100", "")
 	f.Add("/serve/records/", "", "licensing/1/x", "9.0", "-1", "0", "bs1-f9.0-1-0-0-0-b-n")
--- a/standin/server/gate.go
+++ b/standin/server/gate.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// gate holds everything back while the server is frozen, as if its VM were
+// gate blocks the server's work while the server is frozen, as if its VM were
 // paused.
 type gate struct {
 	mu     sync.Mutex
@@ -22,7 +22,7 @@
 	}
 }
 
-// close makes later calls of pass block. It reports whether it was open.
+// close makes later calls of pass block. It reports whether the gate was open.
 func (g *gate) close() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -33,7 +33,7 @@
 	return true
 }
 
-// open lets everything through. It reports whether it was closed.
+// open unblocks all calls of pass. It reports whether the gate was closed.
 func (g *gate) open() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/standin/server/helper_test.go
+++ b/standin/server/helper_test.go
@@ -26,85 +26,85 @@
 	fence = topo.MakeFence(9, 0)
 )
 
-// bench is a server without sockets, on a clock that the test sets.
-type bench struct {
+// testServer is a server without sockets whose clock the test sets.
+type testServer struct {
 	*Server
 	t        *testing.T
 	clock    atomic.Int64
 	recorded history.Memory
 	gen      uint64
 	requests int
-	// pauseAfter lets pause pass right after so many readings of the clock.
+	// pauseAfter is the number of clock readings after which the clock jumps by pause.
 	pauseAfter int
 	pause      time.Duration
 }
 
-// read returns the time, and imitates a pause of the VM after one reading.
-func (b *bench) read() history.Time {
-	now := b.clock.Load()
-	if b.pause > 0 {
-		if b.pauseAfter == 0 {
-			b.advance(b.pause)
-			b.pause = 0
+// readClock returns the time, and imitates a pause of the VM after one reading.
+func (s *testServer) readClock() history.Time {
+	now := s.clock.Load()
+	if s.pause > 0 {
+		if s.pauseAfter == 0 {
+			s.advance(s.pause)
+			s.pause = 0
 		}
-		b.pauseAfter--
+		s.pauseAfter--
 	}
 	return history.Time(now)
 }
 
-func newBench(t *testing.T, config Config) *bench {
-	b := &bench{t: t}
+func newTestServer(t *testing.T, config Config) *testServer {
+	s := &testServer{t: t}
 	boots := 0
 	config.ID, config.Service, config.Keyed, config.ChecksFencing = "s1", "licensing", true, true
-	config.Clock = b.read
-	config.Recorder = &b.recorded
+	config.Clock = s.readClock
+	config.Recorder = &s.recorded
 	config.NewBoot = func() topo.BootID {
 		boots++
 		return topo.BootID("boot" + strconv.Itoa(boots))
 	}
-	b.Server = New(config)
-	return b
+	s.Server = New(config)
+	return s
 }
 
-func (b *bench) advance(d time.Duration) { b.clock.Add(int64(d)) }
+func (s *testServer) advance(d time.Duration) { s.clock.Add(int64(d)) }
 
 // call sends any request to the handler.
-func (b *bench) call(method, path string, header map[string]string, body []byte) *httptest.ResponseRecorder {
-	request := httptest.NewRequestWithContext(b.t.Context(), method, path, bytes.NewReader(body))
+func (s *testServer) call(method, path string, header map[string]string, body []byte) *httptest.ResponseRecorder {
+	request := httptest.NewRequestWithContext(s.t.Context(), method, path, bytes.NewReader(body))
 	for name, value := range header {
 		request.Header.Set(name, value)
 	}
 	recorder := httptest.NewRecorder()
-	b.ServeHTTP(recorder, request)
+	s.ServeHTTP(recorder, request)
 	return recorder
 }
 
-func (b *bench) lease(req serverapi.LeaseRequest) serverapi.LeaseReply {
-	b.t.Helper()
+func (s *testServer) lease(req serverapi.LeaseRequest) serverapi.LeaseReply {
+	s.t.Helper()
 	body, err := json.Marshal(req)
-	gomega.NewWithT(b.t).Expect(err).NotTo(gomega.HaveOccurred())
+	gomega.NewWithT(s.t).Expect(err).NotTo(gomega.HaveOccurred())
 	var reply serverapi.LeaseReply
-	answer := b.call(http.MethodPost, serverapi.PathLease, nil, body)
-	gomega.NewWithT(b.t).Expect(json.Unmarshal(answer.Body.Bytes(), &reply)).To(gomega.Succeed())
+	answer := s.call(http.MethodPost, serverapi.PathLease, nil, body)
+	gomega.NewWithT(s.t).Expect(json.Unmarshal(answer.Body.Bytes(), &reply)).To(gomega.Succeed())
 	return reply
 }
 
-// grant renews the lease from now on with a new list of grants.
-func (b *bench) grant(grants ...serverapi.Grant) serverapi.LeaseReply {
-	b.t.Helper()
-	b.gen++
+// grant renews the lease as of now with a new list of grants.
+func (s *testServer) grant(grants ...serverapi.Grant) serverapi.LeaseReply {
+	s.t.Helper()
+	s.gen++
 	req := serverapi.LeaseRequest{Term: "3.0", Lessor: "n@b"}
-	stamp := b.lease(req)
+	stamp := s.lease(req)
 	req.Boot, req.Echo, req.TTLMs = stamp.Boot, stamp.Stamp, leaseTTL.Milliseconds()
-	req.Generation, req.Full, req.Grants = b.gen, true, grants
-	return b.lease(req)
+	req.Generation, req.Full, req.Grants = s.gen, true, grants
+	return s.lease(req)
 }
 
 func granted(fence topo.Fence) serverapi.Grant {
 	return serverapi.Grant{Shard: shard.String(), Fence: fence.String()}
 }
 
-// serveOptions change a request of a caller.
+// serveOptions modifies a caller's request.
 type serveOptions struct {
 	method string
 	fence  topo.Fence
@@ -113,10 +113,10 @@
 	header map[string]string
 }
 
-// send sends a caller's request and returns its answer's head and body.
-func (b *bench) send(o serveOptions) *httptest.ResponseRecorder {
-	b.requests++
-	return b.call(o.fill(), recordsPrefix+"bore%207/transfers"+o.query, o.headers(b.requests), []byte("to=clerk"))
+// send sends a caller's request and returns the recorded answer.
+func (s *testServer) send(o serveOptions) *httptest.ResponseRecorder {
+	s.requests++
+	return s.call(o.fill(), recordsPrefix+"bore%207/transfers"+o.query, o.headers(s.requests), []byte("to=clerk"))
 }
 
 func (o *serveOptions) fill() string {
@@ -156,7 +156,7 @@
 	}.String()
 }
 
-// outcome is what an answer says in its status and protocol headers.
+// outcome is the status and the protocol headers of an answer.
 type outcome struct {
 	status  int
 	outcome serverapi.Outcome
--- a/standin/server/intervals.go
+++ b/standin/server/intervals.go
@@ -8,7 +8,8 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// intervalKey tells apart what a server may own at once.
+// intervalKey identifies one of the intervals that a server may have open at the
+// same time.
 type intervalKey struct {
 	shard  topo.ShardID
 	fence  topo.Fence
@@ -17,91 +18,94 @@
 
 const exceptSeparator = "\x00"
 
-// trackIntervals brings the open owner intervals up to date after the holder
-// changed. l.mu is held.
-func (l *life) trackIntervals(now time.Duration) {
-	moment := l.shared(now)
-	owned := l.owned()
-	for key, open := range l.intervals {
-		if _, still := owned[key]; !still || open.Until <= moment {
-			l.closeInterval(key, moment)
+// trackIntervals updates the open owner intervals after a change of the holder.
+// The caller holds inc.mu.
+func (inc *incarnation) trackIntervals(now time.Duration) {
+	at := inc.sharedTime(now)
+	owned := inc.owned()
+	for key, open := range inc.intervals {
+		if _, still := owned[key]; !still || open.Until <= at {
+			inc.closeInterval(key, at)
 		}
 	}
-	if !l.holder.Valid(now) {
+	if !inc.holder.Valid(now) {
 		return
 	}
-	// The end is exclusive, and the mapping between clocks rounds down.
-	until := l.shared(l.holder.Expires()) + 1
+	// Adds 1 because the end is exclusive and the conversion between the clocks rounds
+	// down.
+	until := inc.sharedTime(inc.holder.Expires()) + 1
 	for key, interval := range owned {
-		if open, exists := l.intervals[key]; exists {
+		if open, exists := inc.intervals[key]; exists {
 			interval = open
 		} else {
-			interval.From = moment
+			interval.From = at
 		}
 		interval.Until = until
-		l.intervals[key] = interval
+		inc.intervals[key] = interval
 	}
 }
 
-// owned lists what the server owns while its lease is valid: its grants, and
-// the keys of runs that were in flight when their shard was revoked.
-func (l *life) owned() map[intervalKey]history.OwnerInterval {
+// owned returns what the server owns while its lease is valid: its grants, and the
+// keys of runs that were in flight when their shard was revoked.
+func (inc *incarnation) owned() map[intervalKey]history.OwnerInterval {
 	owned := map[intervalKey]history.OwnerInterval{}
-	for _, granted := range l.holder.Grants() {
-		l.addOwned(owned, granted.Shard, granted.Fence, granted.Except)
+	for _, granted := range inc.holder.Grants() {
+		inc.addOwned(owned, granted.Shard, granted.Fence, granted.Except)
 	}
-	for _, orphan := range l.holder.Orphans() {
+	for _, orphan := range inc.holder.Orphans() {
 		if orphan.Lapsed {
 			continue
 		}
 		shard := orphan.Shard
 		shard.Key = orphan.Key
-		l.addOwned(owned, shard, orphan.Fence, nil)
+		inc.addOwned(owned, shard, orphan.Fence, nil)
 	}
 	return owned
 }
 
-func (l *life) addOwned(
+func (inc *incarnation) addOwned(
 	owned map[intervalKey]history.OwnerInterval, shard topo.ShardID, fence topo.Fence, except []string,
 ) {
 	key := intervalKey{shard: shard, fence: fence, except: strings.Join(except, exceptSeparator)}
 	owned[key] = history.OwnerInterval{
-		Server: l.server.config.ID, Boot: l.boot, Shard: shard, Fence: fence, Except: except,
+		Server: inc.server.config.ID, Boot: inc.boot, Shard: shard, Fence: fence, Except: except,
 	}
 }
 
-// closeIntervals ends all open intervals at a moment, if not before.
-func (l *life) closeIntervals(moment history.Time) {
-	for key := range l.intervals {
-		l.closeInterval(key, moment)
+// closeIntervals closes all open intervals and ends them at the given time, unless
+// they ended before.
+func (inc *incarnation) closeIntervals(at history.Time) {
+	for key := range inc.intervals {
+		inc.closeInterval(key, at)
 	}
 }
 
-func (l *life) closeInterval(key intervalKey, moment history.Time) {
-	open := l.intervals[key]
-	delete(l.intervals, key)
-	open.Until = min(open.Until, moment)
+func (inc *incarnation) closeInterval(key intervalKey, at history.Time) {
+	open := inc.intervals[key]
+	delete(inc.intervals, key)
+	open.Until = min(open.Until, at)
 	if open.Until > open.From {
-		l.server.config.Recorder.Record(open)
+		inc.server.config.Recorder.Record(open)
 	}
 }
 
-// flush records the open intervals up to now and goes on with the rest.
-func (l *life) flush() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.dead {
+// flushIntervals records the open intervals up to now and keeps their remainder
+// open.
+func (inc *incarnation) flushIntervals() {
+	inc.mu.Lock()
+	defer inc.mu.Unlock()
+	if inc.ended {
 		return
 	}
-	now := l.server.config.Clock()
-	rest := map[intervalKey]history.OwnerInterval{}
-	for key, open := range l.intervals {
+	now := inc.server.config.Clock()
+	remaining := map[intervalKey]history.OwnerInterval{}
+	for key, open := range inc.intervals {
 		if open.Until > now {
 			after := open
 			after.From = max(now, open.From)
-			rest[key] = after
+			remaining[key] = after
 		}
 	}
-	l.closeIntervals(now)
-	l.intervals = rest
+	inc.closeIntervals(now)
+	inc.intervals = remaining
 }
--- a/standin/server/listener.go
+++ b/standin/server/listener.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 )
 
-// listener counts and limits connections, and wraps each in a faultConn.
+// listener counts and limits connections, and wraps each of them in a faultConn.
 type listener struct {
 	net.Listener
 	gate  *gate
@@ -23,7 +23,7 @@
 	return &listener{Listener: inner, gate: g, limit: limit, open: map[*faultConn]struct{}{}}
 }
 
-// Accept returns the next connection within the limit and closes the others.
+// Accept returns the next connection below the limit and closes those above it.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		inner, err := l.Listener.Accept()
@@ -31,7 +31,7 @@
 			return nil, err
 		}
 		l.gate.pass()
-		conn := &faultConn{Conn: inner, gate: l.gate, closed: l.forget}
+		conn := &faultConn{Conn: inner, gate: l.gate, onClose: l.remove}
 		if l.admit(conn) {
 			return conn, nil
 		}
@@ -52,14 +52,14 @@
 	return true
 }
 
-func (l *listener) forget(conn *faultConn) {
+func (l *listener) remove(conn *faultConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.open, conn)
 }
 
-// each calls visit for every connection open now.
-func (l *listener) each(visit func(*faultConn)) {
+// forEach calls visit for every open connection, without holding the lock.
+func (l *listener) forEach(visit func(*faultConn)) {
 	l.mu.Lock()
 	conns := make([]*faultConn, 0, len(l.open))
 	for conn := range l.open {
@@ -71,44 +71,46 @@
 	}
 }
 
-// faultConn is a connection that stands still while the server is frozen and
-// can be made silent.
+// faultConn is a connection that blocks while the server is frozen and can be
+// stalled.
 type faultConn struct {
 	net.Conn
-	gate      *gate
-	closed    func(*faultConn)
-	once      sync.Once
-	silentIn  atomic.Bool
-	silentOut atomic.Bool
+	gate       *gate
+	onClose    func(*faultConn)
+	once       sync.Once
+	stalledIn  atomic.Bool
+	stalledOut atomic.Bool
 }
 
-// Read reads, or discards what arrives on a silent connection until that ends.
+// Read reads from the connection. While the inbound direction is stalled, it
+// discards the data until the connection ends.
 func (c *faultConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
 		c.gate.pass()
-		if err != nil || !c.silentIn.Load() {
+		if err != nil || !c.stalledIn.Load() {
 			return n, err
 		}
 	}
 }
 
-// Write writes, or only claims to.
+// Write writes to the connection. While the outbound direction is stalled, it
+// discards the data and reports success.
 func (c *faultConn) Write(p []byte) (int, error) {
 	c.gate.pass()
-	if c.silentOut.Load() {
+	if c.stalledOut.Load() {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
 }
 
-// Close closes the connection and takes it out of the count.
+// Close closes the connection and removes it from the count.
 func (c *faultConn) Close() error {
-	c.once.Do(func() { c.closed(c) })
+	c.once.Do(func() { c.onClose(c) })
 	return c.Conn.Close()
 }
 
-// reset closes the connection without a goodbye, as a crash would.
+// reset closes the connection with a TCP reset, as a crash would.
 func (c *faultConn) reset() {
 	if tcp, is := c.Conn.(*net.TCPConn); is {
 		_ = tcp.SetLinger(0)
--- a/standin/server/network_test.go
+++ b/standin/server/network_test.go
@@ -16,11 +16,11 @@
 	"github.com/burdockspindle/burdockspindle/serverapi"
 )
 
-// never is a limit that only a hanging test reaches.
-const never = 30 * time.Second
+// eventuallyTimeout is a timeout that only a hanging test reaches.
+const eventuallyTimeout = 30 * time.Second
 
-// networked is a server on a real address, not divided by key so that no lease
-// is needed, with one pooling client.
+// networked is a server on a real address with one pooling client. The server is
+// unkeyed, so that it needs no lease.
 type networked struct {
 	*Server
 	g       *gomega.WithT
@@ -42,7 +42,7 @@
 	return &networked{Server: s, g: g, address: address, client: client}
 }
 
-// get sends one request; the status is 0 when there is no whole answer.
+// get sends one request and returns the status, or 0 without a complete answer.
 func (n *networked) get(ctx context.Context, client *http.Transport) int {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+n.address+recordsPrefix+"k", strings.NewReader("x"))
 	n.g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -59,7 +59,7 @@
 	return response.StatusCode
 }
 
-func TestSilentConnectionsNeverAnswerAndNewOnesDo(t *testing.T) {
+func TestStalledConnectionsNeverAnswerAndNewOnesDo(t *testing.T) {
 	for _, direction := range []Direction{DirectionIn, DirectionOut, DirectionBoth} {
 		t.Run(string(direction), func(t *testing.T) {
 			n := newNetworked(t, Config{})
@@ -86,7 +86,7 @@
 		n.g.Expect(err).NotTo(gomega.HaveOccurred())
 		defer func() { _ = conn.Close() }()
 	}
-	n.g.Eventually(func() int { return n.Stats().Connections }, never).Should(gomega.Equal(2))
+	n.g.Eventually(func() int { return n.Stats().Connections }, eventuallyTimeout).Should(gomega.Equal(2))
 	third, err := net.Dial("tcp", n.address)
 	n.g.Expect(err).NotTo(gomega.HaveOccurred())
 	defer func() { _ = third.Close() }()
@@ -97,7 +97,7 @@
 	n.g.Expect(stats.PeakConnections).To(gomega.Equal(2))
 }
 
-func TestFrozenServerGoesOnWhereItStood(t *testing.T) {
+func TestFrozenServerResumesPendingRequests(t *testing.T) {
 	n := newNetworked(t, Config{})
 	n.g.Expect(n.get(t.Context(), n.client)).To(gomega.Equal(http.StatusOK))
 	n.Freeze()
@@ -108,29 +108,29 @@
 	go func() { later <- n.get(t.Context(), &http.Transport{DisableKeepAlives: true}) }()
 	n.g.Consistently(later, "50ms").ShouldNot(gomega.Receive())
 	n.Unfreeze()
-	n.g.Eventually(later, never).Should(gomega.Receive(gomega.Equal(http.StatusOK)))
+	n.g.Eventually(later, eventuallyTimeout).Should(gomega.Receive(gomega.Equal(http.StatusOK)))
 }
 
-func TestStopFinishesWhatIsInFlight(t *testing.T) {
+func TestStopWaitsForRequestsInFlight(t *testing.T) {
 	n := newNetworked(t, Config{ServiceTime: ServiceTime{Mean: 200 * time.Millisecond}})
 	answer := make(chan int, 1)
 	go func() { answer <- n.get(t.Context(), n.client) }()
-	n.g.Eventually(func() int { return n.Stats().InFlight }, never).Should(gomega.Equal(1))
+	n.g.Eventually(func() int { return n.Stats().InFlight }, eventuallyTimeout).Should(gomega.Equal(1))
 	n.g.Expect(n.Stop(t.Context())).To(gomega.Succeed())
 	n.g.Expect(<-answer).To(gomega.Equal(http.StatusOK))
 	_, err := net.Dial("tcp", n.address)
 	n.g.Expect(err).To(gomega.HaveOccurred())
 }
 
-func TestKillCutsEverythingOff(t *testing.T) {
+func TestKillAbortsRequestsInFlight(t *testing.T) {
 	recorded := &history.Memory{}
 	n := newNetworked(t, Config{ServiceTime: ServiceTime{Mean: time.Hour}, Recorder: recorded})
 	answer := make(chan int, 1)
 	go func() { answer <- n.get(t.Context(), n.client) }()
-	n.g.Eventually(func() int { return n.Stats().InFlight }, never).Should(gomega.Equal(1))
+	n.g.Eventually(func() int { return n.Stats().InFlight }, eventuallyTimeout).Should(gomega.Equal(1))
 	n.Kill()
 	n.g.Expect(<-answer).To(gomega.BeZero())
-	n.g.Eventually(func() int { return n.Stats().InFlight }, never).Should(gomega.BeZero())
+	n.g.Eventually(func() int { return n.Stats().InFlight }, eventuallyTimeout).Should(gomega.BeZero())
 	for _, ended := range history.Select[history.RunEnded](recorded.Events()) {
 		n.g.Expect(ended.Committed).To(gomega.BeFalse())
 	}
@@ -164,8 +164,8 @@
 	boot := stats().Boot
 	n.g.Expect(post(AdminRestart, "")).To(gomega.Equal(http.StatusNoContent))
 	n.g.Expect(stats().Boot).NotTo(gomega.Equal(boot))
-	n.g.Expect(post(AdminSilence+"?direction=sideways", "")).To(gomega.Equal(http.StatusBadRequest))
-	n.g.Expect(post(AdminSilence+"?direction=both", "")).To(gomega.Equal(http.StatusNoContent))
+	n.g.Expect(post(AdminStall+"?direction=sideways", "")).To(gomega.Equal(http.StatusBadRequest))
+	n.g.Expect(post(AdminStall+"?direction=both", "")).To(gomega.Equal(http.StatusNoContent))
 	n.g.Expect(post(AdminFaults, `{"sheds": 1}`)).To(gomega.Equal(http.StatusBadRequest))
 	n.g.Expect(post(AdminFaults, `{"shedRatio": 1}`)).To(gomega.Equal(http.StatusNoContent))
 	n.g.Expect(n.get(t.Context(), n.client)).To(gomega.BeZero())
--- a/standin/server/ownership.go
+++ b/standin/server/ownership.go
@@ -7,16 +7,16 @@
 	"github.com/burdockspindle/burdockspindle/serverapi"
 )
 
-// maxControlBytes bounds a lessor's message.
+// maxControlBytes limits the size of a lessor's message.
 const maxControlBytes = 4 << 20
 
-// handleLease answers a lessor's renewal.
+// handleLease handles a lessor's renewal.
 func (s *Server) handleLease(w http.ResponseWriter, r *http.Request) {
 	var req serverapi.LeaseRequest
 	if !readControl(w, r, &req) {
 		return
 	}
-	if s.otherServerMeant(r) {
+	if s.isForOtherServer(r) {
 		s.sendControl(w, s.current().otherServer())
 		return
 	}
@@ -24,33 +24,33 @@
 	s.sendControl(w, s.current().renew(req))
 }
 
-// handleAcknowledge answers a lessor's new term.
+// handleAcknowledge handles a lessor's announcement of its new term.
 func (s *Server) handleAcknowledge(w http.ResponseWriter, r *http.Request) {
 	var req serverapi.AcknowledgeRequest
 	if !readControl(w, r, &req) {
 		return
 	}
-	if s.otherServerMeant(r) {
+	if s.isForOtherServer(r) {
 		s.sendControl(w, s.current().otherServer())
 		return
 	}
 	s.sendControl(w, s.current().acknowledge(req))
 }
 
-// otherServerMeant reports whether a call names another server, which had this
-// one's address before.
-func (s *Server) otherServerMeant(r *http.Request) bool {
-	meant := r.Header.Get(serverapi.HeaderServer)
-	return meant != "" && meant != string(s.config.ID)
+// isForOtherServer reports whether a call names another server, which previously
+// had this server's address.
+func (s *Server) isForOtherServer(r *http.Request) bool {
+	target := r.Header.Get(serverapi.HeaderServer)
+	return target != "" && target != string(s.config.ID)
 }
 
-func readControl(w http.ResponseWriter, r *http.Request, into any) bool {
+func readControl(w http.ResponseWriter, r *http.Request, target any) bool {
 	if r.Method != http.MethodPost {
 		w.WriteHeader(http.StatusMethodNotAllowed)
 		return false
 	}
 	body := http.MaxBytesReader(w, r.Body, maxControlBytes)
-	if err := json.NewDecoder(body).Decode(into); err != nil {
+	if err := json.NewDecoder(body).Decode(target); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return false
 	}
@@ -70,10 +70,10 @@
 	_ = json.NewEncoder(w).Encode(reply)
 }
 
-// load is the server's own report, or the one it was told to give.
+// load returns the server's load, or the load that fault injection sets.
 func (s *Server) load() serverapi.Load {
-	if told := s.faults.get().Load; told != nil {
-		return *told
+	if override := s.faults.get().Load; override != nil {
+		return *override
 	}
 	stats := s.Stats()
 	load := serverapi.Load{InFlight: stats.InFlight, Connections: stats.Connections, Shed: stats.Shed}
--- a/standin/server/page_test.go
+++ b/standin/server/page_test.go
@@ -13,7 +13,7 @@
 
 const page = "../../docs/SERVERS.md"
 
-// message is one block of the page: a first line, headers, and a body.
+// message is one block of the page: a first line, headers and a body.
 type message struct {
 	first  string
 	header map[string]string
@@ -32,12 +32,12 @@
 }
 
 // TestExamplesOfThePage sends the requests of docs/SERVERS.md in order, each at
-// the moment that its block names, and compares the answers.
+// the time that its block names, and compares the answers.
 func TestExamplesOfThePage(t *testing.T) {
 	g := gomega.NewWithT(t)
 	blocks, err := docblocks.Read(page)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	b := newBench(t, Config{})
+	s := newTestServer(t, Config{})
 	compared := 0
 	for i, block := range blocks {
 		if block.Kind != "http" || block.Tag == "response" {
@@ -45,10 +45,10 @@
 		}
 		moment, err := time.ParseDuration(strings.TrimPrefix(block.Tag, "request "))
 		g.Expect(err).NotTo(gomega.HaveOccurred(), "line %d", block.Line)
-		b.clock.Store(int64(moment))
+		s.clock.Store(int64(moment))
 		request, want := readMessage(block.Text), readMessage(blocks[i+1].Text)
 		method, path, _ := strings.Cut(request.first, " ")
-		got := b.call(method, path, request.header, []byte(request.body))
+		got := s.call(method, path, request.header, []byte(request.body))
 
 		g.Expect(strconv.Itoa(got.Code)).To(gomega.Equal(want.first), "line %d: %s", block.Line, got.Body)
 		for name, value := range want.header {
@@ -60,5 +60,5 @@
 		compared++
 	}
 	g.Expect(compared).To(gomega.BeNumerically(">=", 7))
-	g.Expect(b.Stats().Ran).To(gomega.Equal(uint64(1)), "the ticket ran once")
+	g.Expect(s.Stats().Ran).To(gomega.Equal(uint64(1)), "the ticket ran once")
 }
--- a/standin/server/pause_test.go
+++ b/standin/server/pause_test.go
@@ -10,32 +10,32 @@
 	"github.com/burdockspindle/burdockspindle/history"
 )
 
-// mostReadings is above the number of times that one request reads the clock.
-const mostReadings = 30
+// maxClockReadings is above the number of clock readings of one request.
+const maxClockReadings = 30
 
-// TestPausedAfterAnyReadingOfTheClock pauses the server past its lease after
-// the first, the second, ... reading of its clock while it serves a request.
-// Whatever it answers must be true: an answer stands only if the server still
-// owned the shard when it said so, "not run" only if nothing was changed, and
-// the ticket never runs again.
-func TestPausedAfterAnyReadingOfTheClock(t *testing.T) {
+// TestPauseAfterAnyClockReading pauses the server past its lease after
+// the first, the second, ... reading of its clock while it serves a request. Its
+// answer must be true in each case: it answers only if it still owned the shard
+// at the last check, it reports "not run" only if nothing was changed, and the
+// ticket never runs again.
+func TestPauseAfterAnyClockReading(t *testing.T) {
 	outcomes := map[outcome]int{}
 	changedUnknown := 0
-	for readings := range mostReadings {
+	for readings := range maxClockReadings {
 		t.Run(strconv.Itoa(readings), func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			b := newBench(t, Config{})
-			b.grant(granted(fence))
-			b.advance(ms)
-			b.pauseAfter, b.pause = readings, leaseTTL
+			s := newTestServer(t, Config{})
+			s.grant(granted(fence))
+			s.advance(ms)
+			s.pauseAfter, s.pause = readings, leaseTTL
 			o := serveOptions{ticket: newTicket(1, fence)}
-			first := outcomeOf(b.send(o))
+			first := outcomeOf(s.send(o))
 			outcomes[first]++
-			changed := b.changes()
+			changed := s.changes()
 			switch first {
 			case answered:
 				g.Expect(changed).To(gomega.Equal(1))
-				g.Expect(endedWithin(b)).To(gomega.BeTrue(), "answered after its lease")
+				g.Expect(commitsWithinOwnership(s)).To(gomega.BeTrue(), "answered after its lease")
 			case notOwner:
 				g.Expect(changed).To(gomega.BeZero())
 			case lost:
@@ -43,11 +43,11 @@
 			default:
 				t.Fatalf("answered %+v", first)
 			}
-			b.pause = 0
-			b.grant(granted(fence))
-			b.send(o)
+			s.pause = 0
+			s.grant(granted(fence))
+			s.send(o)
 			if first != notOwner {
-				g.Expect(b.changes()).To(gomega.Equal(changed), "ran again")
+				g.Expect(s.changes()).To(gomega.Equal(changed), "ran again")
 			}
 		})
 	}
@@ -56,23 +56,23 @@
 	g.Expect(changedUnknown).To(gomega.BeNumerically(">", 0), "some pause falls between check and use")
 }
 
-// changes returns how often the key was changed.
-func (b *bench) changes() int {
-	run := b.current()
-	run.mu.Lock()
-	defer run.mu.Unlock()
-	if state, exists := run.shards[shard]; exists {
+// changes returns the number of changes of the key.
+func (s *testServer) changes() int {
+	inc := s.current()
+	inc.mu.Lock()
+	defer inc.mu.Unlock()
+	if state, exists := inc.shards[shard]; exists {
 		return int(state.values["bore 7"])
 	}
 	return 0
 }
 
-// endedWithin reports whether every committed run ended in an owner interval.
-func endedWithin(b *bench) bool {
-	b.pause = 0
-	b.advance(ms)
-	b.FlushHistory()
-	events := b.recorded.Events()
+// commitsWithinOwnership reports whether every committed run ended in an owner interval.
+func commitsWithinOwnership(s *testServer) bool {
+	s.pause = 0
+	s.advance(ms)
+	s.FlushHistory()
+	events := s.recorded.Events()
 	intervals := history.Select[history.OwnerInterval](events)
 	for _, ended := range history.Select[history.RunEnded](events) {
 		within := !ended.Committed
@@ -86,7 +86,7 @@
 	return true
 }
 
-// renewing renews the lease as soon as a run has begun.
+// renewing is a recorder that renews the lease as soon as a run has begun.
 type renewing struct {
 	*history.Memory
 	renew func()
@@ -100,30 +100,30 @@
 	}
 }
 
-// TestARunIsRecordedAsOfTheCheck: the lease lapses after the server has found that it
-// owns the shard, and is renewed under the same fence before it checks again. Runs were
-// recorded as of a later reading of the clock, outside the lease, and taken for runs
-// without ownership.
-func TestARunIsRecordedAsOfTheCheck(t *testing.T) {
+// TestRunIsRecordedAtTheOwnershipCheck guards against runs that are recorded as of a later
+// reading of the clock, outside the lease, and so mistaken for runs without ownership: the
+// lease expires after the server's first ownership check, and is renewed under the same fence
+// before the next check.
+func TestRunIsRecordedAtTheOwnershipCheck(t *testing.T) {
 	committed := 0
-	for readings := range mostReadings {
+	for readings := range maxClockReadings {
 		t.Run(strconv.Itoa(readings), func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			b := newBench(t, Config{})
-			b.config.Recorder = &renewing{Memory: &b.recorded, renew: func() {
-				b.advance(ms)
-				b.grant(granted(fence))
+			s := newTestServer(t, Config{})
+			s.config.Recorder = &renewing{Memory: &s.recorded, renew: func() {
+				s.advance(ms)
+				s.grant(granted(fence))
 			}}
-			b.grant(granted(fence))
-			b.advance(ms)
-			b.pauseAfter, b.pause = readings, leaseTTL
-			if outcomeOf(b.send(serveOptions{})) == answered {
+			s.grant(granted(fence))
+			s.advance(ms)
+			s.pauseAfter, s.pause = readings, leaseTTL
+			if outcomeOf(s.send(serveOptions{})) == answered {
 				committed++
 			}
-			b.pause = 0
-			b.advance(ms)
-			b.FlushHistory()
-			g.Expect(histcheck.SoleOwner(b.recorded.Events())).To(gomega.BeEmpty())
+			s.pause = 0
+			s.advance(ms)
+			s.FlushHistory()
+			g.Expect(histcheck.SoleOwner(s.recorded.Events())).To(gomega.BeEmpty())
 		})
 	}
 	gomega.NewWithT(t).Expect(committed).To(gomega.BeNumerically(">", 0))
--- a/standin/server/reply.go
+++ b/standin/server/reply.go
@@ -15,8 +15,8 @@
 	answerType          = "application/x-standin-answer"
 )
 
-// refuse sends an answer without a run.
-func refuse(w http.ResponseWriter, r *refusal) {
+// sendRefusal sends the answer to a request that is refused.
+func sendRefusal(w http.ResponseWriter, r *refusal) {
 	w.Header().Set(serverapi.HeaderOutcome, string(r.outcome))
 	w.Header().Set(serverapi.HeaderReason, string(r.reason))
 	body := r.problem + "\n"
@@ -33,13 +33,14 @@
 	}
 }
 
-// deadlinePassed says that the deadline passed or the request was cancelled.
+// deadlinePassed returns the refusal of a request whose deadline passed or which was
+// cancelled.
 func deadlinePassed(outcome serverapi.Outcome) *refusal {
 	return &refusal{status: http.StatusGatewayTimeout, outcome: outcome, reason: serverapi.ReasonDeadline}
 }
 
-// refusalOf says what is known of a ticket that may not be run.
-func refusalOf(verdict ticket.Verdict) *refusal {
+// refusalFor returns the refusal for a verdict that does not allow a run.
+func refusalFor(verdict ticket.Verdict) *refusal {
 	unknown := &refusal{status: http.StatusConflict, outcome: serverapi.OutcomeUnknown}
 	switch verdict {
 	case ticket.Mismatch:
@@ -55,15 +56,15 @@
 }
 
 // answerTo builds the answer to a request that ran.
-func (s *Server) answerTo(run *life, req serveRequest, value uint64) Answer {
+func (s *Server) answerTo(inc *incarnation, req serveRequest, value uint64) Answer {
 	return Answer{
-		Server: s.config.ID, Boot: run.boot, Service: req.service, Key: req.key,
+		Server: s.config.ID, Boot: inc.boot, Service: req.service, Key: req.key,
 		RequestID: req.requestID, CallerRequest: req.callerRequest, Method: req.method,
 		BodyDigest: req.bodyDigest, Value: value, Size: req.size,
 	}
 }
 
-// send writes an answer, in parts as it is made.
+// send writes an answer in parts, as they are generated.
 func (s *Server) send(w http.ResponseWriter, answer Answer) {
 	head := answer.head()
 	w.Header().Set(serverapi.HeaderOutcome, string(serverapi.OutcomeAnswered))
@@ -76,9 +77,9 @@
 	_ = writeFiller(w, answer.CallerRequest, answer.Size)
 }
 
-// storable returns the form in which the record keeps an answer; nil when it is
-// too long.
-func storable(answer Answer, limit int) *ticket.Answer {
+// storedAnswer returns an answer in the form that the record of tickets stores; nil
+// when its filler exceeds limit.
+func storedAnswer(answer Answer, limit int) *ticket.Answer {
 	if answer.Size > int64(limit) {
 		return nil
 	}
--- a/standin/server/request.go
+++ b/standin/server/request.go
@@ -14,7 +14,7 @@
 
 const recordsPrefix = serverapi.PathRequest + "records/"
 
-// serveRequest is a request whose protocol headers and path were read.
+// serveRequest is a request with its parsed protocol headers and path.
 type serveRequest struct {
 	method        string
 	path          string // with query, for the ticket's fingerprint
@@ -25,14 +25,14 @@
 	shard         topo.ShardID
 	fence         topo.Fence
 	ticketText    string
-	deadline      time.Duration // time left; 0 for none given
-	progressEvery time.Duration // 0 for none wanted
-	size          int64         // filler bytes wanted in the answer
+	deadline      time.Duration // remaining time; 0 for no deadline
+	progressEvery time.Duration // 0 for no progress reports
+	size          int64         // requested filler bytes of the answer
 	put           uint64        // value that PUT sets
-	bodyDigest    string        // filled in once the body was read
+	bodyDigest    string        // set after the body was read
 }
 
-// refusal is an answer without a run.
+// refusal is the answer to a request that is refused.
 type refusal struct {
 	status  int
 	outcome serverapi.Outcome
@@ -47,7 +47,7 @@
 	}
 }
 
-// parseRequest reads the protocol headers and the path.
+// parseRequest parses the protocol headers and the path.
 func (s *Server) parseRequest(r *http.Request) (serveRequest, *refusal) {
 	req := serveRequest{
 		method:        r.Method,
@@ -60,7 +60,7 @@
 	if req.requestID == "" {
 		return req, badRequest("request ID missing")
 	}
-	if s.otherServerMeant(r) {
+	if s.isForOtherServer(r) {
 		return req, &refusal{
 			status: http.StatusMisdirectedRequest, outcome: serverapi.OutcomeNotRun,
 			reason: serverapi.ReasonNotOwner, problem: "another server's request",
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// parseNumbers reads the headers and query parameters that are numbers.
+// parseNumbers parses the numeric headers and query parameters.
 func (req *serveRequest) parseNumbers(r *http.Request) *refusal {
 	query := r.URL.Query()
 	var deadlineMs, progressMs, put int64
@@ -144,8 +144,8 @@
 	return nil
 }
 
-// applyTo changes the key's value as the method says and returns it: POST adds
-// 1 (not idempotent), PUT sets it, others read it.
+// applyTo applies the method to the key's value and returns the value: POST adds 1
+// (not idempotent), PUT sets it, and other methods read it.
 func (req *serveRequest) applyTo(values map[string]uint64) uint64 {
 	switch req.method {
 	case http.MethodPost:
--- a/standin/server/serve.go
+++ b/standin/server/serve.go
@@ -13,28 +13,28 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// serve answers one request of a caller.
+// serve handles one request of a caller.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
-	run := s.current()
+	inc := s.current()
 	s.counters.update(func(c *Stats) { c.Requests++ })
 	req, refused := s.parseRequest(r)
 	s.echoRequestID(w, req.requestID)
 	if refused != nil {
-		refuse(w, refused)
+		sendRefusal(w, refused)
 		return
 	}
 	if refused := s.admit(); refused != nil {
-		refuse(w, refused)
+		sendRefusal(w, refused)
 		return
 	}
-	defer s.counters.leave()
+	defer s.counters.release()
 	ctx := r.Context()
 	if req.deadline > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, req.deadline)
 		defer cancel()
 	}
-	s.serveAdmitted(&job{ctx: ctx, run: run, w: w, req: req}, r.Body)
+	s.serveAdmitted(&job{ctx: ctx, inc: inc, w: w, req: req}, r.Body)
 }
 
 func (s *Server) echoRequestID(w http.ResponseWriter, requestID string) {
@@ -44,7 +44,8 @@
 	w.Header().Set(serverapi.HeaderRequestID, requestID)
 }
 
-// admit applies the concurrency limit and what sheds on purpose.
+// admit applies draining, injected shedding and the concurrency limit. It returns nil
+// when the request is admitted.
 func (s *Server) admit() *refusal {
 	refused := &refusal{status: http.StatusServiceUnavailable, outcome: serverapi.OutcomeNotRun}
 	if s.draining.Load() && !s.config.Keyed {
@@ -62,76 +63,78 @@
 	return nil
 }
 
-// checksOwnership reports whether this server refuses shards it does not own.
+// checksOwnership reports whether the server refuses requests for shards that it does
+// not own.
 func (s *Server) checksOwnership() bool {
 	return s.config.Keyed && s.config.ChecksFencing && !s.faults.get().IgnoreFences
 }
 
-// job is one admitted request on its way through the steps.
+// job is the processing state of one admitted request.
 type job struct {
 	ctx    context.Context
-	run    *life
+	inc    *incarnation
 	w      http.ResponseWriter
 	req    serveRequest
 	claim  lease.RunID
-	owned  history.Time   // when the server was first found to be the owner; 0 if it does not check
+	owned  history.Time   // time of the first ownership check; 0 if the server does not check
 	ticket *ticket.Ticket // nil without one
 }
 
-// serveAdmitted goes through the steps in the order that docs/SERVERS.md asks
-// for: ownership, body, ownership again, ticket, run, ownership again, answer.
+// serveAdmitted processes a request in the order that docs/SERVERS.md requires:
+// ownership, body, ownership again, ticket, run, ownership again, answer.
 func (s *Server) serveAdmitted(j *job, body io.Reader) {
 	checks := s.checksOwnership()
 	if checks {
 		var err error
-		if j.claim, j.owned, err = j.run.begin(j.req); err != nil {
+		if j.claim, j.owned, err = j.inc.begin(j.req); err != nil {
 			s.refuseNotOwner(j.w, err)
 			return
 		}
-		defer j.run.end(j.claim)
+		defer j.inc.end(j.claim)
 	}
 	digest, err := digestBody(body)
 	if err != nil {
-		refuse(j.w, badRequest("body not whole"))
+		sendRefusal(j.w, badRequest("body not whole"))
 		return
 	}
 	j.req.bodyDigest = digest
 	if checks {
-		if _, err := j.run.recheck(j.claim); err != nil {
+		if _, err := j.inc.recheck(j.claim); err != nil {
 			s.refuseNotOwner(j.w, err)
 			return
 		}
 	}
 	if j.ctx.Err() != nil {
-		refuse(j.w, deadlinePassed(serverapi.OutcomeNotRun))
+		sendRefusal(j.w, deadlinePassed(serverapi.OutcomeNotRun))
 		return
 	}
-	// A pause here is the case that the checks after the run are for.
+	// The ownership checks after the run detect a pause at this point.
 	s.gate.pass()
 	s.serveTicket(j)
 }
 
 func (s *Server) refuseNotOwner(w http.ResponseWriter, err error) {
 	s.counters.update(func(c *Stats) { c.NotOwner++ })
-	refuse(w, &refusal{
+	sendRefusal(w, &refusal{
 		status: http.StatusMisdirectedRequest, outcome: serverapi.OutcomeNotRun,
 		reason: serverapi.ReasonNotOwner, problem: err.Error(),
 	})
 }
 
-// serveTicket consults the record if the request carries a ticket, and runs it.
+// serveTicket runs a request. If the request carries a ticket, the record of tickets
+// decides whether it is run, replayed or refused.
 func (s *Server) serveTicket(j *job) {
-	keeps := s.config.Keyed && s.config.ChecksFencing && !s.faults.get().IgnoreTickets
-	if j.req.ticketText == "" || !keeps {
+	keepsTickets := s.config.Keyed && s.config.ChecksFencing && !s.faults.get().IgnoreTickets
+	if j.req.ticketText == "" || !keepsTickets {
 		s.runAndAnswer(j)
 		return
 	}
 	parsed, err := ticket.Parse(j.req.ticketText)
 	if err != nil {
-		refuse(j.w, badTicket(err.Error()))
+		sendRefusal(j.w, badTicket(err.Error()))
 		return
 	}
-	verdict, stored := j.run.tickets.Begin(ticketRequest(j.req, parsed), ticket.FenceScope(j.req.fence), s.wall())
+	verdict, stored := j.inc.tickets.Begin(ticketRequest(j.req, parsed), ticket.FenceScope(j.req.fence), s.wallTime())
 	switch verdict {
 	case ticket.Run:
 		j.ticket = &parsed
@@ -140,7 +143,7 @@
 		s.counters.update(func(c *Stats) { c.Replayed++ })
 		replay(j.w, stored)
 	default:
-		refuse(j.w, refusalOf(verdict))
+		sendRefusal(j.w, refusalFor(verdict))
 	}
 }
 
@@ -152,90 +155,90 @@
 	}
 }
 
-// wall returns the shared clock's time in the form that the record wants.
-func (s *Server) wall() time.Time { return time.Unix(0, int64(s.config.Clock())) }
+// wallTime returns the shared clock's time as a time.Time for the record of tickets.
+func (s *Server) wallTime() time.Time { return time.Unix(0, int64(s.config.Clock())) }
 
-// effect is what a run did.
-type effect struct {
+// runResult is the result of a run.
+type runResult struct {
 	value uint64
 	// committed is true when the server was the owner throughout, and at is the
-	// moment at which that was found.
+	// time of the check that established it.
 	committed bool
 	at        history.Time
 }
 
 // runAndAnswer runs a request and answers it.
 func (s *Server) runAndAnswer(j *job) {
-	s.recordBegan(j)
-	done := s.takeEffect(j)
-	s.recordEnded(j.run, j.req, done)
+	s.recordRunBegan(j)
+	done := s.execute(j)
+	s.recordRunEnded(j.inc, j.req, done)
 	if !done.committed {
 		s.answerUncommitted(j)
 		return
 	}
-	answer := s.answerTo(j.run, j.req, done.value)
+	answer := s.answerTo(j.inc, j.req, done.value)
 	if j.ticket != nil {
-		j.run.tickets.Finish(*j.ticket, storable(answer, s.config.Tickets.AnswerSize), s.wall())
+		j.inc.tickets.Finish(*j.ticket, storedAnswer(answer, s.config.Tickets.AnswerSize), s.wallTime())
 	}
-	if s.faults.lose() {
+	if s.faults.dropAnswer() {
 		s.counters.update(func(c *Stats) { c.LostReply++ })
 		panic(http.ErrAbortHandler) // net/http closes the connection
 	}
 	s.send(j.w, answer)
 }
 
-// answerUncommitted answers a request whose run does not stand.
+// answerUncommitted answers a request whose run was not committed.
 func (s *Server) answerUncommitted(j *job) {
 	if j.ticket != nil {
-		j.run.tickets.Finish(*j.ticket, nil, s.wall())
+		j.inc.tickets.Finish(*j.ticket, nil, s.wallTime())
 	}
 	s.counters.update(func(c *Stats) { c.Lost++ })
 	if j.ctx.Err() != nil && j.ticket == nil {
-		refuse(j.w, deadlinePassed(serverapi.OutcomeUnknown))
+		sendRefusal(j.w, deadlinePassed(serverapi.OutcomeUnknown))
 		return
 	}
-	refuse(j.w, &refusal{
+	sendRefusal(j.w, &refusal{
 		status: http.StatusConflict, outcome: serverapi.OutcomeUnknown, reason: serverapi.ReasonOwnershipLost,
 	})
 }
 
-// takeEffect takes the service time, applies the request, and checks that the
+// execute waits for the service time, applies the request, and checks that the
 // server was the owner throughout.
-func (s *Server) takeEffect(j *job) effect {
-	done := effect{at: s.config.Clock()}
-	if !s.work(j) {
+func (s *Server) execute(j *job) runResult {
+	done := runResult{at: s.config.Clock()}
+	if !s.waitServiceTime(j) {
 		return done
 	}
 	checks := s.checksOwnership()
 	if checks {
-		if _, err := j.run.recheck(j.claim); err != nil {
+		if _, err := j.inc.recheck(j.claim); err != nil {
 			return done
 		}
 	}
 	s.gate.pass()
 	var alive bool
-	if done.value, alive = j.run.change(j.req); !alive {
+	if done.value, alive = j.inc.change(j.req); !alive {
 		return done
 	}
 	done.at, done.committed = s.config.Clock(), true
 	if checks {
 		var err error
-		done.at, err = j.run.recheck(j.claim)
+		done.at, err = j.inc.recheck(j.claim)
 		done.committed = err == nil
 	}
 	return done
 }
 
-// work lets the service time pass and tells the sender of its progress. It
-// returns false when the request was cancelled or the run of the server ended.
-func (s *Server) work(j *job) bool {
+// waitServiceTime waits for the service time and reports progress to the sender. It
+// returns false when the request was cancelled or the incarnation ended.
+func (s *Server) waitServiceTime(j *job) bool {
 	ctx := j.ctx
 	if j.ticket != nil {
-		// What runs at most once is run to its end, so that the answer is there
-		// for whoever asks again.
+		// A request with a ticket runs at most once, so it runs to its end even when it is
+		// cancelled: later attempts then receive its answer.
 		ctx = context.WithoutCancel(ctx)
 	}
-	age := s.config.Clock().Sub(j.run.started)
+	age := s.config.Clock().Sub(j.inc.started)
 	done := time.NewTimer(s.faults.serviceTime(s.config.ServiceTime, s.config.ColdStart, age))
 	defer done.Stop()
 	var progress <-chan time.Time
@@ -248,39 +251,39 @@
 		select {
 		case <-done.C:
 			s.gate.pass()
-			return ctx.Err() == nil && j.run.ctx.Err() == nil
+			return ctx.Err() == nil && j.inc.ctx.Err() == nil
 		case <-progress:
 			j.w.WriteHeader(http.StatusProcessing)
 		case <-ctx.Done():
 			return false
-		case <-j.run.ctx.Done():
+		case <-j.inc.ctx.Done():
 			return false
 		}
 	}
 }
 
-// recordBegan records a run as of the moment at which the server was found to be the
-// owner: until it is recorded the lease may lapse, and be renewed.
-func (s *Server) recordBegan(j *job) {
+// recordRunBegan records the start of a run as of the first ownership check, because the
+// lease may expire and be renewed between the check and the recording.
+func (s *Server) recordRunBegan(j *job) {
 	s.counters.update(func(c *Stats) { c.Ran++ })
 	req, at := j.req, j.owned
 	if !s.checksOwnership() {
 		at = s.config.Clock()
 	}
 	s.config.Recorder.Record(history.RunBegan{
-		At: at, Server: s.config.ID, Boot: j.run.boot,
+		At: at, Server: s.config.ID, Boot: j.inc.boot,
 		RequestID: req.requestID, CallerRequest: req.callerRequest,
 		Service: req.service, Shard: req.shard, Fence: req.fence, Key: req.key,
 		Method: req.method, Ticket: req.ticketText,
 	})
 }
 
-func (s *Server) recordEnded(run *life, req serveRequest, done effect) {
+func (s *Server) recordRunEnded(inc *incarnation, req serveRequest, done runResult) {
 	if done.committed {
 		s.counters.update(func(c *Stats) { c.Committed++ })
 	}
 	s.config.Recorder.Record(history.RunEnded{
-		At: done.at, Server: s.config.ID, Boot: run.boot, RequestID: req.requestID,
+		At: done.at, Server: s.config.ID, Boot: inc.boot, RequestID: req.requestID,
 		Committed: done.committed, Value: done.value, BodyDigest: req.bodyDigest,
 	})
 }
--- a/standin/server/server.go
+++ b/standin/server/server.go
@@ -13,35 +13,35 @@
 	"github.com/burdockspindle/burdockspindle/serverapi"
 )
 
-// Server is a stand-in backend server. Its methods may be called concurrently.
+// Server is a stand-in backend server. It is safe for concurrent use.
 type Server struct {
 	config   Config
 	gate     gate
-	faults   *faultBox
+	faults   *faultState
 	counters counters
 	draining atomic.Bool
 
-	mu       sync.Mutex
-	life     *life
-	listener *listener
-	http     *http.Server
-	served   chan struct{} // closed when http.Serve returned
+	mu          sync.Mutex
+	incarnation *incarnation
+	listener    *listener
+	http        *http.Server
+	served      chan struct{} // closed after http.Serve has returned
 }
 
 // New returns a server that does not listen yet.
 func New(config Config) *Server {
 	config = config.withDefaults()
-	s := &Server{config: config, faults: newFaultBox(config.Seed)}
+	s := &Server{config: config, faults: newFaultState(config.Seed)}
 	s.counters.limit = config.Concurrency
-	s.life = newLife(s)
+	s.incarnation = newIncarnation(s)
 	return s
 }
 
-// current returns the present run of the server.
-func (s *Server) current() *life {
+// current returns the current incarnation of the server.
+func (s *Server) current() *incarnation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.life
+	return s.incarnation
 }
 
 // ServeHTTP implements http.Handler.
@@ -60,7 +60,8 @@
 }
 
 // Listen opens a TCP listener at host:port and serves in the background. It
-// returns the address, which tells the port if none was given.
+// returns the actual address, which includes the port that the system chose for
+// port 0.
 func (s *Server) Listen(address string) (string, error) {
 	inner, err := net.Listen("tcp", address)
 	if err != nil {
@@ -77,7 +78,7 @@
 	served := make(chan struct{})
 	s.mu.Lock()
 	s.listener, s.http, s.served = counted, server, served
-	boot := s.life.boot
+	boot := s.incarnation.boot
 	s.mu.Unlock()
 	eventStarted.Log(s.config.Logger, "server", s.config.ID, "boot", boot, "address", inner.Addr().String())
 	go func() {
@@ -100,15 +101,15 @@
 		}
 		<-served
 	}
-	s.current().die()
+	s.current().terminate()
 	eventStopped.Log(s.config.Logger, "server", s.config.ID)
 	return err
 }
 
-// Kill ends the server at once, as the loss of its VM would: connections are
-// reset and nothing in flight takes effect any more.
+// Kill ends the server immediately, as the loss of its VM would: connections are
+// reset, and requests in flight no longer take effect.
 func (s *Server) Kill() {
-	s.current().die()
+	s.current().terminate()
 	s.gate.open()
 	s.mu.Lock()
 	server, served := s.http, s.served
@@ -121,15 +122,15 @@
 	eventKilled.Log(s.config.Logger, "server", s.config.ID)
 }
 
-// Restart ends the present run at once and starts another, empty, at the same
-// address.
+// Restart ends the current incarnation immediately and starts an empty one at the
+// same address.
 func (s *Server) Restart() {
-	s.current().die()
+	s.current().terminate()
 	s.gate.open()
 	s.resetConnections()
 	s.mu.Lock()
-	s.life = newLife(s)
-	boot := s.life.boot
+	s.incarnation = newIncarnation(s)
+	boot := s.incarnation.boot
 	s.mu.Unlock()
 	s.Drain(false)
 	eventRestarted.Log(s.config.Logger, "server", s.config.ID, "boot", boot)
@@ -140,27 +141,27 @@
 	counted := s.listener
 	s.mu.Unlock()
 	if counted != nil {
-		counted.each((*faultConn).reset)
+		counted.forEach((*faultConn).reset)
 	}
 }
 
-// Freeze stops everything, the reading of the clock included, until Unfreeze;
-// work that is under way then goes on as if no time had passed.
+// Freeze blocks all work, including the reading of the clock, until Unfreeze; work
+// in flight then continues as if no time had passed.
 func (s *Server) Freeze() {
 	if s.gate.close() {
 		eventFrozen.Log(s.config.Logger, "server", s.config.ID)
 	}
 }
 
-// Unfreeze lets a frozen server go on.
+// Unfreeze resumes a frozen server.
 func (s *Server) Unfreeze() {
 	if s.gate.open() {
 		eventUnfrozen.Log(s.config.Logger, "server", s.config.ID)
 	}
 }
 
-// Silence makes the connections that are open now silent for good. New ones
-// work.
+// Silence stalls the currently open connections permanently. New connections are not
+// affected.
 func (s *Server) Silence(direction Direction) {
 	s.mu.Lock()
 	counted := s.listener
@@ -168,38 +169,38 @@
 	if counted == nil {
 		return
 	}
-	counted.each(func(conn *faultConn) {
+	counted.forEach(func(conn *faultConn) {
 		if direction != DirectionOut {
-			conn.silentIn.Store(true)
+			conn.stalledIn.Store(true)
 		}
 		if direction != DirectionIn {
-			conn.silentOut.Store(true)
+			conn.stalledOut.Store(true)
 		}
 	})
-	eventSilenced.Log(s.config.Logger, "server", s.config.ID, "direction", direction)
+	eventStalled.Log(s.config.Logger, "server", s.config.ID, "direction", direction)
 }
 
-// SetFaults replaces the standing misbehaviours.
+// SetFaults replaces the injected faults.
 func (s *Server) SetFaults(faults Faults) {
 	s.faults.set(faults)
 	eventFaults.Log(s.config.Logger, "server", s.config.ID, "faults", faults)
 }
 
-// Drain tells the lessor, with the next reply, that the server wants to leave
-// or that it does not any more.
+// Drain sets whether the server is draining, which the next reply reports to the
+// lessor.
 func (s *Server) Drain(draining bool) {
 	s.draining.Store(draining)
-	run := s.current()
-	run.mu.Lock()
-	run.holder.SetDraining(draining)
-	run.mu.Unlock()
+	inc := s.current()
+	inc.mu.Lock()
+	inc.holder.SetDraining(draining)
+	inc.mu.Unlock()
 }
 
-// FlushHistory records the owner intervals that are still open up to now. It
-// must be called before a history is judged.
-func (s *Server) FlushHistory() { s.current().flush() }
+// FlushHistory records the open owner intervals up to now. It must be called before a
+// history is checked.
+func (s *Server) FlushHistory() { s.current().flushIntervals() }
 
-// ListenError reports an address that cannot be listened on.
+// ListenError reports that listening on an address failed.
 type ListenError struct {
 	Address string
 	Cause   error
--- a/standin/server/stats.go
+++ b/standin/server/stats.go
@@ -2,23 +2,23 @@
 
 import "sync"
 
-// Stats is what a server counted over all its runs.
+// Stats holds a server's counters over all its incarnations.
 type Stats struct {
-	Requests  uint64 // that reached the server
-	Ran       uint64 // that were begun
-	Committed uint64 // whose answer stood
-	Replayed  uint64 // answered from the record of tickets
-	NotOwner  uint64 // refused for lack of ownership
-	Lost      uint64 // whose ownership ended while they ran
-	LostReply uint64 // whose answer was dropped on purpose
-	Shed      uint64 // refused by the concurrency limit or on purpose
-	// InFlight and PeakInFlight count the requests admitted under the
-	// concurrency limit; OverLimit those that came while it was reached.
+	Requests  uint64 // received requests
+	Ran       uint64 // runs that began
+	Committed uint64 // runs that were committed
+	Replayed  uint64 // requests answered from the record of tickets
+	NotOwner  uint64 // requests refused for lack of ownership
+	Lost      uint64 // runs that were not committed, for example because ownership ended meanwhile
+	LostReply uint64 // answers dropped by fault injection
+	Shed      uint64 // requests refused by the concurrency limit or by fault injection
+	// InFlight and PeakInFlight count the requests admitted under the concurrency
+	// limit; OverLimit counts the requests that arrived while it was reached.
 	InFlight     int
 	PeakInFlight int
 	OverLimit    uint64
-	// Connections and PeakConnections count those open under the connection
-	// limit; RefusedConnections those that came while it was reached.
+	// Connections and PeakConnections count the connections open under the connection
+	// limit; RefusedConnections counts those that arrived while it was reached.
 	Connections        int
 	PeakConnections    int
 	RefusedConnections uint64
@@ -36,14 +36,14 @@
 	limit int // concurrency limit; 0 for none
 }
 
-// update changes the counters.
+// update applies change to the counters under the lock.
 func (c *counters) update(change func(*Stats)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	change(&c.stats)
 }
 
-// admit takes a place under the concurrency limit; false when there is none.
+// admit takes a slot under the concurrency limit and reports whether one was free.
 func (c *counters) admit() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,11 +57,11 @@
 	return true
 }
 
-// leave gives the place back.
-func (c *counters) leave() { c.update(func(s *Stats) { s.InFlight-- }) }
+// release releases the slot.
+func (c *counters) release() { c.update(func(s *Stats) { s.InFlight-- }) }
 
-// read returns a copy.
-func (c *counters) read() Stats {
+// snapshot returns a copy of the counters.
+func (c *counters) snapshot() Stats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.stats
--- a/standin/vms/serve.go
+++ b/standin/vms/serve.go
@@ -21,9 +21,9 @@
 	PathVMs    = "/vms"    // GET the list; PUT a list's rows to add or replace them
 	PathVM     = "/vms/"   // DELETE /vms/ID; PUT /vms/ID/PHASE
 	PathFaults = "/faults" // PUT Faults
-	// PathMislead takes PUT of a list with at most one row, which is shown in place
+	// PathOverride takes PUT of a list with at most one row, which is shown in place
 	// of the actual state of the ID, and DELETE to show the actual state again.
-	PathMislead = "/mislead/"
+	PathOverride = "/mislead/"
 )
 
 const readHeaderTimeout = 5 * time.Second
@@ -37,8 +37,8 @@
 	mux.HandleFunc("PUT "+PathVM+"{id}/{phase}", p.servePhase)
 	mux.HandleFunc("DELETE "+PathVM+"{id}", p.serveRemove)
 	mux.HandleFunc("PUT "+PathFaults, p.serveFaults)
-	mux.HandleFunc("PUT "+PathMislead+"{id}", p.serveOverride)
-	mux.HandleFunc("DELETE "+PathMislead+"{id}", p.serveClearOverride)
+	mux.HandleFunc("PUT "+PathOverride+"{id}", p.serveOverride)
+	mux.HandleFunc("DELETE "+PathOverride+"{id}", p.serveClearOverride)
 	return mux
 }
 
--- a/standin/vms/vms_test.go
+++ b/standin/vms/vms_test.go
@@ -75,11 +75,11 @@
 	g.Expect(shown()).To(gomega.ConsistOf(vm(vmlist.PhaseLive)))
 	g.Expect(ask("PUT", vms.PathVM+"a/leaving", "")).To(gomega.Equal(http.StatusNoContent))
 	g.Expect(shown()).To(gomega.ConsistOf(vm(vmlist.PhaseLeaving)))
-	g.Expect(ask("PUT", vms.PathMislead+"a", row)).To(gomega.Equal(http.StatusNoContent))
+	g.Expect(ask("PUT", vms.PathOverride+"a", row)).To(gomega.Equal(http.StatusNoContent))
 	g.Expect(shown()).To(gomega.ConsistOf(vm(vmlist.PhaseLive)))
-	g.Expect(ask("PUT", vms.PathMislead+"a", `{"vms":[]}`)).To(gomega.Equal(http.StatusNoContent))
+	g.Expect(ask("PUT", vms.PathOverride+"a", `{"vms":[]}`)).To(gomega.Equal(http.StatusNoContent))
 	g.Expect(shown()).To(gomega.BeEmpty())
-	g.Expect(ask("DELETE", vms.PathMislead+"a", "")).To(gomega.Equal(http.StatusNoContent))
+	g.Expect(ask("DELETE", vms.PathOverride+"a", "")).To(gomega.Equal(http.StatusNoContent))
 	g.Expect(shown()).To(gomega.HaveLen(1))
 	g.Expect(ask("PUT", vms.PathFaults, `{"outage":true}`)).To(gomega.Equal(http.StatusNoContent))
 	g.Expect(ask("GET", vms.PathVMs, "")).To(gomega.Equal(http.StatusServiceUnavailable))
@@ -88,10 +88,10 @@
 	g.Expect(shown()).To(gomega.BeEmpty())
 
 	for path, body := range map[string]string{
-		vms.PathVMs:           `{"vms":[{"id":"a"}]}`,
-		vms.PathVM + "a/late": ``,
-		vms.PathFaults:        `{"outrage":true}`,
-		vms.PathMislead + "a": `no list`,
+		vms.PathVMs:            `{"vms":[{"id":"a"}]}`,
+		vms.PathVM + "a/late":  ``,
+		vms.PathFaults:         `{"outrage":true}`,
+		vms.PathOverride + "a": `no list`,
 	} {
 		g.Expect(ask("PUT", path, body)).To(gomega.Equal(http.StatusBadRequest), path)
 	}
