--- a/standin/server/admin.go
+++ b/standin/server/admin.go
@@ -23,8 +23,8 @@
 )
 
 // AdminHandler returns the handler of the administration. recorded is the
-// server's recorder, which AdminHistory returns; nil when the history is not kept
-// in memory.
+// server's recorder, whose events AdminHistory returns; nil when the history is
+// not kept in memory.
 func (s *Server) AdminHandler(recorded *history.Memory) http.Handler {
 	mux := http.NewServeMux()
 	handlePost := func(path string, action func(*http.Request) error) {
--- a/standin/server/incarnation.go
+++ b/standin/server/incarnation.go
@@ -112,7 +112,7 @@
 	return run, inc.sharedTime(now), err
 }
 
-// recheck checks that the server has owned the shard since the run began. It
+// recheck checks that the ownership under which the run began still holds. It
 // returns the shared time of the check.
 func (inc *incarnation) recheck(run lease.RunID) (history.Time, error) {
 	now := inc.lockNow()
