--- a/modules/router/answer.go
+++ b/modules/router/answer.go
@@ -11,9 +11,9 @@
 	"github.com/burdockspindle/burdockspindle/outcome"
 )
 
-// firstPartBytes is how much of an answer is read before anything is told to
+// readAheadBytes is how much of an answer is read before anything is told to
 // the caller: an answer no longer than that is passed on whole or not at all.
-const firstPartBytes = 32 << 10
+const readAheadBytes = 32 << 10
 
 // refusal is the answer that this node gives itself.
 func refusal(v outcome.Verdict) *exchange.Answer {
@@ -33,7 +33,7 @@
 	rest   io.ReadCloser
 	ended  error // of rest, once known
 	length int64 // declared; -1 for none
-	passed int64
+	copied int64
 
 	once sync.Once
 	done func(whole bool)
@@ -88,10 +88,10 @@
 // firstSize leaves room for one byte more than is declared, so that the end is
 // seen.
 func (b *answerBody) firstSize() int64 {
-	if b.length >= 0 && b.length < firstPartBytes {
+	if b.length >= 0 && b.length < readAheadBytes {
 		return b.length + 1
 	}
-	return firstPartBytes
+	return readAheadBytes
 }
 
 // Read implements io.Reader.
@@ -99,27 +99,27 @@
 	if len(b.first) > 0 {
 		count := copy(p, b.first)
 		b.first = b.first[count:]
-		b.passed += int64(count)
+		b.copied += int64(count)
 		return count, nil
 	}
 	if b.ended != nil {
 		return 0, b.end()
 	}
 	count, err := b.rest.Read(p)
-	b.passed += int64(count)
-	b.ended = b.judge(err)
+	b.copied += int64(count)
+	b.ended = b.checkEnd(err)
 	if b.ended != nil {
 		return count, b.end()
 	}
 	return count, nil
 }
 
-// judge returns how the body ended, nil if it has not.
-func (b *answerBody) judge(err error) error {
-	tooLong := b.length >= 0 && b.passed > b.length
+// checkEnd returns how the body ended, nil if it has not.
+func (b *answerBody) checkEnd(err error) error {
+	tooLong := b.length >= 0 && b.copied > b.length
 	if tooLong || errors.Is(err, io.EOF) {
-		if wrong := b.checkLength(b.passed); wrong != nil {
-			return wrong
+		if mismatch := b.checkLength(b.copied); mismatch != nil {
+			return mismatch
 		}
 	}
 	return err
@@ -144,7 +144,7 @@
 // that was declared has been passed on.
 func (b *answerBody) Close() error {
 	err := b.rest.Close()
-	b.finish(errors.Is(b.ended, io.EOF) || b.length >= 0 && b.passed == b.length)
+	b.finish(errors.Is(b.ended, io.EOF) || b.length >= 0 && b.copied == b.length)
 	return err
 }
 
--- a/modules/router/budgets.go
+++ b/modules/router/budgets.go
@@ -8,9 +8,9 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// retriesAlways is how many retries a service may have in each window of its
+// minRetriesPerWindow is how many retries a service may have in each window of its
 // budget however few its requests are.
-const retriesAlways = 3
+const minRetriesPerWindow = 3
 
 // budgets holds the retry budget of each service.
 type budgets struct {
@@ -39,7 +39,7 @@
 func (b *budgets) of(service topo.Service) *retry.Budget {
 	found, exists := b.byService[service]
 	if !exists {
-		found = retry.NewBudget(b.ratio, retriesAlways)
+		found = retry.NewBudget(b.ratio, minRetriesPerWindow)
 		b.byService[service] = found
 	}
 	return found
--- a/modules/router/past_test.go
+++ b/modules/router/bypass_test.go
@@ -23,10 +23,10 @@
 	groupB = topo.GroupID("zone-b/0")
 )
 
-// TestOnlyTheUnreachableLessorIsPassedBy: a request that went past one lessor
+// TestOnlyUnreachableLessorIsBypassed: a request that went past one lessor
 // goes through the next owner's lessor, which can be reached and alone counts
 // that server's requests.
-func TestOnlyTheUnreachableLessorIsPassedBy(t *testing.T) {
+func TestOnlyUnreachableLessorIsBypassed(t *testing.T) {
 	paired(t, 1, both(), func(p *pair) {
 		var through atomic.Int64
 		other := p.Start(p.t, "lessor-b")
@@ -48,9 +48,9 @@
 	})
 }
 
-// TestManyNodesPassALessorWithinTheLimit: far more entry nodes than the server
+// TestManyNodesBypassLessorWithinLimit: far more entry nodes than the server
 // has places lose the lessor at once, and all have requests for the server.
-func TestManyNodesPassALessorWithinTheLimit(t *testing.T) {
+func TestManyNodesBypassLessorWithinLimit(t *testing.T) {
 	const nodes, limit = 24, 4
 	limited := rt.Keyed()
 	limited.ConcurrencyPerServer = limit
@@ -78,9 +78,9 @@
 // keptConnections bounds the connections to lost nodes that a node may have kept.
 const keptConnections = 20
 
-// TestALostDeputyIsReplaced: deputies that cannot be reached either are left out,
+// TestLostDeputyIsReplaced: deputies that cannot be reached either are left out,
 // and only they may send: without any, nothing reaches the server.
-func TestALostDeputyIsReplaced(t *testing.T) {
+func TestLostDeputyIsReplaced(t *testing.T) {
 	limited := rt.Keyed()
 	limited.ConcurrencyPerServer = 4
 	paired(t, 12, []*siteconfig.Service{limited, rt.Unkeyed()}, func(p *pair) {
@@ -120,9 +120,9 @@
 	})
 }
 
-// TestOnlyADeputyTakesARequestPastALessor: a node that is no deputy by its own
+// TestOnlyDeputyBypassesLessor: a node that is no deputy by its own
 // view refuses, and never passes the request on.
-func TestOnlyADeputyTakesARequestPastALessor(t *testing.T) {
+func TestOnlyDeputyBypassesLessor(t *testing.T) {
 	limited := rt.Keyed()
 	limited.ConcurrencyPerServer = 1
 	paired(t, 3, []*siteconfig.Service{limited, rt.Unkeyed()}, func(p *pair) {
--- a/modules/router/check_test.go
+++ b/modules/router/check_test.go
@@ -42,9 +42,9 @@
 	return wrong
 }
 
-// TestCheckersCatchPlantedFaults: a resend of a request that is not idempotent,
+// TestCheckersDetectInjectedFaults: a resend of a request that is not idempotent,
 // and an answer spliced together from two.
-func TestCheckersCatchPlantedFaults(t *testing.T) {
+func TestCheckersDetectInjectedFaults(t *testing.T) {
 	g := gomega.NewWithT(t)
 	driver := rt.NewDriver()
 	driver.Set("s1", rt.Lost)
--- a/modules/router/choose.go
+++ b/modules/router/choose.go
@@ -21,20 +21,20 @@
 // serverIndex lists the live servers of each service. It is made anew when the
 // view's servers have changed, which is rare beside other records.
 type serverIndex struct {
-	current atomic.Pointer[indexed]
+	current atomic.Pointer[indexedServers]
 }
 
-type indexed struct {
+type indexedServers struct {
 	source    uintptr // identity of the map that was indexed
 	byService map[topo.Service][]state.Server
 }
 
-func (x *serverIndex) live(view *state.View, service topo.Service) []state.Server {
+func (x *serverIndex) liveServers(view *state.View, service topo.Service) []state.Server {
 	servers := view.Servers()
 	source := reflect.ValueOf(servers).Pointer()
 	known := x.current.Load()
 	if known == nil || known.source != source {
-		known = &indexed{source: source, byService: map[topo.Service][]state.Server{}}
+		known = &indexedServers{source: source, byService: map[topo.Service][]state.Server{}}
 		for _, server := range servers {
 			if server.Phase == state.PhaseLive {
 				known.byService[server.Service] = append(known.byService[server.Service], server)
@@ -46,28 +46,28 @@
 }
 
 // choose picks a server of a service that is not divided by key.
-func (r *run) choose(view *state.View) (route.Decision, *outcome.Verdict) {
-	ways := r.ways(view)
-	if len(ways) == 0 {
-		return r.noWay(view)
+func (r *requestState) choose(view *state.View) (route.Decision, *outcome.Verdict) {
+	routes := r.candidateRoutes(view)
+	if len(routes) == 0 {
+		return r.noRoute(view)
 	}
-	candidates := make([]pick.Candidate, len(ways))
-	for i, d := range ways {
+	candidates := make([]pick.Candidate, len(routes))
+	for i, d := range routes {
 		candidates[i] = r.candidate(view, d)
 	}
 	chosen, found := r.m.picker.Pick(candidates, rand.Float64)
 	if !found {
 		return route.Decision{}, refuse(callerapi.ReasonNoServer)
 	}
-	if hinted := slices.IndexFunc(ways, r.isHint); hinted >= 0 && candidates[hinted].Load <= candidates[chosen].Load {
-		chosen = hinted
+	if preferred := slices.IndexFunc(routes, r.isPreferred); preferred >= 0 && candidates[preferred].Load <= candidates[chosen].Load {
+		chosen = preferred
 	}
-	return ways[chosen], nil
+	return routes[chosen], nil
 }
 
-// noWay decides when no server may take the request. A ticket whose term is not
+// noRoute decides when no server may take the request. A ticket whose term is not
 // in force will be if this node's state is behind, and never again otherwise.
-func (r *run) noWay(view *state.View) (route.Decision, *outcome.Verdict) {
+func (r *requestState) noRoute(view *state.View) (route.Decision, *outcome.Verdict) {
 	wait := route.Decision{Path: route.PathWait, Reason: callerapi.ReasonNoServer, Service: r.config}
 	if r.ticket == nil {
 		return wait, nil
@@ -85,25 +85,25 @@
 	return wait, nil
 }
 
-func (r *run) isHint(d route.Decision) bool { return d.Server == r.req.Chosen }
+func (r *requestState) isPreferred(d route.Decision) bool { return d.Server == r.req.Chosen }
 
-// ways lists the decisions that the request may take: those that did not fail
+// candidateRoutes lists the decisions that the request may take: those that did not fail
 // already and whose lessor is not out, as long as there are any.
-func (r *run) ways(view *state.View) []route.Decision {
+func (r *requestState) candidateRoutes(view *state.View) []route.Decision {
 	overlay := r.m.overlay.Overlay()
-	var all, fresh []route.Decision
-	for _, server := range r.m.index.live(view, r.req.Service) {
+	var all, preferred []route.Decision
+	for _, server := range r.m.index.liveServers(view, r.req.Service) {
 		d := route.Server(view, overlay, r.m.self, r.req.Service, server.ID)
 		if d.Path == route.PathWait || !r.allowed(d) {
 			continue
 		}
 		all = append(all, d)
 		if !slices.Contains(r.tried, server.ID) && !r.m.buffer.Out(keysOf(d)[0]) {
-			fresh = append(fresh, d)
+			preferred = append(preferred, d)
 		}
 	}
-	if len(fresh) > 0 {
-		return fresh
+	if len(preferred) > 0 {
+		return preferred
 	}
 	return all
 }
@@ -111,15 +111,15 @@
 // allowed keeps a forwarded request at the node that it was forwarded to, there
 // also as a deputy for the server that the sender chose, and a ticket with the
 // lessor whose term it names.
-func (r *run) allowed(d route.Decision) bool {
-	deputized := r.req.Past != "" && r.req.Past == d.Lessor && r.isHint(d)
-	if r.req.From != "" && d.Path != route.PathLocal && !deputized {
+func (r *requestState) allowed(d route.Decision) bool {
+	actingAsDeputy := r.req.Past != "" && r.req.Past == d.Lessor && r.isPreferred(d)
+	if r.req.From != "" && d.Path != route.PathLocal && !actingAsDeputy {
 		return false
 	}
 	return r.ticket == nil || ticket.TermScope(d.Term) == r.ticket.Scope
 }
 
-func (r *run) candidate(view *state.View, d route.Decision) pick.Candidate {
+func (r *requestState) candidate(view *state.View, d route.Decision) pick.Candidate {
 	now := time.Now()
 	server, _ := view.Server(d.Server)
 	c := pick.Candidate{
@@ -144,11 +144,11 @@
 	if !exists {
 		return 0
 	}
-	held, window := gate.Load()
-	return float64(held) / float64(window)
+	used, window := gate.Load()
+	return float64(used) / float64(window)
 }
 
-// outOfServers is the outage of a service without any server.
-func outOfServers(service topo.Service) buffer.Key {
+// noServerKey is the outage of a service without any server.
+func noServerKey(service topo.Service) buffer.Key {
 	return buffer.Key{Shard: topo.ShardID{Service: service}}
 }
--- a/modules/router/flight.go
+++ b/modules/router/flight.go
@@ -12,11 +12,11 @@
 
 // flight watches one forward.
 type flight struct {
-	sent   atomic.Bool // bytes of the request may have left
-	reused atomic.Bool
-	silent atomic.Bool
-	cancel context.CancelCauseFunc
-	limit  time.Duration
+	sent    atomic.Bool // bytes of the request may have left
+	reused  atomic.Bool
+	stalled atomic.Bool
+	cancel  context.CancelCauseFunc
+	limit   time.Duration
 
 	mu    sync.Mutex
 	conn  *sentConn
@@ -29,7 +29,7 @@
 	return &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
 			f.reused.Store(info.Reused)
-			f.got(sentConnOf(info.Conn))
+			f.gotConn(sentConnOf(info.Conn))
 		},
 		Got1xxResponse: func(int, textproto.MIMEHeader) error {
 			f.progress()
@@ -38,10 +38,10 @@
 	}
 }
 
-// got notes the connection and how much had been written to it before. When
+// gotConn notes the connection and how much had been written to it before. When
 // net/http replaces a connection that was closed before anything was written,
 // the earlier one's bytes still count.
-func (f *flight) got(conn *sentConn) {
+func (f *flight) gotConn(conn *sentConn) {
 	f.progress()
 	f.noteSent()
 	f.mu.Lock()
@@ -70,19 +70,19 @@
 func (f *flight) start() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.timer = time.AfterFunc(f.limit, f.giveUp)
+	f.timer = time.AfterFunc(f.limit, f.abort)
 }
 
-func (f *flight) giveUp() {
-	f.silent.Store(true)
-	f.cancel(&silenceError{})
+func (f *flight) abort() {
+	f.stalled.Store(true)
+	f.cancel(&stallError{})
 }
 
 // progress puts the silence limit off.
 func (f *flight) progress() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.timer != nil && !f.silent.Load() {
+	if f.timer != nil && !f.stalled.Load() {
 		f.timer.Reset(f.limit)
 	}
 }
--- a/modules/router/forward.go
+++ b/modules/router/forward.go
@@ -15,11 +15,11 @@
 
 // forward sends the request to the node that is the server's admission point, or
 // to a deputy.
-func (r *run) forward(d route.Decision) result {
+func (r *requestState) forward(d route.Decision) result {
 	view := r.m.source.View()
 	node, exists := view.Node(d.Next())
 	if !exists {
-		return r.lessorOut(d, outcome.NotRun(callerapi.ReasonNotLessor))
+		return r.lessorUnavailable(d, outcome.NotRun(callerapi.ReasonNotLessor))
 	}
 	body, err := r.req.Body.Open()
 	if err != nil {
@@ -33,14 +33,14 @@
 	answer, response, err := r.m.forwarder.send(r.ctx, node.PeerAddress, form, r.req.Header, body)
 	if err != nil {
 		load.own.Add(-1)
-		return r.notForwarded(d, err)
+		return r.forwardFailed(d, err)
 	}
 	r.m.nodes.Observe(time.Now(), d.Next(), health.Answered)
-	r.m.remote.hear(time.Now(), answer.Server, answer.Load)
+	r.m.remote.store(time.Now(), answer.Server, answer.Load)
 	return r.forwardAnswered(d, answer, response, func() { load.own.Add(-1) })
 }
 
-func (r *run) forwardForm(d route.Decision) forwardedRequest {
+func (r *requestState) forwardForm(d route.Decision) forwardedRequest {
 	form := forwardedRequest{
 		Format:     forwardFormat,
 		From:       r.m.self.Node,
@@ -70,37 +70,37 @@
 // knows of the request arrives in time.
 const forwardMargin = 5 * time.Millisecond
 
-func forwardedDeadline(left time.Duration) time.Duration {
-	if left > 4*forwardMargin {
-		return left - forwardMargin
+func forwardedDeadline(remaining time.Duration) time.Duration {
+	if remaining > 4*forwardMargin {
+		return remaining - forwardMargin
 	}
-	return max(left, 0)
+	return max(remaining, 0)
 }
 
 // forwardAnswered passes on what the other node said.
-func (r *run) forwardAnswered(d route.Decision, form forwardedAnswer, response *http.Response, done func()) result {
+func (r *requestState) forwardAnswered(d route.Decision, form forwardedAnswer, response *http.Response, done func()) result {
 	verdict := outcome.Said(form.Outcome, form.Reason).Later(time.Duration(form.RetryAfterMs) * time.Millisecond)
 	if verdict.Outcome != serverapi.OutcomeAnswered || !form.HasBody {
 		_ = response.Body.Close()
 		done()
 		if verdict.Reason == callerapi.ReasonNotLessor && verdict.NotRunProven() {
-			return r.notTaken(d, verdict)
+			return r.forwardRejected(d, verdict)
 		}
-		return result{verdict: verdict, contact: true, settled: true}
+		return result{verdict: verdict, contacted: true, ownerAwaited: true}
 	}
 	answer := answerOf(form, response.Header)
 	body, err := openBody(r.req.Method, answer.Header, response.Body, func(bool) { done() })
 	if err != nil {
 		done()
 		metricBrokenAnswer.Add(1)
-		return result{verdict: outcome.Unknown(callerapi.ReasonBrokenAnswer), contact: true}
+		return result{verdict: outcome.Unknown(callerapi.ReasonBrokenAnswer), contacted: true}
 	}
 	answer.Body = body
-	return result{verdict: outcome.Answered(), contact: true, answer: answer}
+	return result{verdict: outcome.Answered(), contacted: true, answer: answer}
 }
 
-// notForwarded ends a forward that brought no answer.
-func (r *run) notForwarded(d route.Decision, err error) result {
+// forwardFailed ends a forward that brought no answer.
+func (r *requestState) forwardFailed(d route.Decision, err error) result {
 	failure := outcome.Failure{
 		Sent:     true,
 		Canceled: r.caller.Err() != nil,
@@ -109,7 +109,7 @@
 	var failed *forwardError
 	if errors.As(err, &failed) {
 		failure.Sent = failed.sent
-		failure.Silent = failed.silent
+		failure.Silent = failed.stalled
 	}
 	verdict := outcome.Failed(failure)
 	if reason, broken := bodyFault(r.req.Body); broken {
@@ -128,34 +128,34 @@
 	if failure.Sent {
 		return unsent(verdict)
 	}
-	return r.goPast(d, outcome.NotRun(callerapi.ReasonNotLessor))
+	return r.bypass(d, outcome.NotRun(callerapi.ReasonNotLessor))
 }
 
-// notTaken is the result when the other node says that it is not the lessor, or
+// forwardRejected is the result when the other node says that it is not the lessor, or
 // no deputy. The lessor's word is waited for; another deputy may be asked.
-func (r *run) notTaken(d route.Decision, v outcome.Verdict) result {
+func (r *requestState) forwardRejected(d route.Decision, v outcome.Verdict) result {
 	if d.Path == route.PathDeputy {
-		return r.goPast(d, v)
+		return r.bypass(d, v)
 	}
-	return r.lessorOut(d, v)
+	return r.lessorUnavailable(d, v)
 }
 
-// goPast makes the request go past a lessor or deputy that did not take it, if
+// bypass makes the request go past a lessor or deputy that did not take it, if
 // there is a way; v is the verdict if there is none.
-func (r *run) goPast(d route.Decision, v outcome.Verdict) result {
-	r.past = append(r.past, d.Next())
+func (r *requestState) bypass(d route.Decision, v outcome.Verdict) result {
+	r.bypassed = append(r.bypassed, d.Next())
 	d.Path = route.PathForward
-	if r.pastLessor(r.m.source.View(), d).Path != route.PathForward {
-		return result{moved: true}
+	if r.bypassLessor(r.m.source.View(), d).Path != route.PathForward {
+		return result{routeChanged: true}
 	}
-	r.past = nil
-	return r.lessorOut(d, v)
+	r.bypassed = nil
+	return r.lessorUnavailable(d, v)
 }
 
-// lessorOut is the result when the lessor's node cannot take the request.
-func (r *run) lessorOut(d route.Decision, v outcome.Verdict) result {
+// lessorUnavailable is the result when the lessor's node cannot take the request.
+func (r *requestState) lessorUnavailable(d route.Decision, v outcome.Verdict) result {
 	res := unsent(v)
-	res.out = &outage{key: buffer.LessorKey(d), cause: buffer.Unled}
+	res.outage = &outage{key: buffer.LessorKey(d), cause: buffer.Unled}
 	return res
 }
 
@@ -163,20 +163,20 @@
 // that had been used before says nothing of the node: the next attempt opens a
 // new one.
 func (m *Module) observeNode(d route.Decision, failed *forwardError) {
-	if failed == nil || failed.silent && failed.reused {
+	if failed == nil || failed.stalled && failed.reused {
 		return
 	}
-	seen := health.Broken
+	observation := health.Broken
 	switch {
-	case failed.silent:
-		seen = health.Silent
+	case failed.stalled:
+		observation = health.Silent
 	case !failed.sent:
-		seen = health.Unreachable
+		observation = health.Unreachable
 	}
-	if failed.silent {
-		eventSilentNode.Log(m.logger, "node", d.Next())
+	if failed.stalled {
+		eventUnresponsiveNode.Log(m.logger, "node", d.Next())
 	}
-	if m.nodes.Observe(time.Now(), d.Next(), seen) {
+	if m.nodes.Observe(time.Now(), d.Next(), observation) {
 		metricEjections.Add(1)
 		eventNodeEjected.Log(m.logger, "node", d.Next())
 	}
--- a/modules/router/forward_client.go
+++ b/modules/router/forward_client.go
@@ -15,11 +15,11 @@
 
 // forwarder sends requests to other nodes.
 type forwarder struct {
-	scheme    string
-	transport *http.Transport
-	silent    time.Duration    // no sign of life for so long gives a connection up
-	files     *tlsfiles.Loader // nil for no TLS
-	secured   atomic.Uint64    // generation of the certificates of open connections
+	scheme        string
+	transport     *http.Transport
+	stallTimeout  time.Duration    // no sign of life for so long gives a connection up
+	files         *tlsfiles.Loader // nil for no TLS
+	tlsGeneration atomic.Uint64    // generation of the certificates of open connections
 }
 
 // renew closes the idle connections that were made with earlier certificates:
@@ -29,7 +29,7 @@
 		return
 	}
 	generation := f.files.Generation()
-	if f.secured.Swap(generation) != generation {
+	if f.tlsGeneration.Swap(generation) != generation {
 		f.transport.CloseIdleConnections()
 	}
 }
@@ -37,10 +37,10 @@
 // forwarded is what one forward came to without a readable answer: Sent is
 // false only if it is proven that no byte of the request left.
 type forwardError struct {
-	sent   bool
-	silent bool
-	reused bool // the connection had been used before
-	cause  error
+	sent    bool
+	stalled bool
+	reused  bool // the connection had been used before
+	cause   error
 }
 
 // Error implements error.
@@ -49,11 +49,11 @@
 // Unwrap returns the cause.
 func (e *forwardError) Unwrap() error { return e.cause }
 
-// silenceError is the cause of a canceled forward that made no progress.
-type silenceError struct{}
+// stallError is the cause of a canceled forward that made no progress.
+type stallError struct{}
 
 // Error implements error.
-func (*silenceError) Error() string { return "no sign of life" }
+func (*stallError) Error() string { return "no sign of life" }
 
 // send forwards a request and returns the answer's form and HTTP response. The
 // response's body is guarded against silence and must be closed. The error is
@@ -61,7 +61,7 @@
 func (f *forwarder) send(ctx context.Context, address string, form forwardedRequest, header http.Header, body io.Reader) (forwardedAnswer, *http.Response, error) {
 	f.renew()
 	ctx, cancel := context.WithCancelCause(ctx)
-	flight := &flight{cancel: cancel, limit: f.silent}
+	flight := &flight{cancel: cancel, limit: f.stallTimeout}
 	ctx = httptrace.WithClientTrace(ctx, flight.trace())
 	request, err := f.request(ctx, address, form, header, body)
 	if err != nil {
@@ -73,7 +73,7 @@
 	if err != nil {
 		flight.stop()
 		cancel(nil)
-		return forwardedAnswer{}, nil, f.failed(flight, err)
+		return forwardedAnswer{}, nil, f.newForwardError(flight, err)
 	}
 	response.Body = &guardedBody{ReadCloser: response.Body, flight: flight}
 	answer, err := readForwardedAnswer(form, response)
@@ -105,14 +105,14 @@
 	return request, nil
 }
 
-// failed describes a forward without an answer. Connections that were opened
+// newForwardError describes a forward without an answer. Connections that were opened
 // before a silence are closed: they may be as dead.
-func (f *forwarder) failed(flight *flight, err error) *forwardError {
-	silent := flight.silent.Load()
+func (f *forwarder) newForwardError(flight *flight, err error) *forwardError {
+	silent := flight.stalled.Load()
 	if silent {
 		f.transport.CloseIdleConnections()
 	}
-	return &forwardError{sent: flight.mayHaveSent(), silent: silent, reused: flight.reused.Load(), cause: err}
+	return &forwardError{sent: flight.mayHaveSent(), stalled: silent, reused: flight.reused.Load(), cause: err}
 }
 
 func readForwardedAnswer(form forwardedRequest, response *http.Response) (forwardedAnswer, error) {
--- a/modules/router/forward_conn.go
+++ b/modules/router/forward_conn.go
@@ -11,9 +11,9 @@
 
 // Limits of the connections to one node.
 const (
-	maxIdleForwards  = 64
-	idleForwardTime  = 30 * time.Second
-	maxForwardHeader = 1 << 20
+	maxIdleForwards    = 64
+	idleForwardTimeout = 30 * time.Second
+	maxForwardHeader   = 1 << 20
 )
 
 // sentConn tells whether anything was written to it, below any TLS.
@@ -57,7 +57,7 @@
 		},
 		DisableCompression:     true,
 		MaxIdleConnsPerHost:    maxIdleForwards,
-		IdleConnTimeout:        idleForwardTime,
+		IdleConnTimeout:        idleForwardTimeout,
 		MaxResponseHeaderBytes: maxForwardHeader,
 	}
 	if config != nil {
--- a/modules/router/forward_faults_test.go
+++ b/modules/router/forward_faults_test.go
@@ -16,9 +16,9 @@
 	"github.com/burdockspindle/burdockspindle/siteconfig"
 )
 
-// TestUnreachableLessorIsPassedBy: where servers check fences the entry node
+// TestUnreachableLessorIsBypassed: where servers check fences the entry node
 // sends directly, one request at a time.
-func TestUnreachableLessorIsPassedBy(t *testing.T) {
+func TestUnreachableLessorIsBypassed(t *testing.T) {
 	paired(t, 1, both(), func(p *pair) {
 		p.driver.Set("s1", rt.Slow(time.Millisecond, rt.Answer(200, "direct")))
 		p.lessor.Kill()
@@ -33,9 +33,9 @@
 	})
 }
 
-// TestUnreachableLessorIsNotPassedBy where servers do not check fences: it alone
+// TestUnfencedServiceDoesNotBypassLessor where servers do not check fences: it alone
 // may send. The caller is told at once.
-func TestUnreachableLessorIsNotPassedBy(t *testing.T) {
+func TestUnfencedServiceDoesNotBypassLessor(t *testing.T) {
 	unfenced := rt.Keyed()
 	unfenced.ChecksFencing = false
 	paired(t, 1, []*siteconfig.Service{unfenced, rt.Unkeyed()}, func(p *pair) {
@@ -51,9 +51,9 @@
 	})
 }
 
-// TestSilentLessorIsTold: the lessor's node takes the request and then nothing
+// TestUnresponsiveLessorIsReported: the lessor's node takes the request and then nothing
 // comes from it. What may have run is not sent again.
-func TestSilentLessorIsTold(t *testing.T) {
+func TestUnresponsiveLessorIsReported(t *testing.T) {
 	paired(t, 1, both(), func(p *pair) {
 		p.lessor.Fault(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 		answer := p.serve(request("POST", "k"))
@@ -64,9 +64,9 @@
 	})
 }
 
-// TestSlowServerIsNotTakenForASilentLessor: the lessor's node gives signs of
+// TestSlowServerDoesNotMakeLessorUnresponsive: the lessor's node gives signs of
 // life while the server works.
-func TestSlowServerIsNotTakenForASilentLessor(t *testing.T) {
+func TestSlowServerDoesNotMakeLessorUnresponsive(t *testing.T) {
 	paired(t, 1, both(), func(p *pair) {
 		p.driver.Set("s1", rt.Slow(2*time.Second, rt.Answer(200, "late but whole")))
 		p.Expect(text(p.WithT, p.serve(request("POST", "k")))).To(gomega.Equal("late but whole"))
@@ -74,9 +74,9 @@
 	})
 }
 
-// TestFailingLessorIsPassedBy: after a few answers that broke off, requests go
+// TestFailingLessorIsBypassed: after a few answers that broke off, requests go
 // directly for a while.
-func TestFailingLessorIsPassedBy(t *testing.T) {
+func TestFailingLessorIsBypassed(t *testing.T) {
 	paired(t, 1, both(), func(p *pair) {
 		p.lessor.Fault(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 		unknown := 0
@@ -92,9 +92,9 @@
 	})
 }
 
-// TestSilentConnectionsAreThrownAway: connections to the lessor's node that were
+// TestStalledConnectionsAreClosed: connections to the lessor's node that were
 // open go silent for good, new ones work. One request meets the silence.
-func TestSilentConnectionsAreThrownAway(t *testing.T) {
+func TestStalledConnectionsAreClosed(t *testing.T) {
 	paired(t, 1, both(), func(p *pair) {
 		var old sync.Map
 		p.lessor.Fault(func(w http.ResponseWriter, r *http.Request) {
@@ -122,7 +122,7 @@
 	})
 }
 
-func TestWhatIsNoAnswerOfALessor(t *testing.T) {
+func TestInvalidForwardAnswersAreRejected(t *testing.T) {
 	rows := map[string]http.HandlerFunc{
 		"not a node":    func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("hello")) },
 		"error page":    func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusBadGateway) },
--- a/modules/router/forward_server.go
+++ b/modules/router/forward_server.go
@@ -14,9 +14,9 @@
 	"github.com/burdockspindle/burdockspindle/serverapi"
 )
 
-// catchUpTime is how long a forwarded request waits for this node's state to
+// catchUpTimeout is how long a forwarded request waits for this node's state to
 // reach the sender's.
-const catchUpTime = 500 * time.Millisecond
+const catchUpTimeout = 500 * time.Millisecond
 
 // serveForward answers a request that another node forwarded. It never forwards
 // it again.
@@ -30,15 +30,15 @@
 		http.Error(w, "cannot read the forwarded request", http.StatusBadRequest)
 		return
 	}
-	answering := startAnswering(w, form.ID, keepAliveEvery(m.settings.Timing.LeaseTTL))
-	defer answering.stop()
+	writer := newAnswerWriter(w, form.ID, keepAliveInterval(m.settings.Timing.LeaseTTL))
+	defer writer.stop()
 	req := form.request(arrived, callerapi.PassedOn(r.Header))
 	req.Header.Del("Content-Length")
 	answer, refused := m.acceptForwarded(r.Context(), req, form, r.Body)
 	if answer == nil {
 		answer = refusal(withRetryAfter(refused))
 	}
-	answering.write(m, req, answer)
+	writer.write(m, req, answer)
 }
 
 // acceptForwarded checks a forwarded request and serves it. The answer is nil
@@ -59,13 +59,13 @@
 		return nil, outcome.NotRun(callerapi.ReasonUnknownService)
 	}
 	var err error
-	if req.Body, err = exchange.NewBody(body, form.Length, bodyLimit, bufferBytes); err != nil {
-		return nil, outcome.NotRun(bodyReason(err))
+	if req.Body, err = exchange.NewBody(body, form.Length, bodyLimit, replayBufferBytes); err != nil {
+		return nil, outcome.NotRun(bodyErrorReason(err))
 	}
 	return m.Serve(ctx, req), outcome.Verdict{}
 }
 
-func bodyReason(err error) serverapi.Reason {
+func bodyErrorReason(err error) serverapi.Reason {
 	var large *exchange.TooLargeError
 	if errors.As(err, &large) {
 		return callerapi.ReasonBodyTooLarge
@@ -78,15 +78,15 @@
 	if m.source.View().Applied() >= req.MinApplied {
 		return true
 	}
-	wait := min(catchUpTime, time.Until(req.Deadline))
+	wait := min(catchUpTimeout, time.Until(req.Deadline))
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	return m.source.WaitApplied(ctx, req.MinApplied) == nil
 }
 
-// answering writes one answer to a forwarded request, and signs of life until
+// answerWriter writes one answer to a forwarded request, and signs of life until
 // then.
-type answering struct {
+type answerWriter struct {
 	id    string
 	every time.Duration // between signs of life
 
@@ -96,15 +96,15 @@
 	timer  *time.Timer
 }
 
-func startAnswering(w http.ResponseWriter, id string, every time.Duration) *answering {
-	a := &answering{w: w, id: id, every: every}
+func newAnswerWriter(w http.ResponseWriter, id string, every time.Duration) *answerWriter {
+	a := &answerWriter{w: w, id: id, every: every}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.timer = time.AfterFunc(every, a.signOfLife)
+	a.timer = time.AfterFunc(every, a.writeKeepAlive)
 	return a
 }
 
-func (a *answering) signOfLife() {
+func (a *answerWriter) writeKeepAlive() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.closed {
@@ -114,7 +114,7 @@
 	a.timer.Reset(a.every)
 }
 
-func (a *answering) stop() {
+func (a *answerWriter) stop() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.closed = true
@@ -123,7 +123,7 @@
 
 // write passes an answer on. It aborts the connection when the server's body
 // ends before it is whole.
-func (a *answering) write(m *Module, req *exchange.Request, answer *exchange.Answer) {
+func (a *answerWriter) write(m *Module, req *exchange.Request, answer *exchange.Answer) {
 	a.stop()
 	form := forwardedAnswer{
 		Format:       forwardFormat,
@@ -136,7 +136,7 @@
 		Length:       answer.Header.Get("Content-Length"),
 		Replayed:     answer.Header.Get(callerapi.HeaderReplayed) != "",
 		Server:       req.Chosen,
-		Load:         m.loadOf(req),
+		Load:         m.reportedLoad(req),
 	}
 	header := a.w.Header()
 	for name, values := range callerapi.PassedOn(answer.Header) {
@@ -161,11 +161,11 @@
 // copyAnswer copies and flushes after each part.
 func copyAnswer(w http.ResponseWriter, body io.Reader) error {
 	controller := http.NewResponseController(w)
-	part := make([]byte, firstPartBytes)
+	buffer := make([]byte, readAheadBytes)
 	for {
-		count, err := body.Read(part)
+		count, err := body.Read(buffer)
 		if count > 0 {
-			if _, failed := w.Write(part[:count]); failed != nil {
+			if _, failed := w.Write(buffer[:count]); failed != nil {
 				return failed
 			}
 		}
@@ -175,7 +175,7 @@
 		if err != nil {
 			return err
 		}
-		if count == len(part) {
+		if count == len(buffer) {
 			continue
 		}
 		if failed := controller.Flush(); failed != nil {
@@ -184,18 +184,18 @@
 	}
 }
 
-// loadOf tells the forwarding node how loaded the server is that it chose.
-func (m *Module) loadOf(req *exchange.Request) float64 {
+// reportedLoad tells the forwarding node how loaded the server is that it chose.
+func (m *Module) reportedLoad(req *exchange.Request) float64 {
 	if req.Chosen == "" {
 		return 0
 	}
 	gate, exists := m.gates.Find(req.Chosen)
 	if !exists {
-		gate, exists = m.directs.Find(req.Chosen)
+		gate, exists = m.deputyGates.Find(req.Chosen)
 	}
 	if !exists {
 		return 0
 	}
-	held, window := gate.Load()
-	return float64(held) / float64(window)
+	used, window := gate.Load()
+	return float64(used) / float64(window)
 }
--- a/modules/router/forward_test.go
+++ b/modules/router/forward_test.go
@@ -80,9 +80,9 @@
 	})
 }
 
-// TestAnswersStream: the first part of an answer reaches the caller before the
+// TestAnswersAreStreamed: the first part of an answer reaches the caller before the
 // server has produced the rest.
-func TestAnswersStream(t *testing.T) {
+func TestAnswersAreStreamed(t *testing.T) {
 	paired(t, 1, both(), func(p *pair) {
 		rest, produce := io.Pipe()
 		p.driver.Set("s1", func(_ context.Context, req backend.Request) (*backend.Response, error) {
@@ -103,9 +103,9 @@
 	})
 }
 
-// TestBrokenAnswerIsNotTakenForWhole: the server's body ends early after the
+// TestIncompleteAnswerIsReported: the server's body ends early after the
 // first part has been passed on.
-func TestBrokenAnswerIsNotTakenForWhole(t *testing.T) {
+func TestIncompleteAnswerIsReported(t *testing.T) {
 	for _, declared := range []int{-1, 1 << 20} {
 		paired(t, 1, both(), func(p *pair) {
 			p.driver.Set("s1", rt.Broken(declared, strings.Repeat("x", 64<<10)))
@@ -162,7 +162,7 @@
 	})
 }
 
-func TestCallerWhoGoesAwayCancelsThroughTheLessor(t *testing.T) {
+func TestDisconnectedCallerCancelsForwardedRequest(t *testing.T) {
 	paired(t, 1, both(), func(p *pair) {
 		p.driver.Set("s1", rt.Hanging)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -205,7 +205,7 @@
 }
 
 // TestAnswerWithoutLength and other odd but whole answers pass unchanged.
-func TestOddAnswersPassUnchanged(t *testing.T) {
+func TestUnusualAnswersPassUnchanged(t *testing.T) {
 	paired(t, 1, both(), func(p *pair) {
 		big := bytes.Repeat([]byte("0123456789"), 50_000)
 		rows := []struct {
--- a/modules/router/local_test.go
+++ b/modules/router/local_test.go
@@ -78,10 +78,10 @@
 
 func both() []*siteconfig.Service { return []*siteconfig.Service{rt.Keyed(), rt.Unkeyed()} }
 
-// TestLostServerIsGivenUpAtOnce: the owner cannot be reached and no other is
+// TestRequestForLostServerFailsImmediately: the owner cannot be reached and no other is
 // named. The caller is told at once, with a time to come back, since the shard
 // is not expected to be served before the deadline.
-func TestLostServerIsGivenUpAtOnce(t *testing.T) {
+func TestRequestForLostServerFailsImmediately(t *testing.T) {
 	alone(t, both(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
 		driver.Set("s1", rt.Unreachable)
 		req := request("POST", "well-7")
@@ -150,8 +150,8 @@
 	})
 }
 
-// TestCallerWhoGoesAwayCancelsTheServersRequest and gives the place back.
-func TestCallerWhoGoesAwayCancelsTheServersRequest(t *testing.T) {
+// TestDisconnectedCallerCancelsServerRequest and gives the place back.
+func TestDisconnectedCallerCancelsServerRequest(t *testing.T) {
 	alone(t, both(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
 		driver.Set("s1", rt.Hanging)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -168,9 +168,9 @@
 	})
 }
 
-// TestFrozenOwnerIsNotHammered: after a few silent attempts further requests
+// TestUnresponsiveOwnerReceivesFewAttempts: after a few silent attempts further requests
 // wait for another owner instead of being sent.
-func TestFrozenOwnerIsNotHammered(t *testing.T) {
+func TestUnresponsiveOwnerReceivesFewAttempts(t *testing.T) {
 	alone(t, both(), func(g *gomega.WithT, site *routetest.Site, driver *rt.Driver, node *rt.Node) {
 		driver.Set("s1", rt.Silent)
 		for range 3 {
@@ -236,8 +236,8 @@
 	})
 }
 
-// TestCallersWhoHangUpDoNotCountAgainstTheServer.
-func TestCallersWhoHangUpDoNotCountAgainstTheServer(t *testing.T) {
+// TestDisconnectedCallersDoNotEjectServer.
+func TestDisconnectedCallersDoNotEjectServer(t *testing.T) {
 	alone(t, both(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
 		driver.Set("s1", rt.Broken(1<<20, strings.Repeat("x", 64<<10)))
 		for range 10 {
@@ -268,9 +268,9 @@
 	return best, true
 }
 
-// TestRetryGoesElsewhere: a picker that insists on one server does not get it
+// TestRetryUsesAnotherServer: a picker that insists on one server does not get it
 // twice for the same request.
-func TestRetryGoesElsewhere(t *testing.T) {
+func TestRetryUsesAnotherServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		w := newWorld(both()...)
--- a/modules/router/maintain.go
+++ b/modules/router/maintain.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// sweepEvery is how often waiting requests are looked at, while there are
+	// sweepInterval is how often waiting requests are looked at, while there are
 	// requests.
-	sweepEvery = 10 * time.Millisecond
-	// retainEvery is how often what is gone from the state is forgotten.
-	retainEvery = 2 * time.Second
-	// coldRamp is how long a server takes from one request at once to its
+	sweepInterval = 10 * time.Millisecond
+	// retainInterval is how often what is gone from the state is forgotten.
+	retainInterval = 2 * time.Second
+	// rampDuration is how long a server takes from one request at once to its
 	// whole limit after it, or its admission point, is new.
-	coldRamp = time.Second
+	rampDuration = time.Second
 )
 
 // maintain sweeps queues while requests are in flight, and follows the state until ctx ends.
 func (m *Module) maintain(ctx context.Context) {
-	sweeps := time.NewTicker(sweepEvery)
+	sweeps := time.NewTicker(sweepInterval)
 	defer sweeps.Stop()
-	retains := time.NewTicker(retainEvery)
+	retains := time.NewTicker(retainInterval)
 	defer retains.Stop()
 	gauges := &gauges{}
 	defer gauges.set(0, 0)
@@ -37,12 +37,12 @@
 			return
 		case <-sweeps.C:
 			m.sweep(gauges)
-			if m.sweeper.rests(&m.inFlight) {
+			if m.sweeper.pauseIfIdle(&m.inFlight) {
 				sweeps.Stop()
 			}
 		case <-m.sweeper.wake:
-			m.sweeper.rouse()
-			sweeps.Reset(sweepEvery)
+			m.sweeper.resume()
+			sweeps.Reset(sweepInterval)
 		case <-retains.C:
 			m.sweep(gauges)
 			m.retain()
@@ -50,14 +50,14 @@
 			changed = m.source.Changed() // before the view, or a change is missed
 			view := m.source.View()
 			m.overlay.Prune(view)
-			m.coolNewGroups(view, terms)
+			m.resetNewGroups(view, terms)
 		}
 	}
 }
 
 func (m *Module) sweep(g *gauges) {
 	now := time.Now()
-	queued := m.gates.Sweep(now) + m.directs.Sweep(now)
+	queued := m.gates.Sweep(now) + m.deputyGates.Sweep(now)
 	m.buffer.Sweep(now)
 	g.set(queued, m.buffer.Stats().Waiting)
 }
@@ -86,16 +86,16 @@
 		return exists
 	}
 	m.gates.Retain(knownServer)
-	m.directs.Retain(knownServer)
+	m.deputyGates.Retain(knownServer)
 	m.servers.Retain(knownServer)
 	m.nodes.Retain(knownNode)
 	m.remote.retain(knownServer)
 }
 
-// coolNewGroups starts the servers of groups that this node newly leads with
+// resetNewGroups starts the servers of groups that this node newly leads with
 // one request at once: their earlier admission point may still have requests in
 // flight there.
-func (m *Module) coolNewGroups(view *state.View, terms map[topo.GroupID]topo.Term) {
+func (m *Module) resetNewGroups(view *state.View, terms map[topo.GroupID]topo.Term) {
 	for id, group := range view.Groups() {
 		if group.Lessor != m.self.Node || terms[id] == group.Term {
 			continue
@@ -114,14 +114,14 @@
 	return m.gates.Gate(d.Service.Name, d.Server, limit.Spec{
 		Limit:     d.Service.ConcurrencyPerServer,
 		MaxQueued: m.settings.Limits.MaxQueued,
-		Ramp:      coldRamp,
+		Ramp:      rampDuration,
 	})
 }
 
-// directGate returns the queue of a server whose admission point cannot be
+// deputyGate returns the queue of a server whose admission point cannot be
 // reached and whose deputy this node is.
-func (m *Module) directGate(d route.Decision) *limit.Gate {
-	return m.directs.Gate(d.Service.Name, d.Server, limit.Spec{
+func (m *Module) deputyGate(d route.Decision) *limit.Gate {
+	return m.deputyGates.Gate(d.Service.Name, d.Server, limit.Spec{
 		Limit:     d.Places,
 		MaxQueued: m.settings.Limits.MaxQueued,
 	})
--- a/modules/router/module.go
+++ b/modules/router/module.go
@@ -37,8 +37,8 @@
 
 func init() { kernel.Register(&Module{}) }
 
-// choices is D of the built-in picker.
-const choices = 2
+// pickerChoices is D of the built-in picker.
+const pickerChoices = 2
 
 // Module is the router.
 type Module struct {
@@ -54,24 +54,24 @@
 	picker   pick.Picker
 	tickets  *ticket.Source
 
-	overlay   *route.Holder
-	gates     *limit.Set // as admission point
-	directs   *limit.Set // past an admission point that cannot be reached
-	node      *limit.Node
-	buffer    *buffer.Buffer
-	servers   *health.Set[topo.ServerID]
-	nodes     *health.Set[topo.NodeID]
-	shed      *shed.Set
-	budgets   *budgets
-	records   *records
-	remote    remoteLoads
-	index     serverIndex
-	forwarder *forwarder
-	inFlight  atomic.Int64
-	sweeper   *sweeper
-
-	cancel context.CancelFunc
-	duties sync.WaitGroup
+	overlay     *route.Holder
+	gates       *limit.Set // as admission point
+	deputyGates *limit.Set // past an admission point that cannot be reached
+	node        *limit.Node
+	buffer      *buffer.Buffer
+	servers     *health.Set[topo.ServerID]
+	nodes       *health.Set[topo.NodeID]
+	shed        *shed.Set
+	budgets     *budgets
+	records     *records
+	remote      remoteLoads
+	index       serverIndex
+	forwarder   *forwarder
+	inFlight    atomic.Int64
+	sweeper     *sweeper
+
+	cancel     context.CancelFunc
+	background sync.WaitGroup
 }
 
 // ModuleInfo implements kernel.Module.
@@ -128,7 +128,7 @@
 	limits := m.settings.Limits
 	m.overlay = route.NewHolder()
 	m.gates = limit.NewSet(limits.MaxQueued)
-	m.directs = limit.NewSet(limits.MaxQueued)
+	m.deputyGates = limit.NewSet(limits.MaxQueued)
 	m.node = limit.NewNode(limits.MaxInFlight)
 	m.buffer = buffer.New(limits.MaxBuffered)
 	m.servers = health.NewSet[topo.ServerID]()
@@ -137,20 +137,20 @@
 	m.budgets = newBudgets(limits.RetryBudget)
 	m.records = newRecords()
 	m.sweeper = newSweeper()
-	m.picker = pick.DChoices{D: choices}
+	m.picker = pick.DChoices{D: pickerChoices}
 	if err := m.buildForwarder(); err != nil {
 		return err
 	}
 	issuer := ticket.Issuer{Node: ctx.Identity.Node, Boot: ctx.Identity.Boot, Born: time.Now().UnixMilli()}
 	var err error
-	m.tickets, err = ticket.NewSource(issuer, unguessable)
+	m.tickets, err = ticket.NewSource(issuer, randomUint64)
 	return err
 }
 
 // buildForwarder prepares connections to other nodes, over TLS if their
 // listeners use it.
 func (m *Module) buildForwarder() error {
-	m.forwarder = &forwarder{scheme: "http", silent: forwardSilent(m.settings.Timing.LeaseTTL)}
+	m.forwarder = &forwarder{scheme: "http", stallTimeout: forwardStallTimeout(m.settings.Timing.LeaseTTL)}
 	var config clientTLS
 	if files := m.settings.Peer.TLS; files != nil {
 		loader, err := tlsfiles.New(*files, m.logger)
@@ -170,9 +170,9 @@
 	return nil
 }
 
-// unguessable returns a random number that callers cannot guess. The system's
+// randomUint64 returns a random number that callers cannot guess. The system's
 // source never fails.
-func unguessable() uint64 {
+func randomUint64() uint64 {
 	var bytes [8]byte
 	_, _ = rand.Read(bytes[:])
 	return binary.LittleEndian.Uint64(bytes[:])
@@ -183,9 +183,9 @@
 	m.resolve()
 	ctx, cancel := context.WithCancel(context.Background())
 	m.cancel = cancel
-	m.duties.Go(func() { m.maintain(ctx) })
+	m.background.Go(func() { m.maintain(ctx) })
 	if m.recorder != nil {
-		m.duties.Go(func() { m.recorder.Run(ctx) })
+		m.background.Go(func() { m.recorder.Run(ctx) })
 	}
 	return nil
 }
@@ -213,7 +213,7 @@
 // Drain implements kernel.Drainer: it waits for the requests in flight. By then
 // the front end refuses new ones and the node's terms are resigned.
 func (m *Module) Drain(ctx context.Context) error {
-	ticker := time.NewTicker(drainPoll)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for m.inFlight.Load() > 0 {
 		select {
@@ -227,12 +227,12 @@
 	return nil
 }
 
-const drainPoll = 10 * time.Millisecond
+const drainPollInterval = 10 * time.Millisecond
 
 // Stop implements kernel.Stopper.
 func (m *Module) Stop(context.Context) error {
 	m.cancel()
-	m.duties.Wait()
+	m.background.Wait()
 	m.forwarder.transport.CloseIdleConnections()
 	return nil
 }
--- a/modules/router/overload_test.go
+++ b/modules/router/overload_test.go
@@ -104,9 +104,9 @@
 	})
 }
 
-// TestNewAdmissionPointBeginsGently: what the earlier one had in flight may
+// TestNewAdmissionPointStartsWithOneRequest: what the earlier one had in flight may
 // still be at the server.
-func TestNewAdmissionPointBeginsGently(t *testing.T) {
+func TestNewAdmissionPointStartsWithOneRequest(t *testing.T) {
 	alone(t, both(), func(g *gomega.WithT, site *routetest.Site, _ *rt.Driver, node *rt.Node) {
 		text(g, node.Handler.Serve(context.Background(), request("GET", "k")))
 		time.Sleep(2 * time.Second)
--- a/modules/router/records.go
+++ b/modules/router/records.go
@@ -75,7 +75,7 @@
 	}
 	record := r.of(d)
 	if record == nil {
-		return nil, result{moved: true}
+		return nil, result{routeChanged: true}
 	}
 	verdict, stored := record.Begin(ticket.Request{
 		Ticket:      t,
@@ -121,41 +121,41 @@
 // end tells the record what became of a ticket that it let run.
 func (e *recordEntry) end(res result) result {
 	switch {
-	case res.moved, res.verdict.NotRunProven():
+	case res.routeChanged, res.verdict.NotRunProven():
 		e.record.Abandon(e.ticket)
 	case res.verdict.Outcome == serverapi.OutcomeAnswered:
-		res.answer.Body = e.keeping(res.answer)
+		res.answer.Body = e.storeBody(res.answer)
 	default:
 		e.record.Finish(e.ticket, nil, time.Now())
 	}
 	return res
 }
 
-// keeping returns the answer's body in a form that stores the answer in the
+// storeBody returns the answer's body in a form that stores the answer in the
 // record once it has been passed on whole.
-func (e *recordEntry) keeping(answer *exchange.Answer) io.ReadCloser {
-	return &keptBody{ReadCloser: answer.Body, entry: e, status: answer.Status, header: answer.Header}
+func (e *recordEntry) storeBody(answer *exchange.Answer) io.ReadCloser {
+	return &storedBody{ReadCloser: answer.Body, entry: e, status: answer.Status, header: answer.Header}
 }
 
-type keptBody struct {
+type storedBody struct {
 	io.ReadCloser
-	entry  *recordEntry
-	status int
-	header http.Header
-	kept   bytes.Buffer
-	tooBig bool
-	once   sync.Once
+	entry    *recordEntry
+	status   int
+	header   http.Header
+	buffered bytes.Buffer
+	tooBig   bool
+	once     sync.Once
 }
 
 // Read implements io.Reader.
-func (b *keptBody) Read(p []byte) (int, error) {
+func (b *storedBody) Read(p []byte) (int, error) {
 	count, err := b.ReadCloser.Read(p)
-	if b.kept.Len()+count > ticket.DefaultLimits().AnswerSize {
+	if b.buffered.Len()+count > ticket.DefaultLimits().AnswerSize {
 		b.tooBig = true
-		b.kept.Reset()
+		b.buffered.Reset()
 	}
 	if !b.tooBig {
-		b.kept.Write(p[:count])
+		b.buffered.Write(p[:count])
 	}
 	if err == io.EOF {
 		b.finish(!b.tooBig)
@@ -166,17 +166,17 @@
 }
 
 // Close implements io.Closer.
-func (b *keptBody) Close() error {
+func (b *storedBody) Close() error {
 	err := b.ReadCloser.Close()
 	b.finish(false)
 	return err
 }
 
-func (b *keptBody) finish(whole bool) {
+func (b *storedBody) finish(whole bool) {
 	b.once.Do(func() {
 		var stored *ticket.Answer
 		if whole {
-			stored = &ticket.Answer{Status: b.status, Header: b.header, Body: bytes.Clone(b.kept.Bytes())}
+			stored = &ticket.Answer{Status: b.status, Header: b.header, Body: bytes.Clone(b.buffered.Bytes())}
 		}
 		b.entry.record.Finish(b.entry.ticket, stored, time.Now())
 	})
--- a/modules/router/remote.go
+++ b/modules/router/remote.go
@@ -9,8 +9,8 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// heardFor is how long a load that an admission point told counts.
-const heardFor = time.Second
+// remoteLoadTTL is how long a load that an admission point told counts.
+const remoteLoadTTL = time.Second
 
 // remoteLoads is what this node knows of the load of servers whose admission
 // point is another node: its own requests there, and what that node last said.
@@ -19,9 +19,9 @@
 }
 
 type remoteLoad struct {
-	own   atomic.Int64
-	heard atomic.Uint64 // bits of a float64
-	at    atomic.Int64  // Unix nanoseconds
+	own        atomic.Int64
+	reported   atomic.Uint64 // bits of a float64
+	receivedAt atomic.Int64  // Unix nanoseconds
 }
 
 func (r *remoteLoads) of(id topo.ServerID) *remoteLoad {
@@ -36,22 +36,22 @@
 func (r *remoteLoads) load(now time.Time, id topo.ServerID, limit int) float64 {
 	known := r.of(id)
 	own := float64(known.own.Load()) / float64(max(limit, 1))
-	age := now.UnixNano() - known.at.Load()
-	if age > int64(heardFor) {
+	age := now.UnixNano() - known.receivedAt.Load()
+	if age > int64(remoteLoadTTL) {
 		return own
 	}
-	heard := math.Float64frombits(known.heard.Load())
-	fresh := 1 - float64(max(age, 0))/float64(heardFor)
-	return max(own, heard*fresh)
+	reported := math.Float64frombits(known.reported.Load())
+	freshness := 1 - float64(max(age, 0))/float64(remoteLoadTTL)
+	return max(own, reported*freshness)
 }
 
-func (r *remoteLoads) hear(now time.Time, id topo.ServerID, load float64) {
+func (r *remoteLoads) store(now time.Time, id topo.ServerID, load float64) {
 	if id == "" || math.IsNaN(load) || load < 0 {
 		return
 	}
 	known := r.of(id)
-	known.heard.Store(math.Float64bits(load))
-	known.at.Store(now.UnixNano())
+	known.reported.Store(math.Float64bits(load))
+	known.receivedAt.Store(now.UnixNano())
 }
 
 // retain forgets servers that keep says no to.
--- a/modules/router/run.go
+++ b/modules/router/request.go
@@ -21,8 +21,8 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// run is one request on its way through this node.
-type run struct {
+// requestState is one request on its way through this node.
+type requestState struct {
 	m      *Module
 	ctx    context.Context // ends with the deadline or the caller
 	caller context.Context // ends with the caller alone
@@ -30,27 +30,27 @@
 	config *siteconfig.Service
 	ticket *ticket.Ticket // nil for none
 
-	tally  outcome.Tally
-	sends  int             // names the attempts
-	counts int             // attempts that were not rerouted
-	tried  []topo.ServerID // servers of an unkeyed service that failed
-	waited []buffer.Key    // outages that the request met
-	probe  *buffer.Key     // outage that its next attempt asks about
-	past   []topo.NodeID   // lessors and deputies that did not take it
+	tally           outcome.Tally
+	attemptIDs      int             // names the attempts
+	countedAttempts int             // attempts that were not rerouted
+	tried           []topo.ServerID // servers of an unkeyed service that failed
+	waited          []buffer.Key    // outages that the request met
+	probe           *buffer.Key     // outage that its next attempt asks about
+	bypassed        []topo.NodeID   // lessors and deputies that did not take it
 }
 
 // result is what one attempt came to.
 type result struct {
 	verdict outcome.Verdict
 	answer  *exchange.Answer // with an answered verdict
-	out     *outage          // what the attempt showed to be out
-	// contact: the server, or the lessor's node, answered something.
-	contact bool
-	// settled: the lessor's node, which knows more, has waited for the owner
+	outage  *outage          // what the attempt showed to be out
+	// contacted: the server, or the lessor's node, answered something.
+	contacted bool
+	// ownerAwaited: the lessor's node, which knows more, has waited for the owner
 	// already.
-	settled bool
-	// moved: the way changed before anything was sent; decide anew at once.
-	moved bool
+	ownerAwaited bool
+	// routeChanged: the way changed before anything was sent; decide anew at once.
+	routeChanged bool
 }
 
 // outage is what an attempt showed to be out.
@@ -61,8 +61,8 @@
 
 func unsent(v outcome.Verdict) result { return result{verdict: v} }
 
-// whole takes the request to its final answer.
-func (r *run) whole() *exchange.Answer {
+// process takes the request to its final answer.
+func (r *requestState) process() *exchange.Answer {
 	defer r.dropProbe()
 	for {
 		viewChanged := r.m.source.Changed()
@@ -71,9 +71,9 @@
 		if refused != nil {
 			return r.final(*refused)
 		}
-		ready, answer := r.hold(d, viewChanged, overlayChanged)
+		ready, answer := r.waitUntilReady(d, viewChanged, overlayChanged)
 		if ready {
-			answer = r.once(d)
+			answer = r.attemptOnce(d)
 		}
 		if answer != nil {
 			return answer
@@ -82,7 +82,7 @@
 }
 
 // decide returns where the request goes now, or the verdict if nowhere.
-func (r *run) decide(view *state.View) (route.Decision, *outcome.Verdict) {
+func (r *requestState) decide(view *state.View) (route.Decision, *outcome.Verdict) {
 	d, refused := r.destination(view)
 	if refused != nil {
 		return d, refused
@@ -95,17 +95,17 @@
 		return d, nil
 	}
 	if r.req.From != "" {
-		return r.asDeputy(view, d)
+		return r.decideAsDeputy(view, d)
 	}
-	if r.out(d.Lessor) {
-		d = r.pastLessor(view, d)
+	if r.unreachable(d.Lessor) {
+		d = r.bypassLessor(view, d)
 	}
 	return d, nil
 }
 
-// asDeputy decides for a forwarded request whose lessor is another node: it is
+// decideAsDeputy decides for a forwarded request whose lessor is another node: it is
 // refused, unless the sender took this node for a deputy of that lessor.
-func (r *run) asDeputy(view *state.View, d route.Decision) (route.Decision, *outcome.Verdict) {
+func (r *requestState) decideAsDeputy(view *state.View, d route.Decision) (route.Decision, *outcome.Verdict) {
 	d, allowed := d.AsDeputy(view, r.m.self, r.req.Past)
 	if !allowed {
 		return d, refuse(callerapi.ReasonNotLessor)
@@ -113,45 +113,45 @@
 	return d, nil
 }
 
-// out reports whether a node cannot be reached, as far as this request or the
+// unreachable reports whether a node cannot be reached, as far as this request or the
 // node knows.
-func (r *run) out(id topo.NodeID) bool {
-	return slices.Contains(r.past, id) || r.m.nodes.Ejected(time.Now(), id)
+func (r *requestState) unreachable(id topo.NodeID) bool {
+	return slices.Contains(r.bypassed, id) || r.m.nodes.Ejected(time.Now(), id)
 }
 
-func (r *run) destination(view *state.View) (route.Decision, *outcome.Verdict) {
+func (r *requestState) destination(view *state.View) (route.Decision, *outcome.Verdict) {
 	if r.req.Keyed {
 		return route.Keyed(view, r.m.overlay.Overlay(), r.m.self, r.req.Service, r.req.Key), nil
 	}
 	return r.choose(view)
 }
 
-// pastLessor turns a forward into the way past the lessor where that is allowed:
+// bypassLessor turns a forward into the way past the lessor where that is allowed:
 // the server checks fences itself, or the service has no ownership and the
 // request carries no ticket, whose record the lessor keeps.
-func (r *run) pastLessor(view *state.View, d route.Decision) route.Decision {
+func (r *requestState) bypassLessor(view *state.View, d route.Decision) route.Decision {
 	if !d.Service.Keyed && r.ticket != nil {
 		return d
 	}
-	return d.PastLessor(view, r.m.self, r.out, rand.Float64)
+	return d.PastLessor(view, r.m.self, r.unreachable, rand.Float64)
 }
 
-// once makes one attempt. It returns the final answer, or nil to go on.
-func (r *run) once(d route.Decision) *exchange.Answer {
+// attemptOnce makes one attempt. It returns the final answer, or nil to go on.
+func (r *requestState) attemptOnce(d route.Decision) *exchange.Answer {
 	res := r.execute(d)
-	r.report(d, res)
-	if res.moved {
+	r.reportOutcome(d, res)
+	if res.routeChanged {
 		return nil
 	}
 	r.tally.Add(res.verdict)
-	r.counts++
+	r.countedAttempts++
 	if res.verdict.Outcome == serverapi.OutcomeAnswered {
 		return res.answer
 	}
-	next := retry.Decide(time.Now(), r.attempt(res), r.takeRetry, rand.Float64)
+	next := retry.Decide(time.Now(), r.retryAttempt(res), r.takeRetry, rand.Float64)
 	switch next.Action {
 	case retry.Reroute:
-		r.counts--
+		r.countedAttempts--
 		r.reroute(d, res)
 		return nil
 	case retry.Again:
@@ -164,7 +164,7 @@
 	return r.final(res.verdict)
 }
 
-func (r *run) attempt(res result) retry.Attempt {
+func (r *requestState) retryAttempt(res result) retry.Attempt {
 	return retry.Attempt{
 		Verdict:    res.verdict,
 		Keyed:      r.config.Keyed,
@@ -172,35 +172,35 @@
 		Replayable: r.req.Body.Replayable(),
 		Canceled:   r.caller.Err() != nil,
 		Forwarded:  r.req.From != "",
-		Settled:    res.settled,
+		Settled:    res.ownerAwaited,
 		Hop:        r.req.Hop,
-		Attempts:   r.counts,
+		Attempts:   r.countedAttempts,
 		Deadline:   r.req.Deadline,
 	}
 }
 
-func (r *run) takeRetry() bool { return r.m.budgets.take(r.req.Service, time.Now()) }
+func (r *requestState) takeRetry() bool { return r.m.budgets.take(r.req.Service, time.Now()) }
 
 // reroute makes sure that the next attempt waits for a change, or for its turn
 // to probe, when the attempt itself named nothing that is out.
-func (r *run) reroute(d route.Decision, res result) {
+func (r *requestState) reroute(d route.Decision, res result) {
 	metricRerouted.Add(1)
-	if res.out == nil {
+	if res.outage == nil {
 		r.m.buffer.Failed(time.Now(), keysOf(d)[0], buffer.Moving)
 	}
 }
 
-// report tells the buffer what an attempt showed.
-func (r *run) report(d route.Decision, res result) {
+// reportOutcome tells the buffer what an attempt showed.
+func (r *requestState) reportOutcome(d route.Decision, res result) {
 	now := time.Now()
-	if res.out != nil {
-		r.m.buffer.Failed(now, res.out.key, res.out.cause)
-		r.meet(res.out.key)
+	if res.outage != nil {
+		r.m.buffer.Failed(now, res.outage.key, res.outage.cause)
+		r.addWaited(res.outage.key)
 	}
 	if res.verdict.Outcome == serverapi.OutcomeAnswered {
 		r.m.buffer.Recovered(now, keysOf(d)...)
 		r.m.buffer.Passed(now, r.waited...)
-	} else if res.contact {
+	} else if res.contacted {
 		r.m.buffer.Recovered(now, contactKey(d))
 	}
 	r.dropProbe()
@@ -215,10 +215,10 @@
 }
 
 // pause waits before a retry; it is false when the request ended meanwhile.
-func (r *run) pause(wait time.Duration) bool { return clock.Wait(r.ctx, wait) }
+func (r *requestState) pause(wait time.Duration) bool { return clock.Wait(r.ctx, wait) }
 
-// ended is the verdict when the context ended while nothing was under way.
-func (r *run) ended() outcome.Verdict {
+// contextVerdict is the verdict when the context ended while nothing was under way.
+func (r *requestState) contextVerdict() outcome.Verdict {
 	if r.caller.Err() != nil {
 		return outcome.NotRun(callerapi.ReasonCanceled)
 	}
@@ -233,7 +233,7 @@
 )
 
 // final is the answer when the request is given up.
-func (r *run) final(last outcome.Verdict) *exchange.Answer {
+func (r *requestState) final(last outcome.Verdict) *exchange.Answer {
 	return refusal(withRetryAfter(r.tally.Final(last)))
 }
 
@@ -254,7 +254,7 @@
 func worthRetrying(status int) bool { return status == 429 || status >= 500 }
 
 // nextID names the next attempt.
-func (r *run) nextID() string {
-	r.sends++
-	return r.req.ID + "." + strconv.Itoa(r.sends)
+func (r *requestState) nextID() string {
+	r.attemptIDs++
+	return r.req.ID + "." + strconv.Itoa(r.attemptIDs)
 }
--- a/modules/router/send.go
+++ b/modules/router/send.go
@@ -18,13 +18,13 @@
 )
 
 // execute makes one attempt on the way that the decision names.
-func (r *run) execute(d route.Decision) result {
+func (r *requestState) execute(d route.Decision) result {
 	switch d.Path {
 	case route.PathLocal:
 		return r.local(d)
 	case route.PathDirect:
 		metricDirect.Add(1)
-		return r.admitted(d, r.m.directGate(d))
+		return r.admitted(d, r.m.deputyGate(d))
 	case route.PathDeputy:
 		metricDeputized.Add(1)
 	}
@@ -33,7 +33,7 @@
 
 // local sends as the server's admission point. The record of tickets is kept
 // here when the server does not keep it.
-func (r *run) local(d route.Decision) result {
+func (r *requestState) local(d route.Decision) result {
 	if r.ticket == nil || serverKeepsRecord(d) {
 		return r.admitted(d, r.m.gate(d))
 	}
@@ -52,36 +52,36 @@
 }
 
 // admitted waits for a place at the server and sends.
-func (r *run) admitted(d route.Decision, gate *limit.Gate) result {
+func (r *requestState) admitted(d route.Decision, gate *limit.Gate) result {
 	permit, err := gate.Acquire(r.ctx, limit.Entry{Caller: r.req.Caller, Deadline: r.req.Deadline, Hop: r.req.Hop})
 	if err != nil {
 		return unsent(r.notAdmitted(err))
 	}
-	if r.changed(d) || r.wentOut(d) {
+	if r.changed(d) || r.outageObserved(d) {
 		permit.Release(limit.Result{})
-		return result{moved: true}
+		return result{routeChanged: true}
 	}
 	if !r.m.maySend(d) {
 		permit.Release(limit.Result{})
 		res := unsent(outcome.NotRun(callerapi.ReasonNoLease))
-		res.out = &outage{key: buffer.LessorKey(d), cause: buffer.Unled}
+		res.outage = &outage{key: buffer.LessorKey(d), cause: buffer.Unled}
 		return res
 	}
-	place := &place{m: r.m, d: d, permit: permit, key: r.req.Key, since: time.Now(), caller: r.caller}
-	return r.send(d, place)
+	slot := &serverSlot{m: r.m, d: d, permit: permit, key: r.req.Key, since: time.Now(), caller: r.caller}
+	return r.send(d, slot)
 }
 
-func (r *run) notAdmitted(err error) outcome.Verdict {
+func (r *requestState) notAdmitted(err error) outcome.Verdict {
 	var refused *limit.RefusedError
 	if errors.As(err, &refused) {
 		metricShed.Add(string(refused.Reason), 1)
 		return outcome.NotRun(refused.Reason).Later(refused.RetryAfter)
 	}
-	return r.ended()
+	return r.contextVerdict()
 }
 
 // changed reports whether the way changed while the request waited for a place.
-func (r *run) changed(d route.Decision) bool {
+func (r *requestState) changed(d route.Decision) bool {
 	view, overlay := r.m.source.View(), r.m.overlay.Overlay()
 	var now route.Decision
 	if r.req.Keyed {
@@ -95,41 +95,41 @@
 	return !now.SameOwner(d)
 }
 
-// wentOut reports whether the way went out while the request waited for a place,
+// outageObserved reports whether the way went out while the request waited for a place,
 // so that a whole queue does not ask a server that has just said no.
-func (r *run) wentOut(d route.Decision) bool {
+func (r *requestState) outageObserved(d route.Decision) bool {
 	return r.probe == nil && r.m.buffer.Out(keysOf(d)...)
 }
 
 // send makes the attempt in a place at the server.
-func (r *run) send(d route.Decision, at *place) result {
+func (r *requestState) send(d route.Decision, slot *serverSlot) result {
 	body, err := r.req.Body.Open()
 	if err != nil {
-		at.leave(limit.Result{})
+		slot.release(limit.Result{})
 		return unsent(outcome.NotRun(callerapi.ReasonBodyUnreadable))
 	}
 	id := r.nextID()
 	metricAttempts.Add(1)
 	response, err := r.m.driver.Do(r.ctx, backend.Target{ID: d.Server, Address: d.Address}, r.backendRequest(d, id, body))
 	if err != nil {
-		return r.unanswered(d, at, err)
+		return r.attemptFailed(d, slot, err)
 	}
 	if echoed := response.Header.Get(serverapi.HeaderRequestID); echoed != "" && echoed != id {
 		metricForeign.Add(1)
 		eventForeignAnswer.Log(r.m.logger, "server", d.Server, "want", id, "got", echoed)
 		_ = response.Body.Close()
-		at.leave(limit.Result{})
+		slot.release(limit.Result{})
 		return result{verdict: outcome.Unknown(callerapi.ReasonForeignAnswer)}
 	}
 	verdict := outcome.Said(response.Outcome, response.Reason)
 	if verdict.Outcome != serverapi.OutcomeAnswered {
 		_ = response.Body.Close()
-		return r.declined(d, at, verdict)
+		return r.serverDeclined(d, slot, verdict)
 	}
-	return r.answered(at, response)
+	return r.serverAnswered(slot, response)
 }
 
-func (r *run) backendRequest(d route.Decision, id string, body io.Reader) backend.Request {
+func (r *requestState) backendRequest(d route.Decision, id string, body io.Reader) backend.Request {
 	return backend.Request{
 		Method:         r.req.Method,
 		Path:           r.req.Path,
@@ -149,34 +149,34 @@
 	}
 }
 
-// unanswered ends an attempt that brought no answer.
-func (r *run) unanswered(d route.Decision, at *place, err error) result {
-	failure := r.failure(err)
+// attemptFailed ends an attempt that brought no answer.
+func (r *requestState) attemptFailed(d route.Decision, slot *serverSlot, err error) result {
+	failure := r.classifyFailure(err)
 	verdict := outcome.Failed(failure)
 	if reason, broken := bodyFault(r.req.Body); broken {
 		verdict.Reason = reason
-		at.leave(limit.Result{})
+		slot.release(limit.Result{})
 		return unsent(verdict)
 	}
 	var local backend.LocalError
 	if errors.As(err, &local) && !failure.Sent {
-		at.leave(limit.Result{})
+		slot.release(limit.Result{})
 		return unsent(outcome.NotRun(callerapi.ReasonNoConnection))
 	}
-	at.leave(limit.Result{Failed: true})
+	slot.release(limit.Result{Failed: true})
 	res := unsent(verdict)
 	if failure.Canceled {
 		return res
 	}
-	ejected := r.m.observeServer(d.Server, failure, time.Since(at.since))
+	ejected := r.m.observeServer(d.Server, failure, time.Since(slot.since))
 	if d.Service.Keyed && (!failure.Sent || ejected) {
-		res.out = &outage{key: buffer.ServerKey(d), cause: buffer.Unreachable}
+		res.outage = &outage{key: buffer.ServerKey(d), cause: buffer.Unreachable}
 	}
 	return res
 }
 
-// failure reads the driver's error.
-func (r *run) failure(err error) outcome.Failure {
+// classifyFailure reads the driver's error.
+func (r *requestState) classifyFailure(err error) outcome.Failure {
 	failure := outcome.Failure{Sent: true}
 	var attempt *backend.AttemptError
 	if errors.As(err, &attempt) {
@@ -201,32 +201,32 @@
 	return callerapi.ReasonBodyUnreadable, true
 }
 
-// declined ends an attempt that the server did not run, or whose outcome the
+// serverDeclined ends an attempt that the server did not run, or whose outcome the
 // server does not know.
-func (r *run) declined(d route.Decision, at *place, verdict outcome.Verdict) result {
-	at.leave(limit.Result{Overloaded: verdict.Reason == serverapi.ReasonOverloaded})
+func (r *requestState) serverDeclined(d route.Decision, slot *serverSlot, verdict outcome.Verdict) result {
+	slot.release(limit.Result{Overloaded: verdict.Reason == serverapi.ReasonOverloaded})
 	r.m.servers.Observe(time.Now(), d.Server, health.Answered)
-	res := result{verdict: verdict, contact: true}
+	res := result{verdict: verdict, contacted: true}
 	switch verdict.Reason {
 	case serverapi.ReasonNotOwner, serverapi.ReasonDraining, serverapi.ReasonOwnershipLost:
 		if d.Service.Keyed {
-			res.out = &outage{key: buffer.ShardKey(d), cause: buffer.Moving}
+			res.outage = &outage{key: buffer.ShardKey(d), cause: buffer.Moving}
 		}
 	}
 	return res
 }
 
-// answered begins to pass on the server's answer.
-func (r *run) answered(at *place, response *backend.Response) result {
-	body, err := openBody(r.req.Method, response.Header, response.Body, at.ended)
+// serverAnswered begins to pass on the server's answer.
+func (r *requestState) serverAnswered(slot *serverSlot, response *backend.Response) result {
+	body, err := openBody(r.req.Method, response.Header, response.Body, slot.bodyEnded)
 	if err != nil {
 		metricBrokenAnswer.Add(1)
-		at.ended(false)
-		return result{verdict: outcome.Unknown(callerapi.ReasonBrokenAnswer), contact: true}
+		slot.bodyEnded(false)
+		return result{verdict: outcome.Unknown(callerapi.ReasonBrokenAnswer), contacted: true}
 	}
 	return result{
-		verdict: outcome.Answered(),
-		contact: true,
+		verdict:   outcome.Answered(),
+		contacted: true,
 		answer: &exchange.Answer{
 			Status:  response.Status,
 			Outcome: serverapi.OutcomeAnswered,
@@ -236,26 +236,26 @@
 	}
 }
 
-// silenceCounts is how long an attempt must have lasted for its missing answer
+// minUnresponsiveDuration is how long an attempt must have lasted for its missing answer
 // to count against the server when the deadline ended it.
-const silenceCounts = time.Second
+const minUnresponsiveDuration = time.Second
 
 // observeServer judges a server by an attempt without an answer. It reports
 // whether the server is out now.
-func (m *Module) observeServer(id topo.ServerID, f outcome.Failure, lasted time.Duration) bool {
+func (m *Module) observeServer(id topo.ServerID, f outcome.Failure, duration time.Duration) bool {
 	now := time.Now()
-	seen := health.Broken
+	observation := health.Broken
 	switch {
 	case !f.Sent && f.Deadline:
 		return false
 	case !f.Sent:
-		seen = health.Unreachable
-	case f.Deadline && lasted < silenceCounts:
+		observation = health.Unreachable
+	case f.Deadline && duration < minUnresponsiveDuration:
 		return m.servers.Ejected(now, id)
 	case f.Silent, f.Deadline:
-		seen = health.Silent
+		observation = health.Silent
 	}
-	if m.servers.Observe(now, id, seen) {
+	if m.servers.Observe(now, id, observation) {
 		metricEjections.Add(1)
 		eventServerEjected.Log(m.logger, "server", id)
 	}
--- a/modules/router/serve.go
+++ b/modules/router/serve.go
@@ -16,9 +16,9 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// bufferBytes is how much of a forwarded request body is read before the first
+// replayBufferBytes is how much of a forwarded request body is read before the first
 // attempt, so that the request can be sent again.
-const bufferBytes = 64 << 10
+const replayBufferBytes = 64 << 10
 
 // busyRetryAfter is when to come back to a node that holds as many requests as
 // it may, and shedRetryAfter when a dependency is overloaded.
@@ -32,7 +32,7 @@
 	answer := m.serve(ctx, req)
 	if req.From == "" {
 		countAnswer(req.Service, answer)
-		m.noteCapacity(req, answer)
+		m.recordShedding(req, answer)
 	}
 	return answer
 }
@@ -42,14 +42,14 @@
 	if refused != nil {
 		return refusal(withRetryAfter(*refused))
 	}
-	leave, refused := m.enter(req)
+	release, refused := m.admit(req)
 	if refused != nil {
 		return refusal(withRetryAfter(*refused))
 	}
 	var cancel context.CancelFunc
 	r.ctx, cancel = context.WithDeadline(ctx, req.Deadline)
-	answer := r.whole()
-	end := func() { cancel(); leave() }
+	answer := r.process()
+	end := func() { cancel(); release() }
 	if answer.Body == nil {
 		end()
 		return answer
@@ -59,12 +59,12 @@
 }
 
 // prepare checks a request against the site configuration.
-func (m *Module) prepare(ctx context.Context, req *exchange.Request) (*run, *outcome.Verdict) {
+func (m *Module) prepare(ctx context.Context, req *exchange.Request) (*requestState, *outcome.Verdict) {
 	config, exists := m.source.View().Service(req.Service)
 	if !exists {
 		return nil, refuse(callerapi.ReasonUnknownService)
 	}
-	r := &run{m: m, caller: ctx, req: req, config: config}
+	r := &requestState{m: m, caller: ctx, req: req, config: config}
 	switch {
 	case config.Keyed && !req.Keyed:
 		return nil, refuse(callerapi.ReasonMissingKey)
@@ -107,49 +107,49 @@
 }
 
 // deadlineOf bounds what the caller asked for by what the service allows.
-func deadlineOf(now, asked time.Time, most time.Duration) time.Time {
-	if most <= 0 {
-		most = callerapi.MaxDeadline
+func deadlineOf(now, asked time.Time, allowed time.Duration) time.Time {
+	if allowed <= 0 {
+		allowed = callerapi.MaxDeadline
 	}
-	latest := now.Add(most)
+	latest := now.Add(allowed)
 	if asked.IsZero() || asked.After(latest) {
 		return latest
 	}
 	return asked
 }
 
-// enter lets a request in, unless the node is full or the request is shed. A
+// admit lets a request in, unless the node is full or the request is shed. A
 // forwarded request was let in by the node that the caller asked.
-func (m *Module) enter(req *exchange.Request) (func(), *outcome.Verdict) {
+func (m *Module) admit(req *exchange.Request) (func(), *outcome.Verdict) {
 	metricInFlight.Add(1)
 	m.inFlight.Add(1)
-	m.sweeper.stir()
-	leave := func() {
+	m.sweeper.requestStarted()
+	release := func() {
 		metricInFlight.Add(-1)
 		m.inFlight.Add(-1)
 	}
 	if req.From != "" {
-		return leave, nil
+		return release, nil
 	}
 	now := time.Now()
 	if share := m.shed.Share(now, m.source.View().Site(), req.Service); share > 0 && rand.Float64() < share {
-		leave()
+		release()
 		metricShed.Add(string(callerapi.ReasonDependency), 1)
 		v := outcome.NotRun(callerapi.ReasonDependency).Later(shedRetryAfter)
 		return nil, &v
 	}
 	if !m.node.Enter(req.Service, req.Hop) {
-		leave()
+		release()
 		metricShed.Add(string(callerapi.ReasonBusy), 1)
 		v := outcome.NotRun(callerapi.ReasonBusy).Later(busyRetryAfter)
 		return nil, &v
 	}
 	m.budgets.first(req.Service, now)
-	return func() { m.node.Leave(req.Service); leave() }, nil
+	return func() { m.node.Leave(req.Service); release() }, nil
 }
 
-// noteCapacity counts an answer for the services that depend on this one.
-func (m *Module) noteCapacity(req *exchange.Request, answer *exchange.Answer) {
+// recordShedding counts an answer for the services that depend on this one.
+func (m *Module) recordShedding(req *exchange.Request, answer *exchange.Answer) {
 	switch answer.Reason {
 	case callerapi.ReasonDependency, callerapi.ReasonCanceled:
 		return
--- a/modules/router/place.go
+++ b/modules/router/slot.go
@@ -10,8 +10,8 @@
 	"github.com/burdockspindle/burdockspindle/serverapi"
 )
 
-// place is a request's place at a server, held until its answer has ended.
-type place struct {
+// serverSlot is a request's place at a server, held until its answer has ended.
+type serverSlot struct {
 	m      *Module
 	d      route.Decision
 	permit *limit.Permit
@@ -20,8 +20,8 @@
 	caller context.Context
 }
 
-// leave gives the place back after an attempt without an answer to pass on.
-func (p *place) leave(result limit.Result) {
+// release gives the place back after an attempt without an answer to pass on.
+func (p *serverSlot) release(result limit.Result) {
 	p.permit.Release(result)
 	outcome := serverapi.OutcomeNotRun
 	if result.Failed {
@@ -30,22 +30,22 @@
 	p.observe(outcome)
 }
 
-// ended gives the place back when the answer has been passed on, or broke.
-func (p *place) ended(whole bool) {
-	left := p.caller.Err() != nil
-	p.permit.Release(limit.Result{Served: whole, Failed: !whole && !left})
+// bodyEnded gives the place back when the answer has been passed on, or broke.
+func (p *serverSlot) bodyEnded(whole bool) {
+	disconnected := p.caller.Err() != nil
+	p.permit.Release(limit.Result{Served: whole, Failed: !whole && !disconnected})
 	if whole {
 		p.m.servers.Observe(time.Now(), p.d.Server, health.Answered)
 		p.observe(serverapi.OutcomeAnswered)
 		return
 	}
-	if !left && p.m.servers.Observe(time.Now(), p.d.Server, health.Broken) {
+	if !disconnected && p.m.servers.Observe(time.Now(), p.d.Server, health.Broken) {
 		metricEjections.Add(1)
 		eventServerEjected.Log(p.m.logger, "server", p.d.Server)
 	}
 	p.observe(serverapi.OutcomeUnknown)
 }
 
-func (p *place) observe(outcome serverapi.Outcome) {
+func (p *serverSlot) observe(outcome serverapi.Outcome) {
 	p.m.observer.Observe(p.d.Shard, p.key, p.d.Server, time.Since(p.since), outcome)
 }
--- a/modules/router/sweeper_test.go
+++ b/modules/router/sweeper_test.go
@@ -8,43 +8,43 @@
 	"github.com/onsi/gomega"
 )
 
-func TestSweepsRestOnlyWithoutRequests(t *testing.T) {
+func TestSweepsPauseOnlyWithoutRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var inFlight atomic.Int64
 	s := newSweeper()
 	inFlight.Add(1)
-	for range 2 * restAfter {
-		g.Expect(s.rests(&inFlight)).To(gomega.BeFalse())
+	for range 2 * idleSweepsBeforePause {
+		g.Expect(s.pauseIfIdle(&inFlight)).To(gomega.BeFalse())
 	}
 	inFlight.Add(-1)
-	for range restAfter - 1 {
-		g.Expect(s.rests(&inFlight)).To(gomega.BeFalse())
+	for range idleSweepsBeforePause - 1 {
+		g.Expect(s.pauseIfIdle(&inFlight)).To(gomega.BeFalse())
 	}
-	g.Expect(s.rests(&inFlight)).To(gomega.BeTrue())
+	g.Expect(s.pauseIfIdle(&inFlight)).To(gomega.BeTrue())
 	g.Expect(s.wake).NotTo(gomega.Receive())
 
 	inFlight.Add(1)
-	s.stir()
-	s.stir()
+	s.requestStarted()
+	s.requestStarted()
 	g.Expect(s.wake).To(gomega.Receive())
-	s.rouse()
-	g.Expect(s.rests(&inFlight)).To(gomega.BeFalse())
+	s.resume()
+	g.Expect(s.pauseIfIdle(&inFlight)).To(gomega.BeFalse())
 }
 
-// TestNoRequestIsLeftWithoutSweeps has requests come while the sweeper falls
+// TestSweepsResumeForEveryRequest has requests come while the sweeper falls
 // asleep, many times: each is either seen by it or wakes it.
-func TestNoRequestIsLeftWithoutSweeps(t *testing.T) {
+func TestSweepsResumeForEveryRequest(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for range 2000 {
 		var inFlight atomic.Int64
 		s := newSweeper()
-		s.idle = restAfter - 1
+		s.idle = idleSweepsBeforePause - 1
 		var request sync.WaitGroup
 		request.Go(func() {
 			inFlight.Add(1)
-			s.stir()
+			s.requestStarted()
 		})
-		rests := s.rests(&inFlight)
+		rests := s.pauseIfIdle(&inFlight)
 		request.Wait()
 		if rests {
 			g.Expect(s.wake).To(gomega.Receive())
--- a/modules/router/tickets.go
+++ b/modules/router/tickets.go
@@ -40,7 +40,7 @@
 	case !config.Keyed && req.Keyed:
 		return ticket.Scope{}, refuse(callerapi.ReasonUnexpectedKey)
 	}
-	d, found := m.ticketWay(&run{m: m, ctx: ctx, caller: ctx, req: req, config: config})
+	d, found := m.ticketRoute(&requestState{m: m, ctx: ctx, caller: ctx, req: req, config: config})
 	if !found {
 		v := outcome.NotRun(callerapi.ReasonNoOwner).Later(ticketRetryAfter)
 		return ticket.Scope{}, &v
@@ -51,26 +51,26 @@
 	return ticket.TermScope(d.Term), nil
 }
 
-// ticketWay returns the way that a request with the ticket would take. For a
+// ticketRoute returns the way that a request with the ticket would take. For a
 // service that is not divided by key, the least loaded of the servers drawn
 // decides which lessor keeps the record.
-func (m *Module) ticketWay(r *run) (route.Decision, bool) {
+func (m *Module) ticketRoute(r *requestState) (route.Decision, bool) {
 	view := m.source.View()
 	if r.req.Keyed {
 		d := route.Keyed(view, m.overlay.Overlay(), m.self, r.req.Service, r.req.Key)
 		return d, !d.Fence.IsZero() && !d.Term.IsZero()
 	}
-	ways := r.ways(view)
-	if len(ways) == 0 {
+	routes := r.candidateRoutes(view)
+	if len(routes) == 0 {
 		return route.Decision{}, false
 	}
-	candidates := make([]pick.Candidate, len(ways))
-	for i, d := range ways {
+	candidates := make([]pick.Candidate, len(routes))
+	for i, d := range routes {
 		candidates[i] = r.candidate(view, d)
 	}
 	chosen, found := m.picker.Pick(candidates, rand.Float64)
 	if !found {
 		return route.Decision{}, false
 	}
-	return ways[chosen], true
+	return routes[chosen], true
 }
--- a/modules/router/tickets_test.go
+++ b/modules/router/tickets_test.go
@@ -162,9 +162,9 @@
 	})
 }
 
-// TestNextTermRunsNoOldTicket: the record of the term before is gone, so a ticket
+// TestNextTermRefusesOldTicket: the record of the term before is gone, so a ticket
 // of it is refused as unknown, also one that never ran.
-func TestNextTermRunsNoOldTicket(t *testing.T) {
+func TestNextTermRefusesOldTicket(t *testing.T) {
 	for _, keyed := range []bool{true, false} {
 		unfenced(t, 1, func(p *pair, _ *directory) {
 			req := func() *exchange.Request { return unkeyed("POST") }
@@ -181,8 +181,8 @@
 	}
 }
 
-// TestLapsedLessorSendsNothing to servers that do not check fencing tokens.
-func TestLapsedLessorSendsNothing(t *testing.T) {
+// TestExpiredLessorSendsNothing to servers that do not check fencing tokens.
+func TestExpiredLessorSendsNothing(t *testing.T) {
 	unfenced(t, 1, func(p *pair, lessors *directory) {
 		lessors.refuse(true)
 		begun := time.Now()
--- a/modules/router/hold.go
+++ b/modules/router/wait.go
@@ -10,16 +10,16 @@
 	"github.com/burdockspindle/burdockspindle/route"
 )
 
-// hold lets the request wait while something on its way is out. Ready means
+// waitUntilReady lets the request wait while something on its way is out. Ready means
 // that an attempt is to be made; otherwise the answer is final, or nil to
 // decide anew.
-func (r *run) hold(d route.Decision, view, overlay <-chan struct{}) (ready bool, answer *exchange.Answer) {
+func (r *requestState) waitUntilReady(d route.Decision, view, overlay <-chan struct{}) (ready bool, answer *exchange.Answer) {
 	if r.ctx.Err() != nil {
-		return false, r.final(r.ended())
+		return false, r.final(r.contextVerdict())
 	}
 	now := time.Now()
 	if d.Path == route.PathWait {
-		key, cause := missing(d)
+		key, cause := awaitedKey(d)
 		r.m.buffer.Failed(now, key, cause)
 		return false, r.wait(key, view, overlay)
 	}
@@ -36,13 +36,13 @@
 	return true, nil
 }
 
-// missing names what a decision to wait waits for.
-func missing(d route.Decision) (buffer.Key, buffer.Cause) {
+// awaitedKey names what a decision to wait waits for.
+func awaitedKey(d route.Decision) (buffer.Key, buffer.Cause) {
 	switch {
 	case d.Reason == callerapi.ReasonNotLessor:
 		return buffer.LessorKey(d), buffer.Unled
 	case !d.Service.Keyed:
-		return outOfServers(d.Service.Name), buffer.Unowned
+		return noServerKey(d.Service.Name), buffer.Unowned
 	}
 	return buffer.ShardKey(d), buffer.Unowned
 }
@@ -64,20 +64,20 @@
 
 // wait holds the request until it is told what to do. It returns the final
 // answer, or nil to decide anew.
-func (r *run) wait(key buffer.Key, view, overlay <-chan struct{}) *exchange.Answer {
+func (r *requestState) wait(key buffer.Key, view, overlay <-chan struct{}) *exchange.Answer {
 	r.dropProbe()
-	place, refused := r.m.buffer.Join(time.Now(), key, r.req.Service, r.req.Deadline)
-	if place == nil {
+	waiter, refused := r.m.buffer.Join(time.Now(), key, r.req.Service, r.req.Deadline)
+	if waiter == nil {
 		return r.unserved(refused)
 	}
 	if len(r.waited) == 0 {
 		metricBuffered.Add(1)
 	}
-	r.meet(key)
-	wake, err := place.Wait(r.ctx, view, overlay)
+	r.addWaited(key)
+	wake, err := waiter.Wait(r.ctx, view, overlay)
 	switch {
 	case err != nil:
-		return r.final(r.ended())
+		return r.final(r.contextVerdict())
 	case wake.Refused:
 		return r.unserved(wake.Refusal)
 	case wake.Probe:
@@ -87,7 +87,7 @@
 }
 
 // unserved is the answer to a request that the buffer refused.
-func (r *run) unserved(refused buffer.Refusal) *exchange.Answer {
+func (r *requestState) unserved(refused buffer.Refusal) *exchange.Answer {
 	reason := refused.Reason
 	if reason == callerapi.ReasonNoOwner && !r.config.Keyed {
 		reason = callerapi.ReasonNoServer
@@ -96,7 +96,7 @@
 	return r.final(outcome.NotRun(reason).Later(refused.RetryAfter))
 }
 
-func (r *run) meet(key buffer.Key) {
+func (r *requestState) addWaited(key buffer.Key) {
 	for _, known := range r.waited {
 		if known == key {
 			return
@@ -106,7 +106,7 @@
 }
 
 // dropProbe leaves the probe, if it is not settled, to another request.
-func (r *run) dropProbe() {
+func (r *requestState) dropProbe() {
 	if r.probe != nil {
 		r.m.buffer.Abandoned(*r.probe)
 		r.probe = nil
--- a/modules/router/wire.go
+++ b/modules/router/wire.go
@@ -30,13 +30,13 @@
 // so long has lost its right as well.
 const (
 	keepAlivesPerTTL = 5
-	silentNumerator  = 3
-	silentDivisor    = 2
+	stallNumerator   = 3
+	stallDivisor     = 2
 )
 
-func keepAliveEvery(ttl time.Duration) time.Duration { return ttl / keepAlivesPerTTL }
+func keepAliveInterval(ttl time.Duration) time.Duration { return ttl / keepAlivesPerTTL }
 
-func forwardSilent(ttl time.Duration) time.Duration { return ttl * silentNumerator / silentDivisor }
+func forwardStallTimeout(ttl time.Duration) time.Duration { return ttl * stallNumerator / stallDivisor }
 
 // forwardedRequest is the JSON form of a forwarded request without its headers
 // and body.
@@ -133,8 +133,8 @@
 
 // deadline is the time left, within the bounds of what a caller may ask for.
 func (f forwardedRequest) deadline() time.Duration {
-	most := callerapi.MaxDeadline.Milliseconds()
-	return time.Duration(min(max(f.DeadlineMs, 0), most)) * time.Millisecond
+	maxMs := callerapi.MaxDeadline.Milliseconds()
+	return time.Duration(min(max(f.DeadlineMs, 0), maxMs)) * time.Millisecond
 }
 
 // ForwardFormatError reports a forwarded request or answer that cannot be read.
--- a/modules/router/wire_test.go
+++ b/modules/router/wire_test.go
@@ -10,9 +10,9 @@
 	"github.com/burdockspindle/burdockspindle/callerapi"
 )
 
-// TestForwardedRequestsSurviveTheWire: any key, path and caller arrives as it
+// TestForwardedRequestsRoundTrip: any key, path and caller arrives as it
 // was sent.
-func TestForwardedRequestsSurviveTheWire(t *testing.T) {
+func TestForwardedRequestsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sent := forwardedRequest{
 			Format:     forwardFormat,
