--- a/modules/router/answer.go
+++ b/modules/router/answer.go
@@ -11,11 +11,11 @@
 	"github.com/burdockspindle/burdockspindle/outcome"
 )
 
-// readAheadBytes is how much of an answer is read before anything is told to
-// the caller: an answer no longer than that is passed on whole or not at all.
+// readAheadBytes is how much of an answer is read before the caller receives any
+// of it. A shorter answer is passed on completely or not at all.
 const readAheadBytes = 32 << 10
 
-// refusal is the answer that this node gives itself.
+// refusal returns an answer that this node produces itself, without a server.
 func refusal(v outcome.Verdict) *exchange.Answer {
 	return &exchange.Answer{
 		Status:     v.Status(),
@@ -25,13 +25,13 @@
 	}
 }
 
-// answerBody is the body of a server's answer: its first part, read ahead, and
-// the rest. It makes sure that the body is as long as was declared, and tells
-// once how it ended.
+// answerBody is the body of a server's answer: its first part, which is read
+// ahead, and the rest. It checks that the body has the declared length, and
+// calls done once when the body has ended.
 type answerBody struct {
 	first  []byte
 	rest   io.ReadCloser
-	ended  error // of rest, once known
+	ended  error // how rest ended; nil while it is readable
 	length int64 // declared; -1 for none
 	copied int64
 
@@ -39,9 +39,9 @@
 	done func(whole bool)
 }
 
-// openBody reads the first part. An error means that the answer is not whole;
-// the body is then closed. Done is called exactly once, when the body has ended
-// or was closed, but not on an error.
+// openBody reads the first part. An error means that the answer is incomplete;
+// the body is then closed. Done is called exactly once, when the body ends or is
+// closed, unless openBody returns an error.
 func openBody(method string, header http.Header, rest io.ReadCloser, done func(whole bool)) (*answerBody, error) {
 	body := &answerBody{rest: rest, length: -1, done: done}
 	if method != http.MethodHead {
@@ -62,8 +62,8 @@
 	return length
 }
 
-// readFirst reads a short answer of declared length whole, and of any other
-// what one read brings.
+// readFirst reads all of a short answer with a declared length, and a single
+// chunk of any other answer.
 func (b *answerBody) readFirst() error {
 	buffer := make([]byte, b.firstSize())
 	for {
@@ -85,8 +85,8 @@
 	}
 }
 
-// firstSize leaves room for one byte more than is declared, so that the end is
-// seen.
+// firstSize leaves room for one byte more than the declared length, so that
+// readFirst reaches the end of the body.
 func (b *answerBody) firstSize() int64 {
 	if b.length >= 0 && b.length < readAheadBytes {
 		return b.length + 1
@@ -114,7 +114,7 @@
 	return count, nil
 }
 
-// checkEnd returns how the body ended, nil if it has not.
+// checkEnd returns how the body ended, or nil if it has not ended.
 func (b *answerBody) checkEnd(err error) error {
 	tooLong := b.length >= 0 && b.copied > b.length
 	if tooLong || errors.Is(err, io.EOF) {
@@ -125,8 +125,8 @@
 	return err
 }
 
-// end closes the server's answer, so that its place is free before another
-// request gets it.
+// end closes the server's answer, so that its connection is free before the slot
+// is granted to another request.
 func (b *answerBody) end() error {
 	_ = b.rest.Close()
 	b.finish(errors.Is(b.ended, io.EOF))
@@ -140,8 +140,8 @@
 	return nil
 }
 
-// Close implements io.Closer. Closing before the end counts as whole when all
-// that was declared has been passed on.
+// Close implements io.Closer. A body that is closed before its end is treated as
+// complete when the declared length has been passed on.
 func (b *answerBody) Close() error {
 	err := b.rest.Close()
 	b.finish(errors.Is(b.ended, io.EOF) || b.length >= 0 && b.copied == b.length)
@@ -157,4 +157,4 @@
 }
 
 // Error implements error.
-func (e *LengthError) Error() string { return "answer is not as long as declared" }
+func (e *LengthError) Error() string { return "answer body does not match its declared length" }
--- a/modules/router/budgets.go
+++ b/modules/router/budgets.go
@@ -8,8 +8,8 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// minRetriesPerWindow is how many retries a service may have in each window of its
-// budget however few its requests are.
+// minRetriesPerWindow is the number of retries that a service may make in each
+// window of its budget, even with few requests.
 const minRetriesPerWindow = 3
 
 // budgets holds the retry budget of each service.
--- a/modules/router/bypass_test.go
+++ b/modules/router/bypass_test.go
@@ -23,9 +23,9 @@
 	groupB = topo.GroupID("zone-b/0")
 )
 
-// TestOnlyUnreachableLessorIsBypassed: a request that went past one lessor
-// goes through the next owner's lessor, which can be reached and alone counts
-// that server's requests.
+// TestOnlyUnreachableLessorIsBypassed: a request that bypassed one lessor goes
+// through the lessor of the next owner if that lessor is reachable, because only
+// the lessor counts that server's requests.
 func TestOnlyUnreachableLessorIsBypassed(t *testing.T) {
 	paired(t, 1, both(), func(p *pair) {
 		var through atomic.Int64
@@ -43,13 +43,14 @@
 			p.Site.AssignAll(rt.KeyedName, "s3")
 		}()
 		p.Expect(text(p.WithT, p.serve(request("POST", "k")))).To(gomega.Equal("answer of s3"))
-		p.Expect(p.driver.Attempts()[0].Server).To(gomega.Equal(topo.ServerID("s1")), "the first lessor was passed by")
+		p.Expect(p.driver.Attempts()[0].Server).To(gomega.Equal(topo.ServerID("s1")), "the first lessor was bypassed")
 		p.Expect(through.Load()).To(gomega.Equal(int64(1)))
 	})
 }
 
-// TestManyNodesBypassLessorWithinLimit: far more entry nodes than the server
-// has places lose the lessor at once, and all have requests for the server.
+// TestManyNodesBypassLessorWithinLimit: the lessor becomes unreachable for far
+// more entry nodes than the server has slots, and all of them have requests for
+// the server.
 func TestManyNodesBypassLessorWithinLimit(t *testing.T) {
 	const nodes, limit = 24, 4
 	limited := rt.Keyed()
@@ -75,11 +76,11 @@
 	}
 }
 
-// keptConnections bounds the connections to lost nodes that a node may have kept.
+// keptConnections bounds the number of connections to lost nodes that a node may have kept.
 const keptConnections = 20
 
-// TestLostDeputyIsReplaced: deputies that cannot be reached either are left out,
-// and only they may send: without any, nothing reaches the server.
+// TestLostDeputyIsReplaced: unreachable deputies are skipped. Only deputies may
+// send, so that nothing reaches the server if none is reachable.
 func TestLostDeputyIsReplaced(t *testing.T) {
 	limited := rt.Keyed()
 	limited.ConcurrencyPerServer = 4
@@ -104,13 +105,13 @@
 		for _, entry := range p.entry {
 			answer := serve(entry)
 			if text(p.WithT, answer) != "" {
-				continue // a deputy, which sends by itself
+				continue // a deputy, which sends directly
 			}
 			for range keptConnections {
 				if answer.Reason != callerapi.ReasonNoAnswer {
 					break
 				}
-				answer = serve(entry) // a kept connection was found broken by sending
+				answer = serve(entry) // the attempt revealed a broken idle connection
 			}
 			p.Expect(answer.Outcome).To(gomega.Equal(serverapi.OutcomeNotRun), string(answer.Reason))
 			refused++
@@ -120,8 +121,8 @@
 	})
 }
 
-// TestOnlyDeputyBypassesLessor: a node that is no deputy by its own
-// view refuses, and never passes the request on.
+// TestOnlyDeputyBypassesLessor: a node that is not a deputy in its own view
+// refuses the request and never forwards it.
 func TestOnlyDeputyBypassesLessor(t *testing.T) {
 	limited := rt.Keyed()
 	limited.ConcurrencyPerServer = 1
--- a/modules/router/check_test.go
+++ b/modules/router/check_test.go
@@ -12,7 +12,7 @@
 )
 
 // doubleRuns lists the tickets that servers ran, or may have run, more than
-// once. An attempt that the server refused, or that never reached it, did not
+// once. An attempt that the server refused, or that did not reach it, did not
 // run.
 func doubleRuns(attempts []rt.Attempt) []string {
 	runs := map[string]int{}
@@ -30,8 +30,8 @@
 	return doubled
 }
 
-// misdelivered lists the answers that are not whole answers to the caller's own
-// request, of servers that echo the caller's ID.
+// misdelivered lists the callers that did not get the complete answer to their own
+// request, from servers that echo the caller's ID.
 func misdelivered(got map[string]string) []string {
 	var wrong []string
 	for caller, text := range got {
@@ -42,8 +42,8 @@
 	return wrong
 }
 
-// TestCheckersDetectInjectedFaults: a resend of a request that is not idempotent,
-// and an answer spliced together from two.
+// TestCheckersDetectInjectedFaults injects a resend of a request that is
+// not idempotent, and an answer that combines two answers.
 func TestCheckersDetectInjectedFaults(t *testing.T) {
 	g := gomega.NewWithT(t)
 	driver := rt.NewDriver()
@@ -60,6 +60,6 @@
 
 	g.Expect(misdelivered(map[string]string{"a": "a", "bb": "bb"})).To(gomega.BeEmpty())
 	g.Expect(misdelivered(map[string]string{"a": "a", "bb": "ba"})).To(gomega.Equal([]string{"bb"}), "splice")
-	g.Expect(misdelivered(map[string]string{"a": "bb", "bb": "bb"})).To(gomega.Equal([]string{"a"}), "another's")
-	g.Expect(misdelivered(map[string]string{"bb": "b"})).To(gomega.Equal([]string{"bb"}), "cut short")
+	g.Expect(misdelivered(map[string]string{"a": "bb", "bb": "bb"})).To(gomega.Equal([]string{"a"}), "answer of another caller")
+	g.Expect(misdelivered(map[string]string{"bb": "b"})).To(gomega.Equal([]string{"bb"}), "incomplete answer")
 }
--- a/modules/router/choose.go
+++ b/modules/router/choose.go
@@ -18,8 +18,8 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// serverIndex lists the live servers of each service. It is made anew when the
-// view's servers have changed, which is rare beside other records.
+// serverIndex lists the live servers of each service. It is rebuilt when the
+// view's servers change, which is rare compared with other records.
 type serverIndex struct {
 	current atomic.Pointer[indexedServers]
 }
@@ -45,7 +45,7 @@
 	return known.byService[service]
 }
 
-// choose picks a server of a service that is not divided by key.
+// choose picks a server of an unkeyed service.
 func (r *requestState) choose(view *state.View) (route.Decision, *outcome.Verdict) {
 	routes := r.candidateRoutes(view)
 	if len(routes) == 0 {
@@ -65,8 +65,9 @@
 	return routes[chosen], nil
 }
 
-// noRoute decides when no server may take the request. A ticket whose term is not
-// in force will be if this node's state is behind, and never again otherwise.
+// noRoute decides when no server may take the request. If the ticket's term is not
+// in force, the request waits while this node's state may be behind that term;
+// otherwise the ticket is stale for good.
 func (r *requestState) noRoute(view *state.View) (route.Decision, *outcome.Verdict) {
 	wait := route.Decision{Path: route.PathWait, Reason: callerapi.ReasonNoServer, Service: r.config}
 	if r.ticket == nil {
@@ -87,8 +88,8 @@
 
 func (r *requestState) isPreferred(d route.Decision) bool { return d.Server == r.req.Chosen }
 
-// candidateRoutes lists the decisions that the request may take: those that did not fail
-// already and whose lessor is not out, as long as there are any.
+// candidateRoutes lists the decisions that the request may take. Servers that
+// already failed and lessors with an outage are left out, unless no other is left.
 func (r *requestState) candidateRoutes(view *state.View) []route.Decision {
 	overlay := r.m.overlay.Overlay()
 	var all, preferred []route.Decision
@@ -108,9 +109,9 @@
 	return all
 }
 
-// allowed keeps a forwarded request at the node that it was forwarded to, there
-// also as a deputy for the server that the sender chose, and a ticket with the
-// lessor whose term it names.
+// allowed reports whether the request may take a decision. A forwarded request
+// stays at the node that it was forwarded to, which may act as a deputy for the
+// server that the sender chose. A ticket stays with the lessor of its term.
 func (r *requestState) allowed(d route.Decision) bool {
 	actingAsDeputy := r.req.Past != "" && r.req.Past == d.Lessor && r.isPreferred(d)
 	if r.req.From != "" && d.Path != route.PathLocal && !actingAsDeputy {
@@ -148,7 +149,7 @@
 	return float64(used) / float64(window)
 }
 
-// noServerKey is the outage of a service without any server.
+// noServerKey returns the outage of a service without any server.
 func noServerKey(service topo.Service) buffer.Key {
 	return buffer.Key{Shard: topo.ShardID{Service: service}}
 }
--- a/modules/router/dump.go
+++ b/modules/router/dump.go
@@ -10,7 +10,7 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// dump is the router's part of the state dump.
+// dump is the router's section of the state dump.
 type dump struct {
 	InFlight       int64                        `json:"inFlight"`
 	Activations    []route.Activation           `json:"activations"`
--- a/modules/router/flight.go
+++ b/modules/router/flight.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// flight watches one forward.
+// flight tracks the progress of one forwarded request.
 type flight struct {
 	sent    atomic.Bool // bytes of the request may have left
 	reused  atomic.Bool
@@ -24,7 +24,7 @@
 	timer *time.Timer
 }
 
-// trace notes when the request gets a connection, and every sign of life.
+// trace records when the request gets a connection, and every 1xx response.
 func (f *flight) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
@@ -38,9 +38,9 @@
 	}
 }
 
-// gotConn notes the connection and how much had been written to it before. When
+// gotConn records the connection and how much had been written to it before. When
 // net/http replaces a connection that was closed before anything was written,
-// the earlier one's bytes still count.
+// bytes that were written to the replaced connection still count as sent.
 func (f *flight) gotConn(conn *sentConn) {
 	f.progress()
 	f.noteSent()
@@ -48,7 +48,7 @@
 	defer f.mu.Unlock()
 	f.conn = conn
 	if conn == nil {
-		f.sent.Store(true) // cannot tell
+		f.sent.Store(true) // writes cannot be observed
 		return
 	}
 	f.base = conn.written.Load()
@@ -78,7 +78,7 @@
 	f.cancel(&stallError{})
 }
 
-// progress puts the silence limit off.
+// progress restarts the stall timeout.
 func (f *flight) progress() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -95,15 +95,15 @@
 	}
 }
 
-// guardedBody gives an answer's body up when it makes no progress, and ends the
+// guardedBody aborts an answer's body that makes no progress, and ends the
 // forward when it is closed.
 type guardedBody struct {
 	io.ReadCloser
 	flight *flight
 }
 
-// Read implements io.Reader. The silence limit runs only while the answer is
-// read: a slow caller is not the other node's silence.
+// Read implements io.Reader. The stall timeout runs only while the answer is
+// read, because a slow caller does not make the other node unresponsive.
 func (b *guardedBody) Read(p []byte) (int, error) {
 	b.flight.progress()
 	count, err := b.ReadCloser.Read(p)
--- a/modules/router/forward.go
+++ b/modules/router/forward.go
@@ -14,7 +14,7 @@
 )
 
 // forward sends the request to the node that is the server's admission point, or
-// to a deputy.
+// to a deputy of that node.
 func (r *requestState) forward(d route.Decision) result {
 	view := r.m.source.View()
 	node, exists := view.Node(d.Next())
@@ -66,8 +66,8 @@
 	return form
 }
 
-// forwardMargin is how much earlier the other node gives up, so that what it
-// knows of the request arrives in time.
+// forwardMargin is how much earlier the deadline of the other node is, so that
+// its verdict arrives before this node's deadline.
 const forwardMargin = 5 * time.Millisecond
 
 func forwardedDeadline(remaining time.Duration) time.Duration {
@@ -77,7 +77,7 @@
 	return max(remaining, 0)
 }
 
-// forwardAnswered passes on what the other node said.
+// forwardAnswered passes on the other node's answer.
 func (r *requestState) forwardAnswered(d route.Decision, form forwardedAnswer, response *http.Response, done func()) result {
 	verdict := outcome.Said(form.Outcome, form.Reason).Later(time.Duration(form.RetryAfterMs) * time.Millisecond)
 	if verdict.Outcome != serverapi.OutcomeAnswered || !form.HasBody {
@@ -99,7 +99,7 @@
 	return result{verdict: outcome.Answered(), contacted: true, answer: answer}
 }
 
-// forwardFailed ends a forward that brought no answer.
+// forwardFailed ends a forward without an answer.
 func (r *requestState) forwardFailed(d route.Decision, err error) result {
 	failure := outcome.Failure{
 		Sent:     true,
@@ -131,8 +131,9 @@
 	return r.bypass(d, outcome.NotRun(callerapi.ReasonNotLessor))
 }
 
-// forwardRejected is the result when the other node says that it is not the lessor, or
-// no deputy. The lessor's word is waited for; another deputy may be asked.
+// forwardRejected returns the result when the other node reports that it is not the
+// lessor, or not a deputy. A lessor's rejection makes the request wait for a
+// change; after a deputy's rejection another deputy may be tried.
 func (r *requestState) forwardRejected(d route.Decision, v outcome.Verdict) result {
 	if d.Path == route.PathDeputy {
 		return r.bypass(d, v)
@@ -140,8 +141,8 @@
 	return r.lessorUnavailable(d, v)
 }
 
-// bypass makes the request go past a lessor or deputy that did not take it, if
-// there is a way; v is the verdict if there is none.
+// bypass routes the request past a lessor or deputy that did not take it, if
+// another route exists; v is the verdict otherwise.
 func (r *requestState) bypass(d route.Decision, v outcome.Verdict) result {
 	r.bypassed = append(r.bypassed, d.Next())
 	d.Path = route.PathForward
@@ -152,16 +153,17 @@
 	return r.lessorUnavailable(d, v)
 }
 
-// lessorUnavailable is the result when the lessor's node cannot take the request.
+// lessorUnavailable returns the result when the lessor's node cannot take the
+// request.
 func (r *requestState) lessorUnavailable(d route.Decision, v outcome.Verdict) result {
 	res := unsent(v)
 	res.outage = &outage{key: buffer.LessorKey(d), cause: buffer.Unled}
 	return res
 }
 
-// observeNode judges a node by a forward without an answer. A silent connection
-// that had been used before says nothing of the node: the next attempt opens a
-// new one.
+// observeNode updates a node's health after a forward without an answer. A stalled
+// connection that was reused does not count against the node, because the next
+// attempt opens a new one.
 func (m *Module) observeNode(d route.Decision, failed *forwardError) {
 	if failed == nil || failed.stalled && failed.reused {
 		return
--- a/modules/router/forward_client.go
+++ b/modules/router/forward_client.go
@@ -17,13 +17,13 @@
 type forwarder struct {
 	scheme        string
 	transport     *http.Transport
-	stallTimeout  time.Duration    // no sign of life for so long gives a connection up
+	stallTimeout  time.Duration    // without progress before a connection is aborted
 	files         *tlsfiles.Loader // nil for no TLS
 	tlsGeneration atomic.Uint64    // generation of the certificates of open connections
 }
 
-// renew closes the idle connections that were made with earlier certificates:
-// the other node would not take requests over them any more.
+// renew closes idle connections that use earlier certificates, because the other
+// node no longer accepts requests over them.
 func (f *forwarder) renew() {
 	if f.files == nil {
 		return
@@ -34,8 +34,8 @@
 	}
 }
 
-// forwarded is what one forward came to without a readable answer: Sent is
-// false only if it is proven that no byte of the request left.
+// forwardError describes a forward without a readable answer. Its field sent is
+// false only if it is proven that no byte of the request was sent.
 type forwardError struct {
 	sent    bool
 	stalled bool
@@ -53,11 +53,11 @@
 type stallError struct{}
 
 // Error implements error.
-func (*stallError) Error() string { return "no sign of life" }
+func (*stallError) Error() string { return "no progress within the stall timeout" }
 
 // send forwards a request and returns the answer's form and HTTP response. The
-// response's body is guarded against silence and must be closed. The error is
-// a *forwardError.
+// response's body is aborted when it stalls, and must be closed. The error is a
+// *forwardError.
 func (f *forwarder) send(ctx context.Context, address string, form forwardedRequest, header http.Header, body io.Reader) (forwardedAnswer, *http.Response, error) {
 	f.renew()
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -99,14 +99,14 @@
 		request.Header = http.Header{}
 	}
 	if request.Header["User-Agent"] == nil {
-		request.Header["User-Agent"] = []string{""} // or net/http adds one
+		request.Header["User-Agent"] = []string{""} // otherwise net/http adds one
 	}
 	request.Header.Set(headerForward, encodeForward(form))
 	return request, nil
 }
 
-// newForwardError describes a forward without an answer. Connections that were opened
-// before a silence are closed: they may be as dead.
+// newForwardError describes a forward without an answer. After a stall it closes
+// the idle connections, because they may have stalled as well.
 func (f *forwarder) newForwardError(flight *flight, err error) *forwardError {
 	silent := flight.stalled.Load()
 	if silent {
--- a/modules/router/forward_conn.go
+++ b/modules/router/forward_conn.go
@@ -16,20 +16,20 @@
 	maxForwardHeader   = 1 << 20
 )
 
-// sentConn tells whether anything was written to it, below any TLS.
+// sentConn counts the bytes that are written to it, below any TLS.
 type sentConn struct {
 	net.Conn
-	written atomic.Int64 // bytes that may have left
+	written atomic.Int64 // bytes that may have been sent
 }
 
-// Write implements net.Conn. The bytes count before they are written, since a
-// failed write may have sent them.
+// Write implements net.Conn. The bytes are counted before they are written,
+// because a failed write may have sent them.
 func (c *sentConn) Write(p []byte) (int, error) {
 	c.written.Add(int64(len(p)))
 	return c.Conn.Write(p)
 }
 
-// sentConnOf finds the sentConn under a connection, or nil.
+// sentConnOf returns the sentConn below a connection, or nil.
 func sentConnOf(conn net.Conn) *sentConn {
 	type layered interface{ NetConn() net.Conn }
 	if upper, ok := conn.(layered); ok {
@@ -43,9 +43,9 @@
 type clientTLS func(host string) *tls.Config
 
 // newForwardTransport returns a transport to other nodes; without config it
-// uses no TLS. HTTP/1.1 gives each request a connection of its own while it
-// lasts, so that one silent connection delays one request, and an answer cannot
-// be taken for another's.
+// uses no TLS. It uses HTTP/1.1, where a connection carries one request at a
+// time, so that a stalled connection delays only one request, and an answer
+// cannot be mistaken for the answer to another request.
 func newForwardTransport(open Dial, connect time.Duration, config clientTLS) *http.Transport {
 	transport := &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -66,11 +66,11 @@
 	return transport
 }
 
-// Dial opens a connection to another node. A process whose nodes are not joined
-// by TCP provides its own.
+// Dial opens a connection to another node. A process whose nodes are not
+// connected by TCP provides its own.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// dialTLS opens a connection and takes the certificates that are in force then.
+// dialTLS opens connections with the certificates that are current at that time.
 func dialTLS(open Dial, connect time.Duration, config clientTLS) Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		raw, err := open(ctx, network, address)
--- a/modules/router/forward_faults_test.go
+++ b/modules/router/forward_faults_test.go
@@ -16,7 +16,7 @@
 	"github.com/burdockspindle/burdockspindle/siteconfig"
 )
 
-// TestUnreachableLessorIsBypassed: where servers check fences the entry node
+// TestUnreachableLessorIsBypassed: where servers check fences, the entry node
 // sends directly, one request at a time.
 func TestUnreachableLessorIsBypassed(t *testing.T) {
 	paired(t, 1, both(), func(p *pair) {
@@ -33,8 +33,9 @@
 	})
 }
 
-// TestUnfencedServiceDoesNotBypassLessor where servers do not check fences: it alone
-// may send. The caller is told at once.
+// TestUnfencedServiceDoesNotBypassLessor checks that an unreachable lessor is
+// not bypassed where servers do not check fences, because only the lessor may
+// send. The caller is answered immediately.
 func TestUnfencedServiceDoesNotBypassLessor(t *testing.T) {
 	unfenced := rt.Keyed()
 	unfenced.ChecksFencing = false
@@ -51,8 +52,8 @@
 	})
 }
 
-// TestUnresponsiveLessorIsReported: the lessor's node takes the request and then nothing
-// comes from it. What may have run is not sent again.
+// TestUnresponsiveLessorIsReported: the lessor's node accepts the request and then
+// sends nothing. A request that may have run is not sent again.
 func TestUnresponsiveLessorIsReported(t *testing.T) {
 	paired(t, 1, both(), func(p *pair) {
 		p.lessor.Fault(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
@@ -64,8 +65,8 @@
 	})
 }
 
-// TestSlowServerDoesNotMakeLessorUnresponsive: the lessor's node gives signs of
-// life while the server works.
+// TestSlowServerDoesNotMakeLessorUnresponsive: the lessor's node sends
+// keep-alives while the server works on a request.
 func TestSlowServerDoesNotMakeLessorUnresponsive(t *testing.T) {
 	paired(t, 1, both(), func(p *pair) {
 		p.driver.Set("s1", rt.Slow(2*time.Second, rt.Answer(200, "late but whole")))
@@ -74,8 +75,8 @@
 	})
 }
 
-// TestFailingLessorIsBypassed: after a few answers that broke off, requests go
-// directly for a while.
+// TestFailingLessorIsBypassed: after a few interrupted answers, requests are
+// sent directly while the lessor's node is ejected.
 func TestFailingLessorIsBypassed(t *testing.T) {
 	paired(t, 1, both(), func(p *pair) {
 		p.lessor.Fault(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
@@ -92,8 +93,8 @@
 	})
 }
 
-// TestStalledConnectionsAreClosed: connections to the lessor's node that were
-// open go silent for good, new ones work. One request meets the silence.
+// TestStalledConnectionsAreClosed: the open connections to the lessor's node stall
+// permanently and new ones work. Only one request is affected by the stall.
 func TestStalledConnectionsAreClosed(t *testing.T) {
 	paired(t, 1, both(), func(p *pair) {
 		var old sync.Map
@@ -145,11 +146,11 @@
 	_, _ = w.Write([]byte("somebody else's"))
 }
 
-// TestForwardedRequestsAreNotForwardedAgain: two nodes that each take the other
-// for the lessor end the request instead of passing it to and fro.
+// TestForwardedRequestsAreNotForwardedAgain: two nodes whose states each name the
+// other as the lessor refuse the request instead of forwarding it in a loop.
 func TestForwardedRequestsAreNotForwardedAgain(t *testing.T) {
 	paired(t, 1, both(), func(p *pair) {
-		behind := routetest.New() // the lessor's node has an older state
+		behind := routetest.New() // older state of the lessor's node
 		behind.Configure(both()...)
 		entry := p.entry[0]
 		stale := (&rt.World{Site: behind, Driver: p.driver, Network: p.Network}).Start(p.t, "lessor")
@@ -173,10 +174,10 @@
 }
 
 // TestForwardWaitsForTheSendersState: a lessor whose state is behind catches up
-// before it judges.
+// before it decides.
 func TestForwardWaitsForTheSendersState(t *testing.T) {
 	paired(t, 1, both(), func(p *pair) {
-		behind := routetest.New() // without even the service
+		behind := routetest.New() // does not contain the service yet
 		slow := (&rt.World{Site: behind, Driver: p.driver, Network: p.Network}).Start(p.t, "lessor")
 		p.Site.Run("lessor", rt.Boot, slow.PeerAddress())
 		arrived := make(chan struct{})
--- a/modules/router/forward_server.go
+++ b/modules/router/forward_server.go
@@ -14,12 +14,12 @@
 	"github.com/burdockspindle/burdockspindle/serverapi"
 )
 
-// catchUpTimeout is how long a forwarded request waits for this node's state to
-// reach the sender's.
+// catchUpTimeout limits how long a forwarded request waits for this node's state
+// to reach the offset of the sender's state.
 const catchUpTimeout = 500 * time.Millisecond
 
 // serveForward answers a request that another node forwarded. It never forwards
-// it again.
+// the request again.
 func (m *Module) serveForward(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	metricForwardedIn.Add(1)
@@ -41,8 +41,8 @@
 	writer.write(m, req, answer)
 }
 
-// acceptForwarded checks a forwarded request and serves it. The answer is nil
-// when it is refused.
+// acceptForwarded checks a forwarded request and serves it. The answer is
+// nil when the request is refused.
 func (m *Module) acceptForwarded(ctx context.Context, req *exchange.Request, form forwardedRequest, body io.Reader) (*exchange.Answer, outcome.Verdict) {
 	if req.From == m.self.Node {
 		eventForwardLoop.Log(m.logger, "request", req.ID)
@@ -73,7 +73,8 @@
 	return callerapi.ReasonBodyUnreadable
 }
 
-// catchUp waits until this node's state has reached the sender's.
+// catchUp waits until this node's state has reached the offset of the sender's state,
+// and reports whether it has.
 func (m *Module) catchUp(ctx context.Context, req *exchange.Request) bool {
 	if m.source.View().Applied() >= req.MinApplied {
 		return true
@@ -84,11 +85,11 @@
 	return m.source.WaitApplied(ctx, req.MinApplied) == nil
 }
 
-// answerWriter writes one answer to a forwarded request, and signs of life until
-// then.
+// answerWriter writes one answer to a forwarded request, and 102 responses as
+// keep-alives until then.
 type answerWriter struct {
 	id    string
-	every time.Duration // between signs of life
+	every time.Duration // between keep-alives
 
 	mu     sync.Mutex
 	w      http.ResponseWriter
@@ -121,8 +122,8 @@
 	a.timer.Stop()
 }
 
-// write passes an answer on. It aborts the connection when the server's body
-// ends before it is whole.
+// write passes an answer on. It aborts the connection when the server's body is
+// incomplete.
 func (a *answerWriter) write(m *Module, req *exchange.Request, answer *exchange.Answer) {
 	a.stop()
 	form := forwardedAnswer{
@@ -146,7 +147,7 @@
 	}
 	header.Set(headerForward, encodeForward(form))
 	if header["Content-Type"] == nil {
-		header["Content-Type"] = nil // or net/http guesses one
+		header["Content-Type"] = nil // otherwise net/http guesses one
 	}
 	a.w.WriteHeader(http.StatusOK)
 	if answer.Body == nil {
@@ -158,7 +159,7 @@
 	}
 }
 
-// copyAnswer copies and flushes after each part.
+// copyAnswer copies the body and flushes after each partial read.
 func copyAnswer(w http.ResponseWriter, body io.Reader) error {
 	controller := http.NewResponseController(w)
 	buffer := make([]byte, readAheadBytes)
@@ -184,7 +185,7 @@
 	}
 }
 
-// reportedLoad tells the forwarding node how loaded the server is that it chose.
+// reportedLoad returns the load of the server that the forwarding node chose.
 func (m *Module) reportedLoad(req *exchange.Request) float64 {
 	if req.Chosen == "" {
 		return 0
--- a/modules/router/forward_test.go
+++ b/modules/router/forward_test.go
@@ -31,8 +31,8 @@
 	entry  []*rt.Node
 }
 
-// paired runs a test with so many entry nodes and a lessor's node, joined by
-// HTTP over a network in memory.
+// paired runs a test with the given number of entry nodes and a lessor's node,
+// connected by HTTP over a network in memory.
 func paired(t *testing.T, entries int, services []*siteconfig.Service, test func(p *pair), options ...rt.Option) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &pair{WithT: gomega.NewWithT(t), world: newWorld(services...), t: t}
@@ -103,8 +103,8 @@
 	})
 }
 
-// TestIncompleteAnswerIsReported: the server's body ends early after the
-// first part has been passed on.
+// TestIncompleteAnswerIsReported: the server's body ends early after the first
+// part has been passed on, and the caller's read fails.
 func TestIncompleteAnswerIsReported(t *testing.T) {
 	for _, declared := range []int{-1, 1 << 20} {
 		paired(t, 1, both(), func(p *pair) {
@@ -132,11 +132,11 @@
 	})
 }
 
-// TestLimitHoldsOverAllNodes: several entry nodes send far more than the server
-// may hold, through the one admission point.
+// TestLimitHoldsOverAllNodes: several entry nodes send far more requests than
+// the server's limit, through its only admission point.
 func TestLimitHoldsOverAllNodes(t *testing.T) {
 	patient := rt.Keyed()
-	patient.Deadline = 5 * time.Minute // however slow the machine
+	patient.Deadline = 5 * time.Minute // not reached even on a slow machine
 	paired(t, 4, []*siteconfig.Service{patient, rt.Unkeyed()}, func(p *pair) {
 		p.driver.Set("s1", rt.Slow(2*time.Millisecond, rt.Echo))
 		var wait sync.WaitGroup
@@ -176,10 +176,10 @@
 }
 
 // TestUnkeyedRequestsSpread: with two choices at the admission point the servers
-// share the load, whichever entry node takes a request.
+// share the load, whichever entry node receives a request.
 func TestUnkeyedRequestsSpread(t *testing.T) {
 	patient := rt.Unkeyed()
-	patient.Deadline = 5 * time.Minute // however slow the machine
+	patient.Deadline = 5 * time.Minute // not reached even on a slow machine
 	paired(t, 3, []*siteconfig.Service{rt.Keyed(), patient}, func(p *pair) {
 		for _, id := range []topo.ServerID{"u1", "u2", "u3"} {
 			p.driver.Set(id, rt.Slow(2*time.Millisecond, rt.Answer(200, "ok")))
@@ -204,7 +204,8 @@
 	})
 }
 
-// TestAnswerWithoutLength and other odd but whole answers pass unchanged.
+// TestUnusualAnswersPassUnchanged: complete answers without a length or body, or
+// with an error status, pass unchanged.
 func TestUnusualAnswersPassUnchanged(t *testing.T) {
 	paired(t, 1, both(), func(p *pair) {
 		big := bytes.Repeat([]byte("0123456789"), 50_000)
--- a/modules/router/local_test.go
+++ b/modules/router/local_test.go
@@ -45,7 +45,7 @@
 	return string(content)
 }
 
-// world is a site with a driver and a network in memory. Time is faked.
+// world is a site with a driver and a network in memory. The clock is fake.
 type world struct {
 	*rt.World
 	driver *rt.Driver
@@ -78,9 +78,9 @@
 
 func both() []*siteconfig.Service { return []*siteconfig.Service{rt.Keyed(), rt.Unkeyed()} }
 
-// TestRequestForLostServerFailsImmediately: the owner cannot be reached and no other is
-// named. The caller is told at once, with a time to come back, since the shard
-// is not expected to be served before the deadline.
+// TestRequestForLostServerFailsImmediately: the owner is unreachable and the state
+// names no other. The caller is answered immediately, with a Retry-After time,
+// because the shard is not expected to be served before the deadline.
 func TestRequestForLostServerFailsImmediately(t *testing.T) {
 	alone(t, both(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
 		driver.Set("s1", rt.Unreachable)
@@ -95,12 +95,12 @@
 	})
 }
 
-// TestMovedShardIsServedByItsNextOwner: requests wait while nobody serves the
-// shard, and go to the next owner as soon as the state names one.
+// TestMovedShardIsServedByItsNextOwner: requests wait while no server serves
+// the shard, and go to the next owner as soon as the state names one.
 func TestMovedShardIsServedByItsNextOwner(t *testing.T) {
 	alone(t, both(), func(g *gomega.WithT, site *routetest.Site, driver *rt.Driver, node *rt.Node) {
-		// Answers take a moment, so that not all requests are sent before the first
-		// answer, in whatever order their goroutines run.
+		// Answers take 1 ms, so that not all requests are sent before the first
+		// answer, whatever the order of their goroutines.
 		driver.Set("s1", rt.Slow(time.Millisecond, rt.Decline("not-run", serverapi.ReasonNotOwner)))
 		var wait sync.WaitGroup
 		begun := time.Now()
@@ -120,12 +120,12 @@
 				asked++
 			}
 		}
-		g.Expect(asked).To(gomega.BeNumerically("<", 12), "the old owner is asked by one at a time")
+		g.Expect(asked).To(gomega.BeNumerically("<", 12), "one request at a time probes the previous owner")
 	})
 }
 
-// TestActivatedStandbyIsUsed: a standby activated off the log serves what waits,
-// and is dropped when the log passes it.
+// TestActivatedStandbyIsUsed: a standby that is activated without a log record
+// serves waiting requests, and the activation ends when the log supersedes it.
 func TestActivatedStandbyIsUsed(t *testing.T) {
 	alone(t, both(), func(g *gomega.WithT, site *routetest.Site, driver *rt.Driver, node *rt.Node) {
 		driver.Set("s1", rt.Unreachable)
@@ -150,7 +150,8 @@
 	})
 }
 
-// TestDisconnectedCallerCancelsServerRequest and gives the place back.
+// TestDisconnectedCallerCancelsServerRequest checks that the caller's disconnect
+// cancels the request at the server and releases its slot.
 func TestDisconnectedCallerCancelsServerRequest(t *testing.T) {
 	alone(t, both(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
 		driver.Set("s1", rt.Hanging)
@@ -168,8 +169,8 @@
 	})
 }
 
-// TestUnresponsiveOwnerReceivesFewAttempts: after a few silent attempts further requests
-// wait for another owner instead of being sent.
+// TestUnresponsiveOwnerReceivesFewAttempts: after a few attempts without progress,
+// further requests wait for another owner instead of being sent.
 func TestUnresponsiveOwnerReceivesFewAttempts(t *testing.T) {
 	alone(t, both(), func(g *gomega.WithT, site *routetest.Site, driver *rt.Driver, node *rt.Node) {
 		driver.Set("s1", rt.Silent)
@@ -197,8 +198,8 @@
 	})
 }
 
-// TestDeepRequestsAreNotRetried: a request that a backend server made is
-// answered after its first attempt.
+// TestDeepRequestsAreNotRetried: a request made by a backend server is answered
+// after its first attempt.
 func TestDeepRequestsAreNotRetried(t *testing.T) {
 	alone(t, both(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
 		driver.Set("s1", rt.Lost)
@@ -211,8 +212,8 @@
 	})
 }
 
-// TestLargeBodies: a body that cannot be buffered is sent once; one above the
-// limit, whose length was not declared, ends the attempt with an honest answer.
+// TestLargeBodies: a body that is too large to buffer is sent only once. A body
+// above the limit, without a declared length, ends the attempt with the reason.
 func TestLargeBodies(t *testing.T) {
 	alone(t, both(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
 		limit, _ := node.Handler.BodyLimit(rt.KeyedName)
@@ -223,7 +224,7 @@
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		driver.Set("s1", rt.InTurn(rt.Lost, rt.Answer(200, "ok")))
 		answer := node.Handler.Serve(context.Background(), req)
-		g.Expect(answer.Outcome).To(gomega.Equal(serverapi.OutcomeUnknown), "it cannot be sent again")
+		g.Expect(answer.Outcome).To(gomega.Equal(serverapi.OutcomeUnknown), "the body cannot be sent again")
 		g.Expect(driver.Attempts()[0].Body).To(gomega.HaveLen(int(limit)))
 
 		req = request("POST", "well-7")
@@ -236,7 +237,8 @@
 	})
 }
 
-// TestDisconnectedCallersDoNotEjectServer.
+// TestDisconnectedCallersDoNotEjectServer: only interrupted answers count against
+// the server.
 func TestDisconnectedCallersDoNotEjectServer(t *testing.T) {
 	alone(t, both(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
 		driver.Set("s1", rt.Broken(1<<20, strings.Repeat("x", 64<<10)))
@@ -251,11 +253,11 @@
 			_, err := io.Copy(io.Discard, node.Handler.Serve(context.Background(), request("GET", "k")).Body)
 			g.Expect(err).To(gomega.HaveOccurred())
 		}
-		g.Expect(node.Router.ServerStats()[0].Ejected).To(gomega.BeTrue(), "answers that break off do count")
+		g.Expect(node.Router.ServerStats()[0].Ejected).To(gomega.BeTrue(), "interrupted answers count against the server")
 	})
 }
 
-// lowest is a picker that always takes the first server by name.
+// lowest is a picker that always picks the first server by name.
 type lowest struct{}
 
 func (lowest) Pick(candidates []pick.Candidate, _ func() float64) (int, bool) {
@@ -268,8 +270,8 @@
 	return best, true
 }
 
-// TestRetryUsesAnotherServer: a picker that insists on one server does not get it
-// twice for the same request.
+// TestRetryUsesAnotherServer: a picker that always prefers one server is not
+// offered it twice for the same request.
 func TestRetryUsesAnotherServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
--- a/modules/router/maintain.go
+++ b/modules/router/maintain.go
@@ -11,13 +11,15 @@
 )
 
 const (
-	// sweepInterval is how often waiting requests are looked at, while there are
-	// requests.
+	// sweepInterval is the interval between checks of waiting requests while
+	// requests are in flight.
 	sweepInterval = 10 * time.Millisecond
-	// retainInterval is how often what is gone from the state is forgotten.
+	// retainInterval is the interval between removals of data about servers and
+	// nodes that are no longer in the state.
 	retainInterval = 2 * time.Second
-	// rampDuration is how long a server takes from one request at once to its
-	// whole limit after it, or its admission point, is new.
+	// rampDuration is the time in which a server's limit rises from one concurrent
+	// request to its configured value, after the server or its admission point
+	// is new.
 	rampDuration = time.Second
 )
 
@@ -47,7 +49,7 @@
 			m.sweep(gauges)
 			m.retain()
 		case <-changed:
-			changed = m.source.Changed() // before the view, or a change is missed
+			changed = m.source.Changed() // before View, so that no change is missed
 			view := m.source.View()
 			m.overlay.Prune(view)
 			m.resetNewGroups(view, terms)
@@ -62,7 +64,7 @@
 	g.set(queued, m.buffer.Stats().Waiting)
 }
 
-// gauges shows totals that several nodes of one process add to.
+// gauges is one node's contribution to gauges that all nodes of a process share.
 type gauges struct {
 	queued  int
 	waiting int
@@ -74,7 +76,7 @@
 	g.queued, g.waiting = queued, waiting
 }
 
-// retain forgets what the state no longer has.
+// retain removes data about servers and nodes that are not in the state.
 func (m *Module) retain() {
 	view := m.source.View()
 	knownServer := func(id topo.ServerID) bool {
@@ -92,9 +94,9 @@
 	m.remote.retain(knownServer)
 }
 
-// resetNewGroups starts the servers of groups that this node newly leads with
-// one request at once: their earlier admission point may still have requests in
-// flight there.
+// resetNewGroups resets the servers of groups that this node newly leads to one
+// concurrent request, because their previous admission point may still have
+// requests in flight there.
 func (m *Module) resetNewGroups(view *state.View, terms map[topo.GroupID]topo.Term) {
 	for id, group := range view.Groups() {
 		if group.Lessor != m.self.Node || terms[id] == group.Term {
@@ -109,7 +111,7 @@
 	}
 }
 
-// gate returns the queue of a server whose admission point this node is.
+// gate returns the queue of a server for which this node is the admission point.
 func (m *Module) gate(d route.Decision) *limit.Gate {
 	return m.gates.Gate(d.Service.Name, d.Server, limit.Spec{
 		Limit:     d.Service.ConcurrencyPerServer,
@@ -118,8 +120,8 @@
 	})
 }
 
-// deputyGate returns the queue of a server whose admission point cannot be
-// reached and whose deputy this node is.
+// deputyGate returns the queue of a server whose admission point is unreachable and
+// for which this node is a deputy.
 func (m *Module) deputyGate(d route.Decision) *limit.Gate {
 	return m.deputyGates.Gate(d.Service.Name, d.Server, limit.Spec{
 		Limit:     d.Places,
--- a/modules/router/metrics.go
+++ b/modules/router/metrics.go
@@ -10,15 +10,15 @@
 var (
 	metricGroup        = metrics.New("router")
 	metricRequests     = metricGroup.Map("requests")      // by service/outcome
-	metricReasons      = metricGroup.Map("reasons")       // by reason, of what was not answered
-	metricShed         = metricGroup.Map("shed")          // by reason, refused before anything was sent
-	metricAttempts     = metricGroup.Counter("attempts")  // at servers, by this node
-	metricRetries      = metricGroup.Counter("retries")   // that cost budget
-	metricRerouted     = metricGroup.Counter("rerouted")  // tried again at another owner or lessor
-	metricBuffered     = metricGroup.Counter("buffered")  // waited for an owner
-	metricForwarded    = metricGroup.Counter("forwarded") // to other nodes
+	metricReasons      = metricGroup.Map("reasons")       // by reason, for requests without a server's answer
+	metricShed         = metricGroup.Map("shed")          // by reason, requests refused before they were sent
+	metricAttempts     = metricGroup.Counter("attempts")  // that this node made at servers
+	metricRetries      = metricGroup.Counter("retries")   // charged to the retry budget
+	metricRerouted     = metricGroup.Counter("rerouted")  // retried at another owner or lessor
+	metricBuffered     = metricGroup.Counter("buffered")  // requests that waited for an owner
+	metricForwarded    = metricGroup.Counter("forwarded") // requests forwarded to other nodes
 	metricForwardedIn  = metricGroup.Counter("forwarded_in")
-	metricDirect       = metricGroup.Counter("direct")    // sent past an unreachable lessor, as its deputy
+	metricDirect       = metricGroup.Counter("direct")    // sent to the server as deputy of an unreachable lessor
 	metricDeputized    = metricGroup.Counter("deputized") // forwarded to a deputy
 	metricEjections    = metricGroup.Counter("ejections")
 	metricInFlight     = metricGroup.Counter("in_flight")
@@ -28,7 +28,7 @@
 	metricForeign      = metricGroup.Counter("foreign_answers")
 )
 
-// countAnswer counts what a caller was told.
+// countAnswer counts an answer that was returned to a caller.
 func countAnswer(service topo.Service, answer *exchange.Answer) {
 	metricRequests.Add(string(service)+"/"+string(answer.Outcome), 1)
 	if answer.Reason != "" {
--- a/modules/router/module.go
+++ b/modules/router/module.go
@@ -1,4 +1,4 @@
-// Package router is the module "duty.router": it takes callers' requests to the
+// Package router is the module "duty.router": it routes callers' requests to the
 // servers that own their keys, through the admission point of each server,
 // which is the lessor of its group. docs/design/request-path.md describes it.
 package router
@@ -37,7 +37,7 @@
 
 func init() { kernel.Register(&Module{}) }
 
-// pickerChoices is D of the built-in picker.
+// pickerChoices is D, the number of random choices of the built-in picker.
 const pickerChoices = 2
 
 // Module is the router.
@@ -49,14 +49,14 @@
 	source   state.Source
 	driver   backend.Driver
 	observer load.Observer
-	recorder *load.Recorder   // nil where another observer was provided
-	lessors  lessor.Directory // nil where no lessor module is loaded
+	recorder *load.Recorder   // nil if another observer was provided
+	lessors  lessor.Directory // nil if no lessor module is loaded
 	picker   pick.Picker
 	tickets  *ticket.Source
 
 	overlay     *route.Holder
-	gates       *limit.Set // as admission point
-	deputyGates *limit.Set // past an admission point that cannot be reached
+	gates       *limit.Set // of servers whose admission point is this node
+	deputyGates *limit.Set // of servers whose admission point is unreachable
 	node        *limit.Node
 	buffer      *buffer.Buffer
 	servers     *health.Set[topo.ServerID]
@@ -108,8 +108,8 @@
 	)
 }
 
-// provideObserver takes the observer that was provided, or provides the
-// recorder from which the balancer learns what was observed.
+// provideObserver uses the observer that was provided, or provides a recorder
+// from which the balancer reads the observations.
 func (m *Module) provideObserver(ctx *kernel.Context) error {
 	if observer, err := kernel.Use[load.Observer](ctx); err == nil {
 		m.observer = load.OrDiscard(observer)
@@ -123,7 +123,7 @@
 	)
 }
 
-// build makes the parts that hold the router's state.
+// build creates the components that hold the router's state.
 func (m *Module) build(ctx *kernel.Context) error {
 	limits := m.settings.Limits
 	m.overlay = route.NewHolder()
@@ -190,7 +190,7 @@
 	return nil
 }
 
-// resolve finds the services that modules after this one may provide.
+// resolve looks up services that modules loaded after this one may provide.
 func (m *Module) resolve() {
 	if lessors, err := kernel.Use[lessor.Directory](m.kernel); err == nil {
 		m.lessors = lessors
@@ -201,8 +201,8 @@
 }
 
 // maySend reports whether this node may send to the server of a decision. A
-// service without ownership, or whose servers check fencing tokens, needs no
-// right.
+// service without ownership, or whose servers check fencing tokens, requires no
+// lease.
 func (m *Module) maySend(d route.Decision) bool {
 	if !d.Service.Keyed || d.Service.ChecksFencing {
 		return true
@@ -211,7 +211,7 @@
 }
 
 // Drain implements kernel.Drainer: it waits for the requests in flight. By then
-// the front end refuses new ones and the node's terms are resigned.
+// the front end refuses new requests and the node has resigned its terms.
 func (m *Module) Drain(ctx context.Context) error {
 	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
--- a/modules/router/outcomes_test.go
+++ b/modules/router/outcomes_test.go
@@ -13,8 +13,8 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// TestOutcomes is the table of what one server may do and what the caller is
-// told, with the number of attempts that reached a server.
+// TestOutcomes lists the behaviours of a server and the outcomes that the caller
+// receives, with the number of attempts that reached a server.
 func TestOutcomes(t *testing.T) {
 	rows := []struct {
 		name     string
@@ -24,7 +24,7 @@
 		outcome  serverapi.Outcome
 		reason   serverapi.Reason
 		status   int
-		attempts int // 0 does not count them
+		attempts int // 0 if not checked
 	}{
 		{name: "answered", behave: rt.Answer(201, "made"), method: "POST", outcome: "answered", status: 201, attempts: 1},
 		{name: "the owner's own failure is its answer", behave: rt.Answer(500, "bug"), method: "POST", outcome: "answered", status: 500, attempts: 1},
@@ -73,7 +73,7 @@
 					g.Expect(answer.RetryAfter).To(gomega.BeNumerically(">", 0))
 				}
 				for _, attempt := range driver.Attempts() {
-					g.Expect(driver.Held(attempt.Server)).To(gomega.BeZero(), "places come back")
+					g.Expect(driver.Held(attempt.Server)).To(gomega.BeZero(), "slots are released")
 				}
 			})
 		})
--- a/modules/router/overload_test.go
+++ b/modules/router/overload_test.go
@@ -18,11 +18,12 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// TestConcurrencyLimitHolds sends far more at once than the server may hold.
+// TestConcurrencyLimitHolds sends far more concurrent requests than the server's
+// limit.
 func TestConcurrencyLimitHolds(t *testing.T) {
 	alone(t, both(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
 		driver.Set("s1", rt.Slow(20*time.Millisecond, rt.Answer(200, "ok")))
-		for range 5 { // the server warms up, and its busy time is learned
+		for range 5 { // warms the server up and measures its service time
 			text(g, node.Handler.Serve(context.Background(), request("GET", "well-7")))
 			time.Sleep(time.Second)
 		}
@@ -43,15 +44,15 @@
 		}
 		wait.Wait()
 		g.Expect(driver.Peak("s1")).To(gomega.Equal(4))
-		g.Expect(told[serverapi.OutcomeUnknown]).To(gomega.BeZero(), "what cannot make it is refused before it is sent")
+		g.Expect(told[serverapi.OutcomeUnknown]).To(gomega.BeZero(), "requests that cannot meet their deadline are refused before they are sent")
 		g.Expect(told[serverapi.OutcomeNotRun]).To(gomega.BeNumerically(">", 50), "the load is twice what the server can do")
-		g.Expect(told[serverapi.OutcomeAnswered]).To(gomega.BeNumerically(">=", 200), "and the server is kept busy")
+		g.Expect(told[serverapi.OutcomeAnswered]).To(gomega.BeNumerically(">=", 200), "the server is kept busy")
 	})
 }
 
-// TestDependantsAreShedFirst: while quotes refuses the calls that requests to
-// records make, a share of the requests to records, which depends on it, is
-// refused at once.
+// TestDependantsAreShedFirst: records depends on quotes. While quotes refuses
+// calls made by requests to records, a share of the requests to records is
+// refused immediately.
 func TestDependantsAreShedFirst(t *testing.T) {
 	dependant := rt.Keyed()
 	dependant.DependsOn = []topo.Service{rt.UnkeyedName}
@@ -77,12 +78,12 @@
 			text(g, answer)
 		}
 		g.Expect(shed).To(gomega.BeNumerically(">", 140))
-		g.Expect(shed).To(gomega.BeNumerically("<", 200), "some pass, to see the recovery")
+		g.Expect(shed).To(gomega.BeNumerically("<", 200), "some requests are admitted, so that a recovery is detected")
 	})
 }
 
-// TestStalledServerShedsItsQueue: the server stops answering; what waits for it
-// is refused long before its deadline.
+// TestStalledServerShedsItsQueue: the server stops answering, and waiting requests
+// are refused long before their deadline.
 func TestStalledServerShedsItsQueue(t *testing.T) {
 	service := rt.Keyed()
 	service.ConcurrencyPerServer = 1
@@ -104,8 +105,8 @@
 	})
 }
 
-// TestNewAdmissionPointStartsWithOneRequest: what the earlier one had in flight may
-// still be at the server.
+// TestNewAdmissionPointStartsWithOneRequest: requests of the previous
+// admission point may still be in flight at the server.
 func TestNewAdmissionPointStartsWithOneRequest(t *testing.T) {
 	alone(t, both(), func(g *gomega.WithT, site *routetest.Site, _ *rt.Driver, node *rt.Node) {
 		text(g, node.Handler.Serve(context.Background(), request("GET", "k")))
--- a/modules/router/records.go
+++ b/modules/router/records.go
@@ -18,9 +18,9 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// records holds the ticket records of the groups whose lessor this node is, for
-// services whose servers do not keep their own. A record belongs to one term:
-// under the next one it starts empty, and tickets of the old term are stale.
+// records holds the ticket records of the groups that this node leads, for
+// services whose servers do not keep their own. A record belongs to one term: the
+// next term starts with an empty record, and tickets of the old term are stale.
 type records struct {
 	mu      sync.Mutex
 	byGroup map[topo.GroupID]*termRecord
@@ -33,7 +33,7 @@
 
 func newRecords() *records { return &records{byGroup: map[topo.GroupID]*termRecord{}} }
 
-// of returns the record of a decision's term; nil when a later term's is held.
+// of returns the record of a decision's term, or nil if a later term has one.
 func (r *records) of(d route.Decision) *ticket.Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -48,7 +48,7 @@
 	return known.record
 }
 
-// dump lists the records.
+// dump returns a dump of each group's record.
 func (r *records) dump() map[topo.GroupID]ticket.Dump {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -65,12 +65,12 @@
 	ticket ticket.Ticket
 }
 
-// begin asks the record whether a ticket may run. Without an entry the result
-// is decided.
+// begin checks in the record whether a ticket may run. If it returns no entry,
+// the result is final for this attempt.
 func (r *records) begin(d route.Decision, req *exchange.Request, t ticket.Ticket) (*recordEntry, result) {
 	current := ticket.TermScope(d.Term)
 	if t.Scope.Kind == current.Kind && current.Ordinal.Less(t.Scope.Ordinal) {
-		// Issued under a term that this node has not heard of yet.
+		// The ticket's term is later than this node's state.
 		return nil, unsent(outcome.NotRun(callerapi.ReasonNotLessor))
 	}
 	record := r.of(d)
@@ -118,7 +118,7 @@
 	}
 }
 
-// end tells the record what became of a ticket that it let run.
+// end stores the outcome of a ticket in the record.
 func (e *recordEntry) end(res result) result {
 	switch {
 	case res.routeChanged, res.verdict.NotRunProven():
@@ -131,8 +131,8 @@
 	return res
 }
 
-// storeBody returns the answer's body in a form that stores the answer in the
-// record once it has been passed on whole.
+// storeBody wraps the answer's body, so that the answer is stored in the record once
+// it has been passed on completely.
 func (e *recordEntry) storeBody(answer *exchange.Answer) io.ReadCloser {
 	return &storedBody{ReadCloser: answer.Body, entry: e, status: answer.Status, header: answer.Header}
 }
--- a/modules/router/remote.go
+++ b/modules/router/remote.go
@@ -9,11 +9,12 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// remoteLoadTTL is how long a load that an admission point told counts.
+// remoteLoadTTL is how long a load that an admission point reported remains in use.
 const remoteLoadTTL = time.Second
 
-// remoteLoads is what this node knows of the load of servers whose admission
-// point is another node: its own requests there, and what that node last said.
+// remoteLoads estimates the load of servers whose admission point is another
+// node, from this node's own requests there and the load that the other node last
+// reported.
 type remoteLoads struct {
 	servers sync.Map // topo.ServerID → *remoteLoad
 }
@@ -32,7 +33,8 @@
 	return found.(*remoteLoad)
 }
 
-// load is requests over what the server may hold.
+// load returns the server's load as a fraction of its limit. The weight of the
+// reported load decreases linearly with its age.
 func (r *remoteLoads) load(now time.Time, id topo.ServerID, limit int) float64 {
 	known := r.of(id)
 	own := float64(known.own.Load()) / float64(max(limit, 1))
@@ -54,7 +56,7 @@
 	known.receivedAt.Store(now.UnixNano())
 }
 
-// retain forgets servers that keep says no to.
+// retain removes the servers for which keep returns false.
 func (r *remoteLoads) retain(keep func(topo.ServerID) bool) {
 	r.servers.Range(func(id, _ any) bool {
 		if !keep(id.(topo.ServerID)) {
--- a/modules/router/request.go
+++ b/modules/router/request.go
@@ -21,7 +21,7 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// requestState is one request on its way through this node.
+// requestState is the state of one request that this node routes.
 type requestState struct {
 	m      *Module
 	ctx    context.Context // ends with the deadline or the caller
@@ -31,29 +31,30 @@
 	ticket *ticket.Ticket // nil for none
 
 	tally           outcome.Tally
-	attemptIDs      int             // names the attempts
-	countedAttempts int             // attempts that were not rerouted
+	attemptIDs      int             // number of attempt IDs issued
+	countedAttempts int             // attempts except those that were rerouted
 	tried           []topo.ServerID // servers of an unkeyed service that failed
-	waited          []buffer.Key    // outages that the request met
-	probe           *buffer.Key     // outage that its next attempt asks about
+	waited          []buffer.Key    // outages that the request encountered
+	probe           *buffer.Key     // outage that the next attempt probes
 	bypassed        []topo.NodeID   // lessors and deputies that did not take it
 }
 
-// result is what one attempt came to.
+// result is the result of one attempt.
 type result struct {
 	verdict outcome.Verdict
 	answer  *exchange.Answer // with an answered verdict
-	outage  *outage          // what the attempt showed to be out
-	// contacted: the server, or the lessor's node, answered something.
+	outage  *outage          // outage that the attempt detected
+	// contacted: the server, or the lessor's node, sent any answer.
 	contacted bool
-	// ownerAwaited: the lessor's node, which knows more, has waited for the owner
-	// already.
+	// ownerAwaited: the lessor's node, whose state is more recent, has already
+	// waited for the owner.
 	ownerAwaited bool
-	// routeChanged: the way changed before anything was sent; decide anew at once.
+	// routeChanged: the route changed before anything was sent; decide again
+	// immediately.
 	routeChanged bool
 }
 
-// outage is what an attempt showed to be out.
+// outage is an outage that an attempt detected.
 type outage struct {
 	key   buffer.Key
 	cause buffer.Cause
@@ -61,7 +62,7 @@
 
 func unsent(v outcome.Verdict) result { return result{verdict: v} }
 
-// process takes the request to its final answer.
+// process routes the request until it has a final answer.
 func (r *requestState) process() *exchange.Answer {
 	defer r.dropProbe()
 	for {
@@ -81,7 +82,7 @@
 	}
 }
 
-// decide returns where the request goes now, or the verdict if nowhere.
+// decide returns the route of the next attempt, or a verdict if there is none.
 func (r *requestState) decide(view *state.View) (route.Decision, *outcome.Verdict) {
 	d, refused := r.destination(view)
 	if refused != nil {
@@ -103,8 +104,9 @@
 	return d, nil
 }
 
-// decideAsDeputy decides for a forwarded request whose lessor is another node: it is
-// refused, unless the sender took this node for a deputy of that lessor.
+// decideAsDeputy decides for a forwarded request whose lessor is another node. It
+// refuses the request, unless the sender chose this node as a deputy of that
+// lessor.
 func (r *requestState) decideAsDeputy(view *state.View, d route.Decision) (route.Decision, *outcome.Verdict) {
 	d, allowed := d.AsDeputy(view, r.m.self, r.req.Past)
 	if !allowed {
@@ -113,8 +115,8 @@
 	return d, nil
 }
 
-// unreachable reports whether a node cannot be reached, as far as this request or the
-// node knows.
+// unreachable reports whether a node did not take this request or is ejected at
+// this node.
 func (r *requestState) unreachable(id topo.NodeID) bool {
 	return slices.Contains(r.bypassed, id) || r.m.nodes.Ejected(time.Now(), id)
 }
@@ -126,9 +128,9 @@
 	return r.choose(view)
 }
 
-// bypassLessor turns a forward into the way past the lessor where that is allowed:
-// the server checks fences itself, or the service has no ownership and the
-// request carries no ticket, whose record the lessor keeps.
+// bypassLessor replaces a forward by a route past the lessor where that is
+// allowed: the server checks fences itself, or the service has no ownership and
+// the request has no ticket. The lessor keeps the record of such tickets.
 func (r *requestState) bypassLessor(view *state.View, d route.Decision) route.Decision {
 	if !d.Service.Keyed && r.ticket != nil {
 		return d
@@ -136,7 +138,8 @@
 	return d.PastLessor(view, r.m.self, r.unreachable, rand.Float64)
 }
 
-// attemptOnce makes one attempt. It returns the final answer, or nil to go on.
+// attemptOnce makes one attempt. It returns the final answer, or nil to
+// continue.
 func (r *requestState) attemptOnce(d route.Decision) *exchange.Answer {
 	res := r.execute(d)
 	r.reportOutcome(d, res)
@@ -181,8 +184,8 @@
 
 func (r *requestState) takeRetry() bool { return r.m.budgets.take(r.req.Service, time.Now()) }
 
-// reroute makes sure that the next attempt waits for a change, or for its turn
-// to probe, when the attempt itself named nothing that is out.
+// reroute makes the next attempt wait for a change of the route, or for its turn
+// to probe, if the attempt itself detected no outage.
 func (r *requestState) reroute(d route.Decision, res result) {
 	metricRerouted.Add(1)
 	if res.outage == nil {
@@ -190,7 +193,7 @@
 	}
 }
 
-// reportOutcome tells the buffer what an attempt showed.
+// reportOutcome reports the result of an attempt to the buffer.
 func (r *requestState) reportOutcome(d route.Decision, res result) {
 	now := time.Now()
 	if res.outage != nil {
@@ -206,7 +209,7 @@
 	r.dropProbe()
 }
 
-// contactKey is what an answer of any kind shows to be reachable.
+// contactKey returns the key that any answer proves to be reachable.
 func contactKey(d route.Decision) buffer.Key {
 	if d.Next() != "" {
 		return buffer.Key{}
@@ -214,10 +217,11 @@
 	return buffer.ServerKey(d)
 }
 
-// pause waits before a retry; it is false when the request ended meanwhile.
+// pause waits before a retry. It returns false if the request ended meanwhile.
 func (r *requestState) pause(wait time.Duration) bool { return clock.Wait(r.ctx, wait) }
 
-// contextVerdict is the verdict when the context ended while nothing was under way.
+// contextVerdict returns the verdict when the context ended while no attempt was in
+// flight.
 func (r *requestState) contextVerdict() outcome.Verdict {
 	if r.caller.Err() != nil {
 		return outcome.NotRun(callerapi.ReasonCanceled)
@@ -225,20 +229,20 @@
 	return outcome.NotRun(serverapi.ReasonDeadline)
 }
 
-// Times to come back that are given when nothing better is known, and how much
-// is added at random so that callers do not come back all at once.
+// The default Retry-After time, and the largest fraction that is added to any
+// Retry-After at random, so that callers do not all retry at once.
 const (
 	defaultRetryAfter = 500 * time.Millisecond
 	retryAfterJitter  = 0.5
 )
 
-// final is the answer when the request is given up.
+// final returns the answer when no further attempt is made.
 func (r *requestState) final(last outcome.Verdict) *exchange.Answer {
 	return refusal(withRetryAfter(r.tally.Final(last)))
 }
 
-// withRetryAfter gives every verdict after which coming back may help a time
-// for it.
+// withRetryAfter sets a Retry-After time in verdicts after which a retry may
+// succeed, and clears it in all others.
 func withRetryAfter(v outcome.Verdict) outcome.Verdict {
 	if !worthRetrying(v.Status()) {
 		v.RetryAfter = 0
@@ -253,7 +257,7 @@
 
 func worthRetrying(status int) bool { return status == 429 || status >= 500 }
 
-// nextID names the next attempt.
+// nextID returns the ID of the next attempt.
 func (r *requestState) nextID() string {
 	r.attemptIDs++
 	return r.req.ID + "." + strconv.Itoa(r.attemptIDs)
--- a/modules/router/send.go
+++ b/modules/router/send.go
@@ -17,7 +17,7 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// execute makes one attempt on the way that the decision names.
+// execute makes one attempt along the route of the decision.
 func (r *requestState) execute(d route.Decision) result {
 	switch d.Path {
 	case route.PathLocal:
@@ -31,8 +31,8 @@
 	return r.forward(d)
 }
 
-// local sends as the server's admission point. The record of tickets is kept
-// here when the server does not keep it.
+// local sends as the server's admission point. This node keeps the record of
+// tickets if the server does not.
 func (r *requestState) local(d route.Decision) result {
 	if r.ticket == nil || serverKeepsRecord(d) {
 		return r.admitted(d, r.m.gate(d))
@@ -45,13 +45,13 @@
 	return entry.end(res)
 }
 
-// serverKeepsRecord reports whether the server itself sees to it that a ticket
-// runs at most once.
+// serverKeepsRecord reports whether the server itself ensures that a ticket runs
+// at most once.
 func serverKeepsRecord(d route.Decision) bool {
 	return d.Service.Keyed && d.Service.ChecksFencing
 }
 
-// admitted waits for a place at the server and sends.
+// admitted waits for a slot at the server and sends.
 func (r *requestState) admitted(d route.Decision, gate *limit.Gate) result {
 	permit, err := gate.Acquire(r.ctx, limit.Entry{Caller: r.req.Caller, Deadline: r.req.Deadline, Hop: r.req.Hop})
 	if err != nil {
@@ -80,7 +80,7 @@
 	return r.contextVerdict()
 }
 
-// changed reports whether the way changed while the request waited for a place.
+// changed reports whether the route changed while the request waited for a slot.
 func (r *requestState) changed(d route.Decision) bool {
 	view, overlay := r.m.source.View(), r.m.overlay.Overlay()
 	var now route.Decision
@@ -95,13 +95,13 @@
 	return !now.SameOwner(d)
 }
 
-// outageObserved reports whether the way went out while the request waited for a place,
-// so that a whole queue does not ask a server that has just said no.
+// outageObserved reports whether the route had an outage while the request waited
+// for a slot, so that a whole queue is not sent to a server that has just failed.
 func (r *requestState) outageObserved(d route.Decision) bool {
 	return r.probe == nil && r.m.buffer.Out(keysOf(d)...)
 }
 
-// send makes the attempt in a place at the server.
+// send makes the attempt in a slot at the server.
 func (r *requestState) send(d route.Decision, slot *serverSlot) result {
 	body, err := r.req.Body.Open()
 	if err != nil {
@@ -149,7 +149,7 @@
 	}
 }
 
-// attemptFailed ends an attempt that brought no answer.
+// attemptFailed ends an attempt without an answer.
 func (r *requestState) attemptFailed(d route.Decision, slot *serverSlot, err error) result {
 	failure := r.classifyFailure(err)
 	verdict := outcome.Failed(failure)
@@ -175,7 +175,7 @@
 	return res
 }
 
-// classifyFailure reads the driver's error.
+// classifyFailure converts the driver's error.
 func (r *requestState) classifyFailure(err error) outcome.Failure {
 	failure := outcome.Failure{Sent: true}
 	var attempt *backend.AttemptError
@@ -188,7 +188,7 @@
 	return failure
 }
 
-// bodyFault tells whether the caller's body is what ended the attempt.
+// bodyFault reports whether the caller's body ended the attempt, and the reason.
 func bodyFault(body *exchange.Body) (serverapi.Reason, bool) {
 	err := body.Failure()
 	if err == nil {
@@ -201,8 +201,8 @@
 	return callerapi.ReasonBodyUnreadable, true
 }
 
-// serverDeclined ends an attempt that the server did not run, or whose outcome the
-// server does not know.
+// serverDeclined ends an attempt that the server did not run, or whose outcome is
+// unknown to the server.
 func (r *requestState) serverDeclined(d route.Decision, slot *serverSlot, verdict outcome.Verdict) result {
 	slot.release(limit.Result{Overloaded: verdict.Reason == serverapi.ReasonOverloaded})
 	r.m.servers.Observe(time.Now(), d.Server, health.Answered)
@@ -216,7 +216,7 @@
 	return res
 }
 
-// serverAnswered begins to pass on the server's answer.
+// serverAnswered starts to pass on the server's answer.
 func (r *requestState) serverAnswered(slot *serverSlot, response *backend.Response) result {
 	body, err := openBody(r.req.Method, response.Header, response.Body, slot.bodyEnded)
 	if err != nil {
@@ -236,12 +236,12 @@
 	}
 }
 
-// minUnresponsiveDuration is how long an attempt must have lasted for its missing answer
-// to count against the server when the deadline ended it.
+// minUnresponsiveDuration is the minimum duration of an attempt that ended at its
+// deadline without an answer, for it to count against the server.
 const minUnresponsiveDuration = time.Second
 
-// observeServer judges a server by an attempt without an answer. It reports
-// whether the server is out now.
+// observeServer updates a server's health after an attempt without an answer. It
+// reports whether the server is ejected now.
 func (m *Module) observeServer(id topo.ServerID, f outcome.Failure, duration time.Duration) bool {
 	now := time.Now()
 	observation := health.Broken
--- a/modules/router/serve.go
+++ b/modules/router/serve.go
@@ -16,12 +16,12 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// replayBufferBytes is how much of a forwarded request body is read before the first
-// attempt, so that the request can be sent again.
+// replayBufferBytes is how much of a forwarded request body is buffered before the
+// first attempt, so that the request can be sent again.
 const replayBufferBytes = 64 << 10
 
-// busyRetryAfter is when to come back to a node that holds as many requests as
-// it may, and shedRetryAfter when a dependency is overloaded.
+// busyRetryAfter is the Retry-After time of a node that has reached its limit of
+// requests, and shedRetryAfter the one while a dependency is overloaded.
 const (
 	busyRetryAfter = 500 * time.Millisecond
 	shedRetryAfter = time.Second
@@ -89,8 +89,8 @@
 	return &v
 }
 
-// readTicket checks that a ticket was issued for this service and key, and is
-// bound to what keeps the record of it.
+// readTicket parses a ticket, and reports whether it was issued for this service
+// and key and has the scope, fence or term, that the service uses.
 func readTicket(config *siteconfig.Service, req *exchange.Request) (ticket.Ticket, bool) {
 	issued, err := ticket.Parse(req.Ticket)
 	if err != nil || issued.Subject != ticket.SubjectOf(req.Service, req.Key) {
@@ -106,7 +106,7 @@
 	return ticket.ScopeTerm
 }
 
-// deadlineOf bounds what the caller asked for by what the service allows.
+// deadlineOf limits the caller's deadline to the maximum of the service.
 func deadlineOf(now, asked time.Time, allowed time.Duration) time.Time {
 	if allowed <= 0 {
 		allowed = callerapi.MaxDeadline
@@ -118,8 +118,9 @@
 	return asked
 }
 
-// admit lets a request in, unless the node is full or the request is shed. A
-// forwarded request was let in by the node that the caller asked.
+// admit admits a request, unless the node is full or the request is shed. A
+// forwarded request was already admitted by the node that received it from the
+// caller.
 func (m *Module) admit(req *exchange.Request) (func(), *outcome.Verdict) {
 	metricInFlight.Add(1)
 	m.inFlight.Add(1)
@@ -148,7 +149,8 @@
 	return func() { m.node.Leave(req.Service); release() }, nil
 }
 
-// recordShedding counts an answer for the services that depend on this one.
+// recordShedding records whether the request was refused, for services that depend on
+// this one.
 func (m *Module) recordShedding(req *exchange.Request, answer *exchange.Answer) {
 	switch answer.Reason {
 	case callerapi.ReasonDependency, callerapi.ReasonCanceled:
--- a/modules/router/slot.go
+++ b/modules/router/slot.go
@@ -10,7 +10,7 @@
 	"github.com/burdockspindle/burdockspindle/serverapi"
 )
 
-// serverSlot is a request's place at a server, held until its answer has ended.
+// serverSlot is a request's slot at a server, held until its answer has ended.
 type serverSlot struct {
 	m      *Module
 	d      route.Decision
@@ -20,7 +20,7 @@
 	caller context.Context
 }
 
-// release gives the place back after an attempt without an answer to pass on.
+// release releases the slot after an attempt without an answer to pass on.
 func (p *serverSlot) release(result limit.Result) {
 	p.permit.Release(result)
 	outcome := serverapi.OutcomeNotRun
@@ -30,7 +30,7 @@
 	p.observe(outcome)
 }
 
-// bodyEnded gives the place back when the answer has been passed on, or broke.
+// bodyEnded releases the slot when the answer has been passed on or was interrupted.
 func (p *serverSlot) bodyEnded(whole bool) {
 	disconnected := p.caller.Err() != nil
 	p.permit.Release(limit.Result{Served: whole, Failed: !whole && !disconnected})
--- a/modules/router/sweeper.go
+++ b/modules/router/sweeper.go
@@ -2,33 +2,33 @@
 
 import "sync/atomic"
 
-// idleSweepsBeforePause is after how many sweeps in a row without a request in flight the
-// sweeping stops.
+// idleSweepsBeforePause is the number of consecutive sweeps without a request in
+// flight after which sweeps pause.
 const idleSweepsBeforePause = 100
 
-// sweeper tells when waiting requests need no sweeps, since there are none. A
-// request is counted in flight before it calls stir, and sleeping is noted
-// before requests are counted, so one of the two sees the other.
+// sweeper pauses the sweeps of waiting requests while there are none. A request is
+// counted as in flight before it calls requestStarted, and paused is set before
+// the requests are counted, so that at least one side observes the other.
 type sweeper struct {
 	paused atomic.Bool
 	wake   chan struct{} // size 1
-	idle   int           // sweeps in a row without a request; maintain's alone
+	idle   int           // consecutive sweeps without a request; used by maintain only
 }
 
 func newSweeper() *sweeper { return &sweeper{wake: make(chan struct{}, 1)} }
 
-// requestStarted tells of a request that has been counted.
+// requestStarted wakes the sweeper for a request that has been counted.
 func (s *sweeper) requestStarted() {
 	if !s.paused.Load() {
 		return
 	}
 	select {
 	case s.wake <- struct{}{}:
-	default: // told already
+	default: // already notified
 	}
 }
 
-// pauseIfIdle reports, after a sweep, whether the next may wait for wake.
+// pauseIfIdle reports, after a sweep, whether the next one may wait for wake.
 func (s *sweeper) pauseIfIdle(inFlight *atomic.Int64) bool {
 	if inFlight.Load() > 0 {
 		s.idle = 0
@@ -46,7 +46,7 @@
 	return true
 }
 
-// resume notes that sweeps go on.
+// resume records that sweeps continue.
 func (s *sweeper) resume() {
 	s.paused.Store(false)
 	s.idle = 0
--- a/modules/router/sweeper_test.go
+++ b/modules/router/sweeper_test.go
@@ -31,8 +31,8 @@
 	g.Expect(s.pauseIfIdle(&inFlight)).To(gomega.BeFalse())
 }
 
-// TestSweepsResumeForEveryRequest has requests come while the sweeper falls
-// asleep, many times: each is either seen by it or wakes it.
+// TestSweepsResumeForEveryRequest starts requests while the sweeper is about to
+// pause, many times. The sweeper either observes each request or is woken by it.
 func TestSweepsResumeForEveryRequest(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for range 2000 {
--- a/modules/router/tickets.go
+++ b/modules/router/tickets.go
@@ -14,7 +14,8 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// ticketRetryAfter is when to come back for a ticket while nobody owns the key.
+// ticketRetryAfter is the Retry-After time of a ticket request while the key has
+// no owner.
 const ticketRetryAfter = time.Second
 
 // IssueTicket implements exchange.Handler.
@@ -28,7 +29,7 @@
 	return callerapi.Ticket{Ticket: issued.String(), ExpiresWith: scope.Ordinal.String()}, nil
 }
 
-// ticketScope returns what a ticket for the key is bound to now.
+// ticketScope returns the scope to which a ticket for the key is bound now.
 func (m *Module) ticketScope(ctx context.Context, req *exchange.Request) (ticket.Scope, *outcome.Verdict) {
 	view := m.source.View()
 	config, exists := view.Service(req.Service)
@@ -51,9 +52,9 @@
 	return ticket.TermScope(d.Term), nil
 }
 
-// ticketRoute returns the way that a request with the ticket would take. For a
-// service that is not divided by key, the least loaded of the servers drawn
-// decides which lessor keeps the record.
+// ticketRoute returns the route that a request with the ticket would take. For an
+// unkeyed service, the least loaded of the randomly chosen servers determines
+// which lessor keeps the record.
 func (m *Module) ticketRoute(r *requestState) (route.Decision, bool) {
 	view := m.source.View()
 	if r.req.Keyed {
--- a/modules/router/tickets_test.go
+++ b/modules/router/tickets_test.go
@@ -19,7 +19,7 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// directory is a lessor.Directory whose right can be taken away.
+// directory is a lessor.Directory whose lease can be revoked.
 type directory struct {
 	mu      sync.Mutex
 	refuses bool
@@ -43,8 +43,8 @@
 	d.refuses = refuses
 }
 
-// unfenced runs a test with a lessor's node and entry nodes for services of which
-// no server keeps a record of tickets.
+// unfenced runs a test with a lessor's node and entry nodes, for services whose
+// servers keep no record of tickets.
 func unfenced(t *testing.T, entries int, test func(p *pair, lessors *directory)) {
 	service := rt.Keyed()
 	service.ChecksFencing = false
@@ -69,7 +69,7 @@
 	return req
 }
 
-// TestTicketsAreChecked before anything is sent.
+// TestTicketsAreChecked: invalid tickets are refused before anything is sent.
 func TestTicketsAreChecked(t *testing.T) {
 	unfenced(t, 1, func(p *pair, _ *directory) {
 		own := p.ticket(p.entry[0], true, "well-7")
@@ -95,7 +95,7 @@
 	})
 }
 
-// TestTicketIsBoundToTheFence of a service whose servers check it.
+// TestTicketIsBoundToTheFence: if servers check fences, a ticket names the fence.
 func TestTicketIsBoundToTheFence(t *testing.T) {
 	paired(t, 1, both(), func(p *pair) {
 		issued, refused := p.entry[0].Handler.IssueTicket(context.Background(), rt.KeyedName, true, "well-7")
@@ -110,7 +110,8 @@
 	})
 }
 
-// TestRepeatedTicketIsReplayed from the lessor's record, through any node.
+// TestRepeatedTicketIsReplayed: the lessor's record replays the answer through any
+// node.
 func TestRepeatedTicketIsReplayed(t *testing.T) {
 	for _, keyed := range []bool{true, false} {
 		unfenced(t, 2, func(p *pair, _ *directory) {
@@ -136,8 +137,8 @@
 	}
 }
 
-// TestLostAnswerIsNotRunAgain: the record knows that the ticket ran, though not
-// with what answer.
+// TestLostAnswerIsNotRunAgain: the record shows that the ticket ran, but not its
+// answer.
 func TestLostAnswerIsNotRunAgain(t *testing.T) {
 	unfenced(t, 1, func(p *pair, _ *directory) {
 		p.driver.Set("s1", rt.InTurn(rt.Lost, rt.Answer(200, "again")))
@@ -151,7 +152,8 @@
 	})
 }
 
-// TestNotRunTicketMayBeUsedAgain: what is proven not to have run is forgotten.
+// TestNotRunTicketMayBeUsedAgain: a ticket that is proven not to have run is
+// removed from the record.
 func TestNotRunTicketMayBeUsedAgain(t *testing.T) {
 	unfenced(t, 1, func(p *pair, _ *directory) {
 		p.driver.Set("s1", rt.Decline("not-run", serverapi.ReasonOverloaded))
@@ -162,8 +164,9 @@
 	})
 }
 
-// TestNextTermRefusesOldTicket: the record of the term before is gone, so a ticket
-// of it is refused as unknown, also one that never ran.
+// TestNextTermRefusesOldTicket: the record of the previous term no longer
+// exists, so all its tickets are refused with an unknown outcome, even those that
+// never ran.
 func TestNextTermRefusesOldTicket(t *testing.T) {
 	for _, keyed := range []bool{true, false} {
 		unfenced(t, 1, func(p *pair, _ *directory) {
@@ -181,7 +184,8 @@
 	}
 }
 
-// TestExpiredLessorSendsNothing to servers that do not check fencing tokens.
+// TestExpiredLessorSendsNothing: a lessor without a lease does not send to servers
+// that do not check fencing tokens.
 func TestExpiredLessorSendsNothing(t *testing.T) {
 	unfenced(t, 1, func(p *pair, lessors *directory) {
 		lessors.refuse(true)
@@ -189,7 +193,7 @@
 		req := request("GET", "well-7")
 		req.Deadline = begun.Add(time.Second)
 		answer := p.serve(req)
-		p.Expect(time.Since(begun)).To(gomega.BeNumerically("<", 50*time.Millisecond), "told at once")
+		p.Expect(time.Since(begun)).To(gomega.BeNumerically("<", 50*time.Millisecond), "answered immediately")
 		p.Expect(answer.Outcome).To(gomega.Equal(serverapi.OutcomeNotRun))
 		p.Expect(answer.RetryAfter).To(gomega.BeNumerically(">", 0))
 		p.Expect(p.driver.Attempts()).To(gomega.BeEmpty())
@@ -200,8 +204,8 @@
 }
 
 // TestNoTicketRunsTwice sends each ticket several times, through several nodes,
-// while servers lose answers, refuse and are slow, and the term changes under
-// way. The checker looks at what the servers saw.
+// while servers lose answers, refuse and are slow, and the term changes during the
+// test. The checker reads the attempts that the servers received.
 func TestNoTicketRunsTwice(t *testing.T) {
 	const tickets, uses = 60, 4
 	unfenced(t, 3, func(p *pair, _ *directory) {
--- a/modules/router/tls_test.go
+++ b/modules/router/tls_test.go
@@ -16,14 +16,15 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// TestForwardingOverMutualTLS: nodes of one authority forward to each other; one
-// whose certificate another authority signed is not served. Certificates have real dates, so the clock is real here.
+// TestForwardingOverMutualTLS: nodes with certificates of the same authority
+// forward to each other; a node with a certificate of another authority is not
+// served. The test uses the real clock, because certificates have real dates.
 func TestForwardingOverMutualTLS(t *testing.T) {
 	g := gomega.NewWithT(t)
 	site, stranger := tlstest.NewAuthority(t, "site"), tlstest.NewAuthority(t, "stranger")
 	dir := t.TempDir()
 	patient := rt.Keyed()
-	patient.Deadline = 10 * time.Minute // however slow the machine
+	patient.Deadline = 10 * time.Minute // not reached even on a slow machine
 	w := newWorld(patient, rt.Unkeyed())
 	w.Network = rt.Loopback{}
 	w.TLS = func(id topo.NodeID) settings.TLS {
--- a/modules/router/wait.go
+++ b/modules/router/wait.go
@@ -10,9 +10,9 @@
 	"github.com/burdockspindle/burdockspindle/route"
 )
 
-// waitUntilReady lets the request wait while something on its way is out. Ready means
-// that an attempt is to be made; otherwise the answer is final, or nil to
-// decide anew.
+// waitUntilReady makes the request wait while its route has an outage. If ready is
+// true, the caller makes an attempt; otherwise the answer is final, or nil to
+// decide again.
 func (r *requestState) waitUntilReady(d route.Decision, view, overlay <-chan struct{}) (ready bool, answer *exchange.Answer) {
 	if r.ctx.Err() != nil {
 		return false, r.final(r.contextVerdict())
@@ -36,7 +36,7 @@
 	return true, nil
 }
 
-// awaitedKey names what a decision to wait waits for.
+// awaitedKey returns what a decision to wait is waiting for.
 func awaitedKey(d route.Decision) (buffer.Key, buffer.Cause) {
 	switch {
 	case d.Reason == callerapi.ReasonNotLessor:
@@ -47,7 +47,7 @@
 	return buffer.ShardKey(d), buffer.Unowned
 }
 
-// keysOf lists what may be out on the way that a decision names.
+// keysOf lists the outages that may affect the route of a decision.
 func keysOf(d route.Decision) []buffer.Key {
 	if d.Path == route.PathForward {
 		return []buffer.Key{buffer.LessorKey(d)}
@@ -62,8 +62,8 @@
 	return keys
 }
 
-// wait holds the request until it is told what to do. It returns the final
-// answer, or nil to decide anew.
+// wait keeps the request in the buffer until it is woken or refused. It returns
+// the final answer, or nil to decide again.
 func (r *requestState) wait(key buffer.Key, view, overlay <-chan struct{}) *exchange.Answer {
 	r.dropProbe()
 	waiter, refused := r.m.buffer.Join(time.Now(), key, r.req.Service, r.req.Deadline)
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// unserved is the answer to a request that the buffer refused.
+// unserved returns the answer to a request that the buffer refused.
 func (r *requestState) unserved(refused buffer.Refusal) *exchange.Answer {
 	reason := refused.Reason
 	if reason == callerapi.ReasonNoOwner && !r.config.Keyed {
@@ -105,7 +105,7 @@
 	r.waited = append(r.waited, key)
 }
 
-// dropProbe leaves the probe, if it is not settled, to another request.
+// dropProbe passes a pending probe on to another request.
 func (r *requestState) dropProbe() {
 	if r.probe != nil {
 		r.m.buffer.Abandoned(*r.probe)
--- a/modules/router/wire.go
+++ b/modules/router/wire.go
@@ -11,23 +11,23 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// ForwardPrefix is where forwarded requests arrive on the peer listener. Every
-// forwarded request is a POST to this path, whatever the caller's method:
-// net/http resends requests of other methods, and those with an
-// Idempotency-Key, by itself when a connection breaks.
+// ForwardPrefix is the path of forwarded requests on the peer listener. Every
+// forwarded request is a POST to this path, whatever the caller's method, because
+// net/http itself resends requests of other methods, and those with an
+// Idempotency-Key, when a connection breaks.
 const ForwardPrefix = "/forward/"
 
-// headerForward carries what else belongs to a forwarded request or its answer,
-// as JSON.
+// headerForward carries the metadata of a forwarded request or its answer, as
+// JSON.
 const headerForward = "Burdockspindle-Forward"
 
 // forwardFormat is the version of both JSON forms.
 const forwardFormat = 1
 
-// The lessor's node says with 102 responses that it still works on a forwarded
-// request, so many times in each lease TTL. A connection over which nothing
-// comes for longer than a lease lasts is given up: a lessor that is silent for
-// so long has lost its right as well.
+// While a forwarded request is in progress, the lessor's node sends 102 responses,
+// keepAlivesPerTTL of them in each lease TTL. A connection without progress for
+// stallNumerator/stallDivisor lease TTLs is aborted: a lessor that is unresponsive
+// for longer than a lease TTL has lost its lease as well.
 const (
 	keepAlivesPerTTL = 5
 	stallNumerator   = 3
@@ -52,7 +52,7 @@
 	Method     string        `json:"method"`
 	Path       []byte        `json:"path"`
 	Length     int64         `json:"length"`
-	DeadlineMs int64         `json:"deadlineMs"` // left when sent
+	DeadlineMs int64         `json:"deadlineMs"` // remaining when sent
 	Caller     []byte        `json:"caller,omitempty"`
 	Ticket     string        `json:"ticket,omitempty"`
 	Hop        int           `json:"hop,omitempty"`
@@ -75,7 +75,8 @@
 	Load         float64           `json:"load,omitempty"`
 }
 
-// encodeForward renders either form; they hold nothing that JSON cannot.
+// encodeForward renders either form. Both contain only values that JSON can
+// represent.
 func encodeForward(form any) string {
 	text, err := json.Marshal(form)
 	if err != nil {
@@ -110,7 +111,7 @@
 	return form, nil
 }
 
-// request returns the form as a request that arrived now.
+// request converts the form to a request that arrived now.
 func (f forwardedRequest) request(now time.Time, header http.Header) *exchange.Request {
 	return &exchange.Request{
 		ID:         f.ID,
@@ -131,7 +132,7 @@
 	}
 }
 
-// deadline is the time left, within the bounds of what a caller may ask for.
+// deadline returns the remaining time, limited to a caller's maximum deadline.
 func (f forwardedRequest) deadline() time.Duration {
 	maxMs := callerapi.MaxDeadline.Milliseconds()
 	return time.Duration(min(max(f.DeadlineMs, 0), maxMs)) * time.Millisecond
--- a/modules/router/wire_test.go
+++ b/modules/router/wire_test.go
@@ -10,8 +10,8 @@
 	"github.com/burdockspindle/burdockspindle/callerapi"
 )
 
-// TestForwardedRequestsRoundTrip: any key, path and caller arrives as it
-// was sent.
+// TestForwardedRequestsRoundTrip: any key, path and caller arrives as it was
+// sent.
 func TestForwardedRequestsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sent := forwardedRequest{
