--- a/modules/router/bypass_test.go
+++ b/modules/router/bypass_test.go
@@ -27,7 +27,7 @@
 // through the lessor of the next owner if that lessor is reachable, because only
 // the lessor counts that server's requests.
 func TestOnlyUnreachableLessorIsBypassed(t *testing.T) {
-	paired(t, 1, both(), func(p *pair) {
+	withEntryNodes(t, 1, bothServices(), func(p *pair) {
 		var through atomic.Int64
 		other := p.Start(p.t, "lessor-b")
 		other.Fault(func(w http.ResponseWriter, r *http.Request) {
@@ -56,7 +56,7 @@
 	limited := rt.Keyed()
 	limited.ConcurrencyPerServer = limit
 	for _, standby := range []topo.NodeID{"", "entry-3"} {
-		paired(t, nodes, []*siteconfig.Service{limited, rt.Unkeyed()}, func(p *pair) {
+		withEntryNodes(t, nodes, []*siteconfig.Service{limited, rt.Unkeyed()}, func(p *pair) {
 			p.Site.LeadWithStandby(groupA, "lessor", rt.Boot, standby)
 			p.driver.Set("s1", rt.Slow(5*time.Millisecond, rt.Answer(200, "ok")))
 			p.lessor.Kill()
@@ -84,7 +84,7 @@
 func TestLostDeputyIsReplaced(t *testing.T) {
 	limited := rt.Keyed()
 	limited.ConcurrencyPerServer = 4
-	paired(t, 12, []*siteconfig.Service{limited, rt.Unkeyed()}, func(p *pair) {
+	withEntryNodes(t, 12, []*siteconfig.Service{limited, rt.Unkeyed()}, func(p *pair) {
 		p.Site.LeadWithStandby(groupA, "lessor", rt.Boot, "entry-3")
 		p.lessor.Kill()
 		p.entry[3].Kill()
@@ -126,7 +126,7 @@
 func TestOnlyDeputyBypassesLessor(t *testing.T) {
 	limited := rt.Keyed()
 	limited.ConcurrencyPerServer = 1
-	paired(t, 3, []*siteconfig.Service{limited, rt.Unkeyed()}, func(p *pair) {
+	withEntryNodes(t, 3, []*siteconfig.Service{limited, rt.Unkeyed()}, func(p *pair) {
 		p.Site.LeadWithStandby(groupA, "lessor", rt.Boot, "entry-2")
 		p.lessor.Kill()
 		for i, entry := range p.entry {
--- a/modules/router/check_test.go
+++ b/modules/router/check_test.go
@@ -48,14 +48,14 @@
 	g := gomega.NewWithT(t)
 	driver := rt.NewDriver()
 	driver.Set("s1", rt.Lost)
-	resending := func(ticket string) {
+	sendTwice := func(ticket string) {
 		for range 2 {
 			_, _ = driver.Do(context.Background(), backend.Target{ID: topo.ServerID("s1")}, backend.Request{IdempotencyKey: ticket})
 		}
 	}
-	resending("t1")
+	sendTwice("t1")
 	driver.Set("s1", rt.InTurn(rt.Decline("not-run", "overloaded"), rt.Lost))
-	resending("t2")
+	sendTwice("t2")
 	g.Expect(doubleRuns(driver.Attempts())).To(gomega.Equal([]string{"t1"}))
 
 	g.Expect(misdelivered(map[string]string{"a": "a", "bb": "bb"})).To(gomega.BeEmpty())
--- a/modules/router/forward_client.go
+++ b/modules/router/forward_client.go
@@ -108,11 +108,11 @@
 // newForwardError describes a forward without an answer. After a stall it closes
 // the idle connections, because they may have stalled as well.
 func (f *forwarder) newForwardError(flight *flight, err error) *forwardError {
-	silent := flight.stalled.Load()
-	if silent {
+	stalled := flight.stalled.Load()
+	if stalled {
 		f.transport.CloseIdleConnections()
 	}
-	return &forwardError{sent: flight.mayHaveSent(), stalled: silent, reused: flight.reused.Load(), cause: err}
+	return &forwardError{sent: flight.mayHaveSent(), stalled: stalled, reused: flight.reused.Load(), cause: err}
 }
 
 func readForwardedAnswer(form forwardedRequest, response *http.Response) (forwardedAnswer, error) {
--- a/modules/router/forward_faults_test.go
+++ b/modules/router/forward_faults_test.go
@@ -19,7 +19,7 @@
 // TestUnreachableLessorIsBypassed: where servers check fences, the entry node
 // sends directly, one request at a time.
 func TestUnreachableLessorIsBypassed(t *testing.T) {
-	paired(t, 1, both(), func(p *pair) {
+	withEntryNodes(t, 1, bothServices(), func(p *pair) {
 		p.driver.Set("s1", rt.Slow(time.Millisecond, rt.Answer(200, "direct")))
 		p.lessor.Kill()
 		var wait sync.WaitGroup
@@ -39,15 +39,15 @@
 func TestUnfencedServiceDoesNotBypassLessor(t *testing.T) {
 	unfenced := rt.Keyed()
 	unfenced.ChecksFencing = false
-	paired(t, 1, []*siteconfig.Service{unfenced, rt.Unkeyed()}, func(p *pair) {
+	withEntryNodes(t, 1, []*siteconfig.Service{unfenced, rt.Unkeyed()}, func(p *pair) {
 		p.lessor.Kill()
-		begun := time.Now()
+		start := time.Now()
 		req := request("POST", "k")
-		req.Deadline = begun.Add(time.Second)
+		req.Deadline = start.Add(time.Second)
 		answer := p.serve(req)
 		p.Expect(answer.Outcome).To(gomega.Equal(serverapi.OutcomeNotRun))
 		p.Expect(answer.RetryAfter).To(gomega.BeNumerically(">", 0))
-		p.Expect(time.Since(begun)).To(gomega.BeNumerically("<", 50*time.Millisecond))
+		p.Expect(time.Since(start)).To(gomega.BeNumerically("<", 50*time.Millisecond))
 		p.Expect(p.driver.Attempts()).To(gomega.BeEmpty())
 	})
 }
@@ -55,7 +55,7 @@
 // TestUnresponsiveLessorIsReported: the lessor's node accepts the request and then
 // sends nothing. A request that may have run is not sent again.
 func TestUnresponsiveLessorIsReported(t *testing.T) {
-	paired(t, 1, both(), func(p *pair) {
+	withEntryNodes(t, 1, bothServices(), func(p *pair) {
 		p.lessor.Fault(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 		answer := p.serve(request("POST", "k"))
 		p.Expect(answer.Outcome).To(gomega.Equal(serverapi.OutcomeUnknown))
@@ -68,7 +68,7 @@
 // TestSlowServerDoesNotMakeLessorUnresponsive: the lessor's node sends
 // keep-alives while the server works on a request.
 func TestSlowServerDoesNotMakeLessorUnresponsive(t *testing.T) {
-	paired(t, 1, both(), func(p *pair) {
+	withEntryNodes(t, 1, bothServices(), func(p *pair) {
 		p.driver.Set("s1", rt.Slow(2*time.Second, rt.Answer(200, "late but whole")))
 		p.Expect(text(p.WithT, p.serve(request("POST", "k")))).To(gomega.Equal("late but whole"))
 		p.Expect(p.driver.Attempts()).To(gomega.HaveLen(1))
@@ -78,7 +78,7 @@
 // TestFailingLessorIsBypassed: after a few interrupted answers, requests are
 // sent directly while the lessor's node is ejected.
 func TestFailingLessorIsBypassed(t *testing.T) {
-	paired(t, 1, both(), func(p *pair) {
+	withEntryNodes(t, 1, bothServices(), func(p *pair) {
 		p.lessor.Fault(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 		unknown := 0
 		p.Eventually(func() serverapi.Outcome {
@@ -96,7 +96,7 @@
 // TestStalledConnectionsAreClosed: the open connections to the lessor's node stall
 // permanently and new ones work. Only one request is affected by the stall.
 func TestStalledConnectionsAreClosed(t *testing.T) {
-	paired(t, 1, both(), func(p *pair) {
+	withEntryNodes(t, 1, bothServices(), func(p *pair) {
 		var old sync.Map
 		p.lessor.Fault(func(w http.ResponseWriter, r *http.Request) {
 			old.Store(r.RemoteAddr, true)
@@ -109,7 +109,7 @@
 		}
 		wait.Wait()
 		p.lessor.Fault(func(w http.ResponseWriter, r *http.Request) {
-			if _, silent := old.Load(r.RemoteAddr); silent {
+			if _, stalled := old.Load(r.RemoteAddr); stalled {
 				<-r.Context().Done()
 				return
 			}
@@ -131,7 +131,7 @@
 		"cut off":       func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 	}
 	for name, fault := range rows {
-		paired(t, 1, both(), func(p *pair) {
+		withEntryNodes(t, 1, bothServices(), func(p *pair) {
 			p.lessor.Fault(fault)
 			answer := p.serve(request("POST", "k"))
 			p.Expect(answer.Outcome).To(gomega.Equal(serverapi.OutcomeUnknown), name)
@@ -149,9 +149,9 @@
 // TestForwardedRequestsAreNotForwardedAgain: two nodes whose states each name the
 // other as the lessor refuse the request instead of forwarding it in a loop.
 func TestForwardedRequestsAreNotForwardedAgain(t *testing.T) {
-	paired(t, 1, both(), func(p *pair) {
+	withEntryNodes(t, 1, bothServices(), func(p *pair) {
 		behind := routetest.New() // older state of the lessor's node
-		behind.Configure(both()...)
+		behind.Configure(bothServices()...)
 		entry := p.entry[0]
 		stale := (&rt.World{Site: behind, Driver: p.driver, Network: p.Network}).Start(p.t, "lessor")
 		behind.Run("entry-0", rt.Boot, entry.PeerAddress())
@@ -176,7 +176,7 @@
 // TestForwardWaitsForTheSendersState: a lessor whose state is behind catches up
 // before it decides.
 func TestForwardWaitsForTheSendersState(t *testing.T) {
-	paired(t, 1, both(), func(p *pair) {
+	withEntryNodes(t, 1, bothServices(), func(p *pair) {
 		behind := routetest.New() // does not contain the service yet
 		slow := (&rt.World{Site: behind, Driver: p.driver, Network: p.Network}).Start(p.t, "lessor")
 		p.Site.Run("lessor", rt.Boot, slow.PeerAddress())
@@ -189,13 +189,13 @@
 		go func() {
 			<-arrived
 			time.Sleep(50 * time.Millisecond)
-			behind.Configure(both()...)
+			behind.Configure(bothServices()...)
 			behind.Run("entry-0", rt.Boot, "127.0.0.1:9")
 			rt.Serve(behind, rt.KeyedName, zoneA, "s1", "s2")
 			behind.Lead(groupA, "lessor", rt.Boot)
 			behind.AssignAll(rt.KeyedName, "s1")
 			for behind.View().Applied() < p.Site.View().Applied() {
-				behind.Configure(both()...)
+				behind.Configure(bothServices()...)
 			}
 		}()
 		p.Expect(text(p.WithT, p.serve(request("POST", "k")))).To(gomega.Equal("answer of s1"))
--- a/modules/router/forward_test.go
+++ b/modules/router/forward_test.go
@@ -31,9 +31,9 @@
 	entry  []*rt.Node
 }
 
-// paired runs a test with the given number of entry nodes and a lessor's node,
+// withEntryNodes runs a test with the given number of entry nodes and a lessor's node,
 // connected by HTTP over a network in memory.
-func paired(t *testing.T, entries int, services []*siteconfig.Service, test func(p *pair), options ...rt.Option) {
+func withEntryNodes(t *testing.T, entries int, services []*siteconfig.Service, test func(p *pair), options ...rt.Option) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &pair{WithT: gomega.NewWithT(t), world: newWorld(services...), t: t}
 		p.lessor = p.Start(t, "lessor", options...)
@@ -50,7 +50,7 @@
 }
 
 func TestForwardedRequestKeepsEverything(t *testing.T) {
-	paired(t, 1, both(), func(p *pair) {
+	withEntryNodes(t, 1, bothServices(), func(p *pair) {
 		req := request("PATCH", "a/\x00\xffkey")
 		req.Path = "/casing/%2F3?x=1&y=%20"
 		req.Header = http.Header{"Content-Type": {"application/x-well"}, "X-Two": {"1", "2"}}
@@ -83,7 +83,7 @@
 // TestAnswersAreStreamed: the first part of an answer reaches the caller before the
 // server has produced the rest.
 func TestAnswersAreStreamed(t *testing.T) {
-	paired(t, 1, both(), func(p *pair) {
+	withEntryNodes(t, 1, bothServices(), func(p *pair) {
 		rest, produce := io.Pipe()
 		p.driver.Set("s1", func(_ context.Context, req backend.Request) (*backend.Response, error) {
 			header := http.Header{serverapi.HeaderRequestID: {req.RequestID}}
@@ -107,7 +107,7 @@
 // part has been passed on, and the caller's read fails.
 func TestIncompleteAnswerIsReported(t *testing.T) {
 	for _, declared := range []int{-1, 1 << 20} {
-		paired(t, 1, both(), func(p *pair) {
+		withEntryNodes(t, 1, bothServices(), func(p *pair) {
 			p.driver.Set("s1", rt.Broken(declared, strings.Repeat("x", 64<<10)))
 			answer := p.serve(request("POST", "k"))
 			p.Expect(answer.Body).NotTo(gomega.BeNil())
@@ -119,7 +119,7 @@
 }
 
 func TestRetriesAreMadeByTheFirstNodeOnly(t *testing.T) {
-	paired(t, 1, both(), func(p *pair) {
+	withEntryNodes(t, 1, bothServices(), func(p *pair) {
 		p.driver.Set("s1", rt.InTurn(rt.Lost, rt.Answer(200, "ok")))
 		p.Expect(text(p.WithT, p.serve(request("GET", "k")))).To(gomega.Equal("ok"))
 		p.Expect(p.driver.Attempts()).To(gomega.HaveLen(2))
@@ -135,9 +135,9 @@
 // TestLimitHoldsOverAllNodes: several entry nodes send far more requests than
 // the server's limit, through its only admission point.
 func TestLimitHoldsOverAllNodes(t *testing.T) {
-	patient := rt.Keyed()
-	patient.Deadline = 5 * time.Minute // not reached even on a slow machine
-	paired(t, 4, []*siteconfig.Service{patient, rt.Unkeyed()}, func(p *pair) {
+	service := rt.Keyed()
+	service.Deadline = 5 * time.Minute // not reached even on a slow machine
+	withEntryNodes(t, 4, []*siteconfig.Service{service, rt.Unkeyed()}, func(p *pair) {
 		p.driver.Set("s1", rt.Slow(2*time.Millisecond, rt.Echo))
 		var wait sync.WaitGroup
 		var mu sync.Mutex
@@ -149,9 +149,9 @@
 				req.Header = http.Header{"X-Caller-Id": {id}}
 				answer := p.entry[i%4].Handler.Serve(context.Background(), req)
 				p.Expect(answer.Outcome).To(gomega.Equal(serverapi.OutcomeAnswered), string(answer.Reason))
-				said := text(p.WithT, answer)
+				body := text(p.WithT, answer)
 				mu.Lock()
-				got[id] = said
+				got[id] = body
 				mu.Unlock()
 			})
 		}
@@ -163,7 +163,7 @@
 }
 
 func TestDisconnectedCallerCancelsForwardedRequest(t *testing.T) {
-	paired(t, 1, both(), func(p *pair) {
+	withEntryNodes(t, 1, bothServices(), func(p *pair) {
 		p.driver.Set("s1", rt.Hanging)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan *exchange.Answer, 1)
@@ -178,9 +178,9 @@
 // TestUnkeyedRequestsSpread: with two choices at the admission point the servers
 // share the load, whichever entry node receives a request.
 func TestUnkeyedRequestsSpread(t *testing.T) {
-	patient := rt.Unkeyed()
-	patient.Deadline = 5 * time.Minute // not reached even on a slow machine
-	paired(t, 3, []*siteconfig.Service{rt.Keyed(), patient}, func(p *pair) {
+	service := rt.Unkeyed()
+	service.Deadline = 5 * time.Minute // not reached even on a slow machine
+	withEntryNodes(t, 3, []*siteconfig.Service{rt.Keyed(), service}, func(p *pair) {
 		for _, id := range []topo.ServerID{"u1", "u2", "u3"} {
 			p.driver.Set(id, rt.Slow(2*time.Millisecond, rt.Answer(200, "ok")))
 		}
@@ -207,7 +207,7 @@
 // TestUnusualAnswersPassUnchanged: complete answers without a length or body, or
 // with an error status, pass unchanged.
 func TestUnusualAnswersPassUnchanged(t *testing.T) {
-	paired(t, 1, both(), func(p *pair) {
+	withEntryNodes(t, 1, bothServices(), func(p *pair) {
 		big := bytes.Repeat([]byte("0123456789"), 50_000)
 		rows := []struct {
 			method string
--- a/modules/router/local_test.go
+++ b/modules/router/local_test.go
@@ -65,9 +65,9 @@
 	w.Site.AssignAll(rt.KeyedName, "s1")
 }
 
-// alone runs a test with one node, which leads the group of all servers; s1
+// withSingleNode runs a test with one node, which leads the group of all servers; s1
 // owns every shard.
-func alone(t *testing.T, services []*siteconfig.Service, test func(g *gomega.WithT, site *routetest.Site, driver *rt.Driver, node *rt.Node)) {
+func withSingleNode(t *testing.T, services []*siteconfig.Service, test func(g *gomega.WithT, site *routetest.Site, driver *rt.Driver, node *rt.Node)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(services...)
 		node := w.Start(t, "node-1")
@@ -76,34 +76,34 @@
 	})
 }
 
-func both() []*siteconfig.Service { return []*siteconfig.Service{rt.Keyed(), rt.Unkeyed()} }
+func bothServices() []*siteconfig.Service { return []*siteconfig.Service{rt.Keyed(), rt.Unkeyed()} }
 
 // TestRequestForLostServerFailsImmediately: the owner is unreachable and the state
 // names no other. The caller is answered immediately, with a Retry-After time,
 // because the shard is not expected to be served before the deadline.
 func TestRequestForLostServerFailsImmediately(t *testing.T) {
-	alone(t, both(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
+	withSingleNode(t, bothServices(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
 		driver.Set("s1", rt.Unreachable)
 		req := request("POST", "well-7")
-		begun := time.Now()
-		req.Deadline = begun.Add(2 * time.Second)
+		start := time.Now()
+		req.Deadline = start.Add(2 * time.Second)
 		answer := node.Handler.Serve(context.Background(), req)
 		g.Expect(answer.Outcome).To(gomega.Equal(serverapi.OutcomeNotRun))
 		g.Expect(answer.Reason).To(gomega.Equal(callerapi.ReasonNoOwner))
 		g.Expect(answer.RetryAfter).To(gomega.BeNumerically(">=", 2*time.Second))
-		g.Expect(time.Since(begun)).To(gomega.BeNumerically("<", 10*time.Millisecond))
+		g.Expect(time.Since(start)).To(gomega.BeNumerically("<", 10*time.Millisecond))
 	})
 }
 
 // TestMovedShardIsServedByItsNextOwner: requests wait while no server serves
 // the shard, and go to the next owner as soon as the state names one.
 func TestMovedShardIsServedByItsNextOwner(t *testing.T) {
-	alone(t, both(), func(g *gomega.WithT, site *routetest.Site, driver *rt.Driver, node *rt.Node) {
+	withSingleNode(t, bothServices(), func(g *gomega.WithT, site *routetest.Site, driver *rt.Driver, node *rt.Node) {
 		// Answers take 1 ms, so that not all requests are sent before the first
 		// answer, whatever the order of their goroutines.
 		driver.Set("s1", rt.Slow(time.Millisecond, rt.Decline("not-run", serverapi.ReasonNotOwner)))
 		var wait sync.WaitGroup
-		begun := time.Now()
+		start := time.Now()
 		for range 30 {
 			wait.Go(func() {
 				answer := node.Handler.Serve(context.Background(), request("POST", "well-7"))
@@ -113,21 +113,21 @@
 		time.Sleep(150 * time.Millisecond)
 		site.AssignAll(rt.KeyedName, "s2")
 		wait.Wait()
-		g.Expect(time.Since(begun)).To(gomega.BeNumerically("<", 300*time.Millisecond))
-		asked := 0
+		g.Expect(time.Since(start)).To(gomega.BeNumerically("<", 300*time.Millisecond))
+		attempts := 0
 		for _, attempt := range driver.Attempts() {
 			if attempt.Server == "s1" {
-				asked++
+				attempts++
 			}
 		}
-		g.Expect(asked).To(gomega.BeNumerically("<", 12), "one request at a time probes the previous owner")
+		g.Expect(attempts).To(gomega.BeNumerically("<", 12), "one request at a time probes the previous owner")
 	})
 }
 
 // TestActivatedStandbyIsUsed: a standby that is activated without a log record
 // serves waiting requests, and the activation ends when the log supersedes it.
 func TestActivatedStandbyIsUsed(t *testing.T) {
-	alone(t, both(), func(g *gomega.WithT, site *routetest.Site, driver *rt.Driver, node *rt.Node) {
+	withSingleNode(t, bothServices(), func(g *gomega.WithT, site *routetest.Site, driver *rt.Driver, node *rt.Node) {
 		driver.Set("s1", rt.Unreachable)
 		shard := topo.ShardID{Service: rt.KeyedName, Index: topo.ShardIndex("well-7", 4)}
 		fence := site.Assign(shard, "s1", "s2")
@@ -153,7 +153,7 @@
 // TestDisconnectedCallerCancelsServerRequest checks that the caller's disconnect
 // cancels the request at the server and releases its slot.
 func TestDisconnectedCallerCancelsServerRequest(t *testing.T) {
-	alone(t, both(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
+	withSingleNode(t, bothServices(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
 		driver.Set("s1", rt.Hanging)
 		ctx, cancel := context.WithCancel(context.Background())
 		answers := make(chan *exchange.Answer, 1)
@@ -172,7 +172,7 @@
 // TestUnresponsiveOwnerReceivesFewAttempts: after a few attempts without progress,
 // further requests wait for another owner instead of being sent.
 func TestUnresponsiveOwnerReceivesFewAttempts(t *testing.T) {
-	alone(t, both(), func(g *gomega.WithT, site *routetest.Site, driver *rt.Driver, node *rt.Node) {
+	withSingleNode(t, bothServices(), func(g *gomega.WithT, site *routetest.Site, driver *rt.Driver, node *rt.Node) {
 		driver.Set("s1", rt.Silent)
 		for range 3 {
 			node.Handler.Serve(context.Background(), request("POST", "well-7"))
@@ -188,20 +188,20 @@
 		time.Sleep(time.Second)
 		site.AssignAll(rt.KeyedName, "s2")
 		wait.Wait()
-		asked := 0
+		attempts := 0
 		for _, attempt := range driver.Attempts() {
 			if attempt.Server == "s1" {
-				asked++
+				attempts++
 			}
 		}
-		g.Expect(asked - sent).To(gomega.BeNumerically("<", 15))
+		g.Expect(attempts - sent).To(gomega.BeNumerically("<", 15))
 	})
 }
 
 // TestDeepRequestsAreNotRetried: a request made by a backend server is answered
 // after its first attempt.
 func TestDeepRequestsAreNotRetried(t *testing.T) {
-	alone(t, both(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
+	withSingleNode(t, bothServices(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
 		driver.Set("s1", rt.Lost)
 		req := request("GET", "well-7")
 		req.Hop = 1
@@ -215,7 +215,7 @@
 // TestLargeBodies: a body that is too large to buffer is sent only once. A body
 // above the limit, without a declared length, ends the attempt with the reason.
 func TestLargeBodies(t *testing.T) {
-	alone(t, both(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
+	withSingleNode(t, bothServices(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
 		limit, _ := node.Handler.BodyLimit(rt.KeyedName)
 		content := strings.Repeat("x", int(limit))
 		req := request("GET", "well-7")
@@ -240,7 +240,7 @@
 // TestDisconnectedCallersDoNotEjectServer: only interrupted answers count against
 // the server.
 func TestDisconnectedCallersDoNotEjectServer(t *testing.T) {
-	alone(t, both(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
+	withSingleNode(t, bothServices(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
 		driver.Set("s1", rt.Broken(1<<20, strings.Repeat("x", 64<<10)))
 		for range 10 {
 			ctx, cancel := context.WithCancel(context.Background())
@@ -275,7 +275,7 @@
 func TestRetryUsesAnotherServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		w := newWorld(both()...)
+		w := newWorld(bothServices()...)
 		node := w.Start(t, "node-1", rt.With[pick.Picker](lowest{}))
 		w.lead("node-1")
 		w.driver.Set("u1", rt.Unreachable)
--- a/modules/router/outcomes_test.go
+++ b/modules/router/outcomes_test.go
@@ -53,7 +53,7 @@
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
-			alone(t, both(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
+			withSingleNode(t, bothServices(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
 				req := request(row.method, "well-7")
 				if row.unkeyed {
 					req = unkeyed(row.method)
--- a/modules/router/overload_test.go
+++ b/modules/router/overload_test.go
@@ -21,7 +21,7 @@
 // TestConcurrencyLimitHolds sends far more concurrent requests than the server's
 // limit.
 func TestConcurrencyLimitHolds(t *testing.T) {
-	alone(t, both(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
+	withSingleNode(t, bothServices(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
 		driver.Set("s1", rt.Slow(20*time.Millisecond, rt.Answer(200, "ok")))
 		for range 5 { // warms the server up and measures its service time
 			text(g, node.Handler.Serve(context.Background(), request("GET", "well-7")))
@@ -29,7 +29,7 @@
 		}
 		var wait sync.WaitGroup
 		var mu sync.Mutex
-		told := map[serverapi.Outcome]int{}
+		outcomes := map[serverapi.Outcome]int{}
 		for i := range 400 {
 			wait.Go(func() {
 				time.Sleep(time.Duration(i) * 2500 * time.Microsecond)
@@ -38,15 +38,15 @@
 				answer := node.Handler.Serve(context.Background(), req)
 				text(g, answer)
 				mu.Lock()
-				told[answer.Outcome]++
+				outcomes[answer.Outcome]++
 				mu.Unlock()
 			})
 		}
 		wait.Wait()
 		g.Expect(driver.Peak("s1")).To(gomega.Equal(4))
-		g.Expect(told[serverapi.OutcomeUnknown]).To(gomega.BeZero(), "requests that cannot meet their deadline are refused before they are sent")
-		g.Expect(told[serverapi.OutcomeNotRun]).To(gomega.BeNumerically(">", 50), "the load is twice what the server can do")
-		g.Expect(told[serverapi.OutcomeAnswered]).To(gomega.BeNumerically(">=", 200), "the server is kept busy")
+		g.Expect(outcomes[serverapi.OutcomeUnknown]).To(gomega.BeZero(), "requests that cannot meet their deadline are refused before they are sent")
+		g.Expect(outcomes[serverapi.OutcomeNotRun]).To(gomega.BeNumerically(">", 50), "the load is twice what the server can do")
+		g.Expect(outcomes[serverapi.OutcomeAnswered]).To(gomega.BeNumerically(">=", 200), "the server is kept busy")
 	})
 }
 
@@ -56,7 +56,7 @@
 func TestDependantsAreShedFirst(t *testing.T) {
 	dependant := rt.Keyed()
 	dependant.DependsOn = []topo.Service{rt.UnkeyedName}
-	alone(t, []*siteconfig.Service{dependant, rt.Unkeyed()}, func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
+	withSingleNode(t, []*siteconfig.Service{dependant, rt.Unkeyed()}, func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
 		for _, id := range []topo.ServerID{"u1", "u2", "u3"} {
 			driver.Set(id, rt.Decline("not-run", serverapi.ReasonOverloaded))
 		}
@@ -87,7 +87,7 @@
 func TestStalledServerShedsItsQueue(t *testing.T) {
 	service := rt.Keyed()
 	service.ConcurrencyPerServer = 1
-	alone(t, []*siteconfig.Service{service, rt.Unkeyed()}, func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
+	withSingleNode(t, []*siteconfig.Service{service, rt.Unkeyed()}, func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
 		driver.Set("s1", rt.Slow(10*time.Millisecond, rt.Answer(200, "ok")))
 		for range 8 {
 			text(g, node.Handler.Serve(context.Background(), request("GET", "k")))
@@ -95,12 +95,12 @@
 		driver.Set("s1", rt.Hanging)
 		go node.Handler.Serve(context.Background(), request("POST", "k"))
 		synctest.Wait()
-		begun := time.Now()
+		start := time.Now()
 		waiting := request("POST", "k")
-		waiting.Deadline = begun.Add(2 * time.Second)
+		waiting.Deadline = start.Add(2 * time.Second)
 		answer := node.Handler.Serve(context.Background(), waiting)
 		g.Expect(answer.Reason).To(gomega.Equal(callerapi.ReasonTooLate))
-		g.Expect(time.Since(begun)).To(gomega.BeNumerically("~", time.Second, 100*time.Millisecond))
+		g.Expect(time.Since(start)).To(gomega.BeNumerically("~", time.Second, 100*time.Millisecond))
 		time.Sleep(time.Minute) // the hanging request's deadline
 	})
 }
@@ -108,7 +108,7 @@
 // TestNewAdmissionPointStartsWithOneRequest: requests of the previous
 // admission point may still be in flight at the server.
 func TestNewAdmissionPointStartsWithOneRequest(t *testing.T) {
-	alone(t, both(), func(g *gomega.WithT, site *routetest.Site, _ *rt.Driver, node *rt.Node) {
+	withSingleNode(t, bothServices(), func(g *gomega.WithT, site *routetest.Site, _ *rt.Driver, node *rt.Node) {
 		text(g, node.Handler.Serve(context.Background(), request("GET", "k")))
 		time.Sleep(2 * time.Second)
 		g.Expect(node.Router.ServerStats()[0].Limit).To(gomega.Equal(4))
--- a/modules/router/serve.go
+++ b/modules/router/serve.go
@@ -107,15 +107,15 @@
 }
 
 // deadlineOf limits the caller's deadline to the maximum of the service.
-func deadlineOf(now, asked time.Time, allowed time.Duration) time.Time {
+func deadlineOf(now, requested time.Time, allowed time.Duration) time.Time {
 	if allowed <= 0 {
 		allowed = callerapi.MaxDeadline
 	}
 	latest := now.Add(allowed)
-	if asked.IsZero() || asked.After(latest) {
+	if requested.IsZero() || requested.After(latest) {
 		return latest
 	}
-	return asked
+	return requested
 }
 
 // admit admits a request, unless the node is full or the request is shed. A
--- a/modules/router/tickets_test.go
+++ b/modules/router/tickets_test.go
@@ -25,32 +25,32 @@
 	refuses bool
 }
 
-func (d *directory) MayRenew(topo.GroupID) bool          { return d.may() }
-func (d *directory) Term(topo.GroupID) (topo.Term, bool) { return topo.Term{}, d.may() }
+func (d *directory) MayRenew(topo.GroupID) bool          { return d.allowed() }
+func (d *directory) Term(topo.GroupID) (topo.Term, bool) { return topo.Term{}, d.allowed() }
 func (d *directory) MaySend(topo.GroupID, topo.ShardID, topo.ServerID, topo.Fence) bool {
-	return d.may()
+	return d.allowed()
 }
 
-func (d *directory) may() bool {
+func (d *directory) allowed() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return !d.refuses
 }
 
-func (d *directory) refuse(refuses bool) {
+func (d *directory) setRefuses(refuses bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.refuses = refuses
 }
 
-// unfenced runs a test with a lessor's node and entry nodes, for services whose
+// withUnfencedServices runs a test with a lessor's node and entry nodes, for services whose
 // servers keep no record of tickets.
-func unfenced(t *testing.T, entries int, test func(p *pair, lessors *directory)) {
+func withUnfencedServices(t *testing.T, entries int, test func(p *pair, lessors *directory)) {
 	service := rt.Keyed()
 	service.ChecksFencing = false
 	service.RequireIdempotencyKey = true
 	lessors := &directory{}
-	paired(t, entries, []*siteconfig.Service{service, rt.Unkeyed()}, func(p *pair) { test(p, lessors) },
+	withEntryNodes(t, entries, []*siteconfig.Service{service, rt.Unkeyed()}, func(p *pair) { test(p, lessors) },
 		rt.With[lessor.Directory](lessors))
 }
 
@@ -71,7 +71,7 @@
 
 // TestTicketsAreChecked: invalid tickets are refused before anything is sent.
 func TestTicketsAreChecked(t *testing.T) {
-	unfenced(t, 1, func(p *pair, _ *directory) {
+	withUnfencedServices(t, 1, func(p *pair, _ *directory) {
 		own := p.ticket(p.entry[0], true, "well-7")
 		rows := []struct {
 			name   string
@@ -97,7 +97,7 @@
 
 // TestTicketIsBoundToTheFence: if servers check fences, a ticket names the fence.
 func TestTicketIsBoundToTheFence(t *testing.T) {
-	paired(t, 1, both(), func(p *pair) {
+	withEntryNodes(t, 1, bothServices(), func(p *pair) {
 		issued, refused := p.entry[0].Handler.IssueTicket(context.Background(), rt.KeyedName, true, "well-7")
 		p.Expect(refused).To(gomega.BeNil())
 		owned, _ := p.Site.View().Lookup(rt.KeyedName, "well-7")
@@ -114,16 +114,16 @@
 // node.
 func TestRepeatedTicketIsReplayed(t *testing.T) {
 	for _, keyed := range []bool{true, false} {
-		unfenced(t, 2, func(p *pair, _ *directory) {
+		withUnfencedServices(t, 2, func(p *pair, _ *directory) {
 			req := func() *exchange.Request { return unkeyed("POST") }
 			if keyed {
 				req = func() *exchange.Request { return request("POST", "well-7") }
 			}
 			ticket := p.ticket(p.entry[0], keyed, req().Key)
 			first := p.entry[0].Handler.Serve(context.Background(), withTicket(req(), ticket))
-			said := text(p.WithT, first)
+			body := text(p.WithT, first)
 			again := p.entry[1].Handler.Serve(context.Background(), withTicket(req(), ticket))
-			p.Expect(text(p.WithT, again)).To(gomega.Equal(said))
+			p.Expect(text(p.WithT, again)).To(gomega.Equal(body))
 			p.Expect(again.Header.Get(callerapi.HeaderReplayed)).To(gomega.Equal("true"))
 			p.Expect(again.Header.Get("X-Server-Says")).To(gomega.Equal("hello"))
 			p.Expect(p.driver.Attempts()).To(gomega.HaveLen(1))
@@ -140,7 +140,7 @@
 // TestLostAnswerIsNotRunAgain: the record shows that the ticket ran, but not its
 // answer.
 func TestLostAnswerIsNotRunAgain(t *testing.T) {
-	unfenced(t, 1, func(p *pair, _ *directory) {
+	withUnfencedServices(t, 1, func(p *pair, _ *directory) {
 		p.driver.Set("s1", rt.InTurn(rt.Lost, rt.Answer(200, "again")))
 		ticket := p.ticket(p.entry[0], true, "well-7")
 		p.Expect(p.serve(withTicket(request("POST", "well-7"), ticket)).Outcome).To(gomega.Equal(serverapi.OutcomeUnknown))
@@ -155,7 +155,7 @@
 // TestNotRunTicketMayBeUsedAgain: a ticket that is proven not to have run is
 // removed from the record.
 func TestNotRunTicketMayBeUsedAgain(t *testing.T) {
-	unfenced(t, 1, func(p *pair, _ *directory) {
+	withUnfencedServices(t, 1, func(p *pair, _ *directory) {
 		p.driver.Set("s1", rt.Decline("not-run", serverapi.ReasonOverloaded))
 		ticket := p.ticket(p.entry[0], true, "well-7")
 		p.Expect(p.serve(withTicket(request("POST", "well-7"), ticket)).Outcome).To(gomega.Equal(serverapi.OutcomeNotRun))
@@ -169,7 +169,7 @@
 // never ran.
 func TestNextTermRefusesOldTicket(t *testing.T) {
 	for _, keyed := range []bool{true, false} {
-		unfenced(t, 1, func(p *pair, _ *directory) {
+		withUnfencedServices(t, 1, func(p *pair, _ *directory) {
 			req := func() *exchange.Request { return unkeyed("POST") }
 			if keyed {
 				req = func() *exchange.Request { return request("POST", "well-7") }
@@ -187,17 +187,17 @@
 // TestExpiredLessorSendsNothing: a lessor without a lease does not send to servers
 // that do not check fencing tokens.
 func TestExpiredLessorSendsNothing(t *testing.T) {
-	unfenced(t, 1, func(p *pair, lessors *directory) {
-		lessors.refuse(true)
-		begun := time.Now()
+	withUnfencedServices(t, 1, func(p *pair, lessors *directory) {
+		lessors.setRefuses(true)
+		start := time.Now()
 		req := request("GET", "well-7")
-		req.Deadline = begun.Add(time.Second)
+		req.Deadline = start.Add(time.Second)
 		answer := p.serve(req)
-		p.Expect(time.Since(begun)).To(gomega.BeNumerically("<", 50*time.Millisecond), "answered immediately")
+		p.Expect(time.Since(start)).To(gomega.BeNumerically("<", 50*time.Millisecond), "answered immediately")
 		p.Expect(answer.Outcome).To(gomega.Equal(serverapi.OutcomeNotRun))
 		p.Expect(answer.RetryAfter).To(gomega.BeNumerically(">", 0))
 		p.Expect(p.driver.Attempts()).To(gomega.BeEmpty())
-		lessors.refuse(false)
+		lessors.setRefuses(false)
 		p.Eventually(func() serverapi.Outcome { return p.serve(request("GET", "well-7")).Outcome }, 10*time.Second).
 			Should(gomega.Equal(serverapi.OutcomeAnswered))
 	})
@@ -208,7 +208,7 @@
 // test. The checker reads the attempts that the servers received.
 func TestNoTicketRunsTwice(t *testing.T) {
 	const tickets, uses = 60, 4
-	unfenced(t, 3, func(p *pair, _ *directory) {
+	withUnfencedServices(t, 3, func(p *pair, _ *directory) {
 		random := rand.New(rand.NewPCG(11, 12))
 		refused := rt.Decline("not-run", serverapi.ReasonOverloaded)
 		for _, id := range []topo.ServerID{"s1", "u1", "u2", "u3"} {
