--- a/modules/router/bypass_test.go
+++ b/modules/router/bypass_test.go
@@ -32,7 +32,7 @@
 		other := p.Start(p.t, "lessor-b")
 		other.Fault(func(w http.ResponseWriter, r *http.Request) {
 			through.Add(1)
-			other.Through(w, r)
+			other.ServePeer(w, r)
 		})
 		rt.Serve(p.Site, rt.KeyedName, zoneB, "s3")
 		p.Site.Lead(groupB, "lessor-b", rt.Boot)
--- a/modules/router/check_test.go
+++ b/modules/router/check_test.go
@@ -54,7 +54,7 @@
 		}
 	}
 	sendTwice("t1")
-	driver.Set("s1", rt.InTurn(rt.Decline("not-run", "overloaded"), rt.Lost))
+	driver.Set("s1", rt.Sequence(rt.Decline("not-run", "overloaded"), rt.Lost))
 	sendTwice("t2")
 	g.Expect(doubleRuns(driver.Attempts())).To(gomega.Equal([]string{"t1"}))
 
--- a/modules/router/forward_faults_test.go
+++ b/modules/router/forward_faults_test.go
@@ -100,7 +100,7 @@
 		var old sync.Map
 		p.lessor.Fault(func(w http.ResponseWriter, r *http.Request) {
 			old.Store(r.RemoteAddr, true)
-			p.lessor.Through(w, r)
+			p.lessor.ServePeer(w, r)
 		})
 		p.driver.Set("s1", rt.Slow(50*time.Millisecond, rt.Answer(200, "ok")))
 		var wait sync.WaitGroup
@@ -113,7 +113,7 @@
 				<-r.Context().Done()
 				return
 			}
-			p.lessor.Through(w, r)
+			p.lessor.ServePeer(w, r)
 		})
 		answer := p.serve(request("POST", "k"))
 		p.Expect(answer.Reason).To(gomega.Equal(callerapi.ReasonSilent))
@@ -184,7 +184,7 @@
 		var once sync.Once
 		slow.Fault(func(w http.ResponseWriter, r *http.Request) {
 			once.Do(func() { close(arrived) })
-			slow.Through(w, r)
+			slow.ServePeer(w, r)
 		})
 		go func() {
 			<-arrived
--- a/modules/router/forward_test.go
+++ b/modules/router/forward_test.go
@@ -120,7 +120,7 @@
 
 func TestRetriesAreMadeByTheFirstNodeOnly(t *testing.T) {
 	withEntryNodes(t, 1, bothServices(), func(p *pair) {
-		p.driver.Set("s1", rt.InTurn(rt.Lost, rt.Answer(200, "ok")))
+		p.driver.Set("s1", rt.Sequence(rt.Lost, rt.Answer(200, "ok")))
 		p.Expect(text(p.WithT, p.serve(request("GET", "k")))).To(gomega.Equal("ok"))
 		p.Expect(p.driver.Attempts()).To(gomega.HaveLen(2))
 		p.Expect(p.driver.Attempts()[0].Req.RequestID).NotTo(gomega.Equal(p.driver.Attempts()[1].Req.RequestID))
--- a/modules/router/local_test.go
+++ b/modules/router/local_test.go
@@ -222,7 +222,7 @@
 		var err error
 		req.Body, err = exchange.NewBody(strings.NewReader(content), -1, limit, 1<<10)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		driver.Set("s1", rt.InTurn(rt.Lost, rt.Answer(200, "ok")))
+		driver.Set("s1", rt.Sequence(rt.Lost, rt.Answer(200, "ok")))
 		answer := node.Handler.Serve(context.Background(), req)
 		g.Expect(answer.Outcome).To(gomega.Equal(serverapi.OutcomeUnknown), "the body cannot be sent again")
 		g.Expect(driver.Attempts()[0].Body).To(gomega.HaveLen(int(limit)))
--- a/modules/router/routertest/behaviour.go
+++ b/modules/router/routertest/behaviour.go
@@ -13,15 +13,15 @@
 	"github.com/burdockspindle/burdockspindle/serverapi"
 )
 
-// Answer runs requests at once.
+// Answer runs requests immediately and returns a fixed answer.
 func Answer(status int, text string) Behaviour {
 	return func(_ context.Context, req backend.Request) (*backend.Response, error) {
 		return responseTo(req, status, text), nil
 	}
 }
 
-// Echo answers with the request's own ID and body, so that an answer that went
-// to another caller is seen.
+// Echo answers with the request's ID and the caller's ID as the body, so that an
+// answer that reached another caller is detected.
 func Echo(_ context.Context, req backend.Request) (*backend.Response, error) {
 	return responseTo(req, http.StatusOK, req.Header.Get("X-Caller-Id")), nil
 }
@@ -39,7 +39,8 @@
 	}
 }
 
-// Decline answers without running the request, or without knowing.
+// Decline answers with an outcome and a reason: that the request was not run, or
+// that the outcome is unknown.
 func Decline(outcome serverapi.Outcome, reason serverapi.Reason) Behaviour {
 	return func(_ context.Context, req backend.Request) (*backend.Response, error) {
 		response := responseTo(req, http.StatusConflict, "")
@@ -48,17 +49,17 @@
 	}
 }
 
-// Unreachable cannot be connected to.
+// Unreachable refuses connections.
 func Unreachable(context.Context, backend.Request) (*backend.Response, error) {
 	return nil, &backend.AttemptError{Sent: false, Cause: io.ErrClosedPipe}
 }
 
-// Lost loses its answers after the request was sent.
+// Lost loses the answer after the request was sent.
 func Lost(context.Context, backend.Request) (*backend.Response, error) {
 	return nil, &backend.AttemptError{Sent: true, Cause: io.ErrUnexpectedEOF}
 }
 
-// Silent runs requests over a connection that makes no progress.
+// Silent receives requests over a connection that makes no progress.
 func Silent(context.Context, backend.Request) (*backend.Response, error) {
 	return nil, &backend.AttemptError{Sent: true, Silent: true, Cause: io.ErrNoProgress}
 }
@@ -75,7 +76,8 @@
 	return Answer(http.StatusOK, "somebody else's")(ctx, req)
 }
 
-// Broken answers with a body of which only the first part comes.
+// Broken answers with a declared length and only the first part of the body. A
+// negative length declares none.
 func Broken(length int, part string) Behaviour {
 	return func(_ context.Context, req backend.Request) (*backend.Response, error) {
 		response := responseTo(req, http.StatusOK, "")
@@ -83,20 +85,20 @@
 		if length < 0 {
 			response.Header.Del("Content-Length")
 		}
-		broken := io.MultiReader(bytes.NewReader([]byte(part)), failing{})
+		broken := io.MultiReader(bytes.NewReader([]byte(part)), failingReader{})
 		response.Body = io.NopCloser(broken)
 		return response, nil
 	}
 }
 
-type failing struct{}
+type failingReader struct{}
 
-func (failing) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
+func (failingReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// Slow takes a while for each request, and stops when it is canceled.
-func Slow(busy time.Duration, then Behaviour) Behaviour {
+// Slow delays each request by the service time, and stops when it is canceled.
+func Slow(serviceTime time.Duration, then Behaviour) Behaviour {
 	return func(ctx context.Context, req backend.Request) (*backend.Response, error) {
-		timer := time.NewTimer(busy)
+		timer := time.NewTimer(serviceTime)
 		defer timer.Stop()
 		select {
 		case <-timer.C:
@@ -107,8 +109,8 @@
 	}
 }
 
-// InTurn does one thing after the other, and the last one from then on.
-func InTurn(steps ...Behaviour) Behaviour {
+// Sequence runs one step for each request, and repeats the last step.
+func Sequence(steps ...Behaviour) Behaviour {
 	var mu sync.Mutex
 	return func(ctx context.Context, req backend.Request) (*backend.Response, error) {
 		mu.Lock()
--- a/modules/router/routertest/driver.go
+++ b/modules/router/routertest/driver.go
@@ -1,6 +1,6 @@
-// Package routertest has what tests of the request path need around a router: a
-// backend.Driver in memory whose servers do as they are told, and nodes with
-// real listeners on the loopback interface.
+// Package routertest provides test doubles for tests of the request path: a
+// backend.Driver in memory whose servers have configurable behaviours, and nodes
+// with listeners on the loopback interface or on a network in memory.
 package routertest
 
 import (
@@ -18,13 +18,13 @@
 // Behaviour is what a server does with one request whose body it has read.
 type Behaviour func(ctx context.Context, req backend.Request) (*backend.Response, error)
 
-// Attempt is one attempt as a server saw it.
+// Attempt is one attempt as a server received it.
 type Attempt struct {
 	Server topo.ServerID
 	Req    backend.Request
 	Body   []byte
 	At     time.Time
-	// Outcome is what the server's side knows of the attempt.
+	// Outcome is the outcome of the attempt at the server.
 	Outcome serverapi.Outcome
 }
 
@@ -32,29 +32,29 @@
 func (a Attempt) MayHaveRun() bool { return a.Outcome != serverapi.OutcomeNotRun }
 
 // Driver is a backend.Driver in memory, shared by the nodes of a test. It
-// counts what each server holds at once and keeps every attempt.
+// counts each server's concurrent requests and records every attempt.
 type Driver struct {
-	mu       sync.Mutex
-	behave   map[topo.ServerID]Behaviour
-	attempts []Attempt
-	held     map[topo.ServerID]int
-	peak     map[topo.ServerID]int
+	mu         sync.Mutex
+	behaviours map[topo.ServerID]Behaviour
+	attempts   []Attempt
+	inFlight   map[topo.ServerID]int
+	peak       map[topo.ServerID]int
 }
 
 // NewDriver returns a driver whose servers answer every request.
 func NewDriver() *Driver {
 	return &Driver{
-		behave: map[topo.ServerID]Behaviour{},
-		held:   map[topo.ServerID]int{},
-		peak:   map[topo.ServerID]int{},
+		behaviours: map[topo.ServerID]Behaviour{},
+		inFlight:   map[topo.ServerID]int{},
+		peak:       map[topo.ServerID]int{},
 	}
 }
 
-// Set changes what a server does from the next request on.
+// Set changes a server's behaviour for subsequent requests.
 func (d *Driver) Set(id topo.ServerID, b Behaviour) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.behave[id] = b
+	d.behaviours[id] = b
 }
 
 // Attempts returns every attempt so far.
@@ -64,18 +64,18 @@
 	return append([]Attempt(nil), d.attempts...)
 }
 
-// Peak is the most requests that a server held at once.
+// Peak returns the maximum number of concurrent requests at a server.
 func (d *Driver) Peak(id topo.ServerID) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.peak[id]
 }
 
-// Held is how many requests a server holds now.
+// Held returns the number of requests in flight at a server.
 func (d *Driver) Held(id topo.ServerID) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.held[id]
+	return d.inFlight[id]
 }
 
 // Do implements backend.Driver.
@@ -89,23 +89,23 @@
 			return nil, &backend.AttemptError{Server: to.ID, Sent: true, Cause: err}
 		}
 	}
-	place := d.keep(attempt)
+	index := d.record(attempt)
 	response, err := behave(ctx, req)
-	d.settle(place, response, err)
+	d.recordOutcome(index, response, err)
 	if err != nil {
 		d.leave(to.ID)
 		return nil, err
 	}
-	response.Body = &heldBody{ReadCloser: response.Body, done: func() { d.leave(to.ID) }}
+	response.Body = &releasingBody{ReadCloser: response.Body, done: func() { d.leave(to.ID) }}
 	return response, nil
 }
 
 func (d *Driver) enter(id topo.ServerID) Behaviour {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.held[id]++
-	d.peak[id] = max(d.peak[id], d.held[id])
-	if behave := d.behave[id]; behave != nil {
+	d.inFlight[id]++
+	d.peak[id] = max(d.peak[id], d.inFlight[id])
+	if behave := d.behaviours[id]; behave != nil {
 		return behave
 	}
 	return Answer(200, "answer of "+string(id))
@@ -114,18 +114,18 @@
 func (d *Driver) leave(id topo.ServerID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.held[id]--
+	d.inFlight[id]--
 }
 
-func (d *Driver) keep(a Attempt) int {
+func (d *Driver) record(a Attempt) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.attempts = append(d.attempts, a)
 	return len(d.attempts) - 1
 }
 
-// settle keeps what became of an attempt.
-func (d *Driver) settle(place int, response *backend.Response, err error) {
+// recordOutcome stores the outcome of an attempt.
+func (d *Driver) recordOutcome(index int, response *backend.Response, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	outcome := serverapi.OutcomeUnknown
@@ -136,15 +136,15 @@
 	case errors.As(err, &failed) && !failed.Sent:
 		outcome = serverapi.OutcomeNotRun
 	}
-	d.attempts[place].Outcome = outcome
+	d.attempts[index].Outcome = outcome
 }
 
-// Lease implements backend.Driver; nothing here uses it.
+// Lease implements backend.Driver; it does nothing.
 func (d *Driver) Lease(context.Context, backend.Target, serverapi.LeaseRequest) (serverapi.LeaseReply, error) {
 	return serverapi.LeaseReply{}, nil
 }
 
-// Acknowledge implements backend.Driver; nothing here uses it.
+// Acknowledge implements backend.Driver; it does nothing.
 func (d *Driver) Acknowledge(context.Context, backend.Target, serverapi.AcknowledgeRequest) (serverapi.LeaseReply, error) {
 	return serverapi.LeaseReply{}, nil
 }
@@ -152,15 +152,15 @@
 // Forget implements backend.Driver.
 func (d *Driver) Forget(topo.ServerID) {}
 
-// heldBody gives the server's place back when it is closed.
-type heldBody struct {
+// releasingBody decrements the server's requests in flight when it is closed.
+type releasingBody struct {
 	io.ReadCloser
 	once sync.Once
 	done func()
 }
 
 // Close implements io.Closer.
-func (b *heldBody) Close() error {
+func (b *releasingBody) Close() error {
 	b.once.Do(b.done)
 	return b.ReadCloser.Close()
 }
--- a/modules/router/routertest/network.go
+++ b/modules/router/routertest/network.go
@@ -8,13 +8,13 @@
 	"syscall"
 )
 
-// Network joins the nodes and callers of a test.
+// Network connects the nodes and callers of a test.
 type Network interface {
 	Listen(network, address string) (net.Listener, error)
 	Dial(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Loopback is the machine's own network, for benchmarks.
+// Loopback is the loopback interface of the machine, for benchmarks.
 type Loopback struct{}
 
 // Listen implements Network; it chooses a port.
@@ -25,12 +25,12 @@
 	return new(net.Dialer).DialContext(ctx, network, address)
 }
 
-// Memory is a network in memory. With it, tests run under a faked clock, so that
-// no verdict depends on the machine's speed.
+// Memory is a network in memory. It lets tests run with a fake clock, so that
+// results do not depend on the machine's speed.
 type Memory struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
-	names     int
+	addresses int
 }
 
 // NewMemory returns a network without listeners.
@@ -40,25 +40,25 @@
 func (m *Memory) Listen(string, string) (net.Listener, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	l := &listener{network: m, address: m.name(), conns: make(chan net.Conn), closed: make(chan struct{})}
+	l := &listener{network: m, address: m.newAddress(), conns: make(chan net.Conn), closed: make(chan struct{})}
 	m.listeners[l.address.String()] = l
 	return l, nil
 }
 
-// name returns a new address; the lock is held.
-func (m *Memory) name() address {
-	m.names++
-	return address("192.0.2.1:" + strconv.Itoa(m.names))
+// newAddress returns a new address. The caller holds mu.
+func (m *Memory) newAddress() address {
+	m.addresses++
+	return address("192.0.2.1:" + strconv.Itoa(m.addresses))
 }
 
 // Dial implements Network.
 func (m *Memory) Dial(ctx context.Context, _, to string) (net.Conn, error) {
 	m.mu.Lock()
 	l, exists := m.listeners[to]
-	from := m.name()
+	from := m.newAddress()
 	m.mu.Unlock()
 	if !exists {
-		return nil, refused()
+		return nil, connectionRefused()
 	}
 	near, far := net.Pipe()
 	accepted := &conn{Conn: far, local: l.address, remote: from}
@@ -66,13 +66,15 @@
 	case l.conns <- accepted:
 		return &conn{Conn: near, local: from, remote: l.address}, nil
 	case <-l.closed:
-		return nil, refused()
+		return nil, connectionRefused()
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-func refused() error { return &net.OpError{Op: "dial", Net: "memory", Err: syscall.ECONNREFUSED} }
+func connectionRefused() error {
+	return &net.OpError{Op: "dial", Net: "memory", Err: syscall.ECONNREFUSED}
+}
 
 type listener struct {
 	network *Memory
--- a/modules/router/routertest/node.go
+++ b/modules/router/routertest/node.go
@@ -24,19 +24,19 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Boot is the run of every node.
+// Boot is the incarnation of every node.
 const Boot = topo.BootID("b1")
 
-// World is what the nodes of a test share.
+// World is the environment that the nodes of a test share.
 type World struct {
 	Site    *routetest.Site
 	Driver  backend.Driver
 	Network Network
-	// TLS names each node's certificates; nil for none.
+	// TLS returns each node's certificate files; nil for no TLS.
 	TLS func(topo.NodeID) settings.TLS
 }
 
-// Node is an entry node with a router, whose peers reach it over HTTP.
+// Node is an entry node with a router that serves its peers over HTTP.
 type Node struct {
 	ID      topo.NodeID
 	Router  *router.Module
@@ -58,7 +58,7 @@
 	return func(_ *settings.Settings, ctx *kernel.Context) { _ = kernel.Provide(ctx, service) }
 }
 
-// Start starts a node, adds it to the site, and ends it with the test.
+// Start starts a node, adds it to the site, and stops it at the end of the test.
 func (w *World) Start(t testing.TB, id topo.NodeID, options ...Option) *Node {
 	t.Helper()
 	n := &Node{ID: id, Router: &router.Module{}}
@@ -112,7 +112,7 @@
 			(*fault)(w, r)
 			return
 		}
-		n.Through(w, r)
+		n.ServePeer(w, r)
 	})}
 	if w.TLS != nil {
 		loader, err := tlsfiles.New(w.TLS(n.ID), hclog.NewNullLogger())
@@ -122,13 +122,13 @@
 	go func() { _ = n.peers.Serve(listener) }()
 }
 
-// PeerAddress is where peers reach the node.
+// PeerAddress returns the address of the node's peer listener.
 func (n *Node) PeerAddress() string { return n.address }
 
-// Through answers a peer as the node does without a fault.
-func (n *Node) Through(w http.ResponseWriter, r *http.Request) { n.mux.ServeHTTP(w, r) }
+// ServePeer serves a peer's request as the node does without a fault.
+func (n *Node) ServePeer(w http.ResponseWriter, r *http.Request) { n.mux.ServeHTTP(w, r) }
 
-// Fault answers peers in place of the node; nil ends it.
+// Fault sets a handler that answers peers in place of the node; nil removes it.
 func (n *Node) Fault(fault http.HandlerFunc) {
 	if fault == nil {
 		n.fault.Store(nil)
--- a/modules/router/routertest/site.go
+++ b/modules/router/routertest/site.go
@@ -15,8 +15,8 @@
 	UnkeyedName = topo.Service("quotes")
 )
 
-// Keyed returns a service that is divided by key and whose servers check
-// fencing tokens.
+// Keyed returns a service that is sharded by key and whose servers check fencing
+// tokens.
 func Keyed() *siteconfig.Service {
 	return &siteconfig.Service{
 		Name:                 KeyedName,
@@ -32,7 +32,7 @@
 	}
 }
 
-// Unkeyed returns a service that is not divided by key.
+// Unkeyed returns a service that is not sharded by key.
 func Unkeyed() *siteconfig.Service {
 	service := Keyed()
 	service.Name = UnkeyedName
--- a/modules/router/tickets_test.go
+++ b/modules/router/tickets_test.go
@@ -141,7 +141,7 @@
 // answer.
 func TestLostAnswerIsNotRunAgain(t *testing.T) {
 	withUnfencedServices(t, 1, func(p *pair, _ *directory) {
-		p.driver.Set("s1", rt.InTurn(rt.Lost, rt.Answer(200, "again")))
+		p.driver.Set("s1", rt.Sequence(rt.Lost, rt.Answer(200, "again")))
 		ticket := p.ticket(p.entry[0], true, "well-7")
 		p.Expect(p.serve(withTicket(request("POST", "well-7"), ticket)).Outcome).To(gomega.Equal(serverapi.OutcomeUnknown))
 		answer := p.serve(withTicket(request("POST", "well-7"), ticket))
@@ -218,7 +218,7 @@
 					rt.Slow(2*time.Millisecond, rt.Answer(200, "slow"))}[random.IntN(6)]
 				steps = append(steps, step)
 			}
-			p.driver.Set(id, rt.InTurn(steps...))
+			p.driver.Set(id, rt.Sequence(steps...))
 		}
 		var wait sync.WaitGroup
 		for i := range tickets {
