--- a/modules/router/answer.go
+++ b/modules/router/answer.go
@@ -32,7 +32,7 @@
 	first  []byte
 	rest   io.ReadCloser
 	ended  error // how rest ended; nil while it is readable
-	length int64 // declared; -1 for none
+	length int64 // declared length; -1 if none was declared
 	copied int64
 
 	once sync.Once
@@ -150,7 +150,7 @@
 
 func (b *answerBody) finish(whole bool) { b.once.Do(func() { b.done(whole) }) }
 
-// LengthError reports an answer whose body is not as long as declared.
+// LengthError reports an answer whose body length differs from the declared length.
 type LengthError struct {
 	Declared int64
 	Got      int64
--- a/modules/router/bypass_test.go
+++ b/modules/router/bypass_test.go
@@ -24,8 +24,8 @@
 )
 
 // TestOnlyUnreachableLessorIsBypassed: a request that bypassed one lessor goes
-// through the lessor of the next owner if that lessor is reachable, because only
-// the lessor counts that server's requests.
+// through the lessor of the next owner, which is reachable, because only that lessor
+// counts the next owner's requests.
 func TestOnlyUnreachableLessorIsBypassed(t *testing.T) {
 	withEntryNodes(t, 1, bothServices(), func(p *pair) {
 		var through atomic.Int64
--- a/modules/router/check_test.go
+++ b/modules/router/check_test.go
@@ -60,6 +60,6 @@
 
 	g.Expect(misdelivered(map[string]string{"a": "a", "bb": "bb"})).To(gomega.BeEmpty())
 	g.Expect(misdelivered(map[string]string{"a": "a", "bb": "ba"})).To(gomega.Equal([]string{"bb"}), "splice")
-	g.Expect(misdelivered(map[string]string{"a": "bb", "bb": "bb"})).To(gomega.Equal([]string{"a"}), "answer of another caller")
+	g.Expect(misdelivered(map[string]string{"a": "bb", "bb": "bb"})).To(gomega.Equal([]string{"a"}), "another's")
 	g.Expect(misdelivered(map[string]string{"bb": "b"})).To(gomega.Equal([]string{"bb"}), "incomplete answer")
 }
--- a/modules/router/flight.go
+++ b/modules/router/flight.go
@@ -12,7 +12,7 @@
 
 // flight tracks the progress of one forwarded request.
 type flight struct {
-	sent    atomic.Bool // bytes of the request may have left
+	sent    atomic.Bool // bytes of the request may have been sent
 	reused  atomic.Bool
 	stalled atomic.Bool
 	cancel  context.CancelCauseFunc
@@ -20,7 +20,7 @@
 
 	mu    sync.Mutex
 	conn  *sentConn
-	base  int64 // bytes that had been written when the request got the connection
+	base  int64 // bytes written to conn before the request got it
 	timer *time.Timer
 }
 
--- a/modules/router/request.go
+++ b/modules/router/request.go
@@ -25,10 +25,10 @@
 type requestState struct {
 	m      *Module
 	ctx    context.Context // ends with the deadline or the caller
-	caller context.Context // ends with the caller alone
+	caller context.Context // ends only with the caller
 	req    *exchange.Request
 	config *siteconfig.Service
-	ticket *ticket.Ticket // nil for none
+	ticket *ticket.Ticket // nil if the request has no ticket
 
 	tally           outcome.Tally
 	attemptIDs      int             // number of attempt IDs issued
@@ -42,11 +42,11 @@
 // result is the result of one attempt.
 type result struct {
 	verdict outcome.Verdict
-	answer  *exchange.Answer // with an answered verdict
+	answer  *exchange.Answer // set if the verdict is answered
 	outage  *outage          // outage that the attempt detected
 	// contacted: the server, or the lessor's node, sent any answer.
 	contacted bool
-	// ownerAwaited: the lessor's node, whose state is more recent, has already
+	// ownerAwaited: the lessor's node, which has more information, has already
 	// waited for the owner.
 	ownerAwaited bool
 	// routeChanged: the route changed before anything was sent; decide again
--- a/modules/router/routertest/driver.go
+++ b/modules/router/routertest/driver.go
@@ -57,7 +57,7 @@
 	d.behaviours[id] = b
 }
 
-// Attempts returns every attempt so far.
+// Attempts returns all attempts made so far.
 func (d *Driver) Attempts() []Attempt {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/modules/router/sweeper.go
+++ b/modules/router/sweeper.go
@@ -11,7 +11,7 @@
 // the requests are counted, so that at least one side observes the other.
 type sweeper struct {
 	paused atomic.Bool
-	wake   chan struct{} // size 1
+	wake   chan struct{} // capacity 1
 	idle   int           // consecutive sweeps without a request; used by maintain only
 }
 
