--- a/modules/router/sweeper_test.go
+++ b/modules/router/sweeper_test.go
@@ -44,9 +44,9 @@
 			inFlight.Add(1)
 			s.requestStarted()
 		})
-		rests := s.pauseIfIdle(&inFlight)
+		paused := s.pauseIfIdle(&inFlight)
 		request.Wait()
-		if rests {
+		if paused {
 			g.Expect(s.wake).To(gomega.Receive())
 		}
 	}
