--- a/modules/router/answer.go
+++ b/modules/router/answer.go
@@ -11,11 +11,11 @@
 	"github.com/burdockspindle/burdockspindle/outcome"
 )
 
-// firstPartBytes is how much of an answer is read before anything is told to
-// the caller: an answer no longer than that is passed on whole or not at all.
-const firstPartBytes = 32 << 10
+// readAheadBytes is how much of an answer is read before the caller receives any
+// of it. A shorter answer is passed on completely or not at all.
+const readAheadBytes = 32 << 10
 
-// refusal is the answer that this node gives itself.
+// refusal returns an answer that this node produces itself, without a server.
 func refusal(v outcome.Verdict) *exchange.Answer {
 	return &exchange.Answer{
 		Status:     v.Status(),
@@ -25,23 +25,23 @@
 	}
 }
 
-// answerBody is the body of a server's answer: its first part, read ahead, and
-// the rest. It makes sure that the body is as long as was declared, and tells
-// once how it ended.
+// answerBody is the body of a server's answer: its first part, which is read
+// ahead, and the rest. It checks that the body has the declared length, and
+// calls done once when the body has ended.
 type answerBody struct {
 	first  []byte
 	rest   io.ReadCloser
-	ended  error // of rest, once known
-	length int64 // declared; -1 for none
-	passed int64
+	ended  error // how rest ended; nil while it is readable
+	length int64 // declared length; -1 if none was declared
+	copied int64
 
 	once sync.Once
 	done func(whole bool)
 }
 
-// openBody reads the first part. An error means that the answer is not whole;
-// the body is then closed. Done is called exactly once, when the body has ended
-// or was closed, but not on an error.
+// openBody reads the first part. An error means that the answer is incomplete;
+// the body is then closed. Done is called exactly once, when the body ends or is
+// closed, unless openBody returns an error.
 func openBody(method string, header http.Header, rest io.ReadCloser, done func(whole bool)) (*answerBody, error) {
 	body := &answerBody{rest: rest, length: -1, done: done}
 	if method != http.MethodHead {
@@ -62,8 +62,8 @@
 	return length
 }
 
-// readFirst reads a short answer of declared length whole, and of any other
-// what one read brings.
+// readFirst reads all of a short answer with a declared length, and a single
+// chunk of any other answer.
 func (b *answerBody) readFirst() error {
 	buffer := make([]byte, b.firstSize())
 	for {
@@ -85,13 +85,13 @@
 	}
 }
 
-// firstSize leaves room for one byte more than is declared, so that the end is
-// seen.
+// firstSize leaves room for one byte more than the declared length, so that
+// readFirst reaches the end of the body.
 func (b *answerBody) firstSize() int64 {
-	if b.length >= 0 && b.length < firstPartBytes {
+	if b.length >= 0 && b.length < readAheadBytes {
 		return b.length + 1
 	}
-	return firstPartBytes
+	return readAheadBytes
 }
 
 // Read implements io.Reader.
@@ -99,34 +99,34 @@
 	if len(b.first) > 0 {
 		count := copy(p, b.first)
 		b.first = b.first[count:]
-		b.passed += int64(count)
+		b.copied += int64(count)
 		return count, nil
 	}
 	if b.ended != nil {
 		return 0, b.end()
 	}
 	count, err := b.rest.Read(p)
-	b.passed += int64(count)
-	b.ended = b.judge(err)
+	b.copied += int64(count)
+	b.ended = b.checkEnd(err)
 	if b.ended != nil {
 		return count, b.end()
 	}
 	return count, nil
 }
 
-// judge returns how the body ended, nil if it has not.
-func (b *answerBody) judge(err error) error {
-	tooLong := b.length >= 0 && b.passed > b.length
+// checkEnd returns how the body ended, or nil if it has not ended.
+func (b *answerBody) checkEnd(err error) error {
+	tooLong := b.length >= 0 && b.copied > b.length
 	if tooLong || errors.Is(err, io.EOF) {
-		if wrong := b.checkLength(b.passed); wrong != nil {
-			return wrong
+		if mismatch := b.checkLength(b.copied); mismatch != nil {
+			return mismatch
 		}
 	}
 	return err
 }
 
-// end closes the server's answer, so that its place is free before another
-// request gets it.
+// end closes the server's answer, so that its connection is free before the slot
+// is granted to another request.
 func (b *answerBody) end() error {
 	_ = b.rest.Close()
 	b.finish(errors.Is(b.ended, io.EOF))
@@ -140,21 +140,21 @@
 	return nil
 }
 
-// Close implements io.Closer. Closing before the end counts as whole when all
-// that was declared has been passed on.
+// Close implements io.Closer. A body that is closed before its end is treated as
+// complete when the declared length has been passed on.
 func (b *answerBody) Close() error {
 	err := b.rest.Close()
-	b.finish(errors.Is(b.ended, io.EOF) || b.length >= 0 && b.passed == b.length)
+	b.finish(errors.Is(b.ended, io.EOF) || b.length >= 0 && b.copied == b.length)
 	return err
 }
 
 func (b *answerBody) finish(whole bool) { b.once.Do(func() { b.done(whole) }) }
 
-// LengthError reports an answer whose body is not as long as declared.
+// LengthError reports an answer whose body length differs from the declared length.
 type LengthError struct {
 	Declared int64
 	Got      int64
 }
 
 // Error implements error.
-func (e *LengthError) Error() string { return "answer is not as long as declared" }
+func (e *LengthError) Error() string { return "answer body does not match its declared length" }
--- a/modules/router/past_test.go
+++ b/modules/router/bypass_test.go
@@ -23,16 +23,16 @@
 	groupB = topo.GroupID("zone-b/0")
 )
 
-// TestOnlyTheUnreachableLessorIsPassedBy: a request that went past one lessor
-// goes through the next owner's lessor, which can be reached and alone counts
-// that server's requests.
-func TestOnlyTheUnreachableLessorIsPassedBy(t *testing.T) {
-	paired(t, 1, both(), func(p *pair) {
+// TestOnlyUnreachableLessorIsBypassed: a request that bypassed one lessor goes
+// through the lessor of the next owner, which is reachable, because only that lessor
+// counts the next owner's requests.
+func TestOnlyUnreachableLessorIsBypassed(t *testing.T) {
+	withEntryNodes(t, 1, bothServices(), func(p *pair) {
 		var through atomic.Int64
 		other := p.Start(p.t, "lessor-b")
 		other.Fault(func(w http.ResponseWriter, r *http.Request) {
 			through.Add(1)
-			other.Through(w, r)
+			other.ServePeer(w, r)
 		})
 		rt.Serve(p.Site, rt.KeyedName, zoneB, "s3")
 		p.Site.Lead(groupB, "lessor-b", rt.Boot)
@@ -43,19 +43,20 @@
 			p.Site.AssignAll(rt.KeyedName, "s3")
 		}()
 		p.Expect(text(p.WithT, p.serve(request("POST", "k")))).To(gomega.Equal("answer of s3"))
-		p.Expect(p.driver.Attempts()[0].Server).To(gomega.Equal(topo.ServerID("s1")), "the first lessor was passed by")
+		p.Expect(p.driver.Attempts()[0].Server).To(gomega.Equal(topo.ServerID("s1")), "the first lessor was bypassed")
 		p.Expect(through.Load()).To(gomega.Equal(int64(1)))
 	})
 }
 
-// TestManyNodesPassALessorWithinTheLimit: far more entry nodes than the server
-// has places lose the lessor at once, and all have requests for the server.
-func TestManyNodesPassALessorWithinTheLimit(t *testing.T) {
+// TestManyNodesBypassLessorWithinLimit: the lessor becomes unreachable for far
+// more entry nodes than the server has slots, and all of them have requests for
+// the server.
+func TestManyNodesBypassLessorWithinLimit(t *testing.T) {
 	const nodes, limit = 24, 4
 	limited := rt.Keyed()
 	limited.ConcurrencyPerServer = limit
 	for _, standby := range []topo.NodeID{"", "entry-3"} {
-		paired(t, nodes, []*siteconfig.Service{limited, rt.Unkeyed()}, func(p *pair) {
+		withEntryNodes(t, nodes, []*siteconfig.Service{limited, rt.Unkeyed()}, func(p *pair) {
 			p.Site.LeadWithStandby(groupA, "lessor", rt.Boot, standby)
 			p.driver.Set("s1", rt.Slow(5*time.Millisecond, rt.Answer(200, "ok")))
 			p.lessor.Kill()
@@ -75,15 +76,15 @@
 	}
 }
 
-// keptConnections bounds the connections to lost nodes that a node may have kept.
+// keptConnections bounds the number of connections to lost nodes that a node may have kept.
 const keptConnections = 20
 
-// TestALostDeputyIsReplaced: deputies that cannot be reached either are left out,
-// and only they may send: without any, nothing reaches the server.
-func TestALostDeputyIsReplaced(t *testing.T) {
+// TestLostDeputyIsReplaced: unreachable deputies are skipped. Only deputies may
+// send, so that nothing reaches the server if none is reachable.
+func TestLostDeputyIsReplaced(t *testing.T) {
 	limited := rt.Keyed()
 	limited.ConcurrencyPerServer = 4
-	paired(t, 12, []*siteconfig.Service{limited, rt.Unkeyed()}, func(p *pair) {
+	withEntryNodes(t, 12, []*siteconfig.Service{limited, rt.Unkeyed()}, func(p *pair) {
 		p.Site.LeadWithStandby(groupA, "lessor", rt.Boot, "entry-3")
 		p.lessor.Kill()
 		p.entry[3].Kill()
@@ -104,13 +105,13 @@
 		for _, entry := range p.entry {
 			answer := serve(entry)
 			if text(p.WithT, answer) != "" {
-				continue // a deputy, which sends by itself
+				continue // a deputy, which sends directly
 			}
 			for range keptConnections {
 				if answer.Reason != callerapi.ReasonNoAnswer {
 					break
 				}
-				answer = serve(entry) // a kept connection was found broken by sending
+				answer = serve(entry) // the attempt revealed a broken idle connection
 			}
 			p.Expect(answer.Outcome).To(gomega.Equal(serverapi.OutcomeNotRun), string(answer.Reason))
 			refused++
@@ -120,12 +121,12 @@
 	})
 }
 
-// TestOnlyADeputyTakesARequestPastALessor: a node that is no deputy by its own
-// view refuses, and never passes the request on.
-func TestOnlyADeputyTakesARequestPastALessor(t *testing.T) {
+// TestOnlyDeputyBypassesLessor: a node that is not a deputy in its own view
+// refuses the request and never forwards it.
+func TestOnlyDeputyBypassesLessor(t *testing.T) {
 	limited := rt.Keyed()
 	limited.ConcurrencyPerServer = 1
-	paired(t, 3, []*siteconfig.Service{limited, rt.Unkeyed()}, func(p *pair) {
+	withEntryNodes(t, 3, []*siteconfig.Service{limited, rt.Unkeyed()}, func(p *pair) {
 		p.Site.LeadWithStandby(groupA, "lessor", rt.Boot, "entry-2")
 		p.lessor.Kill()
 		for i, entry := range p.entry {
--- a/modules/router/flight.go
+++ b/modules/router/flight.go
@@ -10,26 +10,26 @@
 	"time"
 )
 
-// flight watches one forward.
+// flight tracks the progress of one forwarded request.
 type flight struct {
-	sent   atomic.Bool // bytes of the request may have left
-	reused atomic.Bool
-	silent atomic.Bool
-	cancel context.CancelCauseFunc
-	limit  time.Duration
+	sent    atomic.Bool // bytes of the request may have been sent
+	reused  atomic.Bool
+	stalled atomic.Bool
+	cancel  context.CancelCauseFunc
+	limit   time.Duration
 
 	mu    sync.Mutex
 	conn  *sentConn
-	base  int64 // bytes that had been written when the request got the connection
+	base  int64 // bytes written to conn before the request got it
 	timer *time.Timer
 }
 
-// trace notes when the request gets a connection, and every sign of life.
+// trace records when the request gets a connection, and every 1xx response.
 func (f *flight) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
 			f.reused.Store(info.Reused)
-			f.got(sentConnOf(info.Conn))
+			f.gotConn(sentConnOf(info.Conn))
 		},
 		Got1xxResponse: func(int, textproto.MIMEHeader) error {
 			f.progress()
@@ -38,17 +38,17 @@
 	}
 }
 
-// got notes the connection and how much had been written to it before. When
+// gotConn records the connection and how much had been written to it before. When
 // net/http replaces a connection that was closed before anything was written,
-// the earlier one's bytes still count.
-func (f *flight) got(conn *sentConn) {
+// bytes that were written to the replaced connection still count as sent.
+func (f *flight) gotConn(conn *sentConn) {
 	f.progress()
 	f.noteSent()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.conn = conn
 	if conn == nil {
-		f.sent.Store(true) // cannot tell
+		f.sent.Store(true) // writes cannot be observed
 		return
 	}
 	f.base = conn.written.Load()
@@ -70,19 +70,19 @@
 func (f *flight) start() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.timer = time.AfterFunc(f.limit, f.giveUp)
+	f.timer = time.AfterFunc(f.limit, f.abort)
 }
 
-func (f *flight) giveUp() {
-	f.silent.Store(true)
-	f.cancel(&silenceError{})
+func (f *flight) abort() {
+	f.stalled.Store(true)
+	f.cancel(&stallError{})
 }
 
-// progress puts the silence limit off.
+// progress restarts the stall timeout.
 func (f *flight) progress() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.timer != nil && !f.silent.Load() {
+	if f.timer != nil && !f.stalled.Load() {
 		f.timer.Reset(f.limit)
 	}
 }
@@ -95,15 +95,15 @@
 	}
 }
 
-// guardedBody gives an answer's body up when it makes no progress, and ends the
+// guardedBody aborts an answer's body that makes no progress, and ends the
 // forward when it is closed.
 type guardedBody struct {
 	io.ReadCloser
 	flight *flight
 }
 
-// Read implements io.Reader. The silence limit runs only while the answer is
-// read: a slow caller is not the other node's silence.
+// Read implements io.Reader. The stall timeout runs only while the answer is
+// read, because a slow caller does not make the other node unresponsive.
 func (b *guardedBody) Read(p []byte) (int, error) {
 	b.flight.progress()
 	count, err := b.ReadCloser.Read(p)
--- a/modules/router/forward_faults_test.go
+++ b/modules/router/forward_faults_test.go
@@ -16,10 +16,10 @@
 	"github.com/burdockspindle/burdockspindle/siteconfig"
 )
 
-// TestUnreachableLessorIsPassedBy: where servers check fences the entry node
+// TestUnreachableLessorIsBypassed: where servers check fences, the entry node
 // sends directly, one request at a time.
-func TestUnreachableLessorIsPassedBy(t *testing.T) {
-	paired(t, 1, both(), func(p *pair) {
+func TestUnreachableLessorIsBypassed(t *testing.T) {
+	withEntryNodes(t, 1, bothServices(), func(p *pair) {
 		p.driver.Set("s1", rt.Slow(time.Millisecond, rt.Answer(200, "direct")))
 		p.lessor.Kill()
 		var wait sync.WaitGroup
@@ -33,28 +33,29 @@
 	})
 }
 
-// TestUnreachableLessorIsNotPassedBy where servers do not check fences: it alone
-// may send. The caller is told at once.
-func TestUnreachableLessorIsNotPassedBy(t *testing.T) {
+// TestUnfencedServiceDoesNotBypassLessor checks that an unreachable lessor is
+// not bypassed where servers do not check fences, because only the lessor may
+// send. The caller is answered immediately.
+func TestUnfencedServiceDoesNotBypassLessor(t *testing.T) {
 	unfenced := rt.Keyed()
 	unfenced.ChecksFencing = false
-	paired(t, 1, []*siteconfig.Service{unfenced, rt.Unkeyed()}, func(p *pair) {
+	withEntryNodes(t, 1, []*siteconfig.Service{unfenced, rt.Unkeyed()}, func(p *pair) {
 		p.lessor.Kill()
-		begun := time.Now()
+		start := time.Now()
 		req := request("POST", "k")
-		req.Deadline = begun.Add(time.Second)
+		req.Deadline = start.Add(time.Second)
 		answer := p.serve(req)
 		p.Expect(answer.Outcome).To(gomega.Equal(serverapi.OutcomeNotRun))
 		p.Expect(answer.RetryAfter).To(gomega.BeNumerically(">", 0))
-		p.Expect(time.Since(begun)).To(gomega.BeNumerically("<", 50*time.Millisecond))
+		p.Expect(time.Since(start)).To(gomega.BeNumerically("<", 50*time.Millisecond))
 		p.Expect(p.driver.Attempts()).To(gomega.BeEmpty())
 	})
 }
 
-// TestSilentLessorIsTold: the lessor's node takes the request and then nothing
-// comes from it. What may have run is not sent again.
-func TestSilentLessorIsTold(t *testing.T) {
-	paired(t, 1, both(), func(p *pair) {
+// TestUnresponsiveLessorIsReported: the lessor's node accepts the request and then
+// sends nothing. A request that may have run is not sent again.
+func TestUnresponsiveLessorIsReported(t *testing.T) {
+	withEntryNodes(t, 1, bothServices(), func(p *pair) {
 		p.lessor.Fault(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 		answer := p.serve(request("POST", "k"))
 		p.Expect(answer.Outcome).To(gomega.Equal(serverapi.OutcomeUnknown))
@@ -64,20 +65,20 @@
 	})
 }
 
-// TestSlowServerIsNotTakenForASilentLessor: the lessor's node gives signs of
-// life while the server works.
-func TestSlowServerIsNotTakenForASilentLessor(t *testing.T) {
-	paired(t, 1, both(), func(p *pair) {
+// TestSlowServerDoesNotMakeLessorUnresponsive: the lessor's node sends
+// keep-alives while the server works on a request.
+func TestSlowServerDoesNotMakeLessorUnresponsive(t *testing.T) {
+	withEntryNodes(t, 1, bothServices(), func(p *pair) {
 		p.driver.Set("s1", rt.Slow(2*time.Second, rt.Answer(200, "late but whole")))
 		p.Expect(text(p.WithT, p.serve(request("POST", "k")))).To(gomega.Equal("late but whole"))
 		p.Expect(p.driver.Attempts()).To(gomega.HaveLen(1))
 	})
 }
 
-// TestFailingLessorIsPassedBy: after a few answers that broke off, requests go
-// directly for a while.
-func TestFailingLessorIsPassedBy(t *testing.T) {
-	paired(t, 1, both(), func(p *pair) {
+// TestFailingLessorIsBypassed: after a few interrupted answers, requests are
+// sent directly while the lessor's node is ejected.
+func TestFailingLessorIsBypassed(t *testing.T) {
+	withEntryNodes(t, 1, bothServices(), func(p *pair) {
 		p.lessor.Fault(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 		unknown := 0
 		p.Eventually(func() serverapi.Outcome {
@@ -92,14 +93,14 @@
 	})
 }
 
-// TestSilentConnectionsAreThrownAway: connections to the lessor's node that were
-// open go silent for good, new ones work. One request meets the silence.
-func TestSilentConnectionsAreThrownAway(t *testing.T) {
-	paired(t, 1, both(), func(p *pair) {
+// TestStalledConnectionsAreClosed: the open connections to the lessor's node stall
+// permanently and new ones work. Only one request is affected by the stall.
+func TestStalledConnectionsAreClosed(t *testing.T) {
+	withEntryNodes(t, 1, bothServices(), func(p *pair) {
 		var old sync.Map
 		p.lessor.Fault(func(w http.ResponseWriter, r *http.Request) {
 			old.Store(r.RemoteAddr, true)
-			p.lessor.Through(w, r)
+			p.lessor.ServePeer(w, r)
 		})
 		p.driver.Set("s1", rt.Slow(50*time.Millisecond, rt.Answer(200, "ok")))
 		var wait sync.WaitGroup
@@ -108,11 +109,11 @@
 		}
 		wait.Wait()
 		p.lessor.Fault(func(w http.ResponseWriter, r *http.Request) {
-			if _, silent := old.Load(r.RemoteAddr); silent {
+			if _, stalled := old.Load(r.RemoteAddr); stalled {
 				<-r.Context().Done()
 				return
 			}
-			p.lessor.Through(w, r)
+			p.lessor.ServePeer(w, r)
 		})
 		answer := p.serve(request("POST", "k"))
 		p.Expect(answer.Reason).To(gomega.Equal(callerapi.ReasonSilent))
@@ -122,7 +123,7 @@
 	})
 }
 
-func TestWhatIsNoAnswerOfALessor(t *testing.T) {
+func TestInvalidForwardAnswersAreRejected(t *testing.T) {
 	rows := map[string]http.HandlerFunc{
 		"not a node":    func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("hello")) },
 		"error page":    func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusBadGateway) },
@@ -130,7 +131,7 @@
 		"cut off":       func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 	}
 	for name, fault := range rows {
-		paired(t, 1, both(), func(p *pair) {
+		withEntryNodes(t, 1, bothServices(), func(p *pair) {
 			p.lessor.Fault(fault)
 			answer := p.serve(request("POST", "k"))
 			p.Expect(answer.Outcome).To(gomega.Equal(serverapi.OutcomeUnknown), name)
@@ -145,12 +146,12 @@
 	_, _ = w.Write([]byte("somebody else's"))
 }
 
-// TestForwardedRequestsAreNotForwardedAgain: two nodes that each take the other
-// for the lessor end the request instead of passing it to and fro.
+// TestForwardedRequestsAreNotForwardedAgain: two nodes whose states each name the
+// other as the lessor refuse the request instead of forwarding it in a loop.
 func TestForwardedRequestsAreNotForwardedAgain(t *testing.T) {
-	paired(t, 1, both(), func(p *pair) {
-		behind := routetest.New() // the lessor's node has an older state
-		behind.Configure(both()...)
+	withEntryNodes(t, 1, bothServices(), func(p *pair) {
+		behind := routetest.New() // older state of the lessor's node
+		behind.Configure(bothServices()...)
 		entry := p.entry[0]
 		stale := (&rt.World{Site: behind, Driver: p.driver, Network: p.Network}).Start(p.t, "lessor")
 		behind.Run("entry-0", rt.Boot, entry.PeerAddress())
@@ -173,28 +174,28 @@
 }
 
 // TestForwardWaitsForTheSendersState: a lessor whose state is behind catches up
-// before it judges.
+// before it decides.
 func TestForwardWaitsForTheSendersState(t *testing.T) {
-	paired(t, 1, both(), func(p *pair) {
-		behind := routetest.New() // without even the service
+	withEntryNodes(t, 1, bothServices(), func(p *pair) {
+		behind := routetest.New() // does not contain the service yet
 		slow := (&rt.World{Site: behind, Driver: p.driver, Network: p.Network}).Start(p.t, "lessor")
 		p.Site.Run("lessor", rt.Boot, slow.PeerAddress())
 		arrived := make(chan struct{})
 		var once sync.Once
 		slow.Fault(func(w http.ResponseWriter, r *http.Request) {
 			once.Do(func() { close(arrived) })
-			slow.Through(w, r)
+			slow.ServePeer(w, r)
 		})
 		go func() {
 			<-arrived
 			time.Sleep(50 * time.Millisecond)
-			behind.Configure(both()...)
+			behind.Configure(bothServices()...)
 			behind.Run("entry-0", rt.Boot, "127.0.0.1:9")
 			rt.Serve(behind, rt.KeyedName, zoneA, "s1", "s2")
 			behind.Lead(groupA, "lessor", rt.Boot)
 			behind.AssignAll(rt.KeyedName, "s1")
 			for behind.View().Applied() < p.Site.View().Applied() {
-				behind.Configure(both()...)
+				behind.Configure(bothServices()...)
 			}
 		}()
 		p.Expect(text(p.WithT, p.serve(request("POST", "k")))).To(gomega.Equal("answer of s1"))
--- a/modules/router/local_test.go
+++ b/modules/router/local_test.go
@@ -45,7 +45,7 @@
 	return string(content)
 }
 
-// world is a site with a driver and a network in memory. Time is faked.
+// world is a site with a driver and a network in memory. The clock is fake.
 type world struct {
 	*rt.World
 	driver *rt.Driver
@@ -65,9 +65,9 @@
 	w.Site.AssignAll(rt.KeyedName, "s1")
 }
 
-// alone runs a test with one node, which leads the group of all servers; s1
+// withSingleNode runs a test with one node, which leads the group of all servers; s1
 // owns every shard.
-func alone(t *testing.T, services []*siteconfig.Service, test func(g *gomega.WithT, site *routetest.Site, driver *rt.Driver, node *rt.Node)) {
+func withSingleNode(t *testing.T, services []*siteconfig.Service, test func(g *gomega.WithT, site *routetest.Site, driver *rt.Driver, node *rt.Node)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(services...)
 		node := w.Start(t, "node-1")
@@ -76,34 +76,34 @@
 	})
 }
 
-func both() []*siteconfig.Service { return []*siteconfig.Service{rt.Keyed(), rt.Unkeyed()} }
+func bothServices() []*siteconfig.Service { return []*siteconfig.Service{rt.Keyed(), rt.Unkeyed()} }
 
-// TestLostServerIsGivenUpAtOnce: the owner cannot be reached and no other is
-// named. The caller is told at once, with a time to come back, since the shard
-// is not expected to be served before the deadline.
-func TestLostServerIsGivenUpAtOnce(t *testing.T) {
-	alone(t, both(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
+// TestRequestForLostServerFailsImmediately: the owner is unreachable and the state
+// names no other. The caller is answered immediately, with a Retry-After time,
+// because the shard is not expected to be served before the deadline.
+func TestRequestForLostServerFailsImmediately(t *testing.T) {
+	withSingleNode(t, bothServices(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
 		driver.Set("s1", rt.Unreachable)
 		req := request("POST", "well-7")
-		begun := time.Now()
-		req.Deadline = begun.Add(2 * time.Second)
+		start := time.Now()
+		req.Deadline = start.Add(2 * time.Second)
 		answer := node.Handler.Serve(context.Background(), req)
 		g.Expect(answer.Outcome).To(gomega.Equal(serverapi.OutcomeNotRun))
 		g.Expect(answer.Reason).To(gomega.Equal(callerapi.ReasonNoOwner))
 		g.Expect(answer.RetryAfter).To(gomega.BeNumerically(">=", 2*time.Second))
-		g.Expect(time.Since(begun)).To(gomega.BeNumerically("<", 10*time.Millisecond))
+		g.Expect(time.Since(start)).To(gomega.BeNumerically("<", 10*time.Millisecond))
 	})
 }
 
-// TestMovedShardIsServedByItsNextOwner: requests wait while nobody serves the
-// shard, and go to the next owner as soon as the state names one.
+// TestMovedShardIsServedByItsNextOwner: requests wait while no server serves
+// the shard, and go to the next owner as soon as the state names one.
 func TestMovedShardIsServedByItsNextOwner(t *testing.T) {
-	alone(t, both(), func(g *gomega.WithT, site *routetest.Site, driver *rt.Driver, node *rt.Node) {
-		// Answers take a moment, so that not all requests are sent before the first
-		// answer, in whatever order their goroutines run.
+	withSingleNode(t, bothServices(), func(g *gomega.WithT, site *routetest.Site, driver *rt.Driver, node *rt.Node) {
+		// Answers take 1 ms, so that not all requests are sent before the first
+		// answer, whatever the order of their goroutines.
 		driver.Set("s1", rt.Slow(time.Millisecond, rt.Decline("not-run", serverapi.ReasonNotOwner)))
 		var wait sync.WaitGroup
-		begun := time.Now()
+		start := time.Now()
 		for range 30 {
 			wait.Go(func() {
 				answer := node.Handler.Serve(context.Background(), request("POST", "well-7"))
@@ -113,21 +113,21 @@
 		time.Sleep(150 * time.Millisecond)
 		site.AssignAll(rt.KeyedName, "s2")
 		wait.Wait()
-		g.Expect(time.Since(begun)).To(gomega.BeNumerically("<", 300*time.Millisecond))
-		asked := 0
+		g.Expect(time.Since(start)).To(gomega.BeNumerically("<", 300*time.Millisecond))
+		attempts := 0
 		for _, attempt := range driver.Attempts() {
 			if attempt.Server == "s1" {
-				asked++
+				attempts++
 			}
 		}
-		g.Expect(asked).To(gomega.BeNumerically("<", 12), "the old owner is asked by one at a time")
+		g.Expect(attempts).To(gomega.BeNumerically("<", 12), "one request at a time probes the previous owner")
 	})
 }
 
-// TestActivatedStandbyIsUsed: a standby activated off the log serves what waits,
-// and is dropped when the log passes it.
+// TestActivatedStandbyIsUsed: a standby that is activated without a log record
+// serves waiting requests, and the activation ends when the log supersedes it.
 func TestActivatedStandbyIsUsed(t *testing.T) {
-	alone(t, both(), func(g *gomega.WithT, site *routetest.Site, driver *rt.Driver, node *rt.Node) {
+	withSingleNode(t, bothServices(), func(g *gomega.WithT, site *routetest.Site, driver *rt.Driver, node *rt.Node) {
 		driver.Set("s1", rt.Unreachable)
 		shard := topo.ShardID{Service: rt.KeyedName, Index: topo.ShardIndex("well-7", 4)}
 		fence := site.Assign(shard, "s1", "s2")
@@ -150,9 +150,10 @@
 	})
 }
 
-// TestCallerWhoGoesAwayCancelsTheServersRequest and gives the place back.
-func TestCallerWhoGoesAwayCancelsTheServersRequest(t *testing.T) {
-	alone(t, both(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
+// TestDisconnectedCallerCancelsServerRequest checks that the caller's disconnect
+// cancels the request at the server and releases its slot.
+func TestDisconnectedCallerCancelsServerRequest(t *testing.T) {
+	withSingleNode(t, bothServices(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
 		driver.Set("s1", rt.Hanging)
 		ctx, cancel := context.WithCancel(context.Background())
 		answers := make(chan *exchange.Answer, 1)
@@ -168,10 +169,10 @@
 	})
 }
 
-// TestFrozenOwnerIsNotHammered: after a few silent attempts further requests
-// wait for another owner instead of being sent.
-func TestFrozenOwnerIsNotHammered(t *testing.T) {
-	alone(t, both(), func(g *gomega.WithT, site *routetest.Site, driver *rt.Driver, node *rt.Node) {
+// TestUnresponsiveOwnerReceivesFewAttempts: after a few attempts without progress,
+// further requests wait for another owner instead of being sent.
+func TestUnresponsiveOwnerReceivesFewAttempts(t *testing.T) {
+	withSingleNode(t, bothServices(), func(g *gomega.WithT, site *routetest.Site, driver *rt.Driver, node *rt.Node) {
 		driver.Set("s1", rt.Silent)
 		for range 3 {
 			node.Handler.Serve(context.Background(), request("POST", "well-7"))
@@ -187,20 +188,20 @@
 		time.Sleep(time.Second)
 		site.AssignAll(rt.KeyedName, "s2")
 		wait.Wait()
-		asked := 0
+		attempts := 0
 		for _, attempt := range driver.Attempts() {
 			if attempt.Server == "s1" {
-				asked++
+				attempts++
 			}
 		}
-		g.Expect(asked - sent).To(gomega.BeNumerically("<", 15))
+		g.Expect(attempts - sent).To(gomega.BeNumerically("<", 15))
 	})
 }
 
-// TestDeepRequestsAreNotRetried: a request that a backend server made is
-// answered after its first attempt.
+// TestDeepRequestsAreNotRetried: a request made by a backend server is answered
+// after its first attempt.
 func TestDeepRequestsAreNotRetried(t *testing.T) {
-	alone(t, both(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
+	withSingleNode(t, bothServices(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
 		driver.Set("s1", rt.Lost)
 		req := request("GET", "well-7")
 		req.Hop = 1
@@ -211,19 +212,19 @@
 	})
 }
 
-// TestLargeBodies: a body that cannot be buffered is sent once; one above the
-// limit, whose length was not declared, ends the attempt with an honest answer.
+// TestLargeBodies: a body that is too large to buffer is sent only once. A body
+// above the limit, without a declared length, ends the attempt with the reason.
 func TestLargeBodies(t *testing.T) {
-	alone(t, both(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
+	withSingleNode(t, bothServices(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
 		limit, _ := node.Handler.BodyLimit(rt.KeyedName)
 		content := strings.Repeat("x", int(limit))
 		req := request("GET", "well-7")
 		var err error
 		req.Body, err = exchange.NewBody(strings.NewReader(content), -1, limit, 1<<10)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		driver.Set("s1", rt.InTurn(rt.Lost, rt.Answer(200, "ok")))
+		driver.Set("s1", rt.Sequence(rt.Lost, rt.Answer(200, "ok")))
 		answer := node.Handler.Serve(context.Background(), req)
-		g.Expect(answer.Outcome).To(gomega.Equal(serverapi.OutcomeUnknown), "it cannot be sent again")
+		g.Expect(answer.Outcome).To(gomega.Equal(serverapi.OutcomeUnknown), "the body cannot be sent again")
 		g.Expect(driver.Attempts()[0].Body).To(gomega.HaveLen(int(limit)))
 
 		req = request("POST", "well-7")
@@ -236,9 +237,10 @@
 	})
 }
 
-// TestCallersWhoHangUpDoNotCountAgainstTheServer.
-func TestCallersWhoHangUpDoNotCountAgainstTheServer(t *testing.T) {
-	alone(t, both(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
+// TestDisconnectedCallersDoNotEjectServer: only interrupted answers count against
+// the server.
+func TestDisconnectedCallersDoNotEjectServer(t *testing.T) {
+	withSingleNode(t, bothServices(), func(g *gomega.WithT, _ *routetest.Site, driver *rt.Driver, node *rt.Node) {
 		driver.Set("s1", rt.Broken(1<<20, strings.Repeat("x", 64<<10)))
 		for range 10 {
 			ctx, cancel := context.WithCancel(context.Background())
@@ -251,11 +253,11 @@
 			_, err := io.Copy(io.Discard, node.Handler.Serve(context.Background(), request("GET", "k")).Body)
 			g.Expect(err).To(gomega.HaveOccurred())
 		}
-		g.Expect(node.Router.ServerStats()[0].Ejected).To(gomega.BeTrue(), "answers that break off do count")
+		g.Expect(node.Router.ServerStats()[0].Ejected).To(gomega.BeTrue(), "interrupted answers count against the server")
 	})
 }
 
-// lowest is a picker that always takes the first server by name.
+// lowest is a picker that always picks the first server by name.
 type lowest struct{}
 
 func (lowest) Pick(candidates []pick.Candidate, _ func() float64) (int, bool) {
@@ -268,12 +270,12 @@
 	return best, true
 }
 
-// TestRetryGoesElsewhere: a picker that insists on one server does not get it
-// twice for the same request.
-func TestRetryGoesElsewhere(t *testing.T) {
+// TestRetryUsesAnotherServer: a picker that always prefers one server is not
+// offered it twice for the same request.
+func TestRetryUsesAnotherServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		w := newWorld(both()...)
+		w := newWorld(bothServices()...)
 		node := w.Start(t, "node-1", rt.With[pick.Picker](lowest{}))
 		w.lead("node-1")
 		w.driver.Set("u1", rt.Unreachable)
--- a/modules/router/maintain.go
+++ b/modules/router/maintain.go
@@ -11,21 +11,23 @@
 )
 
 const (
-	// sweepEvery is how often waiting requests are looked at, while there are
-	// requests.
-	sweepEvery = 10 * time.Millisecond
-	// retainEvery is how often what is gone from the state is forgotten.
-	retainEvery = 2 * time.Second
-	// coldRamp is how long a server takes from one request at once to its
-	// whole limit after it, or its admission point, is new.
-	coldRamp = time.Second
+	// sweepInterval is the interval between checks of waiting requests while
+	// requests are in flight.
+	sweepInterval = 10 * time.Millisecond
+	// retainInterval is the interval between removals of data about servers and
+	// nodes that are no longer in the state.
+	retainInterval = 2 * time.Second
+	// rampDuration is the time in which a server's limit rises from one concurrent
+	// request to its configured value, after the server or its admission point
+	// is new.
+	rampDuration = time.Second
 )
 
 // maintain sweeps queues while requests are in flight, and follows the state until ctx ends.
 func (m *Module) maintain(ctx context.Context) {
-	sweeps := time.NewTicker(sweepEvery)
+	sweeps := time.NewTicker(sweepInterval)
 	defer sweeps.Stop()
-	retains := time.NewTicker(retainEvery)
+	retains := time.NewTicker(retainInterval)
 	defer retains.Stop()
 	gauges := &gauges{}
 	defer gauges.set(0, 0)
@@ -37,32 +39,32 @@
 			return
 		case <-sweeps.C:
 			m.sweep(gauges)
-			if m.sweeper.rests(&m.inFlight) {
+			if m.sweeper.pauseIfIdle(&m.inFlight) {
 				sweeps.Stop()
 			}
 		case <-m.sweeper.wake:
-			m.sweeper.rouse()
-			sweeps.Reset(sweepEvery)
+			m.sweeper.resume()
+			sweeps.Reset(sweepInterval)
 		case <-retains.C:
 			m.sweep(gauges)
 			m.retain()
 		case <-changed:
-			changed = m.source.Changed() // before the view, or a change is missed
+			changed = m.source.Changed() // before View, so that no change is missed
 			view := m.source.View()
 			m.overlay.Prune(view)
-			m.coolNewGroups(view, terms)
+			m.resetNewGroups(view, terms)
 		}
 	}
 }
 
 func (m *Module) sweep(g *gauges) {
 	now := time.Now()
-	queued := m.gates.Sweep(now) + m.directs.Sweep(now)
+	queued := m.gates.Sweep(now) + m.deputyGates.Sweep(now)
 	m.buffer.Sweep(now)
 	g.set(queued, m.buffer.Stats().Waiting)
 }
 
-// gauges shows totals that several nodes of one process add to.
+// gauges is one node's contribution to gauges that all nodes of a process share.
 type gauges struct {
 	queued  int
 	waiting int
@@ -74,7 +76,7 @@
 	g.queued, g.waiting = queued, waiting
 }
 
-// retain forgets what the state no longer has.
+// retain removes data about servers and nodes that are not in the state.
 func (m *Module) retain() {
 	view := m.source.View()
 	knownServer := func(id topo.ServerID) bool {
@@ -86,16 +88,16 @@
 		return exists
 	}
 	m.gates.Retain(knownServer)
-	m.directs.Retain(knownServer)
+	m.deputyGates.Retain(knownServer)
 	m.servers.Retain(knownServer)
 	m.nodes.Retain(knownNode)
 	m.remote.retain(knownServer)
 }
 
-// coolNewGroups starts the servers of groups that this node newly leads with
-// one request at once: their earlier admission point may still have requests in
-// flight there.
-func (m *Module) coolNewGroups(view *state.View, terms map[topo.GroupID]topo.Term) {
+// resetNewGroups resets the servers of groups that this node newly leads to one
+// concurrent request, because their previous admission point may still have
+// requests in flight there.
+func (m *Module) resetNewGroups(view *state.View, terms map[topo.GroupID]topo.Term) {
 	for id, group := range view.Groups() {
 		if group.Lessor != m.self.Node || terms[id] == group.Term {
 			continue
@@ -109,19 +111,19 @@
 	}
 }
 
-// gate returns the queue of a server whose admission point this node is.
+// gate returns the queue of a server for which this node is the admission point.
 func (m *Module) gate(d route.Decision) *limit.Gate {
 	return m.gates.Gate(d.Service.Name, d.Server, limit.Spec{
 		Limit:     d.Service.ConcurrencyPerServer,
 		MaxQueued: m.settings.Limits.MaxQueued,
-		Ramp:      coldRamp,
+		Ramp:      rampDuration,
 	})
 }
 
-// directGate returns the queue of a server whose admission point cannot be
-// reached and whose deputy this node is.
-func (m *Module) directGate(d route.Decision) *limit.Gate {
-	return m.directs.Gate(d.Service.Name, d.Server, limit.Spec{
+// deputyGate returns the queue of a server whose admission point is unreachable and
+// for which this node is a deputy.
+func (m *Module) deputyGate(d route.Decision) *limit.Gate {
+	return m.deputyGates.Gate(d.Service.Name, d.Server, limit.Spec{
 		Limit:     d.Places,
 		MaxQueued: m.settings.Limits.MaxQueued,
 	})
--- a/modules/router/tickets.go
+++ b/modules/router/tickets.go
@@ -14,7 +14,8 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// ticketRetryAfter is when to come back for a ticket while nobody owns the key.
+// ticketRetryAfter is the Retry-After time of a ticket request while the key has
+// no owner.
 const ticketRetryAfter = time.Second
 
 // IssueTicket implements exchange.Handler.
@@ -28,7 +29,7 @@
 	return callerapi.Ticket{Ticket: issued.String(), ExpiresWith: scope.Ordinal.String()}, nil
 }
 
-// ticketScope returns what a ticket for the key is bound to now.
+// ticketScope returns the scope to which a ticket for the key is bound now.
 func (m *Module) ticketScope(ctx context.Context, req *exchange.Request) (ticket.Scope, *outcome.Verdict) {
 	view := m.source.View()
 	config, exists := view.Service(req.Service)
@@ -40,7 +41,7 @@
 	case !config.Keyed && req.Keyed:
 		return ticket.Scope{}, refuse(callerapi.ReasonUnexpectedKey)
 	}
-	d, found := m.ticketWay(&run{m: m, ctx: ctx, caller: ctx, req: req, config: config})
+	d, found := m.ticketRoute(&requestState{m: m, ctx: ctx, caller: ctx, req: req, config: config})
 	if !found {
 		v := outcome.NotRun(callerapi.ReasonNoOwner).Later(ticketRetryAfter)
 		return ticket.Scope{}, &v
@@ -51,26 +52,26 @@
 	return ticket.TermScope(d.Term), nil
 }
 
-// ticketWay returns the way that a request with the ticket would take. For a
-// service that is not divided by key, the least loaded of the servers drawn
-// decides which lessor keeps the record.
-func (m *Module) ticketWay(r *run) (route.Decision, bool) {
+// ticketRoute returns the route that a request with the ticket would take. For an
+// unkeyed service, the least loaded of the randomly chosen servers determines
+// which lessor keeps the record.
+func (m *Module) ticketRoute(r *requestState) (route.Decision, bool) {
 	view := m.source.View()
 	if r.req.Keyed {
 		d := route.Keyed(view, m.overlay.Overlay(), m.self, r.req.Service, r.req.Key)
 		return d, !d.Fence.IsZero() && !d.Term.IsZero()
 	}
-	ways := r.ways(view)
-	if len(ways) == 0 {
+	routes := r.candidateRoutes(view)
+	if len(routes) == 0 {
 		return route.Decision{}, false
 	}
-	candidates := make([]pick.Candidate, len(ways))
-	for i, d := range ways {
+	candidates := make([]pick.Candidate, len(routes))
+	for i, d := range routes {
 		candidates[i] = r.candidate(view, d)
 	}
 	chosen, found := m.picker.Pick(candidates, rand.Float64)
 	if !found {
 		return route.Decision{}, false
 	}
-	return ways[chosen], true
+	return routes[chosen], true
 }
