--- a/modules/peer/bench_test.go
+++ b/modules/peer/bench_test.go
@@ -16,7 +16,7 @@
 )
 
 // BenchmarkCall measures one call of each frequent kind over loopback TCP: its
-// time, the processor time of both sides, and the bytes at the caller's socket, both ways, without TCP's own.
+// latency, the CPU time of both sides, and the bytes at the caller's socket in both directions, without TCP headers.
 func BenchmarkCall(b *testing.B) {
 	from := &bspb.Sender{Node: "entry-b-017", Boot: "3f9a0c55d2e14b07", Zone: "windhoek-b"}
 	at := &bspb.Sender{Node: "entry-b-018", Boot: "91c2e07a4b5d6f30", Zone: "windhoek-b"}
@@ -96,7 +96,7 @@
 	b.ReportMetric(float64(processorTime(b)-busyBefore)/float64(b.N), "cpu-ns/op")
 }
 
-// processorTime returns what the whole process has used: caller and server.
+// processorTime returns the CPU time of the whole process, caller and server.
 func processorTime(b *testing.B) time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/modules/peer/caller.go
+++ b/modules/peer/caller.go
@@ -18,8 +18,8 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// headerTo names the node for which a call is meant, so that a process that
-// took over an address refuses calls to the one before it.
+// headerTo names the destination node of a call, so that a process that
+// took over an address refuses calls to the previous node at that address.
 const headerTo = "Burdockspindle-To"
 
 // client makes calls to peers; it implements peer.Caller.
@@ -63,21 +63,21 @@
 	c.sweep(now)
 	l := &link{
 		kind: kind, address: address, dial: c.dialer.dial,
-		generation: c.dialer.generation, timing: c.timing, onSilent: c.replacedSilent, closed: c.closed,
-		used: now,
+		generation: c.dialer.generation, timing: c.timing, onStalled: c.reportStalled, closed: c.closed,
+		lastUsed: now,
 	}
 	c.links[key] = l
 	return l
 }
 
-func (c *client) replacedSilent(l *link, first bool) {
-	metricSilentReplaced.Add(string(l.kind), 1)
+func (c *client) reportStalled(l *link, first bool) {
+	metricStalledReplaced.Add(string(l.kind), 1)
 	if first {
-		eventSilent.Log(c.logger, "address", l.address, "kind", l.kind)
+		eventStalled.Log(c.logger, "address", l.address, "kind", l.kind)
 	}
 }
 
-// linkDump is one link's row in the state dump.
+// linkDump is the state of one link in the state dump.
 type linkDump struct {
 	Address string    `json:"address"`
 	Kind    core.Kind `json:"kind"`
@@ -101,22 +101,22 @@
 	return rows
 }
 
-// forgetLinkAfter is how long a link may be without a call before it is
-// forgotten, as when the node at its address is gone.
-const forgetLinkAfter = 10 * time.Minute
+// linkIdleTimeout is the idle time after which a link is removed, for example
+// because the node at its address no longer exists.
+const linkIdleTimeout = 10 * time.Minute
 
-// sweep forgets links that are not in use; the mutex is held. It runs whenever a
-// new address or kind comes up, so that links do not pile up over the years.
+// sweep removes idle links; the caller holds c.mu. It runs whenever a link to a
+// new address or kind is made, so that links do not accumulate over years.
 func (c *client) sweep(now time.Time) {
 	for key, l := range c.links {
-		if l.unusedSince(now.Add(-forgetLinkAfter)) {
+		if l.unusedSince(now.Add(-linkIdleTimeout)) {
 			delete(c.links, key)
 			l.close()
 		}
 	}
 }
 
-// close cuts off every connection.
+// close closes every connection, including those with calls in flight.
 func (c *client) close() {
 	c.mu.Lock()
 	c.closed = true
@@ -128,9 +128,10 @@
 	}
 }
 
-// target says whom to call and how long the other side may wait.
+// target is the destination of a call. allowance is the time that the peer may
+// wait before it responds, in addition to the usual timeouts.
 type target struct {
-	node      topo.NodeID // empty when only the address is known
+	node      topo.NodeID // empty if only the address is known
 	address   string
 	kind      core.Kind
 	allowance time.Duration
@@ -144,36 +145,36 @@
 	return target{node: node, address: address, kind: kind}, nil
 }
 
-// attempt runs one call on the target's connection and turns its failure into
-// a *peer.CallError.
-func (c *client) attempt(ctx context.Context, to target, run func(ctx context.Context, w *wire) error) error {
+// attempt runs one call on the target's connection and wraps its failure in a
+// *peer.CallError.
+func (c *client) attempt(ctx context.Context, to target, run func(ctx context.Context, conn *peerConn) error) error {
 	metricCalls.Add(string(to.kind), 1)
 	if ctx.Err() != nil {
-		return c.failed(to, false, ctx.Err()) // else an open connection would make it unknown
+		return c.callError(to, false, ctx.Err()) // on an open connection the outcome would be uncertain
 	}
 	l := c.link(to.address, to.kind)
-	w, err := l.acquire(ctx, to.allowance)
+	conn, err := l.acquire(ctx, to.allowance)
 	if err != nil {
-		return c.failed(to, false, err)
+		return c.callError(to, false, err)
 	}
-	defer w.end()
+	defer conn.end()
 	begun := time.Now()
-	if err := run(ctx, w); err != nil {
-		if ctx.Err() != nil && !w.socket.readSince(begun) && time.Since(begun) >= c.timing.silence+to.allowance {
-			l.discard(w)
+	if err := run(ctx, conn); err != nil {
+		if ctx.Err() != nil && !conn.socket.readSince(begun) && time.Since(begun) >= c.timing.stallTimeout+to.allowance {
+			l.discard(conn)
 		}
-		return c.failed(to, true, err)
+		return c.callError(to, true, err)
 	}
-	l.heard()
+	l.recordResponse()
 	return nil
 }
 
-func (c *client) failed(to target, sent bool, err error) error {
+func (c *client) callError(to target, sent bool, err error) error {
 	metricCallFailures.Add(string(to.kind), 1)
 	return &core.CallError{Node: to.node, Op: string(to.kind), Sent: sent, Cause: cause(to, err)}
 }
 
-// cause gives a transport's error the type that callers look for.
+// cause converts an error of the transport to the type that callers check for.
 func cause(to target, err error) error {
 	var remote *connect.Error
 	if !errors.As(err, &remote) {
@@ -197,26 +198,26 @@
 	return err
 }
 
-// checkSender refuses an answer that another node gave.
+// checkSender rejects a response from a node other than the target.
 func (c *client) checkSender(to target, from *bspb.Sender) error {
 	got := topo.NodeID(from.GetNode())
 	if to.node == "" || got == to.node {
 		return nil
 	}
 	eventWrongNode.Log(c.logger, "want", to.node, "got", got, "address", to.address)
-	c.directory.forget(to.address)
-	return c.failed(to, true, &core.WrongNodeError{Want: to.node, Got: got})
+	c.directory.removeSeed(to.address)
+	return c.callError(to, true, &core.WrongNodeError{Want: to.node, Got: got})
 }
 
-// bounded gives a context without a deadline the default one.
-func (c *client) bounded(ctx context.Context, allowance time.Duration) (context.Context, context.CancelFunc) {
+// withDefaultTimeout applies the default timeout to a context without a deadline.
+func (c *client) withDefaultTimeout(ctx context.Context, allowance time.Duration) (context.Context, context.CancelFunc) {
 	if _, has := ctx.Deadline(); has {
 		return ctx, func() {}
 	}
 	return context.WithTimeout(ctx, c.timeout+allowance)
 }
 
-// message is a response that tells who sent it.
+// message is a response that names its sender.
 type message interface {
 	proto.Message
 	GetSender() *bspb.Sender
@@ -225,17 +226,17 @@
 // method is one unary procedure of the generated client.
 type method[Req, Res any] func(bspbconnect.PeerServiceClient, context.Context, *connect.Request[Req]) (*connect.Response[Res], error)
 
-// unary makes one call and checks who answered.
+// unary makes one call and checks the sender of the response.
 func unary[Req, Res any](ctx context.Context, c *client, to target, req *Req, call method[Req, Res]) (*Res, error) {
-	ctx, cancel := c.bounded(ctx, to.allowance)
+	ctx, cancel := c.withDefaultTimeout(ctx, to.allowance)
 	defer cancel()
 	var answer *Res
-	err := c.attempt(ctx, to, func(ctx context.Context, w *wire) error {
+	err := c.attempt(ctx, to, func(ctx context.Context, conn *peerConn) error {
 		outgoing := connect.NewRequest(req)
 		if to.node != "" {
 			outgoing.Header().Set(headerTo, string(to.node))
 		}
-		response, err := call(w.client, ctx, outgoing)
+		response, err := call(conn.client, ctx, outgoing)
 		if err == nil {
 			answer = response.Msg
 		}
--- a/modules/peer/calls.go
+++ b/modules/peer/calls.go
@@ -97,8 +97,8 @@
 	return unary(ctx, c, at, &bspb.StatusRequest{Sender: c.sender}, bspbconnect.PeerServiceClient.Status)
 }
 
-// FetchSnapshot implements peer.Caller. Without a deadline in ctx each chunk,
-// rather than the whole, has to arrive within the default timeout.
+// FetchSnapshot implements peer.Caller. If ctx has no deadline, the default
+// timeout applies to each chunk rather than to the whole snapshot.
 func (c *client) FetchSnapshot(ctx context.Context, to topo.NodeID, beyond topo.Offset) ([]*bspb.CheckpointChunk, error) {
 	at, err := c.target(to, core.KindSnapshot)
 	if err != nil {
@@ -109,8 +109,8 @@
 	progress := time.AfterFunc(c.timeout, func() { cancel(context.DeadlineExceeded) })
 	defer progress.Stop()
 	var chunks []*bspb.CheckpointChunk
-	err = c.attempt(ctx, at, func(ctx context.Context, w *wire) error {
-		chunks, err = c.receiveChunks(ctx, w, at, beyond, func() { progress.Reset(c.timeout) })
+	err = c.attempt(ctx, at, func(ctx context.Context, conn *peerConn) error {
+		chunks, err = c.receiveChunks(ctx, conn, at, beyond, func() { progress.Reset(c.timeout) })
 		if cause := context.Cause(ctx); err != nil && cause != nil {
 			return cause
 		}
@@ -122,10 +122,10 @@
 	return chunks, nil
 }
 
-func (c *client) receiveChunks(ctx context.Context, w *wire, at target, beyond topo.Offset, progressed func()) ([]*bspb.CheckpointChunk, error) {
+func (c *client) receiveChunks(ctx context.Context, conn *peerConn, at target, beyond topo.Offset, progressed func()) ([]*bspb.CheckpointChunk, error) {
 	outgoing := connect.NewRequest(&bspb.FetchSnapshotRequest{Sender: c.sender, Beyond: uint64(beyond)})
 	outgoing.Header().Set(headerTo, string(at.node))
-	stream, err := w.client.FetchSnapshot(ctx, outgoing)
+	stream, err := conn.client.FetchSnapshot(ctx, outgoing)
 	if err != nil {
 		return nil, err
 	}
--- a/modules/peer/contract_test.go
+++ b/modules/peer/contract_test.go
@@ -21,9 +21,9 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// harness runs real modules on loopback, with a relay on the way from each node
-// to each other. Every node sees a site of its own, in which the others'
-// addresses are those of its relays.
+// harness runs real modules on loopback, with a relay between each ordered pair
+// of nodes. Every node has its own site, in which the addresses of the other
+// nodes are those of its relays.
 type harness struct {
 	t         testing.TB
 	authority *tlstest.Authority // nil for no TLS
@@ -59,7 +59,7 @@
 	return s
 }
 
-// start runs a module; its handlers are those given.
+// start runs a module with the given handlers.
 func start(t testing.TB, s *settings.Settings, sender *bspb.Sender, handlers *core.Handlers, site *sitefake.Site) *Module {
 	g := gomega.NewWithT(t)
 	identity := kernel.Identity{
@@ -97,7 +97,7 @@
 	return node.module.client
 }
 
-// connect puts a relay on the way from one node to another.
+// connect places a relay on the path from one node to another.
 func (h *harness) connect(fromID topo.NodeID, from *runningNode, toID topo.NodeID, to *runningNode) {
 	r := newRelay(h.t, to.module.Address())
 	h.relays[[2]topo.NodeID{fromID, toID}] = r
@@ -119,21 +119,21 @@
 
 // Silence implements peertest.Harness.
 func (h *harness) Silence(_ testing.TB, from, to topo.NodeID) {
-	h.relays[[2]topo.NodeID{from, to}].silence()
+	h.relays[[2]topo.NodeID{from, to}].stall()
 }
 
 // Cut implements peertest.Harness.
 func (h *harness) Cut(_ testing.TB, a, b topo.NodeID) {
 	for _, pair := range [][2]topo.NodeID{{a, b}, {b, a}} {
-		h.relays[pair].cut.Store(true)
-		h.relays[pair].silence()
+		h.relays[pair].stallNew.Store(true)
+		h.relays[pair].stall()
 	}
 }
 
 // Heal implements peertest.Harness.
 func (h *harness) Heal(testing.TB) {
 	for _, r := range h.relays {
-		r.cut.Store(false)
+		r.stallNew.Store(false)
 	}
 }
 
--- a/modules/peer/dialer.go
+++ b/modules/peer/dialer.go
@@ -15,20 +15,21 @@
 // Size limits of one message, in bytes.
 const (
 	maxMessageBytes = 8 << 20
-	// compressFromBytes is the size from which the bulk kinds are compressed;
-	// the small frequent ones never are, since that costs more than it saves.
+	// compressFromBytes is the minimum size at which messages of the bulk kinds
+	// are compressed. The small, frequent kinds are never compressed, because
+	// that costs more than it saves.
 	compressFromBytes = 4 << 10
 )
 
 // dialer opens HTTP/2 connections to peers, over TLS when it has certificates.
 type dialer struct {
 	traffic *traffic
-	files   *tlsfiles.Loader // nil for no TLS
+	files   *tlsfiles.Loader // nil without TLS
 	open    core.Dial
 }
 
-// generation tells connections made with earlier certificates from those made
-// with the current ones.
+// generation returns the generation of the current certificates. It distinguishes
+// connections made with earlier certificates from those made with current ones.
 func (d *dialer) generation() uint64 {
 	if d.files == nil {
 		return 0
@@ -37,8 +38,8 @@
 }
 
 // dial opens one connection. An error proves that no call was sent.
-func (d *dialer) dial(ctx context.Context, address string, kind core.Kind) (*wire, error) {
-	w := &wire{generation: d.generation()}
+func (d *dialer) dial(ctx context.Context, address string, kind core.Kind) (*peerConn, error) {
+	conn := &peerConn{generation: d.generation()}
 	transport := &http.Transport{
 		Protocols:          new(http.Protocols),
 		DisableCompression: true,
@@ -47,8 +48,8 @@
 			if err != nil {
 				return nil, err
 			}
-			w.socket = newSocket(raw, d.traffic.of(kind))
-			return w.socket, nil
+			conn.socket = newSocket(raw, d.traffic.of(kind))
+			return conn.socket, nil
 		},
 	}
 	scheme := "http"
@@ -63,14 +64,14 @@
 	} else {
 		transport.Protocols.SetUnencryptedHTTP2(true)
 	}
-	conn, err := transport.NewClientConn(ctx, scheme, address)
+	clientConn, err := transport.NewClientConn(ctx, scheme, address)
 	if err != nil {
 		return nil, err
 	}
-	w.conn = conn
-	w.client = bspbconnect.NewPeerServiceClient(w, scheme+"://"+address, clientOptions(kind)...)
+	conn.conn = clientConn
+	conn.client = bspbconnect.NewPeerServiceClient(conn, scheme+"://"+address, clientOptions(kind)...)
 	metricConnections.Add(string(kind), 1)
-	return w, nil
+	return conn, nil
 }
 
 func clientOptions(kind core.Kind) []connect.ClientOption {
--- a/modules/peer/directory.go
+++ b/modules/peer/directory.go
@@ -11,20 +11,20 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// directory knows the addresses of the other nodes: from the state, or from
-// seeds that told their node ID while the state does not have them.
+// directory maps the other nodes to their addresses. They come from the state,
+// or, for nodes that the state lacks, from seeds that reported their node ID.
 type directory struct {
 	self   kernel.Identity
-	source state.Source // nil before the module starts, and where there is none
+	source state.Source // nil before the module starts, and if none is provided
 
 	mu    sync.Mutex
-	seeds map[topo.NodeID]string // learnt by Status
-	// order caches the nodes of one view in calling order.
+	seeds map[topo.NodeID]string // discovered by Status calls
+	// order caches the nodes of the view orderOf in calling order.
 	orderOf *state.View
 	order   []topo.NodeID
 }
 
-// address returns where a node's peer listener is.
+// address returns the address of a node's peer listener.
 func (d *directory) address(id topo.NodeID) (string, bool) {
 	if view := d.view(); view != nil {
 		if node, exists := view.Node(id); exists && node.PeerAddress != "" {
@@ -33,13 +33,13 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	address, learnt := d.seeds[id]
-	return address, learnt
+	address, resolved := d.seeds[id]
+	return address, resolved
 }
 
 // known lists the nodes that have an address: own zone first, then own region,
-// then the rest; within each in an order of this node's own, so that nodes
-// spread their calls.
+// then the rest. The order within each is specific to this node, so that the
+// calls of different nodes spread over their peers.
 func (d *directory) known() []topo.NodeID {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -120,27 +120,28 @@
 	return c.id < other.id
 }
 
-// learn records the node that answered at a seed address.
-func (d *directory) learn(id topo.NodeID, address string) {
+// addSeed records the node that responded at a seed address.
+func (d *directory) addSeed(id topo.NodeID, address string) {
 	if id == d.self.Node {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.forgetAddress(address)
+	d.removeAddress(address)
 	d.seeds[id] = address
 	d.order = nil
 }
 
-// forget drops what a seed told, when another node answers there.
-func (d *directory) forget(address string) {
+// removeSeed removes the node recorded for a seed address, after another node
+// responded there.
+func (d *directory) removeSeed(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.forgetAddress(address)
+	d.removeAddress(address)
 	d.order = nil
 }
 
-func (d *directory) forgetAddress(address string) {
+func (d *directory) removeAddress(address string) {
 	for id, at := range d.seeds {
 		if at == address {
 			delete(d.seeds, id)
@@ -148,8 +149,8 @@
 	}
 }
 
-// learnt lists the seed addresses that told their node ID.
-func (d *directory) learnt() map[string]topo.NodeID {
+// resolvedSeeds maps the seed addresses that reported a node ID to that ID.
+func (d *directory) resolvedSeeds() map[string]topo.NodeID {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	byAddress := make(map[string]topo.NodeID, len(d.seeds))
--- a/modules/peer/link.go
+++ b/modules/peer/link.go
@@ -8,65 +8,65 @@
 	core "github.com/burdockspindle/burdockspindle/peer"
 )
 
-// link keeps the connection to one address for one kind of call. It opens a
-// connection when a call needs one and there is none that works: none open,
-// broken, made with earlier certificates, or silent while calls are waiting on
-// it.
+// link manages the connection to one address for one kind of call. It opens a
+// connection when a call needs one and there is no usable one: none is open, or
+// it is broken, was made with earlier certificates, or has stalled while calls
+// are waiting on it.
 type link struct {
 	kind    core.Kind
 	address string
-	dial    func(ctx context.Context, address string, kind core.Kind) (*wire, error)
+	dial    func(ctx context.Context, address string, kind core.Kind) (*peerConn, error)
 	timing  linkTiming
-	// generation tells that of the certificates in use now.
+	// generation returns the generation of the current certificates.
 	generation func() uint64
-	// onSilent is told of each connection that was replaced for silence, and
-	// whether it is the first since the other side was last heard.
-	onSilent func(l *link, first bool)
+	// onStalled is called for each stalled connection that is replaced; first
+	// reports whether it is the first since the peer last responded.
+	onStalled func(l *link, first bool)
 
-	mu      sync.Mutex
-	current *wire
-	opening *opening  // nil when no connection is being opened
-	mute    bool      // nothing was heard since a connection was silent
-	used    time.Time // when a call last took the link up
-	closed  bool
+	mu           sync.Mutex
+	current      *peerConn
+	pending      *dialAttempt // nil when no connection is being opened
+	unresponsive bool         // the peer has not responded since a connection stalled
+	lastUsed     time.Time    // time of the latest call
+	closed       bool
 }
 
-// linkTiming says how long things may take.
+// linkTiming has the timeouts of a link.
 type linkTiming struct {
-	connect time.Duration // to open a connection
-	silence time.Duration // without a byte while a call waits
+	connectTimeout time.Duration // limit for opening a connection
+	stallTimeout   time.Duration // limit without a received byte while a call waits
 }
 
-// opening is a connection attempt that any number of calls wait for.
-type opening struct {
-	done chan struct{} // closed when wire or err is set
-	wire *wire
+// dialAttempt is an attempt to open a connection; any number of calls wait for it.
+type dialAttempt struct {
+	done chan struct{} // closed when conn or err is set
+	conn *peerConn
 	err  error
 }
 
 // acquire returns an open connection with the call counted on it; the caller
-// ends it by wire.end. An error proves that nothing was sent.
-func (l *link) acquire(ctx context.Context, allowance time.Duration) (*wire, error) {
+// must call peerConn.end afterwards. An error proves that nothing was sent.
+func (l *link) acquire(ctx context.Context, allowance time.Duration) (*peerConn, error) {
 	for {
-		w, attempt := l.pick()
-		if w == nil {
+		conn, attempt := l.pick()
+		if conn == nil {
 			var err error
-			if w, err = attempt.wait(ctx); err != nil {
+			if conn, err = attempt.wait(ctx); err != nil {
 				return nil, err
 			}
 		}
-		if w.begin(time.Now(), allowance) {
-			return w, nil
+		if conn.begin(time.Now(), allowance) {
+			return conn, nil
 		}
 	}
 }
 
-// pick returns the usable connection, or the attempt to open one.
-func (l *link) pick() (*wire, *opening) {
+// pick returns the usable connection, or else the attempt to open one.
+func (l *link) pick() (*peerConn, *dialAttempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.current != nil && l.current.silent(time.Now(), l.timing.silence) {
-		l.dropSilent()
+	if l.current != nil && l.current.stalled(time.Now(), l.timing.stallTimeout) {
+		l.dropStalled()
 	}
 	if l.current != nil && (l.current.broken() || l.current.generation != l.generation()) {
 		l.drop()
@@ -75,93 +75,93 @@
 		return l.current, nil
 	}
 	if l.closed {
-		return nil, closedOpening()
+		return nil, closedDialAttempt()
 	}
-	if l.opening == nil {
-		l.opening = &opening{done: make(chan struct{})}
-		go l.open(l.opening)
+	if l.pending == nil {
+		l.pending = &dialAttempt{done: make(chan struct{})}
+		go l.open(l.pending)
 	}
-	return nil, l.opening
+	return nil, l.pending
 }
 
-// drop retires the current connection; the mutex is held.
+// drop retires the current connection; the caller holds l.mu.
 func (l *link) drop() {
 	l.current.retire()
 	l.current = nil
 }
 
-// dropSilent retires the current connection for silence; the mutex is held.
-func (l *link) dropSilent() {
-	l.onSilent(l, !l.mute)
-	l.mute = true
+// dropStalled retires the stalled current connection; the caller holds l.mu.
+func (l *link) dropStalled() {
+	l.onStalled(l, !l.unresponsive)
+	l.unresponsive = true
 	l.drop()
 }
 
-// heard notes that the other side answered.
-func (l *link) heard() {
+// recordResponse records that the peer responded.
+func (l *link) recordResponse() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.mute = false
+	l.unresponsive = false
 }
 
-// open opens a connection within the connect timeout, whatever becomes of the
-// calls that wait for it.
-func (l *link) open(attempt *opening) {
-	ctx, cancel := context.WithTimeout(context.Background(), l.timing.connect)
+// open opens a connection within the connect timeout, independently of the
+// contexts of the calls that wait for it.
+func (l *link) open(attempt *dialAttempt) {
+	ctx, cancel := context.WithTimeout(context.Background(), l.timing.connectTimeout)
 	defer cancel()
-	attempt.wire, attempt.err = l.dial(ctx, l.address, l.kind)
+	attempt.conn, attempt.err = l.dial(ctx, l.address, l.kind)
 	l.mu.Lock()
-	l.opening = nil
+	l.pending = nil
 	if attempt.err == nil {
-		l.current = attempt.wire
+		l.current = attempt.conn
 	}
 	if l.closed && l.current != nil {
 		l.drop()
-		attempt.wire, attempt.err = nil, &ClosedError{}
+		attempt.conn, attempt.err = nil, &ClosedError{}
 	}
 	l.mu.Unlock()
 	close(attempt.done)
 }
 
-func closedOpening() *opening {
-	o := &opening{done: make(chan struct{}), err: &ClosedError{}}
-	close(o.done)
-	return o
+func closedDialAttempt() *dialAttempt {
+	a := &dialAttempt{done: make(chan struct{}), err: &ClosedError{}}
+	close(a.done)
+	return a
 }
 
-func (o *opening) wait(ctx context.Context) (*wire, error) {
+func (a *dialAttempt) wait(ctx context.Context) (*peerConn, error) {
 	select {
-	case <-o.done:
-		return o.wire, o.err
+	case <-a.done:
+		return a.conn, a.err
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// discard closes a connection on which a call got no byte within its timeout.
-func (l *link) discard(w *wire) {
+// discard closes a connection on which a call received no byte within its timeout.
+func (l *link) discard(conn *peerConn) {
 	l.mu.Lock()
-	if l.current == w {
-		l.dropSilent()
+	if l.current == conn {
+		l.dropStalled()
 	}
 	l.mu.Unlock()
-	w.close()
+	conn.close()
 }
 
-// touch notes that a call is about to use the link.
+// touch records that a call is about to use the link.
 func (l *link) touch(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.used = now
+	l.lastUsed = now
 }
 
-// unusedSince reports whether no call has used the link since a moment and none
-// is under way.
+// unusedSince reports whether no call has used the link since the given time and
+// none is in flight.
 func (l *link) unusedSince(moment time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	busy := l.opening != nil || (l.current != nil && l.current.underWay() > 0)
-	return !busy && l.used.Before(moment)
+	busy := l.pending != nil || (l.current != nil && l.current.inFlight() > 0)
+	return !busy && l.lastUsed.Before(moment)
 }
 
 func (l *link) dump() linkDump {
@@ -169,21 +169,21 @@
 	defer l.mu.Unlock()
 	row := linkDump{Address: l.address, Kind: l.kind, Open: l.current != nil}
 	if l.current != nil {
-		row.Calls = l.current.underWay()
+		row.Calls = l.current.inFlight()
 	}
 	return row
 }
 
-// close cuts off the connection and refuses new ones.
+// close closes the connection with its calls and refuses new ones.
 func (l *link) close() {
 	l.mu.Lock()
 	l.closed = true
-	w := l.current
+	conn := l.current
 	l.current = nil
 	l.mu.Unlock()
-	if w != nil {
-		w.retire()
-		w.close()
+	if conn != nil {
+		conn.retire()
+		conn.close()
 	}
 }
 
--- a/modules/peer/listener.go
+++ b/modules/peer/listener.go
@@ -21,15 +21,15 @@
 const (
 	readHeaderTimeout = 5 * time.Second
 	idleTimeout       = 2 * time.Minute
-	// pingAfter is how long an accepted connection may be quiet before it is
-	// asked for a sign of life; pingTimeout how long that may take.
+	// pingAfter is the idle time after which a ping is sent on an accepted
+	// connection; pingTimeout is the timeout for its response.
 	pingAfter   = time.Minute
 	pingTimeout = 10 * time.Second
 )
 
 // listener serves peers' calls and the mounted plain handlers.
 type listener struct {
-	files   *tlsfiles.Loader // nil for no TLS
+	files   *tlsfiles.Loader // nil without TLS
 	server  *http.Server
 	net     net.Listener
 	traffic *traffic
@@ -39,7 +39,7 @@
 
 type socketKey struct{}
 
-// listen opens the listener; files is nil for no TLS.
+// listen opens the listener; files is nil without TLS.
 func listen(address string, s *service, t *traffic, files *tlsfiles.Loader) (*listener, error) {
 	raw, err := net.Listen("tcp", address)
 	if err != nil {
@@ -85,8 +85,8 @@
 	}
 }
 
-// close stops accepting, waits within ctx for the calls under way, and cuts off
-// what is left.
+// close stops accepting connections, waits until ctx ends for the calls in
+// flight, and closes the remaining connections.
 func (l *listener) close(ctx context.Context) {
 	if err := l.server.Shutdown(ctx); err != nil {
 		eventShutdownForced.Log(l.logger, "error", err)
@@ -111,7 +111,7 @@
 	return mux
 }
 
-// tagged tells a connection's socket, on its first request, what it carries.
+// tagged sets the kind of a connection's socket on its first request.
 func (l *listener) tagged(kindOf func(*http.Request) core.Kind, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if from, _ := r.Context().Value(socketKey{}).(*socket); from != nil && from.counts.Load() == nil {
@@ -121,8 +121,8 @@
 	})
 }
 
-// trusted refuses requests on a connection whose client certificate the current
-// authorities do not sign, although earlier ones did when it was made.
+// trusted refuses requests on a connection whose client certificate is not signed
+// by the current authorities, although it was by those in use at the handshake.
 func (l *listener) trusted(next http.Handler) http.Handler {
 	if l.files == nil {
 		return next
@@ -156,7 +156,7 @@
 
 func kindOfForward(*http.Request) core.Kind { return kindForward }
 
-// kindOfCall reads the kind off the last segment of a procedure's path.
+// kindOfCall derives the kind from the last segment of a procedure's path.
 func kindOfCall(r *http.Request) core.Kind {
 	procedure := r.URL.Path[strings.LastIndexByte(r.URL.Path, '/')+1:]
 	switch procedure {
@@ -176,7 +176,7 @@
 	return core.KindStatus
 }
 
-// ListenError reports a peer address that cannot be listened on.
+// ListenError reports a peer address on which listening failed.
 type ListenError struct {
 	Address string
 	Cause   error
--- a/modules/peer/metrics.go
+++ b/modules/peer/metrics.go
@@ -7,25 +7,25 @@
 	core "github.com/burdockspindle/burdockspindle/peer"
 )
 
-// kindForward counts connections on which callers' requests are forwarded
-// rather than control calls made.
+// kindForward is the kind of connections that carry forwarded requests of
+// callers rather than control calls.
 const kindForward core.Kind = "forward"
 
 // Metrics of all nodes in this process, under "peer".
 var (
-	metricGroup          = metrics.New("peer")
-	metricBytesSent      = metricGroup.Map("control_bytes_sent")
-	metricBytesReceived  = metricGroup.Map("control_bytes_received")
-	metricCalls          = metricGroup.Map("calls")
-	metricCallFailures   = metricGroup.Map("call_failures")
-	metricServed         = metricGroup.Map("calls_served")
-	metricConnections    = metricGroup.Map("connections_opened")
-	metricSilentReplaced = metricGroup.Map("silent_connections_replaced")
+	metricGroup           = metrics.New("peer")
+	metricBytesSent       = metricGroup.Map("control_bytes_sent")
+	metricBytesReceived   = metricGroup.Map("control_bytes_received")
+	metricCalls           = metricGroup.Map("calls")
+	metricCallFailures    = metricGroup.Map("call_failures")
+	metricServed          = metricGroup.Map("calls_served")
+	metricConnections     = metricGroup.Map("connections_opened")
+	metricStalledReplaced = metricGroup.Map("silent_connections_replaced")
 )
 
 // traffic counts the bytes of one node by kind of call, as seen at the socket.
 type traffic struct {
-	byKind map[core.Kind]*kindTraffic // fixed when made
+	byKind map[core.Kind]*kindTraffic // not changed after construction
 }
 
 type kindTraffic struct {
@@ -58,7 +58,7 @@
 	metricBytesReceived.Add(string(k.kind), n)
 }
 
-// bytesDump is one kind's row in the state dump.
+// bytesDump is the traffic of one kind in the state dump.
 type bytesDump struct {
 	Sent     int64 `json:"sent"`
 	Received int64 `json:"received"`
--- a/modules/peer/module.go
+++ b/modules/peer/module.go
@@ -1,5 +1,5 @@
 // Package peer is the module peer.connect: entry nodes call each other with
-// connect-go over HTTP/2, with mutual TLS when the settings name certificates.
+// connect-go over HTTP/2, with mutual TLS if the settings name certificates.
 // It opens the peer listener and provides peer.Caller, *peer.Handlers and
 // peer.Listener.
 package peer
@@ -22,14 +22,14 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// Defaults for what the settings leave at zero.
+// Defaults for settings that are zero.
 const (
 	defaultConnectTimeout = time.Second
 	defaultSilentAfter    = time.Second
 	defaultSuspectAfter   = 350 * time.Millisecond
-	// silenceShare divides the suspicion time: a silent connection has to be
-	// found and replaced, and the new one tried, before the peer is suspected.
-	silenceShare = 3
+	// stallTimeoutDivisor divides the suspicion time: a stalled connection must be
+	// detected and replaced, and the new one tried, before the peer is suspected.
+	stallTimeoutDivisor = 3
 )
 
 func init() { kernel.Register(&Module{}) }
@@ -43,7 +43,7 @@
 	service  *service
 	client   *client
 	traffic  *traffic
-	files    *tlsfiles.Loader // nil for no TLS
+	files    *tlsfiles.Loader // nil without TLS
 	listener *listener
 	cancel   context.CancelFunc
 	seedDone chan struct{}
@@ -85,22 +85,22 @@
 
 func (m *Module) newClient(sender *bspb.Sender) *client {
 	limits, timing := m.settings.Limits, m.settings.Timing
-	silence := orDefault(timing.SuspectAfter, defaultSuspectAfter) / silenceShare
+	stallTimeout := orDefault(timing.SuspectAfter, defaultSuspectAfter) / stallTimeoutDivisor
 	return &client{
 		sender:    sender,
 		logger:    m.logger,
 		directory: &directory{self: m.ctx.Identity, seeds: map[topo.NodeID]string{}},
 		dialer:    &dialer{traffic: m.traffic, files: m.files, open: m.dial()},
 		timing: linkTiming{
-			connect: orDefault(limits.ConnectTimeout, defaultConnectTimeout),
-			silence: silence,
+			connectTimeout: orDefault(limits.ConnectTimeout, defaultConnectTimeout),
+			stallTimeout:   stallTimeout,
 		},
 		timeout: orDefault(limits.SilentAfter, defaultSilentAfter),
 		links:   map[linkKey]*link{},
 	}
 }
 
-// dial returns how connections to peers are opened.
+// dial returns the function that opens connections to peers.
 func (m *Module) dial() core.Dial {
 	if provided, err := kernel.Use[core.Dial](m.ctx); err == nil {
 		return provided
@@ -131,8 +131,8 @@
 	m.seedDone = make(chan struct{})
 	go func() {
 		defer close(m.seedDone)
-		duty := &seedDuty{client: m.client, addresses: m.settings.Seeds}
-		duty.run(ctx)
+		resolver := &seedResolver{client: m.client, addresses: m.settings.Seeds}
+		resolver.run(ctx)
 	}()
 	return nil
 }
--- a/modules/peer/peer_test.go
+++ b/modules/peer/peer_test.go
@@ -20,23 +20,23 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// generous bounds what has to succeed.
-const generous = 20 * time.Second
+// testTimeout bounds operations that must succeed.
+const testTimeout = 20 * time.Second
 
-func within(t *testing.T) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), generous)
+func testContext(t *testing.T) context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
 func senderOf(id string) *bspb.Sender { return &bspb.Sender{Node: id, Boot: id + "-1", Zone: "zone-a"} }
 
-func answerBeat(_ context.Context, req *bspb.HeartbeatRequest) (*bspb.HeartbeatResponse, error) {
+func answerHeartbeat(_ context.Context, req *bspb.HeartbeatRequest) (*bspb.HeartbeatResponse, error) {
 	return &bspb.HeartbeatResponse{Round: req.Round}, nil
 }
 
-// two joins nodes a and b, and returns the module of a.
-func two(t *testing.T, h *harness, atB *core.Handlers) *Module {
+// joinPair joins nodes a and b, and returns the module of a.
+func joinPair(t *testing.T, h *harness, atB *core.Handlers) *Module {
 	h.Join(t, senderOf("a"), &core.Handlers{})
 	h.Join(t, senderOf("b"), atB)
 	return h.nodes["a"].module
@@ -44,49 +44,49 @@
 
 func (h *harness) relay(from, to topo.NodeID) *relay { return h.relays[[2]topo.NodeID{from, to}] }
 
-func TestACallForAnEarlierNodeOfTheAddressIsRefused(t *testing.T) {
+func TestCallForPreviousNodeAtAddressIsRefused(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := newHarness(t, nil)
 	ran := atomic.Bool{}
-	a := two(t, h, &core.Handlers{Heartbeat: func(context.Context, *bspb.HeartbeatRequest) (*bspb.HeartbeatResponse, error) {
+	a := joinPair(t, h, &core.Handlers{Heartbeat: func(context.Context, *bspb.HeartbeatRequest) (*bspb.HeartbeatResponse, error) {
 		ran.Store(true)
 		return &bspb.HeartbeatResponse{}, nil
 	}})
 	h.nodes["a"].site.Apply("test@1", &bspb.Record{Body: &bspb.Record_JoinNode{JoinNode: &bspb.JoinNode{
 		Node: "earlier", Boot: "1", PeerAddress: h.nodes["b"].module.Address(),
 	}}})
-	_, err := a.client.Heartbeat(within(t), "earlier", &bspb.HeartbeatRequest{})
+	_, err := a.client.Heartbeat(testContext(t), "earlier", &bspb.HeartbeatRequest{})
 	var wrong *core.WrongNodeError
 	g.Expect(errors.As(err, &wrong)).To(gomega.BeTrue(), "%v", err)
 	g.Expect(ran.Load()).To(gomega.BeFalse())
 }
 
-func TestSeedsAreOnlyAddresses(t *testing.T) {
+func TestSeedAddressResolvesToCurrentNode(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := newHarness(t, nil)
-	h.Join(t, senderOf("b"), &core.Handlers{Heartbeat: answerBeat})
+	h.Join(t, senderOf("b"), &core.Handlers{Heartbeat: answerHeartbeat})
 	s := &settings.Settings{
 		Node: "a", Peer: settings.Listener{Address: "127.0.0.1:0"}, Seeds: []string{h.nodes["b"].module.Address()},
 	}
 	a := start(t, s, senderOf("a"), &core.Handlers{}, sitefake.New())
 	t.Cleanup(func() { kill(t, a) })
-	g.Eventually(a.client.Known).WithTimeout(generous).Should(gomega.ConsistOf(topo.NodeID("b")))
-	_, err := a.client.Heartbeat(within(t), "b", &bspb.HeartbeatRequest{})
+	g.Eventually(a.client.Known).WithTimeout(testTimeout).Should(gomega.ConsistOf(topo.NodeID("b")))
+	_, err := a.client.Heartbeat(testContext(t), "b", &bspb.HeartbeatRequest{})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 
-	a.client.directory.learn("c", s.Seeds[0])
-	g.Expect(a.client.Known()).To(gomega.ConsistOf(topo.NodeID("c")), "an address belongs to one node")
+	a.client.directory.addSeed("c", s.Seeds[0])
+	g.Expect(a.client.Known()).To(gomega.ConsistOf(topo.NodeID("c")), "an address belongs to a single node")
 }
 
-// TestBytesAreThoseOfTheSocket compares what both ends counted with each other
-// and with what a heartbeat may cost.
-func TestBytesAreThoseOfTheSocket(t *testing.T) {
+// TestTrafficCountsAgreeAtBothEnds compares the bytes counted at both ends with
+// each other and with the limit for one heartbeat.
+func TestTrafficCountsAgreeAtBothEnds(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := newHarness(t, nil)
-	a := two(t, h, &core.Handlers{Heartbeat: answerBeat})
-	const beats = 100
-	for round := range uint64(beats) {
-		_, err := a.client.Heartbeat(within(t), "b", &bspb.HeartbeatRequest{
+	a := joinPair(t, h, &core.Handlers{Heartbeat: answerHeartbeat})
+	const heartbeats = 100
+	for round := range uint64(heartbeats) {
+		_, err := a.client.Heartbeat(testContext(t), "b", &bspb.HeartbeatRequest{
 			Sender: senderOf("a"), Group: "zone-a/0", Round: round, Term: &bspb.Ordinal{Offset: 123456},
 		})
 		g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -94,19 +94,19 @@
 	b := h.nodes["b"].module
 	atA := func() bytesDump { return a.traffic.dump()[core.KindHeartbeat] }
 	atB := func() bytesDump { return b.traffic.dump()[core.KindHeartbeat] }
-	g.Eventually(func() int64 { return atB().Received - atA().Sent }).WithTimeout(generous).Should(gomega.BeZero())
-	g.Eventually(func() int64 { return atB().Sent - atA().Received }).WithTimeout(generous).Should(gomega.BeZero())
-	each := float64(atA().Sent+atA().Received) / beats
+	g.Eventually(func() int64 { return atB().Received - atA().Sent }).WithTimeout(testTimeout).Should(gomega.BeZero())
+	g.Eventually(func() int64 { return atB().Sent - atA().Received }).WithTimeout(testTimeout).Should(gomega.BeZero())
+	each := float64(atA().Sent+atA().Received) / heartbeats
 	t.Logf("bytes for one heartbeat, both ways: %.0f", each)
 	g.Expect(each).To(gomega.BeNumerically("<", 450))
 	g.Expect(a.traffic.dump()).NotTo(gomega.HaveKey(core.KindMove))
 }
 
-func TestALongPollIsNotSilence(t *testing.T) {
+func TestLongPollIsNotTreatedAsStalled(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := newHarness(t, nil)
 	entered, release := make(chan struct{}), make(chan struct{})
-	a := two(t, h, &core.Handlers{ReadLog: func(context.Context, *bspb.ReadLogRequest) (*bspb.ReadLogResponse, error) {
+	a := joinPair(t, h, &core.Handlers{ReadLog: func(context.Context, *bspb.ReadLogRequest) (*bspb.ReadLogResponse, error) {
 		close(entered)
 		<-release
 		return &bspb.ReadLogResponse{}, nil
@@ -114,47 +114,47 @@
 	began := time.Now()
 	poll := make(chan error, 1)
 	go func() {
-		_, err := a.client.ReadLog(within(t), "b", &bspb.ReadLogRequest{WaitMs: 60_000})
+		_, err := a.client.ReadLog(testContext(t), "b", &bspb.ReadLogRequest{WaitMs: 60_000})
 		poll <- err
 	}()
 	<-entered
 	l := a.client.link(h.relay("a", "b").address(), core.KindReadLog)
-	g.Expect(l.current.silent(began.Add(59*time.Second), l.timing.silence)).To(gomega.BeFalse())
-	g.Expect(l.current.silent(began.Add(2*time.Minute), l.timing.silence)).To(gomega.BeTrue())
+	g.Expect(l.current.stalled(began.Add(59*time.Second), l.timing.stallTimeout)).To(gomega.BeFalse())
+	g.Expect(l.current.stalled(began.Add(2*time.Minute), l.timing.stallTimeout)).To(gomega.BeTrue())
 	close(release)
 	g.Expect(<-poll).NotTo(gomega.HaveOccurred())
 }
 
-// TestCallsWaitingOnASilentConnectionDoNotHoldUpLaterOnes starts a call on a
-// connection that is silent, and another while the first still waits.
-func TestCallsWaitingOnASilentConnectionDoNotHoldUpLaterOnes(t *testing.T) {
+// TestCallsOnStalledConnectionDoNotDelayLaterCalls starts a call on a stalled
+// connection, and another while the first still waits.
+func TestCallsOnStalledConnectionDoNotDelayLaterCalls(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := newHarness(t, nil)
-	a := two(t, h, &core.Handlers{Heartbeat: answerBeat})
-	beat := func() error {
-		_, err := a.client.Heartbeat(within(t), "b", &bspb.HeartbeatRequest{})
+	a := joinPair(t, h, &core.Handlers{Heartbeat: answerHeartbeat})
+	heartbeat := func() error {
+		_, err := a.client.Heartbeat(testContext(t), "b", &bspb.HeartbeatRequest{})
 		return err
 	}
-	g.Expect(beat()).To(gomega.Succeed())
+	g.Expect(heartbeat()).To(gomega.Succeed())
 	h.Silence(t, "a", "b")
 	first := make(chan error, 1)
-	go func() { first <- beat() }()
+	go func() { first <- heartbeat() }()
 	l := a.client.link(h.relay("a", "b").address(), core.KindHeartbeat)
 	g.Eventually(func() bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return l.current.silent(time.Now(), l.timing.silence)
-	}).WithTimeout(generous).Should(gomega.BeTrue())
-	g.Expect(beat()).To(gomega.Succeed())
+		return l.current.stalled(time.Now(), l.timing.stallTimeout)
+	}).WithTimeout(testTimeout).Should(gomega.BeTrue())
+	g.Expect(heartbeat()).To(gomega.Succeed())
 	g.Expect(first).NotTo(gomega.Receive())
 	g.Expect(h.relay("a", "b").opened.Load()).To(gomega.BeEquivalentTo(2))
 }
 
-func TestAMessageAboveTheLimitIsRefused(t *testing.T) {
+func TestMessageAboveLimitIsRefused(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := newHarness(t, nil)
-	a := two(t, h, &core.Handlers{Announce: func(context.Context, *bspb.AnnounceRequest) error { return nil }})
-	err := a.client.Announce(within(t), "b", &bspb.AnnounceRequest{Group: string(make([]byte, maxMessageBytes+1))})
+	a := joinPair(t, h, &core.Handlers{Announce: func(context.Context, *bspb.AnnounceRequest) error { return nil }})
+	err := a.client.Announce(testContext(t), "b", &bspb.AnnounceRequest{Group: string(make([]byte, maxMessageBytes+1))})
 	var tooLarge *core.TooLargeError
 	g.Expect(errors.As(err, &tooLarge)).To(gomega.BeTrue(), "%v", err)
 }
@@ -163,7 +163,7 @@
 	g := gomega.NewWithT(t)
 	h := newHarness(t, nil)
 	hello := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "hello") })
-	two(t, h, &core.Handlers{HTTP: map[string]http.Handler{"/forward/": hello}})
+	joinPair(t, h, &core.Handlers{HTTP: map[string]http.Handler{"/forward/": hello}})
 	b := h.nodes["b"].module
 	response, err := http.Get("http://" + b.Address() + "/forward/x")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -174,65 +174,66 @@
 	g.Expect(b.traffic.dump()).To(gomega.HaveKey(kindForward))
 }
 
-func TestAStopWaitsForCallsUnderWay(t *testing.T) {
+func TestStopWaitsForCallsInFlight(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := newHarness(t, nil)
 	entered, release := make(chan struct{}), make(chan struct{})
-	a := two(t, h, &core.Handlers{Heartbeat: func(ctx context.Context, req *bspb.HeartbeatRequest) (*bspb.HeartbeatResponse, error) {
+	a := joinPair(t, h, &core.Handlers{Heartbeat: func(ctx context.Context, req *bspb.HeartbeatRequest) (*bspb.HeartbeatResponse, error) {
 		close(entered)
 		<-release
-		return answerBeat(ctx, req)
+		return answerHeartbeat(ctx, req)
 	}})
 	answered := make(chan error, 1)
 	go func() {
-		_, err := a.client.Heartbeat(within(t), "b", &bspb.HeartbeatRequest{})
+		_, err := a.client.Heartbeat(testContext(t), "b", &bspb.HeartbeatRequest{})
 		answered <- err
 	}()
 	<-entered
 	stopped := make(chan error, 1)
-	go func() { stopped <- h.nodes["b"].module.Stop(within(t)) }()
+	go func() { stopped <- h.nodes["b"].module.Stop(testContext(t)) }()
 	g.Consistently(stopped, "100ms").ShouldNot(gomega.Receive())
 	close(release)
 	g.Expect(<-answered).NotTo(gomega.HaveOccurred())
 	g.Expect(<-stopped).To(gomega.Succeed())
 }
 
-func TestANodeOfAnotherAuthorityIsRefused(t *testing.T) {
+func TestNodeOfAnotherAuthorityIsRefused(t *testing.T) {
 	g := gomega.NewWithT(t)
 	site, other := tlstest.NewAuthority(t, "site"), tlstest.NewAuthority(t, "other")
 	h := newHarness(t, site)
-	h.Join(t, senderOf("a"), &core.Handlers{Heartbeat: answerBeat})
+	h.Join(t, senderOf("a"), &core.Handlers{Heartbeat: answerHeartbeat})
 	h.authority = other
-	h.Join(t, senderOf("b"), &core.Handlers{Heartbeat: answerBeat})
+	h.Join(t, senderOf("b"), &core.Handlers{Heartbeat: answerHeartbeat})
 	for from, to := range map[topo.NodeID]topo.NodeID{"a": "b", "b": "a"} {
-		_, err := h.nodes[from].module.client.Heartbeat(within(t), to, &bspb.HeartbeatRequest{})
+		_, err := h.nodes[from].module.client.Heartbeat(testContext(t), to, &bspb.HeartbeatRequest{})
 		g.Expect(err).To(gomega.HaveOccurred())
 		g.Expect(errors.Is(err, context.DeadlineExceeded)).To(gomega.BeFalse(), "%v", err)
 	}
 }
 
 // TestCertificatesAreReplacedUnderTraffic moves a site from one authority to
-// the next, step by step, without a failed call, and then refuses who stayed.
+// the next in steps without a failed call. Afterwards a node that kept its old
+// certificate must be refused.
 func TestCertificatesAreReplacedUnderTraffic(t *testing.T) {
 	g := gomega.NewWithT(t)
 	old, next := tlstest.NewAuthority(t, "old"), tlstest.NewAuthority(t, "next")
 	h := newHarness(t, old)
-	a := two(t, h, &core.Handlers{Heartbeat: answerBeat})
+	a := joinPair(t, h, &core.Handlers{Heartbeat: answerHeartbeat})
 	b := h.nodes["b"].module
 	h.Join(t, senderOf("c"), &core.Handlers{})
-	beat := func(m *Module) error {
-		_, err := m.client.Heartbeat(within(t), "b", &bspb.HeartbeatRequest{})
+	heartbeat := func(m *Module) error {
+		_, err := m.client.Heartbeat(testContext(t), "b", &bspb.HeartbeatRequest{})
 		return err
 	}
 	c := h.nodes["c"].module
-	g.Expect(beat(c)).To(gomega.Succeed())
+	g.Expect(heartbeat(c)).To(gomega.Succeed())
 
 	ctx, cancel := context.WithCancel(context.Background())
 	failed := make(chan error, 1)
 	go func() {
 		defer close(failed)
 		for ctx.Err() == nil {
-			if err := beat(a); err != nil {
+			if err := heartbeat(a); err != nil {
 				failed <- err
 				return
 			}
@@ -242,34 +243,34 @@
 		for id, m := range map[string]*Module{"a": a, "b": b} {
 			before := m.files.Generation()
 			by.Write(t, h.dir, id, trusted...)
-			g.Eventually(m.files.Generation).WithTimeout(generous).Should(gomega.BeNumerically(">", before))
+			g.Eventually(m.files.Generation).WithTimeout(testTimeout).Should(gomega.BeNumerically(">", before))
 		}
 	}
 	write(old, old, next)
 	write(next, old, next)
 	write(next, next)
-	g.Expect(beat(a)).To(gomega.Succeed())
+	g.Expect(heartbeat(a)).To(gomega.Succeed())
 	cancel()
 	g.Expect(<-failed).NotTo(gomega.HaveOccurred())
 
-	g.Expect(beat(c)).NotTo(gomega.Succeed(), "its open connection was made with a certificate that is not trusted any more")
+	g.Expect(heartbeat(c)).NotTo(gomega.Succeed(), "the open connection was made with a certificate that is no longer trusted")
 }
 
-func TestLinksOutOfUseAreForgotten(t *testing.T) {
+func TestIdleLinksAreRemoved(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := newHarness(t, nil)
 	entered, release := make(chan struct{}), make(chan struct{})
-	a := two(t, h, &core.Handlers{
+	a := joinPair(t, h, &core.Handlers{
 		Announce: func(context.Context, *bspb.AnnounceRequest) error {
 			close(entered)
 			<-release
 			return nil
 		},
 	})
-	_, err := a.client.Status(within(t), "b")
+	_, err := a.client.Status(testContext(t), "b")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	announced := make(chan error, 1)
-	go func() { announced <- a.client.Announce(within(t), "b", &bspb.AnnounceRequest{}) }()
+	go func() { announced <- a.client.Announce(testContext(t), "b", &bspb.AnnounceRequest{}) }()
 	<-entered
 	sweep := func(at time.Time) []linkDump {
 		a.client.mu.Lock()
@@ -278,11 +279,11 @@
 		return a.client.dump()
 	}
 	g.Expect(sweep(time.Now())).To(gomega.HaveLen(2))
-	left := sweep(time.Now().Add(2 * forgetLinkAfter))
-	g.Expect(left).To(gomega.HaveLen(1), "the call under way keeps its link")
+	left := sweep(time.Now().Add(2 * linkIdleTimeout))
+	g.Expect(left).To(gomega.HaveLen(1), "the call in flight keeps its link")
 	g.Expect(left[0].Kind).To(gomega.Equal(core.KindAnnounce))
 	close(release)
 	g.Expect(<-announced).NotTo(gomega.HaveOccurred())
-	_, err = a.client.Status(within(t), "b")
-	g.Expect(err).NotTo(gomega.HaveOccurred(), "a forgotten link is made anew")
+	_, err = a.client.Status(testContext(t), "b")
+	g.Expect(err).NotTo(gomega.HaveOccurred(), "a removed link is made again")
 }
--- a/modules/peer/relay_test.go
+++ b/modules/peer/relay_test.go
@@ -10,16 +10,16 @@
 	"github.com/onsi/gomega"
 )
 
-// relay passes TCP connections on to a target and can make them silent: open,
-// but nothing goes through any more in either direction.
+// relay forwards TCP connections to a target and can stall them: they stay open,
+// but no more bytes pass in either direction.
 type relay struct {
 	listener net.Listener
 	target   string
-	cut      atomic.Bool // connections that are opened from now on are silent
+	stallNew atomic.Bool // new connections are stalled from the start
 	opened   atomic.Int64
 
 	mu    sync.Mutex
-	muted []*atomic.Bool // of each connection
+	muted []*atomic.Bool // one for each connection
 	conns []net.Conn
 }
 
@@ -47,25 +47,25 @@
 			continue
 		}
 		muted := &atomic.Bool{}
-		muted.Store(r.cut.Load())
+		muted.Store(r.stallNew.Load())
 		r.mu.Lock()
 		r.muted = append(r.muted, muted)
 		r.conns = append(r.conns, in, out)
 		r.mu.Unlock()
-		go pass(in, out, muted)
-		go pass(out, in, muted)
+		go copyConn(in, out, muted)
+		go copyConn(out, in, muted)
 	}
 }
 
-// pass copies from one connection to the other until either ends; while muted
-// it reads and drops.
-func pass(from, to net.Conn, muted *atomic.Bool) {
+// copyConn copies from one connection to the other until either ends; while
+// muted is set it discards the bytes that it reads.
+func copyConn(from, to net.Conn, muted *atomic.Bool) {
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
 		if muted.Load() {
 			if err != nil {
-				return // and the other side is never told
+				return // the other side gets no close
 			}
 			continue
 		}
@@ -82,8 +82,8 @@
 	}
 }
 
-// silence makes the connections that are open now silent for good.
-func (r *relay) silence() {
+// stall stalls all open connections permanently.
+func (r *relay) stall() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, muted := range r.muted {
--- a/modules/peer/seeds.go
+++ b/modules/peer/seeds.go
@@ -8,24 +8,24 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Intervals of asking seed addresses who they are.
+// Intervals between Status calls to seed addresses.
 const (
 	seedRetryEvery   = time.Second
 	seedRefreshEvery = 30 * time.Second
 )
 
-// seedDuty asks each seed address for its node ID until all are known, and
-// again now and then since another node may have taken an address over.
-type seedDuty struct {
+// seedResolver requests the node ID of each seed address until all are known, and
+// periodically after that, because another node may have taken over an address.
+type seedResolver struct {
 	client    *client
 	addresses []string
 }
 
-// run ends with ctx.
-func (d *seedDuty) run(ctx context.Context) {
+// run resolves the seeds until ctx ends.
+func (r *seedResolver) run(ctx context.Context) {
 	for {
 		wait := seedRefreshEvery
-		if !d.askAll(ctx) {
+		if !r.resolveAll(ctx) {
 			wait = seedRetryEvery
 		}
 		select {
@@ -36,28 +36,28 @@
 	}
 }
 
-// askAll asks every seed and reports whether all have answered.
-func (d *seedDuty) askAll(ctx context.Context) bool {
-	answers := make(chan bool, len(d.addresses))
-	for _, address := range d.addresses {
-		go func() { answers <- d.ask(ctx, address) }()
+// resolveAll calls every seed and reports whether all have responded.
+func (r *seedResolver) resolveAll(ctx context.Context) bool {
+	answers := make(chan bool, len(r.addresses))
+	for _, address := range r.addresses {
+		go func() { answers <- r.resolve(ctx, address) }()
 	}
 	all := true
-	for range d.addresses {
+	for range r.addresses {
 		all = <-answers && all
 	}
 	return all
 }
 
-func (d *seedDuty) ask(ctx context.Context, address string) bool {
-	status, err := d.client.status(ctx, target{address: address, kind: core.KindStatus})
+func (r *seedResolver) resolve(ctx context.Context, address string) bool {
+	status, err := r.client.status(ctx, target{address: address, kind: core.KindStatus})
 	if err != nil {
 		return false
 	}
 	id := topo.NodeID(status.Sender.GetNode())
-	if d.client.directory.learnt()[address] != id && id != d.client.directory.self.Node {
-		eventSeedResolved.Log(d.client.logger, "address", address, "peer", id)
-		d.client.directory.learn(id, address)
+	if r.client.directory.resolvedSeeds()[address] != id && id != r.client.directory.self.Node {
+		eventSeedResolved.Log(r.client.logger, "address", address, "peer", id)
+		r.client.directory.addSeed(id, address)
 	}
 	return true
 }
--- a/modules/peer/service.go
+++ b/modules/peer/service.go
@@ -15,7 +15,7 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// service answers peers' calls with the handlers that modules set.
+// service serves calls of peers with the handlers that modules set.
 type service struct {
 	sender   *bspb.Sender
 	handlers *core.Handlers
@@ -24,7 +24,7 @@
 
 var _ bspbconnect.PeerServiceHandler = (*service)(nil)
 
-// admit refuses, before a message is read, a call meant for another node.
+// admit refuses a call addressed to another node before its message is read.
 func (s *service) admit(ctx context.Context, _ connect.Spec, from connect.Peer, header http.Header) (context.Context, error) {
 	to := header.Get(headerTo)
 	if to == "" || to == s.sender.Node {
@@ -35,7 +35,7 @@
 	return nil, connect.NewError(connect.CodeFailedPrecondition, wrong)
 }
 
-// refuse turns a handler's error into the protocol's.
+// refuse converts an error of a handler to an error of the protocol.
 func (s *service) refuse(kind core.Kind, err error) error {
 	switch {
 	case errors.Is(err, context.DeadlineExceeded):
@@ -135,8 +135,8 @@
 	return connect.NewResponse(answer), nil
 }
 
-// Status implements the generated handler. It answers without a handler too,
-// since an answer at all is what liveness asks for.
+// Status implements the generated handler. It also responds without a handler,
+// because any response proves liveness.
 func (s *service) Status(ctx context.Context, _ *connect.Request[bspb.StatusRequest]) (*connect.Response[bspb.StatusResponse], error) {
 	metricServed.Add(string(core.KindStatus), 1)
 	answer := &bspb.StatusResponse{}
--- a/modules/peer/socket.go
+++ b/modules/peer/socket.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// socket counts the bytes of one TCP connection below any TLS, and remembers
-// when it last received some.
+// socket counts the bytes of one TCP connection below any TLS, and records the
+// time of the latest received byte.
 type socket struct {
 	net.Conn
 	lastRead atomic.Int64 // nanoseconds since epoch
 	epoch    time.Time
-	// counts is nil on an accepted connection until its first request tells
-	// the kind of call; bytes until then are kept in early*.
+	// counts is nil on an accepted connection until its first request shows the
+	// kind of call; earlySent and earlyReceived count the bytes until then.
 	counts        atomic.Pointer[kindTraffic]
 	earlySent     atomic.Int64
 	earlyReceived atomic.Int64
-	// verified is one more than the generation of certificates by which the
-	// client's was last accepted; 0 before the first request.
+	// verified is one more than the generation of certificates against which the
+	// client's certificate was last accepted; 0 before the first request.
 	verified atomic.Uint64
 }
 
@@ -55,7 +55,7 @@
 	early.Add(n)
 }
 
-// tag tells the kind of call that an accepted connection carries.
+// tag sets the kind of call that an accepted connection carries.
 func (s *socket) tag(counts *kindTraffic) {
 	if !s.counts.CompareAndSwap(nil, counts) {
 		return
@@ -64,7 +64,7 @@
 	counts.addReceived(s.earlyReceived.Swap(0))
 }
 
-// readSince reports whether bytes arrived after a moment.
+// readSince reports whether bytes arrived after the given time.
 func (s *socket) readSince(moment time.Time) bool {
 	return s.epoch.Add(time.Duration(s.lastRead.Load())).After(moment)
 }
@@ -81,7 +81,7 @@
 	return newSocket(conn, nil), nil
 }
 
-// socketOf finds the socket under a connection, or nil.
+// socketOf returns the socket below a connection, or nil if there is none.
 func socketOf(conn net.Conn) *socket {
 	type layered interface{ NetConn() net.Conn }
 	if upper, ok := conn.(layered); ok {
