--- a/modules/serverhttp/attempt.go
+++ b/modules/serverhttp/attempt.go
@@ -13,38 +13,38 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// attempt is one request on one connection. It proves whether a byte of it was
-// sent, and gives the connection up when that makes no progress.
+// attempt is one request on one connection. It tracks whether a byte of the
+// request may have been sent, and closes the connection if it makes no progress.
 type attempt struct {
-	server      topo.ServerID
-	silentAfter time.Duration
-	ctx         context.Context
-	cancel      context.CancelFunc
-	progress    *progress
-	silent      atomic.Bool
-	reused      atomic.Bool
+	server       topo.ServerID
+	stallTimeout time.Duration
+	ctx          context.Context
+	cancel       context.CancelFunc
+	progress     *progress
+	stalled      atomic.Bool
+	reused       atomic.Bool
 
 	mu     sync.Mutex
 	conn   *trackedConn
-	sent   bool // a byte may have left
-	sealed bool // no byte may leave any more
+	sent   bool // a byte may have been sent
+	sealed bool // no further byte may be sent
 	ended  bool
 }
 
-// newAttempt starts an attempt that must be ended by end.
-func newAttempt(ctx context.Context, server topo.ServerID, silentAfter time.Duration) *attempt {
-	a := &attempt{server: server, silentAfter: silentAfter}
+// newAttempt starts an attempt; the caller must call end.
+func newAttempt(ctx context.Context, server topo.ServerID, stallTimeout time.Duration) *attempt {
+	a := &attempt{server: server, stallTimeout: stallTimeout}
 	ctx, a.cancel = context.WithCancel(ctx)
 	a.ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: a.gotConn,
-		// Any number of interim responses may come.
+		// The number of interim responses is not limited.
 		Got1xxResponse: func(int, textproto.MIMEHeader) error { return nil },
 	})
-	a.progress = watch(silentAfter, a.onSilent)
+	a.progress = watchProgress(stallTimeout, a.onStalled)
 	return a
 }
 
-// gotConn ties a connection to the attempt.
+// gotConn binds a connection to the attempt.
 func (a *attempt) gotConn(info httptrace.GotConnInfo) {
 	conn, is := info.Conn.(*trackedConn)
 	if !is {
@@ -58,16 +58,16 @@
 	a.progress.touch()
 }
 
-func (a *attempt) onSilent() {
-	a.silent.Store(true)
-	metricSilent.Add(1)
+func (a *attempt) onStalled() {
+	a.stalled.Store(true)
+	metricStalled.Add(1)
 	a.cancel()
-	a.throwAway()
+	a.discard()
 }
 
-// throwAway closes the attempt's connection, unless another attempt uses it by
-// now.
-func (a *attempt) throwAway() {
+// discard closes the attempt's connection, unless another attempt has taken it
+// over.
+func (a *attempt) discard() {
 	a.mu.Lock()
 	conn := a.conn
 	a.mu.Unlock()
@@ -76,8 +76,8 @@
 	}
 }
 
-// beginWrite is called before bytes are handed to the system; false when none
-// may leave any more. first is true for the first bytes.
+// beginWrite is called before bytes are written to the socket. allowed is false
+// after seal; first is true for the first bytes of the request.
 func (a *attempt) beginWrite() (first, allowed bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -89,15 +89,16 @@
 	return first, true
 }
 
-// undoWrite takes a first write back that handed over nothing.
+// undoWrite reverts beginWrite for a first write of which the kernel accepted
+// no byte.
 func (a *attempt) undoWrite() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.sent = false
 }
 
-// seal lets no further byte of the request leave, and tells whether one may
-// have left.
+// seal prevents further bytes of the request from being sent, and reports
+// whether one may have been sent before.
 func (a *attempt) seal() (sent bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -105,8 +106,8 @@
 	return a.sent
 }
 
-// end gives back what the attempt holds. It may be called more than once, and
-// reports whether this was the first time.
+// end releases the resources of the attempt. It may be called more than once,
+// and reports whether this was the first call.
 func (a *attempt) end() bool {
 	a.mu.Lock()
 	first := !a.ended
@@ -119,14 +120,14 @@
 	return first
 }
 
-// failure ends the sending and describes why there is no answer, or no whole
-// one.
+// failure seals the attempt and returns the error for a missing or incomplete
+// response.
 func (a *attempt) failure(cause error) *backend.AttemptError {
 	sent := a.seal()
-	a.throwAway()
-	silent := a.silent.Load()
-	if silent {
-		cause = &SilentError{After: a.silentAfter}
+	a.discard()
+	stalled := a.stalled.Load()
+	if stalled {
+		cause = &SilentError{After: a.stallTimeout}
 	}
-	return &backend.AttemptError{Server: a.server, Sent: sent, Silent: silent, Cause: cause}
+	return &backend.AttemptError{Server: a.server, Sent: sent, Silent: stalled, Cause: cause}
 }
--- a/modules/serverhttp/body.go
+++ b/modules/serverhttp/body.go
@@ -5,17 +5,17 @@
 	"sync"
 )
 
-// requestBody hands the caller's body to the transport. It is never NoBody and
-// cannot be read again, so that net/http never resends a request: it does so,
-// without asking, for requests without a body and for those with an
-// Idempotency-Key whose body can be read again.
+// requestBody passes the caller's body to the transport. It is never NoBody and
+// cannot be rewound, so that net/http never resends a request. net/http silently
+// resends requests without a body, and requests with an Idempotency-Key whose
+// body can be rewound.
 type requestBody struct {
-	inner    io.Reader // nil for an empty body
+	inner    io.Reader // nil if the body is empty
 	progress *progress
 }
 
-// Read implements io.Reader. While it waits for the caller's bytes, the server
-// is not judged.
+// Read implements io.Reader. The progress timeout of the server is suspended
+// while it waits for the caller's bytes.
 func (b *requestBody) Read(p []byte) (int, error) {
 	if b.inner == nil {
 		return 0, io.EOF
@@ -28,18 +28,19 @@
 // Close implements io.Closer.
 func (*requestBody) Close() error { return nil }
 
-// answerBody is an answer's body. An error from Read means that the answer is
-// not whole.
-type answerBody struct {
+// responseBody is the body of a response. An error from Read means that the
+// response is incomplete.
+type responseBody struct {
 	inner   io.ReadCloser
 	attempt *attempt
-	done    func() // gives back what the attempt holds
+	done    func() // releases the resources of the attempt
 	once    sync.Once
-	err     error // sticky, so that a failed answer never looks whole later
+	err     error // sticky, so that a failed response never looks complete later
 }
 
-// Read implements io.Reader. The server is judged only while bytes are wanted.
-func (b *answerBody) Read(p []byte) (int, error) {
+// Read implements io.Reader. The progress timeout of the server runs only
+// during a call of Read.
+func (b *responseBody) Read(p []byte) (int, error) {
 	if b.err != nil {
 		return 0, b.err
 	}
@@ -57,7 +58,7 @@
 }
 
 // Close implements io.Closer.
-func (b *answerBody) Close() error {
+func (b *responseBody) Close() error {
 	var err error
 	b.once.Do(func() {
 		err = b.inner.Close()
--- a/modules/serverhttp/budget.go
+++ b/modules/serverhttp/budget.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// budget keeps the connections for requests to one server within this
-// process's share. An attempt first takes a place, and opens a connection only
-// within the share too; idle connections make way for new ones.
+// budget limits the connections for requests to one server to this process's
+// share. An attempt first acquires a slot; the connections that attempts open
+// are limited to the share too, and idle connections are closed to make room.
 type budget struct {
 	closeIdle func() // asks the pool to close its idle connections
 
 	mu      sync.Mutex
 	limit   int
-	places  int // attempts under way
-	open    int // connections
+	slots   int // attempts in flight
+	open    int // open connections
 	changed chan struct{}
 }
 
-// closeIdleEvery is how often a wait for a place among the connections asks the
-// pool again: a connection becomes idle a moment after its attempt ended.
+// closeIdleEvery is the interval at which a wait for a connection slot closes
+// idle connections again: a connection becomes idle shortly after its attempt ended.
 const closeIdleEvery = 2 * time.Millisecond
 
 func newBudget(closeIdle func()) *budget {
 	return &budget{closeIdle: closeIdle, changed: make(chan struct{})}
 }
 
-// setLimit changes the share. When it falls below the connections open now, the
-// idle ones are closed.
+// setLimit changes the share. If it falls below the number of open connections,
+// idle connections are closed.
 func (b *budget) setLimit(limit int) {
 	b.mu.Lock()
 	tooMany := limit < b.limit && b.open > limit
@@ -42,32 +42,33 @@
 	}
 }
 
-// signal wakes all waits. b.mu is held.
+// signal wakes all waiters; the caller holds b.mu.
 func (b *budget) signal() {
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
 
-// takePlace waits for a place of an attempt; false when ctx ended before.
-func (b *budget) takePlace(ctx context.Context) bool {
+// acquireSlot waits for the slot of an attempt; it returns false if ctx ends first.
+func (b *budget) acquireSlot(ctx context.Context) bool {
 	return b.wait(ctx, nil, func() bool {
-		if b.places >= b.limit {
+		if b.slots >= b.limit {
 			return false
 		}
-		b.places++
+		b.slots++
 		return true
 	})
 }
 
-func (b *budget) givePlace() {
+func (b *budget) releaseSlot() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.places--
+	b.slots--
 	b.signal()
 }
 
-// openConn waits for a place of a connection; false when ctx ended before.
-func (b *budget) openConn(ctx context.Context) bool {
+// acquireConn waits for the slot of a connection; it returns false if ctx ends
+// first.
+func (b *budget) acquireConn(ctx context.Context) bool {
 	return b.wait(ctx, b.closeIdle, func() bool {
 		if b.open >= b.limit {
 			return false
@@ -77,7 +78,7 @@
 	})
 }
 
-func (b *budget) closedConn() {
+func (b *budget) releaseConn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.open--
@@ -85,7 +86,7 @@
 }
 
 // wait calls take, with b.mu held, until it succeeds or ctx ends; between calls
-// it asks for room, if that is not nil.
+// it calls makeRoom unless that is nil.
 func (b *budget) wait(ctx context.Context, makeRoom func(), take func() bool) bool {
 	for {
 		b.mu.Lock()
@@ -108,9 +109,9 @@
 	}
 }
 
-// read returns the present numbers.
-func (b *budget) read() (limit, places, open int) {
+// read returns the current limit and counts.
+func (b *budget) read() (limit, slots, open int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.limit, b.places, b.open
+	return b.limit, b.slots, b.open
 }
--- a/modules/serverhttp/budget_test.go
+++ b/modules/serverhttp/budget_test.go
@@ -11,7 +11,7 @@
 	"github.com/onsi/gomega"
 )
 
-func TestBudgetGivesOutNoMoreThanItsLimit(t *testing.T) {
+func TestBudgetGrantsNoMoreThanItsLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		b := newBudget(func() {})
@@ -21,7 +21,7 @@
 		var wait sync.WaitGroup
 		for i := range 20 {
 			wait.Go(func() {
-				if !b.takePlace(t.Context()) {
+				if !b.acquireSlot(t.Context()) {
 					return
 				}
 				mu.Lock()
@@ -33,14 +33,14 @@
 				mu.Lock()
 				using--
 				mu.Unlock()
-				b.givePlace()
+				b.releaseSlot()
 			})
 		}
 		wait.Wait()
 		g.Expect(served).To(gomega.Equal(20))
 		g.Expect(peak).To(gomega.Equal(3))
-		limit, places, open := b.read()
-		g.Expect([]int{limit, places, open}).To(gomega.Equal([]int{3, 0, 0}))
+		limit, slots, open := b.read()
+		g.Expect([]int{limit, slots, open}).To(gomega.Equal([]int{3, 0, 0}))
 	})
 }
 
@@ -49,31 +49,31 @@
 		g := gomega.NewWithT(t)
 		b := newBudget(func() {})
 		b.setLimit(1)
-		g.Expect(b.takePlace(t.Context())).To(gomega.BeTrue())
+		g.Expect(b.acquireSlot(t.Context())).To(gomega.BeTrue())
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		g.Expect(b.takePlace(ctx)).To(gomega.BeFalse())
-		_, places, _ := b.read()
-		g.Expect(places).To(gomega.Equal(1))
+		g.Expect(b.acquireSlot(ctx)).To(gomega.BeFalse())
+		_, slots, _ := b.read()
+		g.Expect(slots).To(gomega.Equal(1))
 	})
 }
 
-// TestIdleConnectionsMakeWay: a connection becomes idle only some time after
-// the wait for its place began, and must be found all the same.
-func TestIdleConnectionsMakeWay(t *testing.T) {
+// TestConnectionIdledDuringWaitIsClosed: a connection that becomes idle only
+// after the wait for its slot began must still be closed to make room.
+func TestConnectionIdledDuringWaitIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		var b *budget
 		var idle atomic.Bool
 		b = newBudget(func() {
 			if idle.CompareAndSwap(true, false) {
-				b.closedConn()
+				b.releaseConn()
 			}
 		})
 		b.setLimit(1)
-		g.Expect(b.openConn(t.Context())).To(gomega.BeTrue())
+		g.Expect(b.acquireConn(t.Context())).To(gomega.BeTrue())
 		time.AfterFunc(10*time.Millisecond, func() { idle.Store(true) })
-		g.Expect(b.openConn(t.Context())).To(gomega.BeTrue())
+		g.Expect(b.acquireConn(t.Context())).To(gomega.BeTrue())
 		_, _, open := b.read()
 		g.Expect(open).To(gomega.Equal(1))
 	})
@@ -84,8 +84,8 @@
 	asked := 0
 	b := newBudget(func() { asked++ })
 	b.setLimit(2)
-	g.Expect(b.openConn(t.Context())).To(gomega.BeTrue())
-	g.Expect(b.openConn(t.Context())).To(gomega.BeTrue())
+	g.Expect(b.acquireConn(t.Context())).To(gomega.BeTrue())
+	g.Expect(b.acquireConn(t.Context())).To(gomega.BeTrue())
 	b.setLimit(2)
 	g.Expect(asked).To(gomega.BeZero())
 	b.setLimit(1)
--- a/modules/serverhttp/conn.go
+++ b/modules/serverhttp/conn.go
@@ -6,7 +6,8 @@
 	"sync/atomic"
 )
 
-// trackedConn is a connection that tells the attempt that uses it what moved.
+// trackedConn is a connection that reports reads and writes to the attempt that
+// uses it.
 type trackedConn struct {
 	net.Conn
 	onClose func()
@@ -19,7 +20,7 @@
 func (c *trackedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		c.moved()
+		c.touchUser()
 	}
 	if c.control {
 		metricControlReceived.Add(int64(n))
@@ -27,8 +28,8 @@
 	return n, err
 }
 
-// Write implements net.Conn. The attempt counts as sent before the first byte
-// is handed to the system, and as not sent again only if the system took none.
+// Write implements net.Conn. The attempt is marked as sent before the first byte
+// is written, and is unmarked only if the kernel accepted no byte.
 func (c *trackedConn) Write(p []byte) (int, error) {
 	user := c.user.Load()
 	if user == nil {
@@ -51,7 +52,7 @@
 	return n, err
 }
 
-func (c *trackedConn) moved() {
+func (c *trackedConn) touchUser() {
 	if user := c.user.Load(); user != nil {
 		user.progress.touch()
 	}
--- a/modules/serverhttp/control.go
+++ b/modules/serverhttp/control.go
@@ -12,7 +12,7 @@
 	"github.com/burdockspindle/burdockspindle/serverapi"
 )
 
-// maxReplyBytes bounds a server's reply to its lessor.
+// maxReplyBytes limits the size of a server's reply to its lessor.
 const maxReplyBytes = 4 << 20
 
 // Lease implements backend.Driver.
@@ -25,9 +25,9 @@
 	return d.control(ctx, to, serverapi.PathAcknowledge, req)
 }
 
-// control makes a lessor's call. These calls may be repeated: when one fails or
-// stays unanswered on a connection that was used before, it is made once more
-// on a new one, so that a silent connection is not taken for a silent server.
+// control makes a lessor's call. These calls are idempotent: if one fails or gets
+// no response on a reused connection, it is retried once on a new connection, so
+// that a stalled connection is not mistaken for an unresponsive server.
 func (d *Driver) control(ctx context.Context, to backend.Target, path string, req any) (serverapi.LeaseReply, error) {
 	metricControlCalls.Add(1)
 	body, err := json.Marshal(req)
@@ -49,8 +49,8 @@
 	return reply, nil
 }
 
-// controlOnce makes a call on one connection and tells whether that had been
-// used before.
+// controlOnce makes a call on one connection and reports whether the connection
+// was reused.
 func (e *endpoint) controlOnce(ctx context.Context, transport *http.Transport, path string, body []byte) (reply serverapi.LeaseReply, reused bool, err error) {
 	a := newAttempt(ctx, e.target.ID, controlLimit(ctx, e.options.ControlSilentAfter))
 	defer a.end()
@@ -58,7 +58,7 @@
 	if err != nil {
 		return reply, false, &RequestError{Cause: err}
 	}
-	request.GetBody = nil // net/http must not resend by itself
+	request.GetBody = nil // net/http must not resend the request
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set(serverapi.HeaderServer, string(e.target.ID))
 	response, err := transport.RoundTrip(request)
@@ -73,7 +73,8 @@
 	return reply, a.reused.Load(), nil
 }
 
-// controlLimit leaves half of the time there is for a second connection.
+// controlLimit caps limit at half of the time left before the deadline of ctx, so
+// that the other half remains for a second connection.
 func controlLimit(ctx context.Context, limit time.Duration) time.Duration {
 	if deadline, has := ctx.Deadline(); has {
 		limit = min(limit, time.Until(deadline)/2)
@@ -81,7 +82,7 @@
 	return max(limit, time.Millisecond)
 }
 
-// readReply reads a whole reply; a refusal is a reply too.
+// readReply reads a complete reply; a refusal is also a reply.
 func readReply(response *http.Response) (serverapi.LeaseReply, error) {
 	var reply serverapi.LeaseReply
 	switch response.StatusCode {
@@ -102,7 +103,7 @@
 	return reply, checkReply(response.StatusCode, reply)
 }
 
-// checkReply makes sure that a reply says what its status says.
+// checkReply verifies that a reply agrees with its status.
 func checkReply(status int, reply serverapi.LeaseReply) error {
 	refused := status != http.StatusOK
 	if refused != (reply.Refused != "") || reply.Boot == "" || reply.Stamp < 0 {
--- a/modules/serverhttp/do.go
+++ b/modules/serverhttp/do.go
@@ -23,7 +23,7 @@
 		return nil, notSent(to, &ShareError{Server: to.ID})
 	}
 	ctx, cancel := withDeadline(ctx, req.Deadline)
-	if !e.takePlace(ctx) {
+	if !e.acquireSlot(ctx) {
 		cancel()
 		metricNoShare.Add(1)
 		return nil, notSent(to, &ShareError{Server: to.ID, Share: limit})
@@ -32,13 +32,13 @@
 	done := func() {
 		if a.end() {
 			cancel()
-			e.budget.givePlace()
+			e.budget.releaseSlot()
 		}
 	}
 	if !d.options.ExpectProgress {
-		a.progress.hold() // a slow run cannot be told from silence
+		a.progress.hold() // a slow request is indistinguishable from a stalled connection
 	}
-	response, err := e.roundTrip(a, req) //nolint:bodyclose // the receiver of the answer closes it
+	response, err := e.roundTrip(a, req) //nolint:bodyclose // the receiver of the response closes it
 	if err != nil {
 		failure := a.failure(err)
 		done()
@@ -46,14 +46,14 @@
 		return nil, failure
 	}
 	if d.options.ExpectProgress {
-		a.progress.hold() // until the receiver wants to read
+		a.progress.hold() // until the receiver reads the body
 	}
 	return &backend.Response{
 		Status:  response.StatusCode,
 		Outcome: outcomeOf(response.Header),
 		Reason:  serverapi.Reason(response.Header.Get(serverapi.HeaderReason)),
 		Header:  response.Header,
-		Body:    &answerBody{inner: response.Body, attempt: a, done: done},
+		Body:    &responseBody{inner: response.Body, attempt: a, done: done},
 	}, nil
 }
 
@@ -70,12 +70,11 @@
 	}
 }
 
-// takePlace waits for a place in the share, for as long as a connection may
-// take to open.
-func (e *endpoint) takePlace(ctx context.Context) bool {
+// acquireSlot waits for a slot in the share, for at most the connect timeout.
+func (e *endpoint) acquireSlot(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, e.options.ConnectTimeout)
 	defer cancel()
-	return e.budget.takePlace(ctx)
+	return e.budget.acquireSlot(ctx)
 }
 
 func withDeadline(ctx context.Context, deadline time.Time) (context.Context, context.CancelFunc) {
@@ -85,7 +84,7 @@
 	return context.WithDeadline(ctx, deadline)
 }
 
-// roundTrip sends a request and returns an answer that is its own.
+// roundTrip sends a request and returns a response that carries its ID.
 func (e *endpoint) roundTrip(a *attempt, req backend.Request) (*http.Response, error) {
 	request, err := e.request(a, req)
 	if err != nil {
@@ -99,18 +98,18 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := checkAnswer(response, req); err != nil {
+	if err := checkResponse(response, req); err != nil {
 		metricWrongAnswers.Add(1)
-		a.throwAway()
+		a.discard()
 		_ = response.Body.Close()
 		return nil, err
 	}
 	return response, nil
 }
 
-// checkAnswer makes sure that an answer is the request's, and that its end can
-// be told.
-func checkAnswer(response *http.Response, req backend.Request) error {
+// checkResponse verifies that a response belongs to the request, and that its end
+// is detectable.
+func checkResponse(response *http.Response, req backend.Request) error {
 	got := response.Header.Get(serverapi.HeaderRequestID)
 	if got != req.RequestID || got == "" {
 		return &WrongAnswerError{Want: req.RequestID, Got: got}
@@ -121,7 +120,7 @@
 	return nil
 }
 
-// outcomeOf reads the outcome; one that is not known is taken for unknown.
+// outcomeOf reads the outcome; an unrecognized value is treated as unknown.
 func outcomeOf(header http.Header) serverapi.Outcome {
 	switch outcome := serverapi.Outcome(header.Get(serverapi.HeaderOutcome)); outcome {
 	case "":
@@ -132,7 +131,7 @@
 	return serverapi.OutcomeUnknown
 }
 
-// request writes a caller's request as the server's HTTP request.
+// request converts a caller's request to the HTTP request for the server.
 func (e *endpoint) request(a *attempt, req backend.Request) (*http.Request, error) {
 	if !req.Deadline.IsZero() && time.Until(req.Deadline) <= 0 {
 		return nil, &DeadlineError{}
@@ -157,7 +156,7 @@
 func (e *endpoint) setBody(request *http.Request, a *attempt, req backend.Request) {
 	if req.Body == nil || req.ContentLength == 0 {
 		if !req.Idempotent {
-			request.Body = http.NoBody // a new connection: net/http never resends
+			request.Body = http.NoBody // sent on a new connection, where net/http never resends
 			return
 		}
 		request.Body = &requestBody{progress: a.progress}
@@ -167,12 +166,12 @@
 	request.ContentLength = req.ContentLength
 }
 
-// header returns the caller's headers without those that are between two
-// neighbours only or that the protocol sets.
+// header returns the caller's headers without hop-by-hop headers and without
+// those that the protocol sets.
 func (e *endpoint) header(req backend.Request) http.Header {
 	header := http.Header{}
 	for name, values := range req.Header {
-		if passesOn(name) {
+		if isForwarded(name) {
 			header[name] = values
 		}
 	}
@@ -206,14 +205,14 @@
 	return header
 }
 
-// setTimes tells the server how long it has, and how often to report progress.
+// setTimes sets the headers for the remaining time and the progress interval.
 func (e *endpoint) setTimes(header http.Header, deadline time.Time) {
 	if !deadline.IsZero() {
 		left := max(1, time.Until(deadline).Milliseconds())
 		header.Set(serverapi.HeaderDeadlineMs, strconv.FormatInt(left, 10))
 	}
 	if e.options.ExpectProgress {
-		every := max(1, (e.options.SilentAfter / progressParts).Milliseconds())
+		every := max(1, (e.options.SilentAfter / progressReportsPerTimeout).Milliseconds())
 		header.Set(serverapi.HeaderProgressMs, strconv.FormatInt(every, 10))
 	}
 }
--- a/modules/serverhttp/driver.go
+++ b/modules/serverhttp/driver.go
@@ -1,9 +1,9 @@
 // Package serverhttp is the module servers.http: the driver by which entry
 // nodes reach backend servers with plain net/http.
 //
-// It never resends a request. An answer is passed on only if it carries its
-// request's ID; on any doubt the connection is thrown away. docs/design/
-// server-connections.md tells why it works the way it does.
+// It never resends a request. A response is passed on only if it carries the ID
+// of its request; in any uncertain case the connection is closed.
+// docs/design/server-connections.md gives the reasons for this design.
 package serverhttp
 
 import (
@@ -35,7 +35,7 @@
 	}
 }
 
-// endpoint returns the server's endpoint at its present address.
+// endpoint returns the server's endpoint at its current address.
 func (d *Driver) endpoint(to backend.Target) *endpoint {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -72,7 +72,7 @@
 	}
 }
 
-// EndpointDump is one server in the state dump.
+// EndpointDump is the state of one server's endpoint in the state dump.
 type EndpointDump struct {
 	Server      topo.ServerID `json:"server"`
 	Address     string        `json:"address"`
--- a/modules/serverhttp/endpoint.go
+++ b/modules/serverhttp/endpoint.go
@@ -10,14 +10,14 @@
 )
 
 // endpoint is one server at one address: a pool of connections for idempotent
-// requests, new connections for the rest, and connections of its own for the
-// lessor's calls.
+// requests, a new connection for each other request, and separate connections
+// for the lessor's calls.
 type endpoint struct {
 	target  backend.Target
 	options Options
 	budget  *budget
 	pooled  *http.Transport
-	single  *http.Transport // every connection carries one request
+	single  *http.Transport // each connection carries one request
 
 	mu      sync.Mutex
 	control *http.Transport
@@ -35,8 +35,8 @@
 
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// transport returns a plain net/http transport: no proxy, no compression, no
-// HTTP/2, no limits of its own on connections.
+// transport returns a net/http transport without proxy, compression, HTTP/2 or
+// connection limits.
 func (e *endpoint) transport(dial dialFunc) *http.Transport {
 	return &http.Transport{
 		DialContext:            dial,
@@ -47,24 +47,24 @@
 	}
 }
 
-// maxIdle is above any share, so that the budget alone decides.
+// maxIdle exceeds any share, so that only the budget limits connections.
 const maxIdle = 1 << 16
 
 func (e *endpoint) dialRequest(ctx context.Context, network, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, e.options.ConnectTimeout)
 	defer cancel()
-	if !e.budget.openConn(ctx) {
+	if !e.budget.acquireConn(ctx) {
 		limit, _, _ := e.budget.read()
 		return nil, &ShareError{Server: e.target.ID, Share: limit}
 	}
 	inner, err := e.options.Dial(ctx, network, address)
 	if err != nil {
-		e.budget.closedConn()
+		e.budget.releaseConn()
 		metricDialFailures.Add(1)
 		return nil, &DialError{Cause: err}
 	}
 	metricOpened.Add(1)
-	return &trackedConn{Conn: inner, onClose: e.budget.closedConn}, nil
+	return &trackedConn{Conn: inner, onClose: e.budget.releaseConn}, nil
 }
 
 func (e *endpoint) dialControl(ctx context.Context, network, address string) (net.Conn, error) {
@@ -86,8 +86,8 @@
 	return e.control
 }
 
-// renewControl gives up the connections of a transport that failed, if it is
-// still the one in use, and returns the one to use.
+// renewControl replaces a failed transport if it is still in use, closes its idle
+// connections, and returns the transport to use.
 func (e *endpoint) renewControl(failed *http.Transport) *http.Transport {
 	e.mu.Lock()
 	if e.control == failed {
--- a/modules/serverhttp/errors.go
+++ b/modules/serverhttp/errors.go
@@ -7,7 +7,7 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// OptionError reports an option that cannot be used.
+// OptionError reports an invalid option.
 type OptionError struct {
 	Name    string
 	Problem string
@@ -16,14 +16,14 @@
 // Error implements error.
 func (e *OptionError) Error() string { return "servers.http: option " + e.Name + ": " + e.Problem }
 
-// SilentError reports a connection that made no progress for too long.
+// SilentError reports a connection that made no progress within the timeout After.
 type SilentError struct{ After time.Duration }
 
 // Error implements error.
 func (e *SilentError) Error() string { return "no progress for " + e.After.String() }
 
-// WrongAnswerError reports an answer that does not carry its request's ID. It
-// may belong to somebody else and is never passed on.
+// WrongAnswerError reports a response that does not carry its request's ID. It
+// may belong to another caller's request and is never passed on.
 type WrongAnswerError struct {
 	Want string
 	Got  string
@@ -34,8 +34,8 @@
 	return "answer carries request ID " + strconv.Quote(e.Got) + " and not " + strconv.Quote(e.Want)
 }
 
-// UnboundedAnswerError reports an answer that would end with its connection, so
-// that nobody could tell whether it is whole.
+// UnboundedAnswerError reports a response that would end with its connection, so
+// that an incomplete response is undetectable.
 type UnboundedAnswerError struct{ Status int }
 
 // Error implements error.
@@ -43,29 +43,29 @@
 	return "answer " + strconv.Itoa(e.Status) + " has neither a length nor chunks"
 }
 
-// ProtocolError reports an answer that breaks the protocol of package
+// ProtocolError reports a response that violates the protocol of package
 // serverapi.
 type ProtocolError struct{ Problem string }
 
 // Error implements error.
 func (e *ProtocolError) Error() string { return "protocol broken: " + e.Problem }
 
-// OtherServerError reports that another server has the address now. The one that was
-// meant has not answered.
+// OtherServerError reports that another server now has the address. The intended
+// server has not responded.
 type OtherServerError struct{}
 
 // Error implements error.
 func (*OtherServerError) Error() string { return "the address is another server's" }
 
-// StatusError reports a lease or acknowledge call that was answered with
-// another status than the protocol's.
+// StatusError reports a lease or acknowledge call that was answered with a status
+// that the protocol does not define.
 type StatusError struct{ Status int }
 
 // Error implements error.
 func (e *StatusError) Error() string { return "answered with status " + strconv.Itoa(e.Status) }
 
-// ShareError reports that every connection of this process's share of a server
-// is in use, or that it has no share.
+// ShareError reports that all connections of this process's share of a server
+// are in use, or that it has no share.
 type ShareError struct {
 	Server topo.ServerID
 	Share  int
@@ -79,7 +79,7 @@
 // LocalLimit implements backend.LocalError.
 func (e *ShareError) LocalLimit() {}
 
-// DeadlineError reports a request whose deadline passed before it was sent.
+// DeadlineError reports a request that was not sent because its deadline had passed.
 type DeadlineError struct{}
 
 // Error implements error.
--- a/modules/serverhttp/fuzz_test.go
+++ b/modules/serverhttp/fuzz_test.go
@@ -9,8 +9,8 @@
 	"github.com/burdockspindle/burdockspindle/serverapi"
 )
 
-// FuzzReadReply: whatever a server sends as a reply is taken only if status and
-// body agree.
+// FuzzReadReply checks that a reply is accepted only if its status and body
+// agree.
 func FuzzReadReply(f *testing.F) {
 	f.Add(200, []byte(`{"boot":"b","stamp":1,"highestTerm":"3.0"}`))
 	f.Add(409, []byte(`{"refused":"stale-term","boot":"b","stamp":1}`))
@@ -28,12 +28,12 @@
 			t.Fatalf("status %d with refusal %q", status, reply.Refused)
 		}
 		if reply.Boot == "" || reply.Stamp < 0 {
-			t.Fatalf("taken: %+v", reply)
+			t.Fatalf("accepted invalid reply: %+v", reply)
 		}
 	})
 }
 
-// FuzzHeaderNames: no header that a caller sends forges one of the protocol's.
+// FuzzHeaderNames checks that no header of a caller forges a header of the protocol.
 func FuzzHeaderNames(f *testing.F) {
 	f.Add("Burdockspindle-Fence")
 	f.Add("burdockspindle-fence")
@@ -42,13 +42,13 @@
 	f.Add("connection")
 	f.Add("X-Caller")
 	f.Fuzz(func(t *testing.T, name string) {
-		if !passesOn(name) {
+		if !isForwarded(name) {
 			return
 		}
 		canonical := http.CanonicalHeaderKey(name)
 		for _, own := range []string{serverapi.HeaderFence, serverapi.HeaderTerm, serverapi.HeaderIdempotencyKey, serverapi.HeaderRequestID} {
 			if canonical == own {
-				t.Fatalf("%q passes as %s", name, own)
+				t.Fatalf("%q is forwarded as %s", name, own)
 			}
 		}
 	})
--- a/modules/serverhttp/header.go
+++ b/modules/serverhttp/header.go
@@ -10,12 +10,12 @@
 const (
 	headerUserAgent  = "User-Agent"
 	headerConnection = "Connection"
-	// protocolPrefix of the headers that only entry nodes and servers set.
+	// protocolPrefix is the prefix of headers that only entry nodes and servers set.
 	protocolPrefix = "Burdockspindle-"
 )
 
-// neighbourHeaders concern one connection and are never passed on.
-var neighbourHeaders = map[string]bool{
+// hopByHopHeaders concern a single connection and are never forwarded.
+var hopByHopHeaders = map[string]bool{
 	"Connection":          true,
 	"Content-Length":      true,
 	"Expect":              true,
@@ -30,10 +30,10 @@
 	"Upgrade":             true,
 }
 
-// passesOn reports whether a caller's header goes to the server.
-func passesOn(name string) bool {
+// isForwarded reports whether a caller's header is forwarded to the server.
+func isForwarded(name string) bool {
 	canonical := http.CanonicalHeaderKey(name)
-	if neighbourHeaders[canonical] || canonical == serverapi.HeaderIdempotencyKey {
+	if hopByHopHeaders[canonical] || canonical == serverapi.HeaderIdempotencyKey {
 		return false
 	}
 	return !strings.HasPrefix(canonical, protocolPrefix)
--- a/modules/serverhttp/metrics.go
+++ b/modules/serverhttp/metrics.go
@@ -9,7 +9,7 @@
 	metricNotSent         = metricGroup.Counter("attempts_not_sent")
 	metricNoAnswer        = metricGroup.Counter("attempts_without_answer")
 	metricNoShare         = metricGroup.Counter("attempts_without_share")
-	metricSilent          = metricGroup.Counter("silent_connections")
+	metricStalled         = metricGroup.Counter("silent_connections")
 	metricWrongAnswers    = metricGroup.Counter("wrong_answers")
 	metricTruncated       = metricGroup.Counter("truncated_answers")
 	metricOpened          = metricGroup.Counter("connections_opened")
--- a/modules/serverhttp/module.go
+++ b/modules/serverhttp/module.go
@@ -44,8 +44,8 @@
 	return kernel.Provide[backend.Driver](ctx, m.driver)
 }
 
-// Validate implements kernel.Validator. The state.Source is looked up here
-// because its module is provisioned later.
+// Validate implements kernel.Validator. It looks up the state.Source because
+// that module is provisioned after this one.
 func (m *Module) Validate() error {
 	source, err := kernel.Use[state.Source](m.ctx)
 	m.source = source
--- a/modules/serverhttp/options.go
+++ b/modules/serverhttp/options.go
@@ -8,35 +8,34 @@
 	"github.com/burdockspindle/burdockspindle/settings"
 )
 
-// Options of the driver, as durations and switches.
+// Options configures the driver.
 type Options struct {
-	// ConnectTimeout bounds the opening of one connection, and the wait for a
-	// connection's place in the share.
+	// ConnectTimeout limits the time for opening one connection, and the wait for
+	// a slot in the share.
 	ConnectTimeout time.Duration
-	// SilentAfter is how long a connection may make no progress, while the
-	// server is the one to make it.
+	// SilentAfter is the time after which a connection without progress is treated
+	// as stalled. It runs only while the next progress is due from the server.
 	SilentAfter time.Duration
-	// ControlSilentAfter is how long a renewal or acknowledgement may stay
-	// unanswered on a connection that was used before, until a new connection
-	// is tried.
+	// ControlSilentAfter is the timeout of a renewal or acknowledgement on a reused
+	// connection, after which a new connection is tried.
 	ControlSilentAfter time.Duration
-	// IdleAfter closes connections that carried nothing for so long. Servers
-	// must keep idle connections longer.
+	// IdleAfter is the idle time after which a connection is closed. Servers must
+	// keep idle connections longer.
 	IdleAfter time.Duration
-	// ExpectProgress asks servers for 102 (Processing) responses while a
-	// request is being run, and takes their absence for silence. Without it a
-	// connection is judged silent only while an answer's body is read from it.
+	// ExpectProgress requests 102 (Processing) responses from servers while a
+	// request runs; without them the connection is treated as stalled. If it is
+	// false, a connection can stall only while a response body is read from it.
 	ExpectProgress bool
-	// MaxHeaderBytes bounds an answer's header.
+	// MaxHeaderBytes limits the size of a response's header.
 	MaxHeaderBytes int64
-	// Share returns how many connections for requests this process may have
-	// open to a server; 0 for none at all.
+	// Share returns the maximum number of connections for requests that this
+	// process may have open to a server; 0 means none.
 	Share func(backend.Target) int
-	// Dial opens connections; by default over the network.
+	// Dial opens connections; the default is a net.Dialer.
 	Dial backend.Dial
 }
 
-// Defaults of the options that the settings do not give.
+// Defaults of options that are not set.
 const (
 	defaultConnectTimeout     = 250 * time.Millisecond
 	defaultSilentAfter        = 2 * time.Second
@@ -45,9 +44,9 @@
 	defaultMaxHeaderBytes     = 64 << 10
 )
 
-// progressParts is how many times the server reports progress within
-// SilentAfter, so that one late report is not taken for silence.
-const progressParts = 4
+// progressReportsPerTimeout is the number of progress reports of a server within SilentAfter,
+// so that one late report does not make the connection appear stalled.
+const progressReportsPerTimeout = 4
 
 // Names of the driver's options in the settings, under "servers".
 const (
@@ -56,7 +55,7 @@
 	optionExpectProgress     = "expectProgress"       // default true
 )
 
-// OptionsFrom reads the settings. Share is left out.
+// OptionsFrom returns the options from the settings; Share is not set.
 func OptionsFrom(s *settings.Settings) (Options, error) {
 	options := Options{
 		ConnectTimeout: s.Limits.ConnectTimeout,
@@ -98,7 +97,7 @@
 	return nil
 }
 
-// withDefaults fills in what is not set.
+// withDefaults returns the options with defaults for those that are not set.
 func (o Options) withDefaults() Options {
 	setDefault(&o.ConnectTimeout, defaultConnectTimeout)
 	setDefault(&o.SilentAfter, defaultSilentAfter)
--- a/modules/serverhttp/progress.go
+++ b/modules/serverhttp/progress.go
@@ -5,51 +5,52 @@
 	"time"
 )
 
-// progress watches whether an attempt moves on. It judges only the server:
-// while the caller is the one to send or to read, it is held.
+// progress detects an attempt without progress. It applies only to the server: it
+// is suspended while the next progress is due from the caller.
 type progress struct {
-	limit    time.Duration
-	onSilent func()
+	limit     time.Duration
+	onStalled func()
 
-	mu    sync.Mutex
-	last  time.Time
-	holds int
-	ended bool
-	timer *time.Timer
+	mu           sync.Mutex
+	lastProgress time.Time
+	holds        int
+	ended        bool
+	timer        *time.Timer
 }
 
-// watch starts to watch; onSilent is called once, when nothing moved for limit.
-func watch(limit time.Duration, onSilent func()) *progress {
-	p := &progress{limit: limit, onSilent: onSilent, last: time.Now()}
+// watchProgress starts the detection; onStalled is called at most once, after limit passed
+// without progress.
+func watchProgress(limit time.Duration, onStalled func()) *progress {
+	p := &progress{limit: limit, onStalled: onStalled, lastProgress: time.Now()}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.timer = time.AfterFunc(limit, p.check)
 	return p
 }
 
-// touch notes that bytes moved.
+// touch records that bytes were read or written.
 func (p *progress) touch() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.last = time.Now()
+	p.lastProgress = time.Now()
 }
 
-// hold stops the judging until release.
+// hold suspends the detection until release; holds nest.
 func (p *progress) hold() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.holds++
 }
 
-// release ends one hold; the wait starts anew.
+// release ends one hold and restarts the limit.
 func (p *progress) release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.holds--
-	p.last = time.Now()
+	p.lastProgress = time.Now()
 }
 
-// end stops the watch.
+// end stops the detection.
 func (p *progress) end() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,20 +59,20 @@
 }
 
 func (p *progress) check() {
-	if p.silent() {
-		p.onSilent()
+	if p.stalled() {
+		p.onStalled()
 	}
 }
 
-// silent reports whether the limit has passed, and otherwise looks again when
-// it may have.
-func (p *progress) silent() bool {
+// stalled reports whether the limit has passed without progress, and otherwise
+// schedules the next check for the earliest time at which it may have.
+func (p *progress) stalled() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.ended {
 		return false
 	}
-	left := p.limit - time.Since(p.last)
+	left := p.limit - time.Since(p.lastProgress)
 	if p.holds > 0 {
 		left = p.limit
 	}
--- a/modules/serverhttp/progress_test.go
+++ b/modules/serverhttp/progress_test.go
@@ -8,10 +8,10 @@
 	"github.com/onsi/gomega"
 )
 
-func TestProgressFindsSilenceAfterTheLimit(t *testing.T) {
+func TestProgressDetectsStallAfterLimit(t *testing.T) {
 	cases := map[string]struct {
 		act  func(p *progress)
-		want time.Duration // when silence is found, within 10 s; 0 for never
+		want time.Duration // time of detection, within 10 s; 0 for never
 	}{
 		"nothing moves": {func(*progress) {}, time.Second},
 		"bytes move once": {func(p *progress) {
@@ -19,7 +19,7 @@
 			p.touch()
 		}, 1700 * time.Millisecond},
 		"held": {func(p *progress) { p.hold() }, 0},
-		"held for a while": {func(p *progress) {
+		"held for 3 seconds": {func(p *progress) {
 			p.hold()
 			time.Sleep(3 * time.Second)
 			p.release()
@@ -37,7 +37,7 @@
 				g := gomega.NewWithT(t)
 				start := time.Now()
 				var found []time.Duration
-				p := watch(time.Second, func() { found = append(found, time.Since(start)) })
+				p := watchProgress(time.Second, func() { found = append(found, time.Since(start)) })
 				c.act(p)
 				time.Sleep(10 * time.Second)
 				p.end()
--- a/modules/serverhttp/share.go
+++ b/modules/serverhttp/share.go
@@ -9,30 +9,32 @@
 )
 
 const (
-	// controlReserve is kept free at every server for the lessor's own calls:
-	// two lessors, one renewal and one acknowledgement each.
+	// controlReserve is the number of connections reserved at every server for the
+	// calls of lessors: two lessors, one renewal and one acknowledgement each.
 	controlReserve = 4
-	// perPlace is how many connections a lessor may have for each request that
-	// a server runs at once: the others carry bodies that are still on their
-	// way, or are being closed.
-	perPlace = 4
-	// directConnections is how many connections a node has to the servers whose
-	// lessor it is not, for use while that lessor cannot be reached.
+	// connectionsPerSlot is the number of connections that a lessor may have for
+	// each request that a server runs concurrently: the additional connections
+	// carry bodies still in flight, or are being closed.
+	connectionsPerSlot = 4
+	// directConnections is the number of connections of a node to a server of
+	// another lessor, for use while that lessor is unreachable.
 	directConnections = 1
-	// unlimitedShare is a lessor's share where the site configuration names
-	// neither a connection limit nor a concurrency limit.
+	// unlimitedShare is a lessor's share if the site configuration has neither a
+	// connection limit nor a concurrency limit.
 	unlimitedShare = 64
 )
 
-// ConnectionShare returns how many connections for requests a node may have open
-// to a server, so that all nodes together stay within the server's limit.
+// ConnectionShare returns the maximum number of connections for requests that a
+// node may have open to a server, so that all nodes together stay within the
+// server's limit.
 //
-// The lessor of the server's group is its admission point and gets nearly all;
-// so does the standby lessor, which goes on in the lessor's place while the log
-// is away. Each of the two has at most half, since the connections of the one
-// may still be open when the other begins. Of the other nodes, as many as half
-// of the limit has room for may have one connection each, chosen by a hash of
-// node and server, so that the number of nodes has no bearing on the server.
+// The lessor of the server's group is its admission point and gets most of the
+// limit; so does the standby lessor, which takes over from the lessor while the
+// log is unavailable. Each of the two gets at most half, because connections of
+// the lessor may still be open when the standby lessor starts. Other nodes have
+// one connection each, as many nodes as half of the limit allows; a hash of node
+// and server selects them, so that the load on the server does not depend on the
+// number of nodes.
 func ConnectionShare(view *state.View, self topo.NodeID, server topo.ServerID) int {
 	target, exists := view.Server(server)
 	if !exists {
@@ -54,8 +56,8 @@
 	return 0
 }
 
-// usableConnections returns a server's limit without what is kept for control
-// calls.
+// usableConnections returns a server's limit less the connections reserved for
+// control calls.
 func usableConnections(service *siteconfig.Service) int {
 	limit := service.ConnectionsPerServer
 	if limit <= 0 {
@@ -67,21 +69,21 @@
 func lessorShare(service *siteconfig.Service, left int) int {
 	share := left / 2
 	if service.ConcurrencyPerServer > 0 {
-		share = min(share, perPlace*service.ConcurrencyPerServer)
+		share = min(share, connectionsPerSlot*service.ConcurrencyPerServer)
 	}
 	return max(1, share)
 }
 
-// rankOf returns a node's place among those that are neither the lessor nor the
-// standby lessor, in the order of a hash of node and server.
+// rankOf returns a node's rank among the nodes that are neither the lessor nor
+// the standby lessor, in the order of a hash of node and server.
 func rankOf(view *state.View, self topo.NodeID, group state.Group, server topo.ServerID) int {
-	own := placeHash(self, server)
+	own := rankHash(self, server)
 	rank := 0
 	for id := range view.Nodes() {
 		if id == self || id == group.Lessor || id == group.Standby {
 			continue
 		}
-		hash := placeHash(id, server)
+		hash := rankHash(id, server)
 		if hash < own || (hash == own && id < self) {
 			rank++
 		}
@@ -89,6 +91,6 @@
 	return rank
 }
 
-func placeHash(node topo.NodeID, server topo.ServerID) uint64 {
+func rankHash(node topo.NodeID, server topo.ServerID) uint64 {
 	return xxhash.Sum64String(string(node) + "\x00" + string(server))
 }
--- a/modules/serverhttp/share_test.go
+++ b/modules/serverhttp/share_test.go
@@ -35,8 +35,8 @@
 	return restored.View()
 }
 
-// TestSharesOfAllNodesStayWithinTheServersLimit adds up what every node may
-// have open, with the lessor and the standby lessor both using theirs.
+// TestSharesOfAllNodesStayWithinTheServersLimit adds up the shares of all nodes,
+// with the lessor and the standby lessor both using theirs.
 func TestSharesOfAllNodesStayWithinTheServersLimit(t *testing.T) {
 	for _, connections := range []int{4, 6, 10, 100, 130} {
 		for _, nodes := range []int{2, 3, 12, 60, 660} {
@@ -59,9 +59,9 @@
 	}
 }
 
-// TestDeputiesHaveConnectionsForTheirPlaces: those that may send past the lessor
-// can.
-func TestDeputiesHaveConnectionsForTheirPlaces(t *testing.T) {
+// TestDeputiesHaveConnectionsForTheirSlots checks that the share of each node that
+// may bypass the lessor covers its slots.
+func TestDeputiesHaveConnectionsForTheirSlots(t *testing.T) {
 	for _, connections := range []int{4, 6, 10, 100, 130} {
 		for _, nodes := range []int{2, 3, 12, 60, 660} {
 			view := viewOf(t, nodes, uint32(connections), 4)
--- a/modules/serverhttp/standin_test.go
+++ b/modules/serverhttp/standin_test.go
@@ -66,7 +66,7 @@
 	return req
 }
 
-func TestDriverSpeaksToTheStandInServer(t *testing.T) {
+func TestDriverWorksWithStandInServer(t *testing.T) {
 	g := gomega.NewWithT(t)
 	driver := NewDriver(Options{Share: func(backend.Target) int { return 4 }}, nil)
 	t.Cleanup(driver.Close)
@@ -94,7 +94,7 @@
 	g.Expect(s.Stats().Committed).To(gomega.Equal(uint64(3)))
 }
 
-func TestDeadlineAndCancellationReachTheServer(t *testing.T) {
+func TestCancellationReachesTheServer(t *testing.T) {
 	g := gomega.NewWithT(t)
 	driver := NewDriver(Options{Share: func(backend.Target) int { return 4 }}, nil)
 	t.Cleanup(driver.Close)
@@ -115,10 +115,10 @@
 	g.Eventually(func() int { return s.Stats().InFlight }, "10s").Should(gomega.Equal(0))
 }
 
-// TestSilentConnectionsAreReplaced makes every open connection silent, in each
+// TestStalledConnectionsAreReplaced stalls every open connection, in each
 // direction: the lessor's next call is answered over a new connection, the
-// pooled request is given up as silent, and the next one is answered.
-func TestSilentConnectionsAreReplaced(t *testing.T) {
+// pooled request fails as stalled, and the next request is answered.
+func TestStalledConnectionsAreReplaced(t *testing.T) {
 	for _, direction := range []server.Direction{server.DirectionIn, server.DirectionOut, server.DirectionBoth} {
 		t.Run(string(direction), func(t *testing.T) {
 			g := gomega.NewWithT(t)
@@ -150,8 +150,9 @@
 	}
 }
 
-// TestSlowRunIsNotSilence: the stand-in server reports progress.
-func TestSlowRunIsNotSilence(t *testing.T) {
+// TestSlowRequestWithProgressIsNotStalled: the stand-in server reports progress
+// during a request that runs longer than the driver's stall timeout.
+func TestSlowRequestWithProgressIsNotStalled(t *testing.T) {
 	g := gomega.NewWithT(t)
 	driver := NewDriver(Options{SilentAfter: time.Second, ExpectProgress: true, Share: func(backend.Target) int { return 4 }}, nil)
 	t.Cleanup(driver.Close)
@@ -163,9 +164,9 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 }
 
-// TestWithoutProgressOnlyDeadlinesEndSlowRuns: servers that cannot report
-// progress are not taken for silent.
-func TestWithoutProgressOnlyDeadlinesEndSlowRuns(t *testing.T) {
+// TestWithoutProgressOnlyDeadlinesEndSlowRequests: connections to servers that
+// cannot report progress must not be treated as stalled.
+func TestWithoutProgressOnlyDeadlinesEndSlowRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	driver := NewDriver(Options{SilentAfter: 50 * time.Millisecond, Share: func(backend.Target) int { return 4 }}, nil)
 	t.Cleanup(driver.Close)
