--- a/modules/frontend/drain.go
+++ b/modules/frontend/drain.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// drainRetryAfter is when a caller that was refused by a draining node may come
-// back: the balancer has then sent it to another one.
+// drainRetryAfter is the delay after which a caller refused by a draining node may
+// retry: by then the balancer routes it to another node.
 const drainRetryAfter = time.Second
 
-// Phases of a front end, in order.
+// phase is a phase of a front end; phases only advance.
 type phase int
 
 const (
-	phaseServing  phase = iota // healthy
-	phaseAnnounce              // health endpoint fails, requests are still served
-	phaseRefusing              // new requests are refused
+	phaseServing   phase = iota // healthy
+	phaseUnhealthy              // health endpoint fails, requests are still served
+	phaseRefusing               // new requests are refused
 )
 
-// drainState counts requests in flight and holds the phase.
+// drainState tracks the phase and the number of requests in flight.
 type drainState struct {
 	mu       sync.Mutex
 	phase    phase
@@ -31,7 +31,7 @@
 	return &drainState{idle: make(chan struct{})}
 }
 
-// enter counts a request in; it is false when new requests are refused.
+// enter counts a new request; it returns false if new requests are refused.
 func (d *drainState) enter() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -75,14 +75,14 @@
 	return d.phase == phaseServing
 }
 
-func (d *drainState) count() int {
+func (d *drainState) inFlightCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.inFlight
 }
 
-// waitIdle blocks until no request is in flight; it returns the context's
-// error when that ends first.
+// waitIdle blocks until new requests are refused and none is in flight; it returns
+// the error of ctx if ctx ends first.
 func (d *drainState) waitIdle(ctx context.Context) error {
 	select {
 	case <-d.idle:
--- a/modules/frontend/drain_test.go
+++ b/modules/frontend/drain_test.go
@@ -13,9 +13,10 @@
 	"github.com/burdockspindle/burdockspindle/settings"
 )
 
-// TestDrainAnnouncesFirst: for the drain delay the health endpoint fails and
-// requests are still taken; the drain ends when the last in flight has.
-func TestDrainAnnouncesFirst(t *testing.T) {
+// TestDrainFailsHealthBeforeRefusing: during the drain delay the health endpoint
+// fails and requests are still accepted; the drain ends after the last request in
+// flight.
+func TestDrainFailsHealthBeforeRefusing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		limits := settings.DefaultLimits()
@@ -27,7 +28,7 @@
 		go func() { ended <- m.Drain(context.Background()) }()
 		time.Sleep(2900 * time.Millisecond)
 		g.Expect(drain.healthy()).To(gomega.BeFalse())
-		g.Expect(drain.enter()).To(gomega.BeTrue(), "the balancer has not noticed yet")
+		g.Expect(drain.enter()).To(gomega.BeTrue(), "the balancer may not have seen the failed health check yet")
 		time.Sleep(200 * time.Millisecond)
 		g.Expect(drain.enter()).To(gomega.BeFalse())
 		drain.leave()
@@ -38,7 +39,7 @@
 	})
 }
 
-func TestDrainGivesUpWithItsContext(t *testing.T) {
+func TestDrainEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		m := &Module{settings: &settings.Settings{}, handler: &handler{drain: newDrainState()}}
@@ -49,9 +50,9 @@
 	})
 }
 
-// TestDrainEndsKeptConnections: from the beginning of a drain every answer ends
-// its connection, so that none of those in use is left when the listener closes.
-func TestDrainEndsKeptConnections(t *testing.T) {
+// TestDrainClosesKeepAliveConnections: from the start of a drain every response
+// closes its connection, so that none is in use when the listener closes.
+func TestDrainClosesKeepAliveConnections(t *testing.T) {
 	h := &handler{drain: newDrainState()}
 	connection := func() string {
 		w := httptest.NewRecorder()
@@ -60,7 +61,7 @@
 	}
 	g := gomega.NewWithT(t)
 	g.Expect(connection()).To(gomega.BeEmpty())
-	for _, phase := range []phase{phaseAnnounce, phaseRefusing} {
+	for _, phase := range []phase{phaseUnhealthy, phaseRefusing} {
 		h.drain.advance(phase)
 		g.Expect(connection()).To(gomega.Equal("close"), "phase %d", phase)
 	}
--- a/modules/frontend/handler.go
+++ b/modules/frontend/handler.go
@@ -16,38 +16,39 @@
 	"github.com/burdockspindle/burdockspindle/serverapi"
 )
 
-// bufferBytes is how much of a request body is read before the first attempt,
-// so that the request can be sent again.
+// bufferBytes is the size of the prefix of a request body that is read before the
+// first attempt, so that the request can be resent.
 const bufferBytes = 64 << 10
 
-// idBase keeps request IDs short.
+// idBase is the number base of request IDs; 36 keeps them short.
 const idBase = 36
 
-// handler turns HTTP requests of callers into exchange requests.
+// handler converts HTTP requests of callers to exchange requests.
 type handler struct {
 	next     exchange.Handler
-	idPrefix string // names this run of the node
+	idPrefix string // identifies this incarnation of the node
 	sequence atomic.Uint64
 	drain    *drainState
 	logger   hclog.Logger
 }
 
-// nextID names a request: by the run of the node and a sequence, so that it can
-// be found in logs, and a random part, so that it cannot be guessed.
+// nextID returns a request ID. It consists of the node's incarnation and a
+// sequence number, so that it can be found in logs, and a random part, so that it
+// cannot be guessed.
 func (h *handler) nextID() string {
 	id := h.idPrefix + strconv.FormatUint(h.sequence.Add(1), idBase)
 	return id + "-" + strconv.FormatUint(rand.Uint64(), idBase)
 }
 
-// serve answers everything below callerapi.PathServices.
+// serve handles all requests but those to the health endpoint.
 func (h *handler) serve(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	_ = http.NewResponseController(w).EnableFullDuplex()
 	id := h.nextID()
 	metricRequests.Add(1)
 	if !h.drain.healthy() {
-		// The caller's next request goes to another node, so that connections in
-		// use are gone before the listener closes.
+		// Closing the connection sends the caller's next request to another node,
+		// so that no connection is in use when the listener closes.
 		w.Header().Set("Connection", "close")
 	}
 	if !h.drain.enter() {
@@ -140,7 +141,7 @@
 	writeTicket(w, id, ticket)
 }
 
-// reasonOf finds what is wrong with a request that could not be parsed.
+// reasonOf returns the refusal reason for a request that could not be parsed.
 func reasonOf(err error) serverapi.Reason {
 	var path *callerapi.PathError
 	if errors.As(err, &path) {
--- a/modules/frontend/latency_test.go
+++ b/modules/frontend/latency_test.go
@@ -22,9 +22,10 @@
 )
 
 // BenchmarkAddedLatency sends the same request directly to a server, through
-// the entry node that is its admission point, and through one that forwards to
-// that node, over loopback and in turn, so that all see the same machine. It
-// reports the median of each and what the two ways add to it.
+// the entry node that is its admission point, and through an entry node that
+// forwards to that node. The routes alternate over loopback, so that all run under
+// the same conditions. It reports the median and the 99th percentile of each
+// route, and the median latency that each of the two indirect routes adds.
 func BenchmarkAddedLatency(b *testing.B) {
 	g := gomega.NewWithT(b)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -46,7 +47,7 @@
 	site.Lead(group, "lessor", rt.Boot)
 	site.AssignAll(service.Name, "s1")
 	path := callerapi.KeyedPath(service.Name, "borehole-7", "log")
-	ways := []struct {
+	routes := []struct {
 		name string
 		url  string
 	}{
@@ -54,25 +55,25 @@
 		{"local", "http://" + localAddress + path},
 		{"forwarded", "http://" + remoteAddress + path},
 	}
-	taken := make([][]time.Duration, len(ways))
-	time.Sleep(1100 * time.Millisecond) // the server's ramp, not measured
+	latencies := make([][]time.Duration, len(routes))
+	time.Sleep(1100 * time.Millisecond) // exclude the server's warm-up
 	for b.Loop() {
-		for i, way := range ways {
+		for i, route := range routes {
 			begun := time.Now()
-			response, err := client.Get(way.url)
+			response, err := client.Get(route.url)
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			_, err = io.Copy(io.Discard, response.Body)
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			_ = response.Body.Close()
-			taken[i] = append(taken[i], time.Since(begun))
+			latencies[i] = append(latencies[i], time.Since(begun))
 		}
 	}
 	medians := map[string]float64{}
-	for i, way := range ways {
-		slices.Sort(taken[i])
-		medians[way.name] = float64(taken[i][len(taken[i])/2].Microseconds())
-		b.ReportMetric(medians[way.name], way.name+"-µs")
-		b.ReportMetric(float64(taken[i][len(taken[i])*99/100].Microseconds()), way.name+"-p99-µs")
+	for i, route := range routes {
+		slices.Sort(latencies[i])
+		medians[route.name] = float64(latencies[i][len(latencies[i])/2].Microseconds())
+		b.ReportMetric(medians[route.name], route.name+"-µs")
+		b.ReportMetric(float64(latencies[i][len(latencies[i])*99/100].Microseconds()), route.name+"-p99-µs")
 	}
 	b.ReportMetric(medians["local"]-medians["direct"], "local-adds-µs")
 	b.ReportMetric(medians["forwarded"]-medians["direct"], "forwarded-adds-µs")
--- a/modules/frontend/metrics.go
+++ b/modules/frontend/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/burdockspindle/burdockspindle/metrics"
 
-// Metrics of all front ends of this process.
+// Metrics of all front ends in this process, under "frontend".
 var (
 	metricGroup     = metrics.New("frontend")
 	metricRequests  = metricGroup.Counter("requests")
--- a/modules/frontend/module.go
+++ b/modules/frontend/module.go
@@ -1,6 +1,6 @@
 // Package frontend is the module "frontend.http": the HTTP listener for
-// callers. It parses requests, hands them to the router and writes the answers;
-// docs/CALLERS.md is its interface.
+// callers. It parses requests, passes them to the router and writes the
+// responses; docs/CALLERS.md specifies its interface.
 package frontend
 
 import (
@@ -28,7 +28,7 @@
 	idleTimeout       = 2 * time.Minute
 )
 
-// Listen opens the callers' listener. A process whose callers do not come by
+// Listen opens the callers' listener. A process whose callers do not connect over
 // TCP provides its own.
 type Listen func(network, address string) (net.Listener, error)
 
@@ -40,7 +40,7 @@
 	listen   Listen
 	server   *http.Server
 	listener net.Listener
-	served   chan struct{} // closed when the server's goroutine ended
+	served   chan struct{} // closed when the server's goroutine has ended
 }
 
 // ModuleInfo implements kernel.Module.
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// buildRoutes sets up iris. The tree of services is parsed by this package from
-// the escaped path, since keys may hold any bytes.
+// buildRoutes sets up iris. This package parses the paths of services itself from
+// the escaped path, because keys may contain any bytes.
 func buildRoutes(h *handler) (http.Handler, error) {
 	app := iris.New()
 	app.Logger().SetLevel("disable")
@@ -106,8 +106,8 @@
 	return app, nil
 }
 
-// health answers the platform's balancer: 200 while new callers are welcome,
-// 503 from the beginning of a drain.
+// health serves the health checks of the platform's balancer: 200 while new
+// callers are accepted, 503 from the start of a drain.
 func (h *handler) health(w http.ResponseWriter, _ *http.Request) {
 	if h.drain.healthy() {
 		writeText(w, http.StatusOK, "ok\n")
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// secure prepares TLS if the settings name certificates.
+// secure configures TLS if the settings name certificates.
 func (m *Module) secure() error {
 	if m.settings.Frontend.TLS == nil {
 		return nil
@@ -173,21 +173,21 @@
 	return kernel.RoleFrontend, m.listener.Addr().String()
 }
 
-// Drain implements kernel.Drainer: the health endpoint fails for the drain
-// delay while requests are still served, then new ones are refused and those
-// in flight are waited for. The listener stays open until Stop.
+// Drain implements kernel.Drainer: for the drain delay the health endpoint fails
+// while requests are still served. Drain then refuses new requests and waits for
+// those in flight. The listener stays open until Stop.
 func (m *Module) Drain(ctx context.Context) error {
 	drain := m.handler.drain
-	drain.advance(phaseAnnounce)
-	eventDraining.Log(m.logger, "in_flight", drain.count())
+	drain.advance(phaseUnhealthy)
+	eventDraining.Log(m.logger, "in_flight", drain.inFlightCount())
 	select {
 	case <-time.After(m.settings.Limits.DrainDelay):
 	case <-ctx.Done():
 	}
 	drain.advance(phaseRefusing)
-	eventRefusing.Log(m.logger, "in_flight", drain.count())
+	eventRefusing.Log(m.logger, "in_flight", drain.inFlightCount())
 	if err := drain.waitIdle(ctx); err != nil {
-		eventDrainTimeout.Log(m.logger, "in_flight", drain.count())
+		eventDrainTimeout.Log(m.logger, "in_flight", drain.inFlightCount())
 		return err
 	}
 	eventDrained.Log(m.logger)
@@ -206,8 +206,8 @@
 	return nil
 }
 
-// Kill closes the listener and cuts off what is in flight, as the loss of the VM
-// would. Tests and the demo use it.
+// Kill closes the listener and aborts the requests in flight, as the loss of the
+// VM would. Tests and the demo use it.
 func (m *Module) Kill() {
 	_ = m.server.Close()
 	<-m.served
@@ -220,5 +220,5 @@
 		Address  string `json:"address"`
 		Healthy  bool   `json:"healthy"`
 		InFlight int    `json:"inFlight"`
-	}{address, m.handler.drain.healthy(), m.handler.drain.count()}
+	}{address, m.handler.drain.healthy(), m.handler.drain.inFlightCount()}
 }
--- a/modules/frontend/refusals_test.go
+++ b/modules/frontend/refusals_test.go
@@ -29,31 +29,31 @@
 	reason  serverapi.Reason
 }
 
-// bringAbout makes a node refuse a request in one way.
-type bringAbout func(t *testing.T) reply
+// trigger makes a node refuse a request for one reason.
+type trigger func(t *testing.T) reply
 
-// plain is a request to the usual bench.
-func plain(method, path string, headers ...string) bringAbout {
+// plain sends a request to a default harness.
+func plain(method, path string, headers ...string) trigger {
 	return func(t *testing.T) reply {
-		b, _ := newBench(t, plan{})
-		return b.send(method, path, nil, headers...)
+		h, _ := newHarness(t, harnessOptions{})
+		return h.send(method, path, nil, headers...)
 	}
 }
 
-// served is a request to a bench whose servers all behave in one way.
-func served(behave rt.Behaviour, path string, headers ...string) bringAbout {
+// served sends a request to a harness whose servers all have the same behaviour.
+func served(behave rt.Behaviour, path string, headers ...string) trigger {
 	return func(t *testing.T) reply {
-		b, _ := newBench(t, plan{})
-		b.all(behave)
-		return b.send("POST", path, nil, headers...)
+		h, _ := newHarness(t, harnessOptions{})
+		h.setBehaviour(behave)
+		return h.send("POST", path, nil, headers...)
 	}
 }
 
-// forwarded is a request with a long body to a node whose lessor's node says
-// that it did not run it.
-func forwarded(reason serverapi.Reason) bringAbout {
+// forwarded sends a request with a long body to a node that forwards it to the
+// lessor, which responds that the request did not run.
+func forwarded(reason serverapi.Reason) trigger {
 	return func(t *testing.T) reply {
-		b, other := newBench(t, plan{lessor: "lessor"})
+		h, other := newHarness(t, harnessOptions{lessor: "lessor"})
 		other.Fault(func(w http.ResponseWriter, r *http.Request) {
 			id := regexp.MustCompile(`"id":"([^"]*)"`).FindStringSubmatch(r.Header.Get("Burdockspindle-Forward"))[1]
 			w.Header().Set("Burdockspindle-Forward",
@@ -61,20 +61,20 @@
 			_, _ = r.Body.Read(make([]byte, 150<<10))
 			w.WriteHeader(http.StatusOK)
 		})
-		return b.send("POST", keyPath, long())
+		return h.send("POST", keyPath, longBody())
 	}
 }
 
-// usedUp is a cause that lies with the node itself.
-type usedUp struct{}
+// shareExhausted is an error caused by a limit of the node itself.
+type shareExhausted struct{}
 
-func (usedUp) Error() string { return "share used up" }
-func (usedUp) LocalLimit()   {}
+func (shareExhausted) Error() string { return "share used up" }
+func (shareExhausted) LocalLimit()   {}
 
-var _ backend.LocalError = usedUp{}
+var _ backend.LocalError = shareExhausted{}
 
-// cases brings about every row of the table.
-func cases() map[refusal]bringAbout {
+// cases returns a trigger for every row of the table.
+func cases() map[refusal]trigger {
 	notRun := func(status int, reason serverapi.Reason) refusal {
 		return refusal{status, serverapi.OutcomeNotRun, reason}
 	}
@@ -82,7 +82,7 @@
 		return refusal{status, serverapi.OutcomeUnknown, reason}
 	}
 	soon := []string{callerapi.HeaderDeadlineMs, "300"}
-	return map[refusal]bringAbout{
+	return map[refusal]trigger{
 		notRun(400, callerapi.ReasonMissingKey):       plain("GET", callerapi.UnkeyedPath(logs, "x")),
 		notRun(400, callerapi.ReasonUnexpectedKey):    plain("GET", callerapi.KeyedPath(payments, "k", "x")),
 		notRun(400, callerapi.ReasonBadKey):           plain("GET", callerapi.KeyedPath(logs, strings.Repeat("k", 1025), "x")),
@@ -129,42 +129,43 @@
 }
 
 func badlyChunked(t *testing.T) reply {
-	b, _ := newBench(t, plan{})
-	return b.raw("POST " + keyPath + " HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n")
+	h, _ := newHarness(t, harnessOptions{})
+	return h.raw("POST " + keyPath + " HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n")
 }
 
 func declaredTooLarge(t *testing.T) reply {
-	b, _ := newBench(t, plan{logs: func(s *siteconfig.Service) { s.MaxBodyBytes = 1000 }})
-	got := b.send("POST", keyPath, strings.NewReader(strings.Repeat("x", 1001)))
-	b.Expect(b.driver.Attempts()).To(gomega.BeEmpty())
+	h, _ := newHarness(t, harnessOptions{logs: func(s *siteconfig.Service) { s.MaxBodyBytes = 1000 }})
+	got := h.send("POST", keyPath, strings.NewReader(strings.Repeat("x", 1001)))
+	h.Expect(h.driver.Attempts()).To(gomega.BeEmpty())
 	return got
 }
 
 func undeclaredTooLarge(t *testing.T) reply {
-	b, _ := newBench(t, plan{logs: func(s *siteconfig.Service) { s.MaxBodyBytes = 100 << 10 }})
-	return b.send("POST", keyPath, undeclared(long()))
+	h, _ := newHarness(t, harnessOptions{logs: func(s *siteconfig.Service) { s.MaxBodyBytes = 100 << 10 }})
+	return h.send("POST", keyPath, withoutLength(longBody()))
 }
 
 func brokenOffBody(t *testing.T) reply {
-	b, _ := newBench(t, plan{})
+	h, _ := newHarness(t, harnessOptions{})
 	head := "POST " + keyPath + " HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
-	return b.raw(head + "30D40\r\n" + strings.Repeat("x", 200_000) + "\r\nzz\r\n")
+	return h.raw(head + "30D40\r\n" + strings.Repeat("x", 200_000) + "\r\nzz\r\n")
 }
 
 func ticketRequired(t *testing.T) reply {
-	b, _ := newBench(t, plan{payments: func(s *siteconfig.Service) { s.RequireIdempotencyKey = true }})
-	return b.send("POST", orderPath, nil)
+	h, _ := newHarness(t, harnessOptions{payments: func(s *siteconfig.Service) { s.RequireIdempotencyKey = true }})
+	return h.send("POST", orderPath, nil)
 }
 
-// whileHeld sends requests that hang until one is refused for the reason.
-func (b *bench) whileHeld(want serverapi.Reason) reply {
+// refusedUnderLoad sends requests that hang until one is refused, and checks that
+// the reason is want.
+func (h *harness) refusedUnderLoad(want serverapi.Reason) reply {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	replies := make(chan reply, 100)
 	for range 20 {
 		go func() {
-			request, _ := http.NewRequestWithContext(ctx, "POST", "http://"+b.address+keyPath, nil)
-			response, err := b.client.Do(request)
+			request, _ := http.NewRequestWithContext(ctx, "POST", "http://"+h.address+keyPath, nil)
+			response, err := h.client.Do(request)
 			if err != nil {
 				return
 			}
@@ -173,13 +174,13 @@
 		}()
 	}
 	var got reply
-	b.Eventually(replies, patience).Should(gomega.Receive(&got))
-	b.Expect(got.header.Get(callerapi.HeaderReason)).To(gomega.Equal(string(want)))
-	return b.withFailure(got)
+	h.Eventually(replies, waitTimeout).Should(gomega.Receive(&got))
+	h.Expect(got.header.Get(callerapi.HeaderReason)).To(gomega.Equal(string(want)))
+	return h.withFailure(got)
 }
 
-// withFailure fills in what the JSON body would have said.
-func (b *bench) withFailure(got reply) reply {
+// withFailure sets the fields that the JSON body would have had.
+func (h *harness) withFailure(got reply) reply {
 	got.failure.Outcome = serverapi.Outcome(got.header.Get(callerapi.HeaderOutcome))
 	got.failure.Reason = serverapi.Reason(got.header.Get(callerapi.HeaderReason))
 	got.failure.RequestID = got.header.Get(callerapi.HeaderRequestID)
@@ -188,79 +189,79 @@
 }
 
 func queueFull(t *testing.T) reply {
-	b, _ := newBench(t, plan{limits: func(l *settings.Limits) { l.MaxQueued = 1 }})
-	b.all(rt.Hanging)
-	return b.whileHeld(callerapi.ReasonQueueFull)
+	h, _ := newHarness(t, harnessOptions{limits: func(l *settings.Limits) { l.MaxQueued = 1 }})
+	h.setBehaviour(rt.Hanging)
+	return h.refusedUnderLoad(callerapi.ReasonQueueFull)
 }
 
 func busy(t *testing.T) reply {
-	b, _ := newBench(t, plan{limits: func(l *settings.Limits) { l.MaxInFlight = 1 }})
-	b.all(rt.Hanging)
-	return b.whileHeld(callerapi.ReasonBusy)
+	h, _ := newHarness(t, harnessOptions{limits: func(l *settings.Limits) { l.MaxInFlight = 1 }})
+	h.setBehaviour(rt.Hanging)
+	return h.refusedUnderLoad(callerapi.ReasonBusy)
 }
 
 func bufferFull(t *testing.T) reply {
-	b, _ := newBench(t, plan{limits: func(l *settings.Limits) { l.MaxBuffered = 1 }})
-	b.all(rt.Decline("not-run", serverapi.ReasonNotOwner))
-	return b.whileHeld(callerapi.ReasonBufferFull)
+	h, _ := newHarness(t, harnessOptions{limits: func(l *settings.Limits) { l.MaxBuffered = 1 }})
+	h.setBehaviour(rt.Decline("not-run", serverapi.ReasonNotOwner))
+	return h.refusedUnderLoad(callerapi.ReasonBufferFull)
 }
 
 func noServer(t *testing.T) reply {
-	b, _ := newBench(t, plan{})
-	b.site.Lost("p1")
-	b.site.Lost("p2")
-	return b.send("POST", orderPath, nil, callerapi.HeaderDeadlineMs, "300")
+	h, _ := newHarness(t, harnessOptions{})
+	h.site.Lost("p1")
+	h.site.Lost("p2")
+	return h.send("POST", orderPath, nil, callerapi.HeaderDeadlineMs, "300")
 }
 
 func draining(t *testing.T) reply {
-	b, _ := newBench(t, plan{})
-	b.Expect(b.frontend.Drain(context.Background())).To(gomega.Succeed())
-	return b.send("POST", keyPath, nil)
+	h, _ := newHarness(t, harnessOptions{})
+	h.Expect(h.frontend.Drain(context.Background())).To(gomega.Succeed())
+	return h.send("POST", keyPath, nil)
 }
 
 func dependencyOverloaded(t *testing.T) reply {
-	b, _ := newBench(t, plan{logs: func(s *siteconfig.Service) { s.DependsOn = []topo.Service{payments} }})
+	h, _ := newHarness(t, harnessOptions{logs: func(s *siteconfig.Service) { s.DependsOn = []topo.Service{payments} }})
 	overloaded := rt.Decline("not-run", serverapi.ReasonOverloaded)
-	b.driver.Set("p1", overloaded)
-	b.driver.Set("p2", overloaded)
+	h.driver.Set("p1", overloaded)
+	h.driver.Set("p2", overloaded)
 	// Each request to the dependant makes a call to the dependency, as the
 	// dependant's server would, and each call is refused.
 	served := func() reply {
-		got := b.send("POST", keyPath, nil)
-		b.send("POST", orderPath, nil, callerapi.HeaderHop, "1")
+		got := h.send("POST", keyPath, nil)
+		h.send("POST", orderPath, nil, callerapi.HeaderHop, "1")
 		return got
 	}
 	for range 100 {
 		served()
 	}
 	var got reply
-	b.Eventually(func() serverapi.Reason {
+	h.Eventually(func() serverapi.Reason {
 		got = served()
 		return got.failure.Reason
-	}, patience).Should(gomega.Equal(callerapi.ReasonDependency))
+	}, waitTimeout).Should(gomega.Equal(callerapi.ReasonDependency))
 	return got
 }
 
 func noConnection(context.Context, backend.Request) (*backend.Response, error) {
-	return nil, &backend.AttemptError{Cause: usedUp{}}
+	return nil, &backend.AttemptError{Cause: shareExhausted{}}
 }
 
 func movedUnderLongBody(t *testing.T) reply {
-	b, _ := newBench(t, plan{})
-	b.all(rt.Decline("not-run", serverapi.ReasonNotOwner))
-	return b.send("POST", keyPath, long())
+	h, _ := newHarness(t, harnessOptions{})
+	h.setBehaviour(rt.Decline("not-run", serverapi.ReasonNotOwner))
+	return h.send("POST", keyPath, longBody())
 }
 
 func tooLate(t *testing.T) reply {
-	b, _ := newBench(t, plan{})
-	b.driver.Set("s1", rt.Slow(200*time.Millisecond, rt.Answer(200, "ok")))
+	h, _ := newHarness(t, harnessOptions{})
+	h.driver.Set("s1", rt.Slow(200*time.Millisecond, rt.Answer(200, "ok")))
 	for range 6 {
-		b.send("GET", keyPath, nil)
+		h.send("GET", keyPath, nil)
 	}
-	return b.send("GET", keyPath, nil, callerapi.HeaderDeadlineMs, "20")
+	return h.send("GET", keyPath, nil, callerapi.HeaderDeadlineMs, "20")
 }
 
-// documented reads the table of refusals.
+// documented reads the table of refusals in docs/CALLERS.md.
 func documented(g *gomega.WithT) []refusal {
 	page, err := os.ReadFile("../../docs/CALLERS.md")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -273,7 +274,7 @@
 	return rows
 }
 
-// TestEveryDocumentedRefusal brings each row of docs/CALLERS.md about over HTTP.
+// TestEveryDocumentedRefusal triggers each row of docs/CALLERS.md over HTTP.
 func TestEveryDocumentedRefusal(t *testing.T) {
 	g := gomega.NewWithT(t)
 	rows, byRow := documented(g), cases()
@@ -282,9 +283,9 @@
 		name := strconv.Itoa(row.status) + " " + string(row.outcome) + " " + string(row.reason)
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			bring, exists := byRow[row]
+			trigger, exists := byRow[row]
 			gomega.NewWithT(t).Expect(exists).To(gomega.BeTrue(), "no case for the row")
-			synctest.Test(t, func(t *testing.T) { checkRefusal(t, row, bring(t)) })
+			synctest.Test(t, func(t *testing.T) { checkRefusal(t, row, trigger(t)) })
 		})
 	}
 }
--- a/modules/frontend/write.go
+++ b/modules/frontend/write.go
@@ -13,10 +13,10 @@
 	"github.com/burdockspindle/burdockspindle/outcome"
 )
 
-// copyBytes is the size of the buffer through which answers stream.
+// copyBytes is the size of the buffer for copying response bodies.
 const copyBytes = 32 << 10
 
-// writeVerdict writes an answer that this node gives itself.
+// writeVerdict writes a response that originates at this node.
 func writeVerdict(w http.ResponseWriter, id string, v outcome.Verdict) {
 	writeFailure(w, id, &exchange.Answer{
 		Status:     v.Status(),
@@ -26,8 +26,8 @@
 	})
 }
 
-// writeAnswer writes what the handler decided. It aborts the connection when
-// the server's body ends before it is whole.
+// writeAnswer writes the answer of the exchange handler. It aborts the connection
+// if the server's body is incomplete.
 func (h *handler) writeAnswer(w http.ResponseWriter, r *http.Request, id string, answer *exchange.Answer) {
 	if answer.Body == nil {
 		writeFailure(w, id, answer)
@@ -42,7 +42,7 @@
 		header.Set(callerapi.HeaderReplayed, replayed)
 	}
 	if header["Content-Type"] == nil {
-		header["Content-Type"] = nil // or net/http guesses one
+		header["Content-Type"] = nil // prevents net/http from detecting one
 	}
 	setOutcome(header, id, answer)
 	w.WriteHeader(answer.Status)
@@ -56,9 +56,8 @@
 	}
 }
 
-// stream copies the body and flushes after each read of an answer whose length
-// is not known. It returns an error when the answer did not reach the caller
-// whole.
+// stream copies the body; if its length is unknown, it flushes after each read.
+// It returns an error if the body did not reach the caller completely.
 func stream(w http.ResponseWriter, answer *exchange.Answer) error {
 	controller := http.NewResponseController(w)
 	flush := answer.Header.Get("Content-Length") == ""
@@ -66,8 +65,8 @@
 	for {
 		count, err := answer.Body.Read(buffer)
 		if count > 0 {
-			if _, failed := w.Write(buffer[:count]); failed != nil {
-				return failed
+			if _, writeErr := w.Write(buffer[:count]); writeErr != nil {
+				return writeErr
 			}
 		}
 		if errors.Is(err, io.EOF) {
