--- a/modules/peer/module.go
+++ b/modules/peer/module.go
@@ -25,7 +25,7 @@
 // Defaults for settings that are zero.
 const (
 	defaultConnectTimeout = time.Second
-	defaultSilentAfter    = time.Second
+	defaultCallTimeout    = time.Second
 	defaultSuspectAfter   = 350 * time.Millisecond
 	// stallTimeoutDivisor divides the suspicion time: a stalled connection must be
 	// detected and replaced, and the new one tried, before the peer is suspected.
@@ -95,7 +95,7 @@
 			connectTimeout: orDefault(limits.ConnectTimeout, defaultConnectTimeout),
 			stallTimeout:   stallTimeout,
 		},
-		timeout: orDefault(limits.SilentAfter, defaultSilentAfter),
+		timeout: orDefault(limits.SilentAfter, defaultCallTimeout),
 		links:   map[linkKey]*link{},
 	}
 }
--- a/modules/serverhttp/attempt.go
+++ b/modules/serverhttp/attempt.go
@@ -127,7 +127,7 @@
 	a.discard()
 	stalled := a.stalled.Load()
 	if stalled {
-		cause = &SilentError{After: a.stallTimeout}
+		cause = &StalledError{After: a.stallTimeout}
 	}
 	return &backend.AttemptError{Server: a.server, Sent: sent, Silent: stalled, Cause: cause}
 }
--- a/modules/serverhttp/contract_test.go
+++ b/modules/serverhttp/contract_test.go
@@ -12,11 +12,11 @@
 
 var _ = backendtest.Describe("servers.http", func(t testing.TB, options backendtest.Options) backend.Driver {
 	driver := NewDriver(Options{
-		ConnectTimeout:     options.ConnectTimeout,
-		SilentAfter:        options.SilentAfter,
-		ControlSilentAfter: options.ControlSilentAfter,
-		ExpectProgress:     true,
-		Share:              func(backend.Target) int { return options.Connections },
+		ConnectTimeout:      options.ConnectTimeout,
+		StallTimeout:        options.SilentAfter,
+		ControlStallTimeout: options.ControlSilentAfter,
+		ExpectProgress:      true,
+		Share:               func(backend.Target) int { return options.Connections },
 	}, nil)
 	t.Cleanup(driver.Close)
 	return driver
--- a/modules/serverhttp/control.go
+++ b/modules/serverhttp/control.go
@@ -52,7 +52,7 @@
 // controlOnce makes a call on one connection and reports whether the connection
 // was reused.
 func (e *endpoint) controlOnce(ctx context.Context, transport *http.Transport, path string, body []byte) (reply serverapi.LeaseReply, reused bool, err error) {
-	a := newAttempt(ctx, e.target.ID, controlLimit(ctx, e.options.ControlSilentAfter))
+	a := newAttempt(ctx, e.target.ID, controlLimit(ctx, e.options.ControlStallTimeout))
 	defer a.end()
 	request, err := http.NewRequestWithContext(a.ctx, http.MethodPost, "http://"+e.target.Address+path, bytes.NewReader(body))
 	if err != nil {
--- a/modules/serverhttp/do.go
+++ b/modules/serverhttp/do.go
@@ -28,7 +28,7 @@
 		metricNoShare.Add(1)
 		return nil, notSent(to, &ShareError{Server: to.ID, Share: limit})
 	}
-	a := newAttempt(ctx, to.ID, d.options.SilentAfter)
+	a := newAttempt(ctx, to.ID, d.options.StallTimeout)
 	done := func() {
 		if a.end() {
 			cancel()
@@ -112,10 +112,10 @@
 func checkResponse(response *http.Response, req backend.Request) error {
 	got := response.Header.Get(serverapi.HeaderRequestID)
 	if got != req.RequestID || got == "" {
-		return &WrongAnswerError{Want: req.RequestID, Got: got}
+		return &MismatchedResponseError{Want: req.RequestID, Got: got}
 	}
 	if response.ContentLength < 0 && len(response.TransferEncoding) == 0 && response.Body != http.NoBody {
-		return &UnboundedAnswerError{Status: response.StatusCode}
+		return &UnboundedResponseError{Status: response.StatusCode}
 	}
 	return nil
 }
@@ -212,7 +212,7 @@
 		header.Set(serverapi.HeaderDeadlineMs, strconv.FormatInt(left, 10))
 	}
 	if e.options.ExpectProgress {
-		every := max(1, (e.options.SilentAfter / progressReportsPerTimeout).Milliseconds())
+		every := max(1, (e.options.StallTimeout / progressReportsPerTimeout).Milliseconds())
 		header.Set(serverapi.HeaderProgressMs, strconv.FormatInt(every, 10))
 	}
 }
--- a/modules/serverhttp/errors.go
+++ b/modules/serverhttp/errors.go
@@ -16,30 +16,30 @@
 // Error implements error.
 func (e *OptionError) Error() string { return "servers.http: option " + e.Name + ": " + e.Problem }
 
-// SilentError reports a connection that made no progress within the timeout After.
-type SilentError struct{ After time.Duration }
+// StalledError reports a connection that made no progress within the timeout After.
+type StalledError struct{ After time.Duration }
 
 // Error implements error.
-func (e *SilentError) Error() string { return "no progress for " + e.After.String() }
+func (e *StalledError) Error() string { return "no progress for " + e.After.String() }
 
-// WrongAnswerError reports a response that does not carry its request's ID. It
+// MismatchedResponseError reports a response that does not carry its request's ID. It
 // may belong to another caller's request and is never passed on.
-type WrongAnswerError struct {
+type MismatchedResponseError struct {
 	Want string
 	Got  string
 }
 
 // Error implements error.
-func (e *WrongAnswerError) Error() string {
+func (e *MismatchedResponseError) Error() string {
 	return "answer carries request ID " + strconv.Quote(e.Got) + " and not " + strconv.Quote(e.Want)
 }
 
-// UnboundedAnswerError reports a response that would end with its connection, so
+// UnboundedResponseError reports a response that would end with its connection, so
 // that an incomplete response is undetectable.
-type UnboundedAnswerError struct{ Status int }
+type UnboundedResponseError struct{ Status int }
 
 // Error implements error.
-func (e *UnboundedAnswerError) Error() string {
+func (e *UnboundedResponseError) Error() string {
 	return "answer " + strconv.Itoa(e.Status) + " has neither a length nor chunks"
 }
 
--- a/modules/serverhttp/options.go
+++ b/modules/serverhttp/options.go
@@ -13,12 +13,12 @@
 	// ConnectTimeout limits the time for opening one connection, and the wait for
 	// a slot in the share.
 	ConnectTimeout time.Duration
-	// SilentAfter is the time after which a connection without progress is treated
+	// StallTimeout is the time after which a connection without progress is treated
 	// as stalled. It runs only while the next progress is due from the server.
-	SilentAfter time.Duration
-	// ControlSilentAfter is the timeout of a renewal or acknowledgement on a reused
+	StallTimeout time.Duration
+	// ControlStallTimeout is the timeout of a renewal or acknowledgement on a reused
 	// connection, after which a new connection is tried.
-	ControlSilentAfter time.Duration
+	ControlStallTimeout time.Duration
 	// IdleAfter is the idle time after which a connection is closed. Servers must
 	// keep idle connections longer.
 	IdleAfter time.Duration
@@ -37,14 +37,14 @@
 
 // Defaults of options that are not set.
 const (
-	defaultConnectTimeout     = 250 * time.Millisecond
-	defaultSilentAfter        = 2 * time.Second
-	defaultControlSilentAfter = 100 * time.Millisecond
-	defaultIdleAfter          = 30 * time.Second
-	defaultMaxHeaderBytes     = 64 << 10
+	defaultConnectTimeout      = 250 * time.Millisecond
+	defaultStallTimeout        = 2 * time.Second
+	defaultControlStallTimeout = 100 * time.Millisecond
+	defaultIdleAfter           = 30 * time.Second
+	defaultMaxHeaderBytes      = 64 << 10
 )
 
-// progressReportsPerTimeout is the number of progress reports of a server within SilentAfter,
+// progressReportsPerTimeout is the number of progress reports of a server within StallTimeout,
 // so that one late report does not make the connection appear stalled.
 const progressReportsPerTimeout = 4
 
@@ -59,7 +59,7 @@
 func OptionsFrom(s *settings.Settings) (Options, error) {
 	options := Options{
 		ConnectTimeout: s.Limits.ConnectTimeout,
-		SilentAfter:    s.Limits.SilentAfter,
+		StallTimeout:   s.Limits.SilentAfter,
 		MaxHeaderBytes: int64(s.Limits.MaxHeaderBytes),
 		ExpectProgress: true,
 	}
@@ -74,7 +74,7 @@
 func (o *Options) set(name string, value any) error {
 	switch name {
 	case optionControlSilentAfter:
-		return setMilliseconds(&o.ControlSilentAfter, name, value)
+		return setMilliseconds(&o.ControlStallTimeout, name, value)
 	case optionIdleAfter:
 		return setMilliseconds(&o.IdleAfter, name, value)
 	case optionExpectProgress:
@@ -100,8 +100,8 @@
 // withDefaults returns the options with defaults for those that are not set.
 func (o Options) withDefaults() Options {
 	setDefault(&o.ConnectTimeout, defaultConnectTimeout)
-	setDefault(&o.SilentAfter, defaultSilentAfter)
-	setDefault(&o.ControlSilentAfter, defaultControlSilentAfter)
+	setDefault(&o.StallTimeout, defaultStallTimeout)
+	setDefault(&o.ControlStallTimeout, defaultControlStallTimeout)
 	setDefault(&o.IdleAfter, defaultIdleAfter)
 	if o.MaxHeaderBytes <= 0 {
 		o.MaxHeaderBytes = defaultMaxHeaderBytes
--- a/modules/serverhttp/options_test.go
+++ b/modules/serverhttp/options_test.go
@@ -21,8 +21,8 @@
 	options, err := OptionsFrom(s)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(options).To(gomega.Equal(Options{
-		ConnectTimeout: time.Second, SilentAfter: 2 * time.Second, MaxHeaderBytes: 100,
-		IdleAfter: 5 * time.Millisecond, ControlSilentAfter: 7 * time.Millisecond,
+		ConnectTimeout: time.Second, StallTimeout: 2 * time.Second, MaxHeaderBytes: 100,
+		IdleAfter: 5 * time.Millisecond, ControlStallTimeout: 7 * time.Millisecond,
 	}))
 	for name, value := range map[string]any{
 		"other": 1.0, optionIdleAfter: "5", optionControlSilentAfter: 0.0, optionExpectProgress: 1.0,
--- a/modules/serverhttp/standin_test.go
+++ b/modules/serverhttp/standin_test.go
@@ -123,7 +123,7 @@
 		t.Run(string(direction), func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			driver := NewDriver(Options{
-				SilentAfter: 200 * time.Millisecond, ControlSilentAfter: 100 * time.Millisecond,
+				StallTimeout: 200 * time.Millisecond, ControlStallTimeout: 100 * time.Millisecond,
 				ExpectProgress: true, Share: func(backend.Target) int { return 4 },
 			}, nil)
 			t.Cleanup(driver.Close)
@@ -154,7 +154,7 @@
 // during a request that runs longer than the driver's stall timeout.
 func TestSlowRequestWithProgressIsNotStalled(t *testing.T) {
 	g := gomega.NewWithT(t)
-	driver := NewDriver(Options{SilentAfter: time.Second, ExpectProgress: true, Share: func(backend.Target) int { return 4 }}, nil)
+	driver := NewDriver(Options{StallTimeout: time.Second, ExpectProgress: true, Share: func(backend.Target) int { return 4 }}, nil)
 	t.Cleanup(driver.Close)
 	_, target := startServer(t, driver, server.Config{ServiceTime: server.ServiceTime{Mean: 1500 * time.Millisecond}})
 	response, err := driver.Do(t.Context(), target, testRequest(http.MethodPost, "/records/bore%207", "x"))
@@ -168,7 +168,7 @@
 // cannot report progress must not be treated as stalled.
 func TestWithoutProgressOnlyDeadlinesEndSlowRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
-	driver := NewDriver(Options{SilentAfter: 50 * time.Millisecond, Share: func(backend.Target) int { return 4 }}, nil)
+	driver := NewDriver(Options{StallTimeout: 50 * time.Millisecond, Share: func(backend.Target) int { return 4 }}, nil)
 	t.Cleanup(driver.Close)
 	s, target := startServer(t, driver, server.Config{ServiceTime: server.ServiceTime{Mean: 300 * time.Millisecond}})
 	response, err := driver.Do(t.Context(), target, testRequest(http.MethodGet, "/records/bore%207", ""))
