--- a/modules/frontend/refusals_test.go
+++ b/modules/frontend/refusals_test.go
@@ -283,9 +283,9 @@
 		name := strconv.Itoa(row.status) + " " + string(row.outcome) + " " + string(row.reason)
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			trigger, exists := byRow[row]
+			run, exists := byRow[row]
 			gomega.NewWithT(t).Expect(exists).To(gomega.BeTrue(), "no case for the row")
-			synctest.Test(t, func(t *testing.T) { checkRefusal(t, row, trigger(t)) })
+			synctest.Test(t, func(t *testing.T) { checkRefusal(t, row, run(t)) })
 		})
 	}
 }
