--- a/kernel/context.go
+++ b/kernel/context.go
@@ -9,7 +9,8 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Identity is who this process is, from its settings and its start.
+// Identity identifies this process: node, zone and region come from its settings,
+// and the boot ID is generated when the process starts.
 type Identity struct {
 	Node   topo.NodeID
 	Boot   topo.BootID
@@ -17,8 +18,8 @@
 	Region topo.Region
 }
 
-// Context carries what modules share: the process's identity, its logger, and
-// the typed services that modules provide to later ones.
+// Context is shared by the modules of a process. It holds the process's identity,
+// its logger, and the typed services that modules provide to later modules.
 type Context struct {
 	Identity Identity
 	Logger   hclog.Logger
@@ -32,7 +33,8 @@
 	return &Context{Identity: id, Logger: logger, services: map[reflect.Type]any{}}
 }
 
-// Provide offers a service under type T, usually an interface.
+// Provide registers a service under type T, usually an interface. It fails with
+// a *DuplicateServiceError if T has a service already.
 func Provide[T any](ctx *Context, service T) error {
 	key := reflect.TypeFor[T]()
 	ctx.mu.Lock()
@@ -44,7 +46,8 @@
 	return nil
 }
 
-// Use returns the service of type T that an earlier module provided.
+// Use returns the service of type T that an earlier module provided, or a
+// *MissingServiceError.
 func Use[T any](ctx *Context) (T, error) {
 	key := reflect.TypeFor[T]()
 	ctx.mu.RLock()
--- a/kernel/errors.go
+++ b/kernel/errors.go
@@ -13,13 +13,13 @@
 	return fmt.Sprintf("module %q: %s", e.ID, e.Problem)
 }
 
-// UnknownModuleError reports an ID that no module registered.
+// UnknownModuleError reports an ID under which no module is registered.
 type UnknownModuleError struct{ ID ModuleID }
 
 // Error implements error.
 func (e *UnknownModuleError) Error() string { return fmt.Sprintf("module %q: not known", e.ID) }
 
-// StepError reports the module and life-cycle step that failed.
+// StepError reports a failed life-cycle step of a module.
 type StepError struct {
 	ID    ModuleID
 	Step  string // "provision", "validate", "start", "drain" or "stop"
--- a/kernel/module.go
+++ b/kernel/module.go
@@ -1,8 +1,7 @@
-// Package kernel is the small core that everything else plugs into. It keeps
-// the registry of modules, and starts, drains and stops the modules of one
-// process in order. A module is a package under modules/ that registers itself
-// by ID in init(); the packages beside the kernel hold the pure logic that
-// modules drive.
+// Package kernel is the core of the module system. It maintains the registry of
+// modules, and starts, drains and stops the modules of one process in order. A
+// module is a package under modules/ that registers itself by ID in init(); the
+// packages beside the kernel implement the pure logic that modules call.
 package kernel
 
 import (
@@ -29,26 +28,26 @@
 	return string(id)[strings.LastIndexByte(string(id), '.')+1:]
 }
 
-// Info describes a module to the registry.
+// Info is the registry entry of a module.
 type Info struct {
 	ID  ModuleID
 	New func() Module // returns a new, unconfigured module
 }
 
 // Module is implemented by every plug-in. The life cycle of a module is
-// Provision, Validate, Start, Drain, Stop; each step beyond Module is optional.
+// Provision, Validate, Start, Drain, Stop; each of these steps is optional.
 type Module interface {
 	ModuleInfo() Info
 }
 
-// Provisioner sets a module up from its settings and the services that earlier
+// Provisioner configures a module from its settings and the services that earlier
 // modules provided. It must not start goroutines or open listeners.
 type Provisioner interface {
 	Provision(ctx *Context) error
 }
 
-// Validator checks a provisioned module. All modules are validated before any
-// is started.
+// Validator checks a provisioned module. All modules are validated before the
+// first one is started.
 type Validator interface {
 	Validate() error
 }
@@ -58,20 +57,21 @@
 	Start(ctx context.Context) error
 }
 
-// Drainer gives up duties (terms, leases, new requests) while the process still
-// serves. Drains run in the reverse of start order, before any Stop.
+// Drainer gives up the module's duties (terms, leases, new requests) while the
+// process still serves requests. Modules are drained in reverse start
+// order, all of them before the first Stop.
 type Drainer interface {
 	Drain(ctx context.Context) error
 }
 
-// Stopper ends a module's goroutines and closes its listeners. Stops run in the
-// reverse of start order.
+// Stopper ends a module's goroutines and closes its listeners. Modules are
+// stopped in reverse start order.
 type Stopper interface {
 	Stop(ctx context.Context) error
 }
 
 // Dumper adds the module's state to the state dump. The value is encoded as
-// JSON; secrets must be left out.
+// JSON; it must not contain secrets.
 type Dumper interface {
 	Dump() any
 }
@@ -82,7 +82,8 @@
 )
 
 // Register adds a module to the registry. It is called from init() and panics
-// on an empty or repeated ID, since both are programming errors.
+// on an empty or duplicate ID or a missing constructor, because these are
+// programming errors.
 func Register(m Module) {
 	info := m.ModuleInfo()
 	registryMu.Lock()
@@ -96,7 +97,8 @@
 	registry[info.ID] = info
 }
 
-// New returns a new module of a registered ID.
+// New creates the module that is registered under an ID. It fails with an
+// *UnknownModuleError.
 func New(id ModuleID) (Module, error) {
 	registryMu.RLock()
 	defer registryMu.RUnlock()
@@ -107,8 +109,8 @@
 	return info.New(), nil
 }
 
-// IDs lists the registered modules of a namespace in order; an empty namespace
-// lists all.
+// IDs returns the sorted IDs of the registered modules of a namespace; an empty
+// namespace selects all modules.
 func IDs(namespace string) []ModuleID {
 	registryMu.RLock()
 	defer registryMu.RUnlock()
--- a/kernel/runtime_test.go
+++ b/kernel/runtime_test.go
@@ -11,51 +11,51 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// journal records the life-cycle steps of the modules under test.
-type journal struct{ steps []string }
+// stepLog records the life-cycle steps of the modules under test.
+type stepLog struct{ steps []string }
 
-func (j *journal) note(step string) { j.steps = append(j.steps, step) }
+func (j *stepLog) add(step string) { j.steps = append(j.steps, step) }
 
-// failure is the typed error that a module under test returns.
-type failure struct{ step string }
+// stepFailure is the typed error that a module under test returns.
+type stepFailure struct{ step string }
 
-func (f *failure) Error() string { return f.step + " failed" }
+func (f *stepFailure) Error() string { return f.step + " failed" }
 
-type recorder struct {
-	id      kernel.ModuleID
-	journal *journal
-	failAt  string
+type recordingModule struct {
+	id     kernel.ModuleID
+	log    *stepLog
+	failAt string
 }
 
-func (r *recorder) ModuleInfo() kernel.Info {
+func (r *recordingModule) ModuleInfo() kernel.Info {
 	return kernel.Info{ID: r.id, New: func() kernel.Module { return r }}
 }
 
-func (r *recorder) step(name string) error {
-	r.journal.note(string(r.id) + " " + name)
+func (r *recordingModule) step(name string) error {
+	r.log.add(string(r.id) + " " + name)
 	if r.failAt == name {
-		return &failure{step: name}
+		return &stepFailure{step: name}
 	}
 	return nil
 }
 
-func (r *recorder) Provision(*kernel.Context) error { return r.step("provision") }
-func (r *recorder) Validate() error                 { return r.step("validate") }
-func (r *recorder) Start(context.Context) error     { return r.step("start") }
-func (r *recorder) Drain(context.Context) error     { return r.step("drain") }
-func (r *recorder) Stop(context.Context) error      { return r.step("stop") }
-func (r *recorder) Dump() any                       { return string(r.id) }
+func (r *recordingModule) Provision(*kernel.Context) error { return r.step("provision") }
+func (r *recordingModule) Validate() error                 { return r.step("validate") }
+func (r *recordingModule) Start(context.Context) error     { return r.step("start") }
+func (r *recordingModule) Drain(context.Context) error     { return r.step("drain") }
+func (r *recordingModule) Stop(context.Context) error      { return r.step("stop") }
+func (r *recordingModule) Dump() any                       { return string(r.id) }
 
 func newRuntime() *kernel.Runtime {
 	identity := kernel.Identity{Node: "n1", Zone: topo.Zone("a")}
 	return kernel.NewRuntime(kernel.NewContext(identity, hclog.NewNullLogger()))
 }
 
-func TestModulesRunThroughTheirLifeCycleInOrder(t *testing.T) {
+func TestLifeCycleOrder(t *testing.T) {
 	g := NewWithT(t)
-	j := &journal{}
-	kernel.Register(&recorder{id: "order.a", journal: j})
-	kernel.Register(&recorder{id: "order.b", journal: j})
+	j := &stepLog{}
+	kernel.Register(&recordingModule{id: "order.a", log: j})
+	kernel.Register(&recordingModule{id: "order.b", log: j})
 	r := newRuntime()
 	ctx := context.Background()
 
@@ -74,11 +74,11 @@
 	}))
 }
 
-func TestNothingStartsWhenValidationFails(t *testing.T) {
+func TestNothingStartsAfterValidationFailure(t *testing.T) {
 	g := NewWithT(t)
-	j := &journal{}
-	kernel.Register(&recorder{id: "invalid.a", journal: j})
-	kernel.Register(&recorder{id: "invalid.b", journal: j, failAt: "validate"})
+	j := &stepLog{}
+	kernel.Register(&recordingModule{id: "invalid.a", log: j})
+	kernel.Register(&recordingModule{id: "invalid.b", log: j, failAt: "validate"})
 	r := newRuntime()
 
 	err := r.Load("invalid.a", "invalid.b")
@@ -88,11 +88,11 @@
 	g.Expect(j.steps).NotTo(ContainElement(ContainSubstring("start")))
 }
 
-func TestStartedModulesAreStoppedWhenALaterOneFails(t *testing.T) {
+func TestStartFailureStopsStartedModules(t *testing.T) {
 	g := NewWithT(t)
-	j := &journal{}
-	kernel.Register(&recorder{id: "undo.a", journal: j})
-	kernel.Register(&recorder{id: "undo.b", journal: j, failAt: "start"})
+	j := &stepLog{}
+	kernel.Register(&recordingModule{id: "undo.a", log: j})
+	kernel.Register(&recordingModule{id: "undo.b", log: j, failAt: "start"})
 	r := newRuntime()
 
 	g.Expect(r.Load("undo.a", "undo.b")).To(Succeed())
@@ -103,11 +103,11 @@
 	g.Expect(j.steps).NotTo(ContainElement("undo.b stop"))
 }
 
-func TestDrainAndStopGoOnAfterAFailure(t *testing.T) {
+func TestDrainContinuesAfterFailure(t *testing.T) {
 	g := NewWithT(t)
-	j := &journal{}
-	kernel.Register(&recorder{id: "goon.a", journal: j})
-	kernel.Register(&recorder{id: "goon.b", journal: j, failAt: "drain"})
+	j := &stepLog{}
+	kernel.Register(&recordingModule{id: "goon.a", log: j})
+	kernel.Register(&recordingModule{id: "goon.b", log: j, failAt: "drain"})
 	r := newRuntime()
 	ctx := context.Background()
 
@@ -118,25 +118,25 @@
 	g.Expect(j.steps).To(ContainElement("goon.a drain"))
 }
 
-func TestRegisterRefusesARepeatedID(t *testing.T) {
+func TestRegisterRejectsDuplicateID(t *testing.T) {
 	g := NewWithT(t)
-	j := &journal{}
-	kernel.Register(&recorder{id: "twice.a", journal: j})
-	g.Expect(func() { kernel.Register(&recorder{id: "twice.a", journal: j}) }).To(Panic())
+	j := &stepLog{}
+	kernel.Register(&recordingModule{id: "twice.a", log: j})
+	g.Expect(func() { kernel.Register(&recordingModule{id: "twice.a", log: j}) }).To(Panic())
 }
 
 func TestServicesAreFoundByType(t *testing.T) {
 	g := NewWithT(t)
 	ctx := kernel.NewContext(kernel.Identity{}, hclog.NewNullLogger())
 
-	_, err := kernel.Use[*journal](ctx)
+	_, err := kernel.Use[*stepLog](ctx)
 	var missing *kernel.MissingServiceError
 	g.Expect(err).To(BeAssignableToTypeOf(missing))
 
-	j := &journal{}
+	j := &stepLog{}
 	g.Expect(kernel.Provide(ctx, j)).To(Succeed())
 	g.Expect(kernel.Provide(ctx, j)).NotTo(Succeed())
-	found, err := kernel.Use[*journal](ctx)
+	found, err := kernel.Use[*stepLog](ctx)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(found).To(BeIdenticalTo(j))
 }
--- a/kernel/services.go
+++ b/kernel/services.go
@@ -1,14 +1,14 @@
 package kernel
 
 // DumpFunc returns the state dump of every module by module ID. The node
-// provides it, so that the administration API can serve it.
+// provides it for the administration API.
 type DumpFunc func() map[string]any
 
-// DrainFunc asks the process to shut down gracefully and returns at once. The
+// DrainFunc requests a graceful shutdown of the process and returns at once. The
 // node provides it.
 type DrainFunc func()
 
-// ListenerRole says who connects to a listener.
+// ListenerRole identifies the kind of client that connects to a listener.
 type ListenerRole string
 
 // Listener roles.
@@ -18,8 +18,8 @@
 	RoleAdmin    ListenerRole = "admin"    // operators
 )
 
-// Listening is implemented by modules that own a listener. The address is the
-// bound one, host:port, and is known once the module has started.
+// Listening is implemented by modules that own a listener. ListenAddress returns
+// the bound address (host:port), which is valid once the module has started.
 type Listening interface {
 	ListenAddress() (ListenerRole, string)
 }
