--- a/node/errors.go
+++ b/node/errors.go
@@ -1,6 +1,6 @@
 package node
 
-// BootIDError reports that the system gave no random bytes.
+// BootIDError reports that the system's random source failed.
 type BootIDError struct{ Cause error }
 
 // Error implements error.
--- a/node/modules.go
+++ b/node/modules.go
@@ -5,9 +5,9 @@
 	"github.com/burdockspindle/burdockspindle/settings"
 )
 
-// moduleIDs lists a node's modules in start order. Each may use what earlier
-// ones provide; a drain runs the other way round, so that terms are resigned
-// while requests are still served, and listeners close last.
+// moduleIDs returns a node's modules in start order. A module may use the
+// services of earlier modules. Modules are drained in reverse order, so that
+// terms are resigned while requests are still served, and listeners close last.
 func moduleIDs(s *settings.Settings) []kernel.ModuleID {
 	ids := []kernel.ModuleID{
 		driver("log", s.Log),
--- a/node/node.go
+++ b/node/node.go
@@ -1,5 +1,5 @@
-// Package node is one entry VM's process: it turns settings into the ordered
-// list of modules that make up a node, and starts, drains and stops them.
+// Package node implements the process of one entry VM: it derives the ordered
+// list of modules from the settings, and starts, drains and stops the modules.
 package node
 
 import (
@@ -16,24 +16,27 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// bootIDBytes is the length of the random part that tells two runs apart.
+// bootIDBytes is the length of the random boot ID, which distinguishes two
+// incarnations of a node.
 const bootIDBytes = 8
 
-// Node is one process, or one of several in the demo and in tests.
+// Node is one entry node. A process runs one node; the demo and tests run several
+// in one process.
 type Node struct {
-	runtime *kernel.Runtime
-	drains  chan struct{} // receives a request to shut down; size 1
-	timeout time.Duration // longest graceful shutdown
-	logger  hclog.Logger
+	runtime       *kernel.Runtime
+	drainRequests chan struct{} // receives a shutdown request; capacity 1
+	drainTimeout  time.Duration // limit of a graceful shutdown
+	logger        hclog.Logger
 }
 
-// New provisions and validates every module of the node. Nothing is started.
+// New provisions and validates every module of the node without starting any.
 func New(s *settings.Settings, logger hclog.Logger) (*Node, error) {
 	return NewWith(s, logger)
 }
 
-// NewWith is New with services that replace what modules would find, for the
-// demo and for tests: each option is called before the first module.
+// NewWith is New with additional services, which the demo and tests use to
+// replace those that modules use otherwise. Each option is applied before the
+// first module is provisioned.
 func NewWith(s *settings.Settings, logger hclog.Logger, options ...Option) (*Node, error) {
 	boot, err := newBootID()
 	if err != nil {
@@ -42,10 +45,10 @@
 	identity := kernel.Identity{Node: s.Node, Boot: boot, Zone: s.Zone, Region: s.Region}
 	logger = logger.With("node", s.Node)
 	n := &Node{
-		runtime: kernel.NewRuntime(kernel.NewContext(identity, logger)),
-		drains:  make(chan struct{}, 1),
-		timeout: s.Limits.DrainTimeout,
-		logger:  logger,
+		runtime:       kernel.NewRuntime(kernel.NewContext(identity, logger)),
+		drainRequests: make(chan struct{}, 1),
+		drainTimeout:  s.Limits.DrainTimeout,
+		logger:        logger,
 	}
 	if err := n.provide(s, options); err != nil {
 		return nil, err
@@ -84,20 +87,20 @@
 }
 
 func newBootID() (topo.BootID, error) {
-	random := make([]byte, bootIDBytes)
-	if _, err := rand.Read(random); err != nil {
+	id := make([]byte, bootIDBytes)
+	if _, err := rand.Read(id); err != nil {
 		return "", &BootIDError{Cause: err}
 	}
-	return topo.BootID(hex.EncodeToString(random)), nil
+	return topo.BootID(hex.EncodeToString(id)), nil
 }
 
-// Identity returns who the node is.
+// Identity returns the node's identity.
 func (n *Node) Identity() kernel.Identity { return n.runtime.Context().Identity }
 
 // Context returns the context that the node's modules share.
 func (n *Node) Context() *kernel.Context { return n.runtime.Context() }
 
-// Start starts the modules; their goroutines outlive ctx.
+// Start starts the modules. Their goroutines continue after ctx ends.
 func (n *Node) Start(ctx context.Context) error {
 	id := n.Identity()
 	eventStarting.Log(n.logger, "boot", id.Boot, "zone", id.Zone, "region", id.Region)
@@ -108,21 +111,23 @@
 	return nil
 }
 
-// RequestDrain asks Run to shut the node down gracefully. It returns at once.
+// RequestDrain requests that Run shut the node down gracefully. It returns at
+// once.
 func (n *Node) RequestDrain() {
 	select {
-	case n.drains <- struct{}{}:
+	case n.drainRequests <- struct{}{}:
 	default: // a request is pending already
 	}
 }
 
-// DrainRequested receives once a graceful shutdown was asked for.
-func (n *Node) DrainRequested() <-chan struct{} { return n.drains }
+// DrainRequested returns the channel that receives a value when a graceful
+// shutdown is requested.
+func (n *Node) DrainRequested() <-chan struct{} { return n.drainRequests }
 
-// Shutdown drains the modules and stops them, within the settings' drain
-// timeout. Requests in flight are finished.
+// Shutdown drains the modules and then stops them, within the drain timeout of
+// the settings. Requests in flight are completed.
 func (n *Node) Shutdown(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, n.timeout)
+	ctx, cancel := context.WithTimeout(ctx, n.drainTimeout)
 	defer cancel()
 	eventDraining.Log(n.logger)
 	drainErr := n.runtime.Drain(ctx)
@@ -134,8 +139,8 @@
 	return stopErr
 }
 
-// Kill stops the node without draining it: no term is resigned, no peer told,
-// and connections are cut off, as when the VM is lost.
+// Kill stops the node without draining it, as when the VM is lost: no term is
+// resigned, no peer is notified, and connections are closed abruptly.
 func (n *Node) Kill() error {
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -150,7 +155,8 @@
 	return dump
 }
 
-// Addresses returns the bound address of each listener, once started.
+// Addresses returns the bound address of each listener, by role. It is valid once
+// the node has started.
 func (n *Node) Addresses() map[kernel.ListenerRole]string {
 	return n.runtime.Addresses()
 }
--- a/node/run.go
+++ b/node/run.go
@@ -9,7 +9,7 @@
 	"github.com/burdockspindle/burdockspindle/settings"
 )
 
-// Run runs a node until ctx ends or a drain is asked for, then shuts it down
+// Run runs a node until ctx ends or a drain is requested, then shuts it down
 // gracefully. It returns nil after a clean shutdown.
 func Run(ctx context.Context, s *settings.Settings, logger hclog.Logger) error {
 	if s.Limits.MemoryLimitByte > 0 {
