--- a/settings/defaults.go
+++ b/settings/defaults.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Defaults of the optional settings. All nodes of a site must have the same
-// lease TTL, drift and margin.
+// Defaults of the optional settings. All nodes of a site must use the same lease
+// TTL, clock drift and margin.
 const (
 	DefaultLogLevel = "info"
 
@@ -20,7 +20,7 @@
 	DefaultMargin          = 50 * time.Millisecond
 	DefaultVMPollEvery     = 500 * time.Millisecond
 	DefaultCheckpointEvery = 2000 // records
-	DefaultLogRelays       = 3    // a zone
+	DefaultLogRelays       = 3    // per zone
 
 	DefaultMaxBodyBytes   = 8 << 20
 	DefaultMaxQueued      = 1024
@@ -34,7 +34,7 @@
 	DefaultMaxHeaderBytes = 64 << 10
 )
 
-// Bounds within which a setting makes sense.
+// Bounds of the settings.
 const (
 	minInterval        = 5 * time.Millisecond
 	maxInterval        = time.Minute
@@ -50,15 +50,17 @@
 	maxBodyBytes       = 1 << 30
 	maxMemoryBytes     = 1 << 40
 	minTokenLength     = 16
-	// renewalsPerTTL is how many renewal intervals must fit in a lease: one
-	// because a lease runs from the stamp of the reply before, one until the
-	// next renewal, and one so that a single lost renewal does not lapse it.
+	// renewalsPerTTL is the number of renewal intervals that must fit in a lease:
+	// one because a lease is measured from the timestamp of the previous reply,
+	// one until the next renewal, and one so that a lease survives the loss of a
+	// single renewal.
 	renewalsPerTTL = 3
-	// heartbeatsPerSuspicion lets a single heartbeat be lost.
+	// heartbeatsPerSuspicion is the number of heartbeat intervals that must fit in
+	// SuspectAfter, so that the loss of a single heartbeat raises no suspicion.
 	heartbeatsPerSuspicion = 2
 )
 
-// DefaultTiming returns the default intervals of ownership.
+// DefaultTiming returns the default timing of ownership.
 func DefaultTiming() Timing {
 	return Timing{
 		LeaseTTL:        DefaultLeaseTTL,
--- a/settings/load.go
+++ b/settings/load.go
@@ -11,9 +11,10 @@
 	"github.com/burdockspindle/burdockspindle/jsonc"
 )
 
-// Load reads a settings file and the files that it names: the administration
-// token and the TLS files, whose paths are relative to the settings file. The
-// error is an *InvalidError with all problems, or a *FileError.
+// Load reads a settings file and the files that it refers to: the administration
+// token and the TLS files. Relative paths are resolved against the directory of
+// the settings file. The error is an *InvalidError with all problems, or a
+// *FileError.
 func Load(file string) (*Settings, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -58,8 +59,8 @@
 	}
 }
 
-// loadToken reads Admin.TokenFile into Admin.Token. The token is the file's
-// text without surrounding white space.
+// loadToken reads Admin.TokenFile into Admin.Token. The token is the
+// content of the file without surrounding white space.
 func loadToken(root *jsonc.Object, s *Settings) {
 	if s.Admin.TokenFile == "" {
 		return
@@ -76,7 +77,8 @@
 	}
 }
 
-// checkTLS reports TLS files that cannot be read or do not fit together.
+// checkTLS reports TLS files that cannot be read, and a certificate that does not
+// match its key.
 func checkTLS(listener *jsonc.Object, files *TLS) {
 	if files == nil {
 		return
--- a/settings/parse.go
+++ b/settings/parse.go
@@ -5,18 +5,18 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Problem is one fault of a settings file: file, line, field and text.
+// Problem is one error in a settings file, with its file, line, field and text.
 type Problem = jsonc.Problem
 
 // InvalidError holds every problem of a settings file; errors.As also finds
-// the single *Problem values.
+// the individual *Problem values.
 type InvalidError = jsonc.InvalidError
 
-// logLevels are the values of logLevel.
+// logLevels are the valid values of the setting logLevel.
 var logLevels = []string{"trace", "debug", "info", "warn", "error"}
 
-// Parse reads and validates settings without opening any file that they name.
-// The settings are only complete when there is no problem.
+// Parse reads and validates settings without opening the files that they refer
+// to. The settings are complete only if no problem is returned.
 func Parse(text []byte, file string) (*Settings, []Problem) {
 	root, report := jsonc.Parse(text, file)
 	s := readSettings(root)
@@ -45,11 +45,12 @@
 	return s
 }
 
-// maxNameLength bounds the names of nodes, zones and regions.
+// maxNameLength is the maximum length in bytes of the names of nodes, zones and
+// regions.
 const maxNameLength = 63
 
-// readName reads a name that may be part of a log record, a path and a metric:
-// letters, digits, dots, dashes and underscores.
+// readName reads a name of letters, digits, dots, dashes and underscores, which
+// is safe in a log record, a path and a metric.
 func readName(value *jsonc.Value) string {
 	name := value.Text()
 	if name != "" && !validName(name) {
--- a/settings/parse_driver.go
+++ b/settings/parse_driver.go
@@ -8,16 +8,16 @@
 	"github.com/burdockspindle/burdockspindle/kernel"
 )
 
-// readDriver reads {"name": ..., "options": {...}}. The options are the
-// module's to validate. The name is checked against the modules that are
-// linked into this program, if there are any of the namespace.
-func readDriver(value *jsonc.Value, namespace, byDefault string) Driver {
+// readDriver reads {"name": ..., "options": {...}}. The module validates its
+// options. The name is checked against the modules of the namespace that are
+// linked into this program, if there are any.
+func readDriver(value *jsonc.Value, namespace, defaultValue string) Driver {
 	if !value.Present() {
-		return Driver{Name: byDefault, Options: map[string]any{}}
+		return Driver{Name: defaultValue, Options: map[string]any{}}
 	}
 	o := value.Object()
 	name := o.Get("name")
-	driver := Driver{Name: name.String(byDefault)}
+	driver := Driver{Name: name.String(defaultValue)}
 	if name.Present() {
 		checkDriverName(name, namespace, driver.Name)
 	}
@@ -26,13 +26,14 @@
 	return driver
 }
 
-// ReadOptions reads the options of a driver, which are the driver's to validate.
+// ReadOptions reads the options of a driver without validating them; the driver
+// does that.
 func ReadOptions(options *jsonc.Value) map[string]any {
 	if decoded, isObject := options.Any().(map[string]any); isObject {
 		return decoded
 	}
 	if options.Present() {
-		options.Object() // notes the wrong type
+		options.Object() // reports the wrong type
 	}
 	return map[string]any{}
 }
--- a/settings/parse_limits.go
+++ b/settings/parse_limits.go
@@ -24,8 +24,8 @@
 	return limits
 }
 
-func readCount(value *jsonc.Value, byDefault int64) int {
-	return int(value.Int(byDefault, 1, maxCount))
+func readCount(value *jsonc.Value, defaultValue int64) int {
+	return int(value.Int(defaultValue, 1, maxCount))
 }
 
 func readTiming(value *jsonc.Value) Timing {
@@ -46,20 +46,20 @@
 	return timing
 }
 
-func readInterval(value *jsonc.Value, byDefault time.Duration) time.Duration {
-	return value.Duration(byDefault, minInterval, maxInterval)
+func readInterval(value *jsonc.Value, defaultValue time.Duration) time.Duration {
+	return value.Duration(defaultValue, minInterval, maxInterval)
 }
 
-// checkTiming refuses intervals that are each right but not together.
+// checkTiming rejects combinations of intervals that are valid only individually.
 func checkTiming(o *jsonc.Object, t Timing) {
-	leastTTL := renewalsPerTTL*t.RenewEvery + t.Margin
-	if t.LeaseTTL <= leastTTL {
-		text := "leaseTTL " + t.LeaseTTL.String() + " must be above 3 × renewEvery + margin = " + leastTTL.String() + ", or one lost renewal lapses the lease"
+	minTTL := renewalsPerTTL*t.RenewEvery + t.Margin
+	if t.LeaseTTL <= minTTL {
+		text := "leaseTTL " + t.LeaseTTL.String() + " must be above 3 × renewEvery + margin = " + minTTL.String() + ", or one lost renewal lapses the lease"
 		o.Blame("leaseTTL", "renewEvery", "margin").Problem(text)
 	}
-	leastSuspect := heartbeatsPerSuspicion * t.HeartbeatEvery
-	if t.SuspectAfter <= leastSuspect {
-		text := "suspectAfter " + t.SuspectAfter.String() + " must be above 2 × heartbeatEvery = " + leastSuspect.String() + ", or one lost heartbeat raises suspicion"
+	minSuspectAfter := heartbeatsPerSuspicion * t.HeartbeatEvery
+	if t.SuspectAfter <= minSuspectAfter {
+		text := "suspectAfter " + t.SuspectAfter.String() + " must be above 2 × heartbeatEvery = " + minSuspectAfter.String() + ", or one lost heartbeat raises suspicion"
 		o.Blame("suspectAfter", "heartbeatEvery").Problem(text)
 	}
 	if t.SuspectAfter >= t.LeaseTTL {
--- a/settings/parse_listeners.go
+++ b/settings/parse_listeners.go
@@ -7,8 +7,9 @@
 	"github.com/burdockspindle/burdockspindle/jsonc"
 )
 
-// readListener reads an address and its TLS files. Only a listener that is not
-// announced to others may listen on every address of the VM.
+// readListener reads an address and its TLS files. anyAddress permits listening
+// on every address of the VM, which a listener whose address is announced to
+// other nodes must not do.
 func readListener(o *jsonc.Object, anyAddress bool) Listener {
 	address := o.Need("address")
 	listener := Listener{Address: address.Text(), TLS: readTLS(o.Get("tls"))}
@@ -75,21 +76,21 @@
 	}
 }
 
-// checkAddresses refuses two listeners on one address. Port 0, by which the
-// system chooses, never clashes.
+// checkAddresses rejects two listeners on the same address. Port 0 never
+// conflicts, because the system then chooses a free port.
 func checkAddresses(root *jsonc.Object, s *Settings) {
 	fields := []string{"frontend", "peer", "admin"}
 	addresses := []string{s.Frontend.Address, s.Peer.Address, s.Admin.Address}
 	for i := range addresses {
 		for j := range i {
-			if clash(addresses[i], addresses[j]) {
+			if addressesConflict(addresses[i], addresses[j]) {
 				root.Get(fields[i]).Problem("has the same address and port as " + fields[j])
 			}
 		}
 	}
 }
 
-func clash(a, b string) bool {
+func addressesConflict(a, b string) bool {
 	first, errFirst := netip.ParseAddrPort(a)
 	second, errSecond := netip.ParseAddrPort(b)
 	if errFirst != nil || errSecond != nil || first.Port() == 0 || first.Port() != second.Port() {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings of one entry VM's process: JSON with
-// comments, validated as a whole before anything starts.
+// Package settings reads the settings of the process of one entry VM: JSON with
+// comments, which is validated completely before any module starts.
 package settings
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Settings is everything that a process learns from its settings file.
+// Settings is the content of a settings file.
 type Settings struct {
 	Node     topo.NodeID
 	Zone     topo.Zone
@@ -19,9 +19,10 @@
 	Log      Driver   // module namespace "log"
 	VMs      Driver   // module namespace "vms"
 	Servers  Driver   // module namespace "servers"
-	// Balance names the policy, module namespace "balance".
+	// Balance selects the balancing policy, module namespace "balance".
 	Balance Driver
-	// Seeds are peer addresses to ask for state while the log is away.
+	// Seeds are the addresses of peers from which state is requested while the log
+	// is unavailable.
 	Seeds    []string
 	Limits   Limits
 	Timing   Timing
@@ -34,56 +35,57 @@
 	TLS     *TLS
 }
 
-// TLS names PEM files, read again when they change. With CAFile both sides
-// must show a certificate signed by it.
+// TLS holds the paths of PEM files, which are reloaded when they change. With
+// CAFile, both sides must present a certificate signed by one of its authorities.
 type TLS struct {
 	CertFile string
 	KeyFile  string
 	CAFile   string
 }
 
-// Admin is the administration API's listener. Without a token there is no
-// administration API.
+// Admin is the listener of the administration API, which is disabled without a
+// token.
 type Admin struct {
 	Listener
 	Token string
-	// TokenFile is where Load reads the token; Token is then filled in.
+	// TokenFile is the file from which Load reads Token.
 	TokenFile string
 }
 
-// Driver names a module of a fixed namespace and carries its own options.
+// Driver selects a module of a fixed namespace and holds its options.
 type Driver struct {
 	Name    string         // "http" for module "log.http"
 	Options map[string]any // validated by the module
 }
 
-// Limits bound what the process holds.
+// Limits bounds the resources of the process.
 type Limits struct {
-	MaxBodyBytes    int64         // of any request
+	MaxBodyBytes    int64         // of a request of any service
 	MaxQueued       int           // requests waiting for a server, per service
 	MaxBuffered     int           // requests waiting for a shard's next owner, per service
 	MaxInFlight     int           // requests of all services
 	RetryBudget     float64       // retries per first attempt, over a sliding window
-	DrainDelay      time.Duration // the health endpoint fails this long before new requests are refused
-	DrainTimeout    time.Duration // longest wait for requests in flight
-	SilentAfter     time.Duration // no progress on a connection
+	DrainDelay      time.Duration // time between the health endpoint's first failure and the rejection of new requests
+	DrainTimeout    time.Duration // maximum wait for requests in flight
+	SilentAfter     time.Duration // time without progress after which a connection is treated as stalled
 	ConnectTimeout  time.Duration
 	MaxHeaderBytes  int
 	MemoryLimitByte int64 // soft heap limit; 0 leaves Go's default
 }
 
-// Timing holds the intervals of ownership; see package lease for what each
-// must satisfy.
+// Timing holds the timing parameters of ownership; package lease documents the
+// constraints on them.
 type Timing struct {
 	LeaseTTL        time.Duration
 	RenewEvery      time.Duration
 	HeartbeatEvery  time.Duration
-	SuspectAfter    time.Duration // heartbeat silence after which the other is suspected
-	DriftPPM        int           // bound on the difference of two clocks' rates
-	Margin          time.Duration // added to every wait
+	SuspectAfter    time.Duration // time without a heartbeat after which a node is suspected
+	DriftPPM        int           // bound on the difference between the rates of two clocks
+	Margin          time.Duration // safety margin added to every wait
 	VMPollEvery     time.Duration
 	CheckpointEvery int // records between checkpoints
-	// LogRelays is how many nodes of a zone read the log at least; the others
-	// read it through them. 0 lets every node read it.
+	// LogRelays is the minimum number of nodes of a zone that read the log
+	// directly; the other nodes read it through these. With 0, every node reads
+	// it directly.
 	LogRelays int
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -29,8 +29,8 @@
 		g.Expect(s.Balance.Name).To(gomega.Equal(settings.DefaultBalance))
 	})
 
-	// A line that is added is line 8.
-	ginkgo.DescribeTable("bad settings",
+	// A line added by with is line 8 of the text.
+	ginkgo.DescribeTable("invalid settings",
 		func(line string, want []string) {
 			g := gomega.NewWithT(ginkgo.GinkgoTB())
 			_, problems := settings.Parse([]byte(with(line)), "s")
@@ -69,7 +69,7 @@
 		ginkgo.Entry(nil, `"ttl": "1s"`, []string{"s:8: ttl: unknown field; known here: admin, balance, frontend"}),
 	)
 
-	ginkgo.It("all missing fields at once", func() {
+	ginkgo.It("all missing fields are reported at once", func() {
 		t := ginkgo.GinkgoTB()
 		g := gomega.NewWithT(t)
 		_, problems := settings.Parse([]byte(`{}`), "s")
@@ -80,7 +80,7 @@
 		g.Expect(fields).To(gomega.Equal([]string{"node", "zone", "frontend", "peer", "log", "vms"}))
 	})
 
-	ginkgo.It("load reads token file beside the settings", func() {
+	ginkgo.It("load resolves the token file relative to the settings file", func() {
 		t := ginkgo.GinkgoTB()
 		g := gomega.NewWithT(t)
 		dir := t.TempDir()
@@ -117,7 +117,7 @@
 		g.Expect(invalid.Problems[1].Error()).To(gomega.ContainSubstring("peer.tls.caFile: holds no PEM certificate"))
 	})
 
-	ginkgo.It("load reports a file that is not there", func() {
+	ginkgo.It("load reports a missing file", func() {
 		t := ginkgo.GinkgoTB()
 		g := gomega.NewWithT(t)
 		_, err := settings.Load(filepath.Join(t.TempDir(), "none"))
@@ -137,7 +137,8 @@
 
 func TestSpecs(t *testing.T) { spectest.Run(t, "settings") }
 
-// with returns the valid settings with one more line, or one line replaced.
+// with returns the valid settings with line added, or with line in place of the
+// line that sets the same field.
 func with(line string) string {
 	field, _, _ := strings.Cut(line, ":")
 	lines := strings.Split(valid, "\n")
@@ -150,8 +151,9 @@
 	return strings.TrimSuffix(valid, "}") + line + "\n}"
 }
 
-// FuzzParse checks that no text panics, that each problem has a place in the
-// text, and that settings without problems keep every rule between intervals.
+// FuzzParse checks that Parse panics on no text, that the line of each problem is
+// in the text, and that settings without problems satisfy the constraints between
+// intervals.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(valid))
 	f.Add([]byte(with(`"timing": {"leaseTTL": "1h", "driftPPM": 9e9}`)))
@@ -161,14 +163,14 @@
 		lines := 1 + strings.Count(string(text), "\n")
 		for _, problem := range problems {
 			if problem.Text == "" || problem.Line > lines {
-				t.Fatalf("problem without text or place: %+v", problem)
+				t.Fatalf("problem without text, or with a line outside the input: %+v", problem)
 			}
 		}
 		if len(problems) > 0 {
 			return
 		}
 		if s.Timing.LeaseTTL <= 3*s.Timing.RenewEvery+s.Timing.Margin || s.Timing.SuspectAfter >= s.Timing.LeaseTTL {
-			t.Fatalf("impossible intervals accepted: %+v", s.Timing)
+			t.Fatalf("inconsistent intervals accepted: %+v", s.Timing)
 		}
 		if s.Node == "" || s.Frontend.Address == "" || s.Limits.DrainTimeout < time.Millisecond {
 			t.Fatalf("incomplete settings accepted: %+v", s)
