--- a/siteconfig/change.go
+++ b/siteconfig/change.go
@@ -6,8 +6,9 @@
 	"github.com/burdockspindle/burdockspindle/jsonc"
 )
 
-// checkChange refuses to change how a service's keys map to shards: nodes that
-// follow the log at different speeds would send one key to two shards.
+// checkChange rejects a change to the mapping of a service's keys to shards,
+// because nodes that have read the log to different offsets would route the same
+// key to different shards.
 func checkChange(services *jsonc.Object, base, next *Site) {
 	for _, name := range base.names() {
 		before := base.Services[name]
--- a/siteconfig/convert.go
+++ b/siteconfig/convert.go
@@ -10,12 +10,12 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// forever is the encoded form of Forever.
-const forever = -1
+// foreverMillis is the encoding of Forever in milliseconds.
+const foreverMillis = -1
 
-// ConvertError reports a compiled site configuration that cannot be used.
+// ConvertError reports an invalid compiled site configuration.
 type ConvertError struct {
-	Service topo.Service // empty when the fault is not in one service
+	Service topo.Service // empty if the fault is not in a single service
 	Problem string
 }
 
@@ -24,7 +24,7 @@
 	return fmt.Sprintf("compiled site configuration: service %q: %s", e.Service, e.Problem)
 }
 
-// ToProto encodes a site. Equal sites give equal messages.
+// ToProto encodes a site. Equal sites have equal encodings.
 func ToProto(site *Site) *bspb.SiteConfig {
 	message := &bspb.SiteConfig{
 		GroupsPerZone: uint32(site.GroupsPerZone),
@@ -43,7 +43,7 @@
 }
 
 // FromProto decodes a site. It fails with a *ConvertError on a message that
-// could not be applied by every process in the same way.
+// processes could apply in different ways.
 func FromProto(message *bspb.SiteConfig) (*Site, error) {
 	if message == nil {
 		return nil, &ConvertError{Problem: "missing"}
@@ -134,12 +134,13 @@
 // DurationToMillis encodes a MaxDisconnected in milliseconds; Forever is -1.
 func DurationToMillis(limit time.Duration) int64 {
 	if limit == Forever {
-		return forever
+		return foreverMillis
 	}
 	return limit.Milliseconds()
 }
 
-// MillisToDuration decodes a MaxDisconnected; every negative number is Forever.
+// MillisToDuration decodes a MaxDisconnected; every negative number decodes as
+// Forever.
 func MillisToDuration(millis int64) time.Duration {
 	if millis < 0 {
 		return Forever
--- a/siteconfig/convert_test.go
+++ b/siteconfig/convert_test.go
@@ -15,7 +15,7 @@
 )
 
 var _ = ginkgo.Describe("compiled form", func() {
-	ginkgo.It("conversion keeps everything", func() {
+	ginkgo.It("conversion preserves every field", func() {
 		t := ginkgo.GinkgoTB()
 		g := gomega.NewWithT(t)
 		site := &siteconfig.Site{
@@ -38,13 +38,13 @@
 			TrustVMList:   true,
 		}
 		encoded := siteconfig.ToProto(site)
-		g.Expect(proto.Equal(encoded, siteconfig.ToProto(site))).To(gomega.BeTrue(), "equal sites, equal messages")
+		g.Expect(proto.Equal(encoded, siteconfig.ToProto(site))).To(gomega.BeTrue(), "equal sites have equal encodings")
 		decoded, err := siteconfig.FromProto(encoded)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(decoded).To(gomega.Equal(site))
 	})
 
-	ginkgo.DescribeTable("compiled forms that are refused",
+	ginkgo.DescribeTable("invalid compiled forms are rejected",
 		func(message *bspb.SiteConfig) {
 			_, err := siteconfig.FromProto(message)
 			var convert *siteconfig.ConvertError
@@ -56,7 +56,7 @@
 		ginkgo.Entry("listed twice", &bspb.SiteConfig{Services: []*bspb.ServiceConfig{{Name: "a"}, {Name: "a"}}}),
 	)
 
-	ginkgo.It("longer disconnected", func() {
+	ginkgo.It("forever is the longest disconnected time", func() {
 		t := ginkgo.GinkgoTB()
 		g := gomega.NewWithT(t)
 		g.Expect(siteconfig.LongerDisconnected(time.Second, time.Minute)).To(gomega.Equal(time.Minute))
--- a/siteconfig/defaults.go
+++ b/siteconfig/defaults.go
@@ -11,7 +11,7 @@
 	DefaultGroupsPerZone   = 2
 )
 
-// Bounds within which a field makes sense.
+// Bounds of the fields, and the texts of enumerated values.
 const (
 	MaxShards           = 1 << 17 // of one service
 	maxPerServer        = 100_000 // requests or connections
@@ -26,10 +26,11 @@
 	weightImbalanceText = "imbalance"
 )
 
-// defaultIdempotentMethods are the methods that change nothing at the server.
-// PUT and DELETE are idempotent by the HTTP standard, yet a server that numbers
-// or notifies on them is not, so operators name them where it holds.
+// defaultIdempotentMethods are the methods that change no state at the server.
+// PUT and DELETE are idempotent by the HTTP standard, but not at a server that
+// assigns numbers or sends notifications on them, so operators declare them for
+// services where they are idempotent.
 var defaultIdempotentMethods = []string{"GET", "HEAD"}
 
-// knownMethods may be declared as idempotent.
+// knownMethods are the methods that operators may declare as idempotent.
 var knownMethods = []string{"GET", "HEAD", "OPTIONS", "PUT", "DELETE", "POST", "PATCH"}
--- a/siteconfig/dependencies.go
+++ b/siteconfig/dependencies.go
@@ -8,11 +8,11 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// checkDependencies refuses unknown, repeated and cyclic dependencies.
+// checkDependencies rejects unknown, duplicate and cyclic dependencies.
 func checkDependencies(services *jsonc.Object, site *Site) {
 	for _, name := range site.names() {
 		service := services.Get(string(name)).Object()
-		checkNames(service.Get("dependsOn"), site)
+		checkDependencyNames(service.Get("dependsOn"), site)
 	}
 	for _, cycle := range findCycles(site) {
 		first := services.Get(string(cycle[0])).Object()
@@ -20,9 +20,9 @@
 	}
 }
 
-func checkNames(dependsOn *jsonc.Value, site *Site) {
+func checkDependencyNames(dependsOn *jsonc.Value, site *Site) {
 	if !dependsOn.IsArray() {
-		return // its wrong type was noted when it was read
+		return // readDependsOn has reported the wrong type
 	}
 	seen := map[string]bool{}
 	for _, element := range dependsOn.Elements() {
@@ -49,14 +49,14 @@
 	return strings.Join(texts, " → ")
 }
 
-// Colours of the depth-first search.
+// Colours of the services in the depth-first search.
 const (
 	unvisited = iota
 	onPath
 	finished
 )
 
-// cycleSearch finds one cycle for each edge that closes one.
+// cycleSearch is a depth-first search that finds one cycle for each back edge.
 type cycleSearch struct {
 	site   *Site
 	colour map[topo.Service]int
@@ -64,8 +64,8 @@
 	cycles [][]topo.Service
 }
 
-// findCycles returns cycles of the dependency graph, each beginning with its
-// least name; none when the graph is acyclic.
+// findCycles returns cycles of the dependency graph, each starting with its
+// smallest name; none if the graph is acyclic.
 func findCycles(site *Site) [][]topo.Service {
 	search := &cycleSearch{site: site, colour: map[topo.Service]int{}}
 	for _, name := range site.names() {
@@ -76,36 +76,37 @@
 	return search.cycles
 }
 
-func (c *cycleSearch) visit(name topo.Service) {
-	service, exists := c.site.Services[name]
+func (search *cycleSearch) visit(name topo.Service) {
+	service, exists := search.site.Services[name]
 	if !exists {
 		return
 	}
-	c.colour[name] = onPath
-	c.path = append(c.path, name)
+	search.colour[name] = onPath
+	search.path = append(search.path, name)
 	for _, dependency := range service.DependsOn {
-		switch c.colour[dependency] {
+		switch search.colour[dependency] {
 		case unvisited:
-			c.visit(dependency)
+			search.visit(dependency)
 		case onPath:
-			c.addCycle(dependency)
+			search.addCycle(dependency)
 		}
 	}
-	c.path = c.path[:len(c.path)-1]
-	c.colour[name] = finished
+	search.path = search.path[:len(search.path)-1]
+	search.colour[name] = finished
 }
 
-// addCycle notes the part of the path that begins with first, turned so that
-// its least name leads.
-func (c *cycleSearch) addCycle(first topo.Service) {
-	start := slices.Index(c.path, first)
-	cycle := slices.Clone(c.path[start:])
-	least := slices.Index(cycle, slices.Min(cycle))
-	turned := slices.Concat(cycle[least:], cycle[:least])
-	for _, known := range c.cycles {
-		if slices.Equal(known, turned) {
+// addCycle records the part of the path that starts at first as a cycle, rotated
+// so that its smallest name comes first. A cycle that is already recorded is
+// ignored.
+func (search *cycleSearch) addCycle(first topo.Service) {
+	start := slices.Index(search.path, first)
+	cycle := slices.Clone(search.path[start:])
+	smallest := slices.Index(cycle, slices.Min(cycle))
+	rotated := slices.Concat(cycle[smallest:], cycle[:smallest])
+	for _, existing := range search.cycles {
+		if slices.Equal(existing, rotated) {
 			return
 		}
 	}
-	c.cycles = append(c.cycles, turned)
+	search.cycles = append(search.cycles, rotated)
 }
--- a/siteconfig/graph.go
+++ b/siteconfig/graph.go
@@ -6,18 +6,19 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// StartOrder lists the services so that each comes after all that it depends
-// on; services that are free to come in any order come by name.
+// StartOrder returns the services in an order in which each one follows all of
+// its dependencies. It visits services and their dependencies by name, so that
+// the order is deterministic.
 func (s *Site) StartOrder() []topo.Service {
 	order := make([]topo.Service, 0, len(s.Services))
-	placed := map[topo.Service]bool{}
+	visited := map[topo.Service]bool{}
 	var place func(name topo.Service)
 	place = func(name topo.Service) {
 		service, exists := s.Services[name]
-		if !exists || placed[name] {
+		if !exists || visited[name] {
 			return
 		}
-		placed[name] = true
+		visited[name] = true
 		for _, dependency := range slices.Sorted(slices.Values(service.DependsOn)) {
 			place(dependency)
 		}
@@ -29,16 +30,16 @@
 	return order
 }
 
-// DrainOrder is StartOrder reversed: a service stops taking requests before
-// those that it depends on.
+// DrainOrder is the reverse of StartOrder: a service stops accepting requests
+// before its dependencies do.
 func (s *Site) DrainOrder() []topo.Service {
 	order := s.StartOrder()
 	slices.Reverse(order)
 	return order
 }
 
-// Dependencies lists all services that a service needs, directly or through
-// others, by name, itself left out.
+// Dependencies returns the direct and transitive dependencies of a service,
+// sorted by name.
 func (s *Site) Dependencies(name topo.Service) []topo.Service {
 	found := map[topo.Service]bool{}
 	var visit func(topo.Service)
@@ -58,8 +59,8 @@
 	return sortedNames(found)
 }
 
-// Dependants lists all services that need a service, directly or through
-// others, by name.
+// Dependants returns the services that depend on a service, directly or
+// transitively, sorted by name.
 func (s *Site) Dependants(name topo.Service) []topo.Service {
 	found := map[topo.Service]bool{}
 	for _, candidate := range s.names() {
@@ -76,7 +77,7 @@
 	return s.depths()[name]
 }
 
-// ChainDepth is the greatest Depth of any service.
+// ChainDepth is the maximum Depth of all services.
 func (s *Site) ChainDepth() int {
 	deepest := 0
 	for _, depth := range s.depths() {
@@ -97,7 +98,7 @@
 	return depths
 }
 
-// names lists the services by name.
+// names returns the names of the services, sorted.
 func (s *Site) names() []topo.Service {
 	names := make([]topo.Service, 0, len(s.Services))
 	for name := range s.Services {
--- a/siteconfig/graph_test.go
+++ b/siteconfig/graph_test.go
@@ -30,13 +30,13 @@
 	})
 })
 
-type fataler interface {
+type fatalReporter interface {
 	Fatalf(format string, args ...any)
 }
 
-// checkStartOrder fails unless each service appears once and after all that it
-// depends on, and draining goes the other way round.
-func checkStartOrder(t fataler, site *siteconfig.Site) {
+// checkStartOrder fails unless each service appears once, after all of its
+// dependencies, and the drain order is the reverse.
+func checkStartOrder(t fatalReporter, site *siteconfig.Site) {
 	order := site.StartOrder()
 	if len(order) != len(site.Services) {
 		t.Fatalf("%d services, %d in order", len(site.Services), len(order))
@@ -55,7 +55,7 @@
 	}
 }
 
-// siteOf builds a site from "service: dependencies" without parsing.
+// siteOf builds a site from the dependencies of each service, without parsing.
 func siteOf(dependencies map[topo.Service][]topo.Service) *siteconfig.Site {
 	site := &siteconfig.Site{Services: map[topo.Service]*siteconfig.Service{}}
 	for name, dependsOn := range dependencies {
@@ -64,7 +64,7 @@
 	return site
 }
 
-func TestAnyAcyclicGraphHasAnOrder(t *testing.T) {
+func TestAcyclicGraphHasStartOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 12).Draw(t, "services")
 		dependencies := map[topo.Service][]topo.Service{}
--- a/siteconfig/parse.go
+++ b/siteconfig/parse.go
@@ -8,18 +8,19 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Problem is one fault of a site configuration: file, line, field and text.
+// Problem is one error in a site configuration, with its file, line, field and
+// text.
 type Problem = jsonc.Problem
 
-// Parse reads and validates the operators' text. The file name is only used in
-// problems. The site is only complete when there is no problem.
+// Parse reads and validates a site configuration. The file name is used only in
+// problems. The site is complete only if no problem is returned.
 func Parse(text []byte, file string) (*Site, []Problem) {
 	return ParseChange(text, file, nil)
 }
 
-// ParseChange is Parse for a text that is to replace a site configuration in
-// force: it also refuses what may not change while a service exists. A nil
-// base means that there is none.
+// ParseChange is Parse for a text that replaces the site configuration base,
+// which is in force. It also rejects changes to fields that are fixed while a
+// service exists. base is nil if no configuration is in force.
 func ParseChange(text []byte, file string, base *Site) (*Site, []Problem) {
 	root, report := jsonc.Parse(text, file)
 	site := &Site{
@@ -53,7 +54,8 @@
 	checkDependencies(o, site)
 }
 
-// validServiceName allows what is safe as a path segment and as a host label.
+// validServiceName reports whether a name is safe as a path segment and as a host
+// label.
 func validServiceName(name string) bool {
 	if name == "" || len(name) > maxNameLength {
 		return false
@@ -103,7 +105,7 @@
 	return 0
 }
 
-// checkService refuses values that are each right but not together.
+// checkService rejects combinations of values that are valid only individually.
 func checkService(o *jsonc.Object, s *Service) {
 	if s.ConnectionsPerServer > 0 && s.ConnectionsPerServer < s.ConcurrencyPerServer {
 		text := "connectionsPerServer must be at least concurrencyPerServer = " + strconv.Itoa(s.ConcurrencyPerServer)
--- a/siteconfig/parse_test.go
+++ b/siteconfig/parse_test.go
@@ -54,7 +54,7 @@
 		g.Expect(parsed.TrustVMList).To(gomega.BeTrue())
 	})
 
-	ginkgo.DescribeTable("bad sites",
+	ginkgo.DescribeTable("invalid sites",
 		func(text string, want []string) {
 			g := gomega.NewWithT(ginkgo.GinkgoTB())
 			_, problems := siteconfig.Parse([]byte(text), "c")
@@ -92,7 +92,7 @@
 		}),
 	)
 
-	ginkgo.It("keys never map to other shards while a service exists", func() {
+	ginkgo.It("the mapping of keys to shards is fixed while a service exists", func() {
 		t := ginkgo.GinkgoTB()
 		g := gomega.NewWithT(t)
 		base, problems := siteconfig.Parse([]byte(site("", "")), "c")
@@ -114,14 +114,15 @@
 
 func TestSpecs(t *testing.T) { spectest.Run(t, "siteconfig") }
 
-// site returns a text with service "a" on line 2 and "b" on line 3, each with
-// more fields, and more top-level lines from line 5 on.
+// site returns a site configuration with service "a" on line 2 and service "b" on
+// line 3, to which the fields a and b are added, and with the top-level lines of
+// more from line 5 on.
 func site(a, b string, more ...string) string {
 	return "{\"services\": {\n\"a\": {" + minimal + a + "},\n\"b\": {" + minimal + b + "}\n}," + strings.Join(append([]string{""}, more...), "\n") + "\n}"
 }
 
-// FuzzParse checks that no text panics, that each problem has a place in the
-// text, and that a site without problems has a start order that keeps every
+// FuzzParse checks that Parse panics on no text, that the line of each problem is
+// in the text, and that the start order of a site without problems respects every
 // dependency.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(site("", `, "dependsOn": ["a"]`)))
@@ -132,7 +133,7 @@
 		lines := 1 + strings.Count(string(text), "\n")
 		for _, problem := range problems {
 			if problem.Text == "" || problem.Line > lines {
-				t.Fatalf("problem without text or place: %+v", problem)
+				t.Fatalf("problem without text, or with a line outside the input: %+v", problem)
 			}
 		}
 		if len(problems) == 0 {
--- a/siteconfig/seed_test.go
+++ b/siteconfig/seed_test.go
@@ -2,5 +2,6 @@
 
 import "flag"
 
-// Generated cases are the same in every run; -rapid.seed=N tries others.
+// init fixes the seed, so that every run generates the same cases; -rapid.seed=N
+// generates others.
 func init() { _ = flag.Set("rapid.seed", "1") }
