--- a/cli/admin.go
+++ b/cli/admin.go
@@ -13,17 +13,19 @@
 	"github.com/burdockspindle/burdockspindle/adminapi"
 )
 
-// Environment variables that stand in for flags.
+// Environment variables that provide the defaults of flags.
 const (
 	envAdmin = "BURDOCKSPINDLE_ADMIN"
 	envToken = "BURDOCKSPINDLE_TOKEN"
 	envUser  = "USER"
 )
 
-// adminCallTimeout bounds one call; a profile or dump may take a while.
+// adminCallTimeout is the timeout of one call. It is long because a profile or a
+// dump takes time to produce.
 const adminCallTimeout = time.Minute
 
-// adminFlags says which administration API to call and as whom.
+// adminFlags holds the address of an administration API and the credentials for
+// it.
 type adminFlags struct {
 	url       string
 	token     string
@@ -44,9 +46,9 @@
 	sub.String(&f.keyFile, "", "key-file", "PEM file with its key")
 }
 
-// client returns a client made from flags and environment.
+// client returns a client configured from the flags and the environment.
 func (f *adminFlags) client(env *Env) (*adminapi.Client, error) {
-	address := firstOf(f.url, env.Getenv(envAdmin))
+	address := firstNonEmpty(f.url, env.Getenv(envAdmin))
 	if address == "" {
 		return nil, &UsageError{Problem: "--admin URL or $" + envAdmin + " is needed"}
 	}
@@ -54,16 +56,16 @@
 	if err != nil {
 		return nil, err
 	}
-	config, err := f.tls()
+	config, err := f.tlsConfig()
 	if err != nil {
 		return nil, err
 	}
 	transport := &http.Transport{TLSClientConfig: config, Proxy: http.ProxyFromEnvironment}
-	operator := firstOf(f.operator, env.Getenv(envUser))
+	operator := firstNonEmpty(f.operator, env.Getenv(envUser))
 	return adminapi.NewClient(address, token, operator, &http.Client{Transport: transport, Timeout: adminCallTimeout})
 }
 
-func firstOf(texts ...string) string {
+func firstNonEmpty(texts ...string) string {
 	for _, text := range texts {
 		if text != "" {
 			return text
@@ -83,15 +85,15 @@
 		}
 		return strings.TrimSpace(string(text)), nil
 	}
-	token := firstOf(f.token, env.Getenv(envToken))
+	token := firstNonEmpty(f.token, env.Getenv(envToken))
 	if token == "" {
 		return "", &UsageError{Problem: "--token, --token-file or $" + envToken + " is needed"}
 	}
 	return token, nil
 }
 
-// tls returns nil when no file is named.
-func (f *adminFlags) tls() (*tls.Config, error) {
+// tlsConfig returns the TLS configuration; nil if the flags name no file.
+func (f *adminFlags) tlsConfig() (*tls.Config, error) {
 	if f.caFile == "" && f.certFile == "" {
 		return nil, nil
 	}
--- a/cli/admin_test.go
+++ b/cli/admin_test.go
@@ -13,14 +13,14 @@
 )
 
 var _ = ginkgo.Describe("commands to the administration API", func() {
-	ginkgo.DescribeTable("publish tells what became of it",
-		func(c publishAnswer) {
+	ginkgo.DescribeTable("publish reports the outcome",
+		func(c publishCase) {
 			t := ginkgo.GinkgoTB()
 			g := gomega.NewWithT(t)
-			api := &answerer{status: c.status, body: c.body}
+			api := &fakeAPI{status: c.status, body: c.body}
 			server := httptest.NewServer(api)
 			defer server.Close()
-			file := write(t, goodSite)
+			file := writeFile(t, goodSite)
 			got := run(map[string]string{"BURDOCKSPINDLE_TOKEN": "secret", "USER": "ann"}, "publish", "--admin", server.URL, "--base", "4", file)
 			g.Expect(got.code).To(gomega.Equal(c.code), got.stderr)
 			g.Expect(got.stdout).To(gomega.Equal(c.stdout))
@@ -33,18 +33,18 @@
 			g.Expect(api.last.Header.Get("Authorization")).To(gomega.Equal("Bearer secret"))
 			g.Expect(api.last.Header.Get("Burdockspindle-Operator")).To(gomega.Equal("ann"))
 		},
-		ginkgo.Entry("accepted", publishAnswer{`{"version": 5, "inForce": 5}`, 200, cli.ExitOK, "version 5 accepted\n", ""}),
-		ginkgo.Entry("accepted before", publishAnswer{`{"version": 5, "inForce": 6, "repeated": true}`, 200, cli.ExitOK, "version 5 accepted (by an earlier attempt); version 6 is in force since\n", ""}),
-		ginkgo.Entry("conflict", publishAnswer{`{"code": "conflict", "message": "version 5 is in force, not 4"}`, 409, cli.ExitConflict, "", "conflict: version 5 is in force, not 4\n"}),
-		ginkgo.Entry("rejected", publishAnswer{`{"code": "rejected", "message": "shards-owned"}`, 409, cli.ExitFailure, "", "rejected: shards-owned\n"}),
-		ginkgo.Entry("problems", publishAnswer{`{"code": "invalid", "message": "m", "problems": [{"file": "site", "line": 3, "field": "services.a.shards", "text": "cannot change"}]}`, 422, cli.ExitFailure, "", "FILE:3: services.a.shards: cannot change\n"}),
-		ginkgo.Entry("wrong token", publishAnswer{`{"code": "unauthorized", "message": "a bearer token is needed"}`, 401, cli.ExitFailure, "", "unauthorized: a bearer token is needed\n"}),
+		ginkgo.Entry("accepted", publishCase{`{"version": 5, "inForce": 5}`, 200, cli.ExitOK, "version 5 accepted\n", ""}),
+		ginkgo.Entry("accepted before", publishCase{`{"version": 5, "inForce": 6, "repeated": true}`, 200, cli.ExitOK, "version 5 accepted (by an earlier attempt); version 6 is in force since\n", ""}),
+		ginkgo.Entry("conflict", publishCase{`{"code": "conflict", "message": "version 5 is in force, not 4"}`, 409, cli.ExitConflict, "", "conflict: version 5 is in force, not 4\n"}),
+		ginkgo.Entry("rejected", publishCase{`{"code": "rejected", "message": "shards-owned"}`, 409, cli.ExitFailure, "", "rejected: shards-owned\n"}),
+		ginkgo.Entry("problems", publishCase{`{"code": "invalid", "message": "m", "problems": [{"file": "site", "line": 3, "field": "services.a.shards", "text": "cannot change"}]}`, 422, cli.ExitFailure, "", "FILE:3: services.a.shards: cannot change\n"}),
+		ginkgo.Entry("wrong token", publishCase{`{"code": "unauthorized", "message": "a bearer token is needed"}`, 401, cli.ExitFailure, "", "unauthorized: a bearer token is needed\n"}),
 	)
 
 	ginkgo.It("publish checks the file first", func() {
 		t := ginkgo.GinkgoTB()
 		g := gomega.NewWithT(t)
-		got := run(map[string]string{"BURDOCKSPINDLE_TOKEN": "x"}, "publish", "--admin", "http://127.0.0.1:1", "--base", "0", write(t, "{}"))
+		got := run(map[string]string{"BURDOCKSPINDLE_TOKEN": "x"}, "publish", "--admin", "http://127.0.0.1:1", "--base", "0", writeFile(t, "{}"))
 		g.Expect(got.code).To(gomega.Equal(cli.ExitFailure))
 		g.Expect(got.stderr).To(gomega.ContainSubstring(":1: services: missing"))
 	})
@@ -52,7 +52,7 @@
 	ginkgo.It("status, dump, site and drain", func() {
 		t := ginkgo.GinkgoTB()
 		g := gomega.NewWithT(t)
-		api := &answerer{status: 200}
+		api := &fakeAPI{status: 200}
 		server := httptest.NewServer(api)
 		defer server.Close()
 		tokenFile := filepath.Join(t.TempDir(), "token")
@@ -75,22 +75,22 @@
 	})
 })
 
-// publishAnswer is an answer of the API and what the command makes of it.
-type publishAnswer struct {
+// publishCase is a response of the API and the expected result of the command.
+type publishCase struct {
 	body           string
 	status, code   int
 	stdout, stderr string
 }
 
-// answerer answers every request with one status and body, and keeps the last
-// request.
-type answerer struct {
+// fakeAPI responds to every request with the same status and body, and records
+// the last request.
+type fakeAPI struct {
 	status int
 	body   string
 	last   *http.Request
 }
 
-func (a *answerer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (a *fakeAPI) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	a.last = r
 	w.WriteHeader(a.status)
 	_, _ = w.Write([]byte(a.body))
--- a/cli/check.go
+++ b/cli/check.go
@@ -13,7 +13,7 @@
 	"github.com/burdockspindle/burdockspindle/siteconfig"
 )
 
-// Kinds of file that check knows.
+// Kinds of file that the command check validates.
 const (
 	kindAuto     = "auto"
 	kindSettings = "settings"
@@ -28,10 +28,10 @@
 	kind := kindAuto
 	return Command{
 		Name:        "check",
-		Description: "Validate a settings file or a site configuration and say all that is wrong.",
+		Description: "Validate a settings file or a site configuration and report every problem.",
 		Flags: func(sub *flaggy.Subcommand) {
 			sub.AddPositionalValue(&file, "FILE", 1, true, "file to validate")
-			sub.String(&kind, "k", "kind", "settings, gateway (settings of a gateway node), site, or auto to tell by the fields")
+			sub.String(&kind, "k", "kind", "settings, gateway (settings of a gateway node), site, or auto to detect it from the fields")
 		},
 		Run: func(_ context.Context, env *Env) error { return check(env, kind, file) },
 	}
@@ -65,8 +65,9 @@
 	return nil
 }
 
-// detectKind takes a file with a "services" field for a site configuration, and
-// one with a "driver" field for the settings of a gateway node.
+// detectKind returns the kind of a file: a site configuration if it has a
+// "services" field, the settings of a gateway node if it has a "driver" field, and
+// the settings of an entry node otherwise.
 func detectKind(text []byte, file string) string {
 	root, _ := jsonc.Parse(text, file)
 	if root.Get("services").Present() {
--- a/cli/check_gateway_test.go
+++ b/cli/check_gateway_test.go
@@ -12,7 +12,7 @@
 	"github.com/burdockspindle/burdockspindle/cli"
 )
 
-func TestCheckKnowsTheSettingsOfAGatewayNode(t *testing.T) {
+func TestCheckDetectsGatewaySettings(t *testing.T) {
 	g := gomega.NewWithT(t)
 	file := filepath.Join(t.TempDir(), "gateway.jsonc")
 	text := `{"node": "n", "zone": "z", "driver": {"name": "platform"}, "listen": {"front": "127.0.0.1:1", "ready": "127.0.0.1:2", "peer": "nowhere"}}`
--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -25,7 +25,7 @@
 		func(args ...string) {
 			t := ginkgo.GinkgoTB()
 			if file := slices.Index(args, "FILE"); file >= 0 {
-				args[file] = write(t, goodSite)
+				args[file] = writeFile(t, goodSite)
 			}
 			gomega.NewWithT(t).Expect(run(nil, args...).code).To(gomega.Equal(cli.ExitUsage))
 		},
@@ -60,7 +60,7 @@
 		func(c checkCase) {
 			t := ginkgo.GinkgoTB()
 			g := gomega.NewWithT(t)
-			file := write(t, c.text)
+			file := writeFile(t, c.text)
 			got := run(nil, append([]string{"check", file}, c.args...)...)
 			g.Expect(got.code).To(gomega.Equal(c.code), got.stderr)
 			g.Expect(strings.TrimPrefix(got.stdout, file)).To(gomega.Equal(c.stdout))
@@ -75,40 +75,40 @@
 		},
 		ginkgo.Entry("settings", checkCase{goodSettings, nil, cli.ExitOK, ": valid (settings)\n", nil}),
 		ginkgo.Entry("site", checkCase{goodSite, nil, cli.ExitOK, ": valid (site)\n", nil}),
-		ginkgo.Entry("all that is wrong with a site", checkCase{"{\"services\": {\n\"a\": {\"keyed\": 1, \"deadline\": 5,\n\"dependsOn\": [\"b\"]}}}", nil, cli.ExitFailure, "", []string{
+		ginkgo.Entry("every problem of a site", checkCase{"{\"services\": {\n\"a\": {\"keyed\": 1, \"deadline\": 5,\n\"dependsOn\": [\"b\"]}}}", nil, cli.ExitFailure, "", []string{
 			":2: services.a.keyed: must be true or false", ":2: services.a.concurrencyPerServer: missing",
 			":2: services.a.connectionsPerServer: missing", ":2: services.a.checksFencing: missing",
 			":2: services.a.deadline: must be a duration", ":3: services.a.dependsOn[0]: no service is called b",
 		}}),
-		ginkgo.Entry("a site that is to be settings", checkCase{goodSite, []string{"--kind", "settings"}, cli.ExitFailure, "", []string{
+		ginkgo.Entry("site checked as settings", checkCase{goodSite, []string{"--kind", "settings"}, cli.ExitFailure, "", []string{
 			":1: node: missing", ":1: zone: missing", ":1: frontend: missing", ":1: peer: missing",
 			":1: log: missing", ":1: vms: missing", ":1: services: unknown field",
 		}}),
 		ginkgo.Entry("no JSON", checkCase{"{\n", nil, cli.ExitFailure, "", []string{":1: not valid JSON with comments"}}),
 	)
 
-	ginkgo.It("check of a file that is not there", func() {
+	ginkgo.It("check of a missing file", func() {
 		t := ginkgo.GinkgoTB()
 		g := gomega.NewWithT(t)
 		g.Expect(run(nil, "check", filepath.Join(t.TempDir(), "none")).code).To(gomega.Equal(cli.ExitFailure))
 	})
 
-	ginkgo.It("flags start from their defaults each time", func() {
+	ginkgo.It("each invocation starts from the default flags", func() {
 		t := ginkgo.GinkgoTB()
 		g := gomega.NewWithT(t)
-		file := write(t, goodSite)
+		file := writeFile(t, goodSite)
 		g.Expect(run(nil, "check", "--kind", "settings", file).code).To(gomega.Equal(cli.ExitFailure))
 		g.Expect(run(nil, "check", file).code).To(gomega.Equal(cli.ExitOK))
 	})
 
-	ginkgo.It("run starts nothing with bad settings", func() {
+	ginkgo.It("run starts no node with invalid settings", func() {
 		t := ginkgo.GinkgoTB()
 		g := gomega.NewWithT(t)
-		file := write(t, "{\"node\": 1}")
+		file := writeFile(t, "{\"node\": 1}")
 		got := run(nil, "run", "--settings", file)
 		g.Expect(got.code).To(gomega.Equal(cli.ExitFailure))
 		g.Expect(strings.Split(got.stderr, "\n")[0]).To(gomega.HavePrefix(file + ":1: node: must be a string"))
-		g.Expect(ranNodes).To(gomega.BeEmpty())
+		g.Expect(startedNodes).To(gomega.BeEmpty())
 	})
 
 	ginkgo.It("grouped commands", func() {
@@ -128,22 +128,22 @@
 
 func TestSpecs(t *testing.T) { spectest.Run(t, "cli") }
 
-// checkCase is a file and what the check command makes of it.
+// checkCase is a file and the expected result of the check command.
 type checkCase struct {
 	text     string
 	args     []string
 	code     int
 	stdout   string
-	problems []string // fragments of each line on stderr
+	problems []string // prefix of each line on stderr, without the file name
 }
 
-// outcome is what one run of the program left.
+// outcome is the exit code and the output of one invocation of the program.
 type outcome struct {
 	code           int
 	stdout, stderr string
 }
 
-// run runs the program with an environment of NAME=value pairs.
+// run runs the program with the given environment variables.
 func run(environment map[string]string, args ...string) outcome {
 	var stdout, stderr bytes.Buffer
 	env := &cli.Env{Stdout: &stdout, Stderr: &stderr, Getenv: func(name string) string { return environment[name] }}
@@ -151,21 +151,22 @@
 	return outcome{code: code, stdout: stdout.String(), stderr: stderr.String()}
 }
 
-// write puts a text into a file of a new directory.
-func write(t testing.TB, text string) string {
+// writeFile creates a file with the text in a new temporary directory and returns its
+// path.
+func writeFile(t testing.TB, text string) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "file.jsonc")
 	gomega.NewWithT(t).Expect(os.WriteFile(file, []byte(text), 0o600)).To(gomega.Succeed())
 	return file
 }
 
-// ranNodes receives the settings of each node that "run" was asked to run. The
+// startedNodes receives the settings of each node that the command run starts. The
 // node runs until its context ends.
-var ranNodes = make(chan *settings.Settings, 1)
+var startedNodes = make(chan *settings.Settings, 1)
 
 func init() {
 	cli.Register(cli.RunCommand(func(ctx context.Context, s *settings.Settings, _ hclog.Logger) error {
-		ranNodes <- s
+		startedNodes <- s
 		<-ctx.Done()
 		return nil
 	}))
@@ -182,14 +183,14 @@
 	})
 }
 
-// TestRunEndsWithASignal is no spec: Ginkgo takes a signal for its own.
-func TestRunEndsWithASignal(t *testing.T) {
+// TestSignalEndsRun is not a Ginkgo spec because Ginkgo handles signals itself.
+func TestSignalEndsRun(t *testing.T) {
 	g := gomega.NewWithT(t)
-	file := write(t, goodSettings)
+	file := writeFile(t, goodSettings)
 	done := make(chan outcome, 1)
 	go func() { done <- run(nil, "run", "--settings", file) }()
 	var s *settings.Settings
-	g.Eventually(ranNodes, "10s").Should(gomega.Receive(&s))
+	g.Eventually(startedNodes, "10s").Should(gomega.Receive(&s))
 	g.Expect(string(s.Node)).To(gomega.Equal("n"))
 	g.Expect(syscall.Kill(os.Getpid(), syscall.SIGTERM)).To(gomega.Succeed())
 	var got outcome
--- a/cli/command.go
+++ b/cli/command.go
@@ -1,6 +1,6 @@
-// Package cli is the command line of the burdockspindle program. Commands
-// register themselves; Main parses the arguments, runs one and turns its error
-// into an exit code.
+// Package cli implements the command line of the burdockspindle program. Commands
+// register themselves; Main parses the arguments, runs a command and maps its
+// error to an exit code.
 package cli
 
 import (
@@ -13,22 +13,24 @@
 	"github.com/integrii/flaggy"
 )
 
-// Env is what a command may touch of its surroundings.
+// Env is the environment of a command: its output streams and the environment
+// variables.
 type Env struct {
 	Stdout io.Writer
 	Stderr io.Writer
 	Getenv func(string) string
 }
 
-// Command is one subcommand for one invocation.
+// Command is a subcommand, created anew for each invocation.
 type Command struct {
-	// Name is the words that select it, for example "publish" or "standin log".
+	// Name is the one or two words that select the command, for example "publish"
+	// or "standin log".
 	Name        string
 	Description string
 	// Flags declares flags and positional values; nil for none.
 	Flags func(*flaggy.Subcommand)
-	// Run does the work. An error with an ExitCode method chooses the exit
-	// code, any other one gives ExitFailure.
+	// Run executes the command. An ExitCoder error determines the exit code; any
+	// other error results in ExitFailure.
 	Run func(ctx context.Context, env *Env) error
 }
 
@@ -37,9 +39,9 @@
 	factories  []func() Command
 )
 
-// Register adds a command. The factory is called once for each invocation, so
-// that flag variables start from their defaults. It is called from init() or
-// main; a repeated name panics.
+// Register adds a command. The factory is called for each invocation, so that
+// flag variables start from their defaults. Register is called from init() or
+// main, and panics on a duplicate name.
 func Register(factory func() Command) {
 	registryMu.Lock()
 	defer registryMu.Unlock()
@@ -52,7 +54,7 @@
 	factories = append(factories, factory)
 }
 
-// commands returns fresh commands by name.
+// commands creates all registered commands and returns them sorted by name.
 func commands() []Command {
 	registryMu.RLock()
 	defer registryMu.RUnlock()
--- a/cli/errors.go
+++ b/cli/errors.go
@@ -4,17 +4,17 @@
 const (
 	ExitOK       = 0
 	ExitFailure  = 1 // the command failed, or a check found a violation
-	ExitUsage    = 2 // wrong arguments
-	ExitConflict = 3 // publish: another site configuration came first
+	ExitUsage    = 2 // invalid arguments
+	ExitConflict = 3 // publish: the base version is no longer in force
 )
 
-// ExitCoder is an error that chooses the program's exit code.
+// ExitCoder is an error that determines the program's exit code.
 type ExitCoder interface {
 	error
 	ExitCode() int
 }
 
-// UsageError reports wrong arguments.
+// UsageError reports invalid arguments.
 type UsageError struct{ Problem string }
 
 // Error implements error.
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -15,17 +15,18 @@
 
 func init() { Register(newExplainCommand) }
 
-// newExplainCommand returns the command "explain", which prints what the logs of
-// several nodes say of one request, or of all that had no good answer.
+// newExplainCommand returns the command "explain", which reads the logs of several
+// nodes and prints the history of one request, or a summary of the requests
+// that failed.
 func newExplainCommand() Command {
 	var request, files string
 	var isSummary bool
 	return Command{
 		Name:        "explain",
-		Description: "Print a request's path, and what the nodes believed then, or a summary of what failed, from the logs of gateway nodes.",
+		Description: "Print the path of a request and the state of the nodes at that time, or a summary of the failed requests, from the logs of gateway nodes.",
 		Flags: func(sub *flaggy.Subcommand) {
 			sub.String(&request, "r", "request", "ID of the request")
-			sub.Bool(&isSummary, "s", "summary", "sum up what failed, by reason, second, server and node")
+			sub.Bool(&isSummary, "s", "summary", "summarize the failed requests by reason, second, server and node")
 			sub.AddPositionalValue(&files, "FILES", 1, true, "log files, separated by commas")
 		},
 		Run: func(_ context.Context, env *Env) error {
@@ -44,8 +45,8 @@
 	}
 }
 
-// logLine is a line of a gateway node's log. Fields other than these are kept in
-// All.
+// logLine is a line of a gateway node's log. All holds all of its fields, also
+// those without a field here.
 type logLine struct {
 	Time    string         `json:"@timestamp"`
 	Text    string         `json:"@message"`
@@ -55,22 +56,23 @@
 	All     map[string]any `json:"-"`
 }
 
-// beliefs are the events that change what a node believes of the site; of each
-// the newest before the request is shown.
-var beliefs = []int{2000, 2001, 2010, 2014, 2015, 2016, 2101, 2103, 2105, 2302, 2312, 2320}
+// stateEvents are the events that change a node's view of the site. For each of
+// them, the latest line before the request is printed.
+var stateEvents = []int{2000, 2001, 2010, 2014, 2015, 2016, 2101, 2103, 2105, 2302, 2312, 2320}
 
-// mentionedBefore is how many lines about the request's servers are shown.
-const mentionedBefore = 6
+// maxMentions is the maximum number of lines about the request's servers that are
+// printed.
+const maxMentions = 6
 
-// MissingRequestError reports that no log file has a line of the request.
+// MissingRequestError reports that no log file contains a line of the request.
 type MissingRequestError struct{ Request string }
 
 // Error implements error.
 func (e *MissingRequestError) Error() string {
-	return "explain: no line of request " + e.Request + "; lines of answered requests are samples, and see event 2201"
+	return "explain: no line of request " + e.Request + "; only a sample of the answered requests is logged, and nodes may drop lines (event 2201)"
 }
 
-// outputError wraps an error of writing.
+// outputError wraps a write error in an *OutputError; nil stays nil.
 func outputError(err error) error {
 	if err == nil {
 		return nil
@@ -78,7 +80,7 @@
 	return &OutputError{Cause: err}
 }
 
-// readLogs reads log files and returns their lines in the order of time.
+// readLogs reads log files and returns their lines sorted by time.
 func readLogs(files []string) ([]logLine, error) {
 	var lines []logLine
 	for _, file := range files {
@@ -109,13 +111,13 @@
 	return nil
 }
 
-// readLog reads a log file; lines that are no JSON are passed over.
+// readLog reads a log file and skips lines that are not JSON.
 func readLog(file string) ([]logLine, error) {
 	f, err := os.Open(file)
 	if err != nil {
 		return nil, &FileError{File: file, Cause: err}
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // the error is irrelevant after reading
 	var lines []logLine
 	scanner := bufio.NewScanner(f)
 	for scanner.Scan() {
@@ -151,8 +153,8 @@
 		}
 	}
 	text.WriteString("  what " + line.Node + " believed:\n")
-	for _, known := range believed(line.Node, before) {
-		text.WriteString("    " + describe(known) + "\n")
+	for _, state := range latestState(line.Node, before) {
+		text.WriteString("    " + describe(state) + "\n")
 	}
 	text.WriteString("  lines of any node about the servers it was sent to:\n")
 	for _, mention := range mentions(steps, before) {
@@ -162,12 +164,11 @@
 	return err
 }
 
-// believed returns the newest line of each event that changes what a node
-// believes.
-func believed(node string, before []logLine) []logLine {
+// latestState returns a node's latest line of each of stateEvents, sorted by time.
+func latestState(node string, before []logLine) []logLine {
 	newest := map[int]logLine{}
 	for _, line := range before {
-		if line.Node == node && slices.Contains(beliefs, line.Event) {
+		if line.Node == node && slices.Contains(stateEvents, line.Event) {
 			newest[line.Event] = line
 		}
 	}
@@ -179,7 +180,8 @@
 	return lines
 }
 
-// mentions returns the latest lines about servers that the steps name.
+// mentions returns the latest lines about the servers that the steps name, at
+// most maxMentions.
 func mentions(steps string, before []logLine) []logLine {
 	var lines []logLine
 	for _, line := range before {
@@ -188,17 +190,18 @@
 			lines = append(lines, line)
 		}
 	}
-	return lines[max(0, len(lines)-mentionedBefore):]
+	return lines[max(0, len(lines)-maxMentions):]
 }
 
-// hidden fields of a line are shown elsewhere or tell nothing.
-var hidden = []string{"@timestamp", "@message", "@level", "event", "node"}
+// omittedFields are the fields of a line that are printed elsewhere or are of no
+// use to the reader.
+var omittedFields = []string{"@timestamp", "@message", "@level", "event", "node"}
 
 func describe(line logLine) string {
 	text := line.Time + " " + line.Text
 	names := make([]string, 0, len(line.All))
 	for name := range line.All {
-		if !slices.Contains(hidden, name) {
+		if !slices.Contains(omittedFields, name) {
 			names = append(names, name)
 		}
 	}
--- a/cli/explain_summary.go
+++ b/cli/explain_summary.go
@@ -11,33 +11,34 @@
 	"time"
 )
 
-// Events that a summary counts.
+// Events that a summary counts: finished requests, and dropped lines of requests.
 const (
 	requestEvent = 2200
 	droppedEvent = 2201
 )
 
-// leaseEvents tell that the lessor's lease changed hands, or did not.
+// leaseEvents are the events about a transfer of the lessor's lease, successful or
+// not.
 var leaseEvents = []int{2101, 2103, 2105, 2114, 2115, 2116}
 
-// mostNamed bounds the servers and nodes that a summary names.
-const mostNamed = 8
+// maxNamed is the maximum number of servers, and of nodes, that a summary lists.
+const maxNamed = 8
 
-// failureKey names requests that ended without a good answer for the same reason.
+// failureKey groups the failed requests of a service by outcome and reason.
 type failureKey struct{ service, outcome, reason string }
 
-// summary is what the logs of several nodes say of the requests without a good answer.
+// summary aggregates the failed requests in the logs of several nodes.
 type summary struct {
 	failures map[failureKey]int
 	seconds  map[int64]map[failureKey]int
-	servers  map[string]int // that such a request was sent to last, or waited for
+	servers  map[string]int // by the last server that a failed request was sent to or waited for
 	nodes    map[string]int
 	lease    []logLine
 	first    time.Time
-	dropped  float64 // lines that nodes left out
+	dropped  float64 // number of lines that nodes dropped
 }
 
-// summarize reads lines in the order of time.
+// summarize aggregates lines, which are sorted by time.
 func summarize(lines []logLine) *summary {
 	s := &summary{failures: map[failureKey]int{}, seconds: map[int64]map[failureKey]int{}, servers: map[string]int{}, nodes: map[string]int{}}
 	for _, line := range lines {
@@ -50,7 +51,7 @@
 		}
 		switch {
 		case line.Event == requestEvent:
-			s.request(line, int64(at.Sub(s.first)/time.Second))
+			s.countRequest(line, int64(at.Sub(s.first)/time.Second))
 		case line.Event == droppedEvent:
 			dropped, _ := line.All["lines"].(float64)
 			s.dropped += dropped
@@ -61,8 +62,9 @@
 	return s
 }
 
-// request counts a request that has no good answer.
-func (s *summary) request(line logLine, second int64) {
+// countRequest counts a request if it failed: its outcome is not "answered", or its
+// status is 500 or above.
+func (s *summary) countRequest(line logLine, second int64) {
 	status, _ := line.All["status"].(float64)
 	if line.text("outcome") == "answered" && status < 500 {
 		return
@@ -79,13 +81,14 @@
 	}
 }
 
-// text returns a field that is text; empty if there is none.
+// text returns the value of a string field; empty if the line has none.
 func (l logLine) text(field string) string {
 	value, _ := l.All[field].(string)
 	return value
 }
 
-// lastServer returns the server of the latest step that names one.
+// lastServer returns the server of the last step that names one; empty if none
+// does.
 func lastServer(steps string) string {
 	list := strings.Split(steps, "; ")
 	for _, step := range slices.Backward(list) {
@@ -100,8 +103,8 @@
 	return ""
 }
 
-// write prints the summary: reasons, the worst ones by second, servers, nodes and changes of
-// the lease.
+// write prints the summary: failed requests by reason, the most frequent reasons of each
+// second, servers, nodes, and changes of the lessor's lease.
 func (s *summary) write(out io.Writer) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(table, "requests\tservice\toutcome\treason\n")
@@ -134,16 +137,16 @@
 	return table.Flush()
 }
 
-// writeNamed prints the names with the most requests.
+// writeNamed prints the maxNamed names with the most requests.
 func writeNamed(out io.Writer, what string, counts map[string]int) {
 	fmt.Fprintf(out, "\n%s\trequests\n", what)
 	names := byCount(counts)
-	for _, name := range names[:min(len(names), mostNamed)] {
+	for _, name := range names[:min(len(names), maxNamed)] {
 		fmt.Fprintf(out, "%s\t%d\n", name, counts[name])
 	}
 }
 
-// byCount returns the keys of counts, the greatest count first.
+// byCount returns the keys of counts in descending order of count.
 func byCount[K comparable](counts map[K]int) []K {
 	keys := slices.Collect(maps.Keys(counts))
 	slices.SortFunc(keys, func(a, b K) int {
--- a/cli/explain_test.go
+++ b/cli/explain_test.go
@@ -21,7 +21,7 @@
 const lessorLog = `{"@timestamp":"2026-01-01T00:00:03Z","@message":"grant or release failed","event":2108,"node":"n2","server":"s1","fence":5}
 `
 
-func TestExplainPrintsWhatWasDecidedAndBelieved(t *testing.T) {
+func TestExplainPrintsRequestAndState(t *testing.T) {
 	g := gomega.NewWithT(t)
 	dir := t.TempDir()
 	first, second := filepath.Join(dir, "a.log"), filepath.Join(dir, "b.log")
@@ -46,7 +46,7 @@
 	g.Expect(problems.String()).To(gomega.ContainSubstring("no line of request r2"))
 }
 
-func TestExplainSumsUpWhatFailed(t *testing.T) {
+func TestExplainSummarizesFailures(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const moreLog = `{"@timestamp":"2026-01-01T00:00:06Z","@message":"request finished","event":2200,"node":"n2","outcome":"refused","status":503,"reason":"no server","service":"a","steps":""}
 {"@timestamp":"2026-01-01T00:00:06Z","@message":"request finished","event":2200,"node":"n2","outcome":"failed","status":504,"reason":"timeout","service":"b","steps":"sent to s1, not run, status 503 after 2 ms; sent to s2, no answer yet"}
@@ -76,5 +76,5 @@
 	}
 
 	code = cli.Main(context.Background(), []string{"explain", first}, env)
-	g.Expect(code).NotTo(gomega.Equal(cli.ExitOK), "neither a request nor a summary")
+	g.Expect(code).NotTo(gomega.Equal(cli.ExitOK), "explain without --request and --summary is a usage error")
 }
--- a/cli/gateway.go
+++ b/cli/gateway.go
@@ -15,8 +15,8 @@
 
 var eventLinesDropped = events.Define(2202, hclog.Warn, "log lines dropped")
 
-// RunGateway runs a gateway node until ctx ends, then shuts it down. The settings
-// were loaded from file.
+// RunGateway runs a gateway node until ctx ends, then shuts it down. file is the
+// file from which the settings s were loaded.
 type RunGateway func(ctx context.Context, file string, s *config.Settings, logger hclog.Logger) error
 
 // GatewayCommand returns the command "gateway", which runs a gateway node. Its
--- a/cli/main.go
+++ b/cli/main.go
@@ -10,17 +10,18 @@
 	"github.com/integrii/flaggy"
 )
 
-// program is the name in the help texts.
+// program is the name of the program in help texts.
 const program = "burdockspindle"
 
-// invocation is one parsed command line.
+// invocation is the parser of one command line, with the command of each leaf
+// subcommand.
 type invocation struct {
 	parser *flaggy.Parser
 	leaves map[*flaggy.Subcommand]Command
 }
 
 // Main parses the arguments (without the program's name), runs the command and
-// returns the exit code. Errors are written to env.Stderr, one problem a line.
+// returns the exit code. Errors are written to env.Stderr, one problem per line.
 func Main(ctx context.Context, args []string, env *Env) int {
 	inv := newInvocation(commands())
 	if code, stopped := inv.parse(args, env); stopped {
@@ -58,7 +59,8 @@
 	return inv
 }
 
-// attach adds a command; the first word of a two-word name becomes a group.
+// attach adds a command. The first word of a two-word name is the group to which
+// the command belongs.
 func (inv *invocation) attach(command Command, groups map[string]*flaggy.Subcommand) {
 	group, name, isGrouped := strings.Cut(command.Name, " ")
 	parent := &inv.parser.Subcommand
@@ -82,11 +84,13 @@
 	inv.leaves[leaf] = command
 }
 
-// exitMark precedes the code in what flaggy panics with instead of exiting.
+// exitMark precedes the exit code in the value with which flaggy panics instead of
+// exiting.
 const exitMark = "code: "
 
-// parse runs flaggy, which ends the program on wrong arguments unless it is
-// told to panic; stopped tells that it wanted to.
+// parse parses the arguments with flaggy, which exits on invalid arguments and on
+// help unless it is configured to panic. stopped reports whether flaggy would have
+// exited, with the exit code code.
 func (inv *invocation) parse(args []string, env *Env) (code int, stopped bool) {
 	flaggy.PanicInsteadOfExit = true
 	defer func() {
@@ -96,11 +100,11 @@
 		}
 		text, isText := cause.(string)
 		_, digits, hasCode := strings.Cut(text, exitMark)
-		wanted, err := strconv.Atoi(digits)
+		status, err := strconv.Atoi(digits)
 		if !isText || !hasCode || err != nil {
 			panic(cause)
 		}
-		code, stopped = wanted, true
+		code, stopped = status, true
 	}()
 	if err := inv.parser.ParseArgs(args); err != nil {
 		_, _ = fmt.Fprintln(env.Stderr, err.Error())
--- a/cli/publish.go
+++ b/cli/publish.go
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// explainPublish makes a conflict choose its exit code, and names the file in
-// problems.
+// explainPublish converts a conflict to a *ConflictError, which has its own exit
+// code, and sets the local file name in problems.
 func explainPublish(err error, file string) error {
 	var failure *adminapi.Failure
 	if !errors.As(err, &failure) {
@@ -94,13 +94,14 @@
 	return jsonc.ErrorOf(failure.Problems)
 }
 
-// ConflictError reports that another site configuration came first.
+// ConflictError reports that another site configuration replaced the base version
+// first.
 type ConflictError struct{ Failure *adminapi.Failure }
 
 // Error implements error.
 func (e *ConflictError) Error() string { return e.Failure.Error() }
 
-// Unwrap returns the answer.
+// Unwrap returns the API's failure.
 func (e *ConflictError) Unwrap() error { return e.Failure }
 
 // ExitCode implements ExitCoder.
--- a/cli/run.go
+++ b/cli/run.go
@@ -11,11 +11,11 @@
 	"github.com/burdockspindle/burdockspindle/settings"
 )
 
-// RunNode runs one entry VM's process until ctx ends, then drains it.
+// RunNode runs an entry node until ctx ends, then drains it.
 type RunNode func(ctx context.Context, s *settings.Settings, logger hclog.Logger) error
 
 // RunCommand returns the command "run", which reads a settings file and runs a
-// node. SIGTERM and SIGINT ask for a graceful drain; a second one ends the
+// node. SIGTERM and SIGINT request a graceful drain; a second signal ends the
 // program at once.
 func RunCommand(run RunNode) func() Command {
 	return func() Command {
@@ -52,7 +52,8 @@
 	CaptureStandardLog(logger)
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	// The first signal ends ctx; from then on the default action is back.
+	// The first signal ends ctx. stop then restores the default action, so that a
+	// second signal ends the program.
 	context.AfterFunc(ctx, stop)
 	return run(ctx, s, logger)
 }
--- a/cli/standardlog.go
+++ b/cli/standardlog.go
@@ -12,9 +12,9 @@
 
 var eventLibrary = events.Define(1020, hclog.Debug, "message of a library")
 
-// CaptureStandardLog turns what libraries write to the standard logger into
-// numbered events. net/http, for one, reports there that a server sent bytes
-// which nobody had asked for; the driver has thrown that connection away.
+// CaptureStandardLog logs the messages that libraries write to the standard logger
+// as numbered events. For example, net/http reports there that a server sent
+// unsolicited bytes on a connection, which the driver has discarded.
 func CaptureStandardLog(logger hclog.Logger) {
 	log.SetFlags(0)
 	log.SetOutput(StandardWriter(logger))
--- a/cli/status.go
+++ b/cli/status.go
@@ -14,7 +14,7 @@
 }
 
 func newStatusCommand() Command {
-	return adminCommand("status", "Print a short account of a running node as JSON.",
+	return adminCommand("status", "Print the status of a running node as JSON.",
 		func(ctx context.Context, env *Env, client *adminapi.Client) error {
 			status, err := client.Status(ctx)
 			if err != nil {
@@ -52,7 +52,8 @@
 		})
 }
 
-// adminCommand is a command that makes one call and has no flags of its own.
+// adminCommand returns a command that calls the administration API once and has no
+// flags but adminFlags.
 func adminCommand(name, description string, run func(context.Context, *Env, *adminapi.Client) error) Command {
 	var flags adminFlags
 	return Command{
--- a/cli/version.go
+++ b/cli/version.go
@@ -7,7 +7,7 @@
 	"runtime/debug"
 )
 
-// Version is the release; set by the linker with -X, "devel" otherwise.
+// Version is the release. The linker sets it with -X; otherwise it is "devel".
 var Version = "devel"
 
 func init() { Register(newVersionCommand) }
@@ -26,7 +26,7 @@
 	}
 }
 
-// commit returns the commit that the binary was built from, if it is known.
+// commit returns the commit from which the binary was built, or "unknown".
 func commit() string {
 	info, exists := debug.ReadBuildInfo()
 	if !exists {
--- a/cmd/burdockspindle/main.go
+++ b/cmd/burdockspindle/main.go
@@ -1,4 +1,4 @@
-// Command burdockspindle is the one program of the project; package cli holds
+// Command burdockspindle is the program of the project; package cli implements
 // its commands.
 package main
 
