--- a/jsonc/jsonc_test.go
+++ b/jsonc/jsonc_test.go
@@ -11,7 +11,7 @@
 	"github.com/burdockspindle/burdockspindle/jsonc"
 )
 
-// readAll asks for one field of each kind.
+// readAll reads one field of each type.
 func readAll(root *jsonc.Object) {
 	root.Need("text").Text()
 	root.Get("choice").Choice("a", "a", "b")
@@ -29,7 +29,7 @@
 	root.Close()
 }
 
-func TestEveryProblemHasItsLineAndField(t *testing.T) {
+func TestProblemsHaveLineAndField(t *testing.T) {
 	cases := []struct {
 		name, text string
 		want       []string
@@ -37,7 +37,7 @@
 		{"valid", "{\"text\": \"x\",} // comment", nil},
 		{"missing", "\n{\n}", []string{"f:2: text: missing"}},
 		{"empty text", "{\"text\":\n\"\"}", []string{"f:1: text: must not be empty"}},
-		{"null is no string", `{"text": null}`, []string{"f:1: text: must be a string, not null"}},
+		{"null is not a string", `{"text": null}`, []string{"f:1: text: must be a string, not null"}},
 		{"not an object", `[1]`, []string{"f:1: must be an object, not an array"}},
 		{"unknown field", "{\"text\": \"x\",\n \"texd\": 1}", []string{"f:2: texd: unknown field; known here: any, choice"}},
 		{"repeated field", "{\"text\": \"x\",\n\n\"text\": \"y\"}", []string{"f:3: text: given twice, first on line 1"}},
@@ -69,12 +69,12 @@
 			"f:2: inner.a: missing",
 			"f:3: inner.b: unknown field; known here: a",
 		}},
-		{"repeated deep inside", "{\"text\": \"x\",\n\"any\": {\"o\": [{\"p\": 1,\n\"p\": 2}]}}", []string{
+		{"repeated field in a nested object", "{\"text\": \"x\",\n\"any\": {\"o\": [{\"p\": 1,\n\"p\": 2}]}}", []string{
 			"f:3: any.o[0].p: given twice, first on line 2",
 		}},
-		{"comment that never ends", "{\n/* }", []string{"f:"}},
+		{"unterminated comment", "{\n/* }", []string{"f:"}},
 		{"syntax", "{\n\"text\" \"x\"}", []string{"f:2: not valid JSON with comments: invalid character '\"' after object name"}},
-		{"cut off", "{\n\"text\": ", []string{"f:2: not valid JSON with comments: "}},
+		{"truncated", "{\n\"text\": ", []string{"f:2: not valid JSON with comments: "}},
 		{"empty", "", []string{"f:1: not valid JSON with comments: "}},
 		{"two values", "{}\n{}", []string{"f:2: not valid JSON with comments: "}},
 	}
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestHostileTextsAreRefusedBeforeParsing(t *testing.T) {
+func TestOversizedTextsAreRejectedBeforeParsing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, open := range []string{"[", `{"a":`} {
 		deep := strings.Repeat(open, 100_000)
@@ -106,7 +106,7 @@
 	g.Expect(report.Err()).NotTo(gomega.HaveOccurred())
 }
 
-func TestErrorHoldsEachProblem(t *testing.T) {
+func TestErrorContainsEachProblem(t *testing.T) {
 	g := gomega.NewWithT(t)
 	root, report := jsonc.Parse([]byte("{\"b\": 1,\n\"a\": 2}"), "f")
 	root.Close()
@@ -117,7 +117,7 @@
 	g.Expect(strings.Split(err.Error(), "\n")).To(gomega.HaveLen(2))
 }
 
-func TestValuesAreReadAsWritten(t *testing.T) {
+func TestValuesAreDecoded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	root, report := jsonc.Parse([]byte(`{"n": -3, "f": 2.5, "d": "1m", "s": "a\u00e9", "o": {"x": [1, true, null]}}`), "f")
 	g.Expect(root.Get("n").Int(0, -5, 5)).To(gomega.Equal(int64(-3)))
--- a/jsonc/parse.go
+++ b/jsonc/parse.go
@@ -1,8 +1,8 @@
-// Package jsonc reads objects from JSON with comments and trailing commas. A
-// reader asks for the fields that it knows; every unknown field, wrong type,
-// missing or impossible value becomes a Problem with file, line and field, and
-// reading goes on, so that all problems of a file are reported at once. It
-// does no I/O.
+// Package jsonc reads objects from JSON with comments and trailing commas. The
+// reader requests each field that it knows. Every unknown field, wrong type, and
+// missing or invalid value becomes a Problem with file, line and field, and
+// reading continues, so that all problems of a file are reported at once. The
+// package does no I/O.
 package jsonc
 
 import (
@@ -13,13 +13,14 @@
 	"github.com/tailscale/hujson"
 )
 
-// Limits of what is parsed, so that a hostile text can't exhaust the process.
+// Limits on the parsed text, so that a malicious text can't exhaust the memory or
+// the stack of the process.
 const (
 	MaxTextBytes = 1 << 20
 	MaxDepth     = 32 // nested objects and arrays
 )
 
-// source finds the line of an offset in the text.
+// source maps offsets in the text to lines.
 type source struct{ newlines []int }
 
 func newSource(text []byte) *source {
@@ -32,7 +33,7 @@
 	return s
 }
 
-// line returns the line, from 1, that holds the byte at offset.
+// line returns the line number, starting at 1, of the byte at offset.
 func (s *source) line(offset int) int {
 	low, high := 0, len(s.newlines)
 	for low < high {
@@ -46,27 +47,27 @@
 	return low + 1
 }
 
-// Parse reads a text whose top level is an object. Problems found later by
-// readers of the object are noted in the same report. The object is never nil;
-// after a syntax error it is empty and quiet: no field is reported as missing.
+// Parse reads a text whose top-level value is an object. Problems found later by
+// readers of the object are added to the same report. The object is never nil;
+// after a syntax error it is empty, and none of its fields is reported as missing.
 func Parse(text []byte, file string) (*Object, *Report) {
 	report := &Report{file: file}
 	ctx := &context{report: report, source: newSource(text)}
 	if len(text) > MaxTextBytes {
 		report.Add(0, "", "longer than "+strconv.Itoa(MaxTextBytes)+" bytes")
-		return quietObject(ctx), report
+		return newEmptyObject(ctx), report
 	}
-	if offset, deep := tooDeep(text); deep {
+	if offset, exceeded := findExcessDepth(text); exceeded {
 		report.Add(ctx.source.line(offset), "", "nested deeper than "+strconv.Itoa(MaxDepth)+" levels")
-		return quietObject(ctx), report
+		return newEmptyObject(ctx), report
 	}
-	// The parser keeps references into its input, so it gets a copy; and it
-	// wants a line comment to end, also the last one.
+	// The parser retains references to its input and so receives a copy. It
+	// requires a newline after a line comment, also after one that ends the text.
 	root, err := hujson.Parse(append(bytes.Clone(text), '\n'))
 	if err != nil {
 		line, problem := describeSyntaxError(err)
 		report.Add(min(line, lastLine(text)), "", problem)
-		return quietObject(ctx), report
+		return newEmptyObject(ctx), report
 	}
 	value := &Value{ctx: ctx, line: ctx.source.line(root.StartOffset), raw: root.Value}
 	return value.Object(), report
@@ -82,9 +83,9 @@
 	return bytes.Count(text[:len(text)-len(content)], []byte("\n"))
 }
 
-// tooDeep returns the offset of the first bracket nested beyond MaxDepth,
+// findExcessDepth returns the offset of the first bracket nested beyond MaxDepth,
 // skipping strings and comments.
-func tooDeep(text []byte) (int, bool) {
+func findExcessDepth(text []byte) (int, bool) {
 	depth := 0
 	for i := 0; i < len(text); i++ {
 		switch text[i] {
@@ -104,8 +105,8 @@
 	return 0, false
 }
 
-// skipString returns the offset of the quote that ends the string which starts
-// at start, or the text's end.
+// skipString returns the offset of the closing quote of the string that starts at
+// start, or the length of the text if the string is unterminated.
 func skipString(text []byte, start int) int {
 	for i := start + 1; i < len(text); i++ {
 		switch text[i] {
@@ -118,8 +119,9 @@
 	return len(text)
 }
 
-// skipComment returns the offset of the last byte of a comment that starts at
-// start; start itself when none does.
+// skipComment returns the offset of the last byte of the comment that starts at
+// start, start itself if there is no comment, or the length of the text if the
+// comment is unterminated.
 func skipComment(text []byte, start int) int {
 	rest := text[start:]
 	var end int
@@ -139,22 +141,22 @@
 	return start + end
 }
 
-// describeSyntaxError takes the line out of the parser's message, which reads
-// "hujson: line 3, column 5: what".
+// describeSyntaxError extracts the line and the cause from the parser's message,
+// whose form is "hujson: line 3, column 5: cause".
 func describeSyntaxError(err error) (int, string) {
-	what := errors.Unwrap(err)
-	if what == nil {
+	cause := errors.Unwrap(err)
+	if cause == nil {
 		return 0, err.Error()
 	}
 	prefix := []byte(err.Error())
 	_, after, found := bytes.Cut(prefix, []byte("line "))
 	if !found {
-		return 0, what.Error()
+		return 0, cause.Error()
 	}
 	digits, _, _ := bytes.Cut(after, []byte(","))
 	line, convErr := strconv.Atoi(string(digits))
 	if convErr != nil {
-		return 0, what.Error()
+		return 0, cause.Error()
 	}
-	return line, "not valid JSON with comments: " + what.Error()
+	return line, "not valid JSON with comments: " + cause.Error()
 }
--- a/jsonc/problem.go
+++ b/jsonc/problem.go
@@ -6,12 +6,12 @@
 	"strings"
 )
 
-// Problem is one fault in a file. It implements error.
+// Problem is one error in a file. It implements error.
 type Problem struct {
 	File  string `json:"file"`
-	Line  int    `json:"line"`            // from 1; 0 when the fault has no place
+	Line  int    `json:"line"`            // starts at 1; 0 if the problem has no line
 	Field string `json:"field,omitempty"` // path such as "services.quotes.deadline"; empty for the whole file
-	Text  string `json:"text"`            // what is wrong and what would be right
+	Text  string `json:"text"`            // what is wrong and which values are valid
 }
 
 // Error renders the problem as "file:line: field: text".
@@ -29,11 +29,11 @@
 	return b.String()
 }
 
-// InvalidError holds every problem of one file. errors.As finds the single
-// *Problem values in it.
+// InvalidError holds every problem of one file. errors.As finds the
+// individual *Problem values in it.
 type InvalidError struct{ Problems []Problem }
 
-// Error lists the problems, one a line.
+// Error lists the problems, one per line.
 func (e *InvalidError) Error() string {
 	lines := make([]string, len(e.Problems))
 	for i := range e.Problems {
@@ -51,31 +51,31 @@
 	return wrapped
 }
 
-// MaxProblems bounds what one report lists.
+// MaxProblems is the maximum number of problems in one report.
 const MaxProblems = 1000
 
 // Report collects the problems of one file.
 type Report struct {
 	file     string
 	problems []Problem
-	noted    map[Problem]bool
+	seen     map[Problem]bool
 }
 
-// Add notes a problem at a line and field. One that was noted before, because
-// two readers found it, is not listed again.
+// Add adds a problem at a line and field. A problem that is already in the report,
+// because another reader found it, is not added again.
 func (r *Report) Add(line int, field, text string) {
 	problem := Problem{File: r.file, Line: line, Field: field, Text: text}
-	if r.noted[problem] || len(r.problems) >= MaxProblems {
+	if r.seen[problem] || len(r.problems) >= MaxProblems {
 		return
 	}
-	if r.noted == nil {
-		r.noted = map[Problem]bool{}
+	if r.seen == nil {
+		r.seen = map[Problem]bool{}
 	}
-	r.noted[problem] = true
+	r.seen[problem] = true
 	r.problems = append(r.problems, problem)
 }
 
-// Problems returns what was noted, ordered by line; nil when all is well.
+// Problems returns the problems sorted by line; nil if there are none.
 func (r *Report) Problems() []Problem {
 	sorted := slices.Clone(r.problems)
 	slices.SortStableFunc(sorted, func(a, b Problem) int { return a.Line - b.Line })
--- a/jsonc/value.go
+++ b/jsonc/value.go
@@ -9,51 +9,54 @@
 	"github.com/tailscale/hujson"
 )
 
-// Value is one field, present or absent. Each reader returns its default when
-// the field is absent, and also, after noting a problem, when it is wrong.
+// Value is one field, present or absent. Each read method returns its default if
+// the field is absent; if the field is invalid, it reports a problem and returns
+// the default.
 type Value struct {
-	ctx   *context
-	path  string
-	line  int
-	raw   hujson.ValueTrimmed // nil when absent
-	quiet bool                // absence was reported or belongs to a broken parent
+	ctx        *context
+	path       string
+	line       int
+	raw        hujson.ValueTrimmed // nil when absent
+	suppressed bool                // the absence was reported, or the parent is missing or invalid
 }
 
-// Present reports whether the field is given.
+// Present reports whether the text contains the field.
 func (v *Value) Present() bool { return v.raw != nil }
 
-// Line returns the field's line; the enclosing object's when it is absent.
+// Line returns the field's line, or the enclosing object's line if the field is
+// absent.
 func (v *Value) Line() int { return v.line }
 
 // Path returns the field's path.
 func (v *Value) Path() string { return v.path }
 
-// Problem notes a problem with this field.
+// Problem reports a problem with this field.
 func (v *Value) Problem(text string) {
-	if v.quiet {
+	if v.suppressed {
 		return
 	}
 	v.ctx.report.Add(v.line, v.path, text)
 }
 
-// literal returns the field's literal if it has the wanted kind.
-func (v *Value) literal(kind hujson.Kind, wanted string) (hujson.Literal, bool) {
+// literal returns the field's literal if it has the expected kind. expected also
+// describes that kind in the problem that is reported otherwise.
+func (v *Value) literal(kind hujson.Kind, expected string) (hujson.Literal, bool) {
 	if !v.Present() {
 		return nil, false
 	}
 	literal, isLiteral := v.raw.(hujson.Literal)
 	if !isLiteral || literal.Kind() != kind {
-		v.Problem("must be " + wanted + ", not " + kindName(v.raw.Kind()))
+		v.Problem("must be " + expected + ", not " + kindName(v.raw.Kind()))
 		return nil, false
 	}
 	return literal, true
 }
 
 // String reads a string.
-func (v *Value) String(byDefault string) string {
+func (v *Value) String(defaultValue string) string {
 	literal, ok := v.literal('"', "a string")
 	if !ok {
-		return byDefault
+		return defaultValue
 	}
 	return literal.String()
 }
@@ -67,107 +70,106 @@
 	return text
 }
 
-// IsString reports whether the field is given and a string.
+// IsString reports whether the field is present and a string.
 func (v *Value) IsString() bool {
 	return v.Present() && v.raw.Kind() == '"'
 }
 
-// Choice reads a string that must be one of the given ones.
-func (v *Value) Choice(byDefault string, choices ...string) string {
+// Choice reads a string that must be one of choices.
+func (v *Value) Choice(defaultValue string, choices ...string) string {
 	if !v.IsString() {
-		return v.String(byDefault) // absent, or notes the wrong type
+		return v.String(defaultValue) // absent, or reports the wrong type
 	}
-	text := v.String(byDefault)
+	text := v.String(defaultValue)
 	for _, choice := range choices {
 		if text == choice {
 			return text
 		}
 	}
 	v.Problem("must be one of " + strings.Join(choices, ", ") + ", not " + strconv.Quote(text))
-	return byDefault
+	return defaultValue
 }
 
-// IsFalse reports whether the field is given as false.
+// IsFalse reports whether the field is present and false.
 func (v *Value) IsFalse() bool {
 	literal, isLiteral := v.raw.(hujson.Literal)
 	return isLiteral && literal.Kind() == 'f'
 }
 
 // Bool reads true or false.
-func (v *Value) Bool(byDefault bool) bool {
+func (v *Value) Bool(defaultValue bool) bool {
 	if !v.Present() {
-		return byDefault
+		return defaultValue
 	}
 	literal, isLiteral := v.raw.(hujson.Literal)
 	if isLiteral && (literal.Kind() == 't' || literal.Kind() == 'f') {
 		return literal.Bool()
 	}
 	v.Problem("must be true or false, not " + kindName(v.raw.Kind()))
-	return byDefault
+	return defaultValue
 }
 
-// Int reads a whole number between least and most.
-func (v *Value) Int(byDefault, least, most int64) int64 {
+// Int reads a whole number between minimum and maximum.
+func (v *Value) Int(defaultValue, minimum, maximum int64) int64 {
 	literal, ok := v.literal('0', "a whole number")
 	if !ok {
-		return byDefault
+		return defaultValue
 	}
 	number, err := strconv.ParseInt(string(literal), 10, 64)
 	if err != nil {
 		v.Problem("must be a whole number, not " + string(literal))
-		return byDefault
+		return defaultValue
 	}
-	if number < least || number > most {
-		v.Problem("must be between " + formatInt(least) + " and " + formatInt(most) + ", not " + string(literal))
-		return byDefault
+	if number < minimum || number > maximum {
+		v.Problem("must be between " + formatInt(minimum) + " and " + formatInt(maximum) + ", not " + string(literal))
+		return defaultValue
 	}
 	return number
 }
 
 func formatInt(n int64) string { return strconv.FormatInt(n, 10) }
 
-// Float reads a number between least and most.
-func (v *Value) Float(byDefault, least, most float64) float64 {
+// Float reads a number between minimum and maximum.
+func (v *Value) Float(defaultValue, minimum, maximum float64) float64 {
 	literal, ok := v.literal('0', "a number")
 	if !ok {
-		return byDefault
+		return defaultValue
 	}
 	number, err := strconv.ParseFloat(string(literal), 64)
-	if err != nil || number < least || number > most {
-		v.Problem("must be between " + formatFloat(least) + " and " + formatFloat(most) + ", not " + string(literal))
-		return byDefault
+	if err != nil || number < minimum || number > maximum {
+		v.Problem("must be between " + formatFloat(minimum) + " and " + formatFloat(maximum) + ", not " + string(literal))
+		return defaultValue
 	}
 	return number
 }
 
 func formatFloat(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
 
-// Duration reads a length of time such as "250ms" or "10m", between least and
-// most.
-func (v *Value) Duration(byDefault, least, most time.Duration) time.Duration {
+// Duration reads a duration such as "250ms" or "10m", between minimum and maximum.
+func (v *Value) Duration(defaultValue, minimum, maximum time.Duration) time.Duration {
 	literal, ok := v.literal('"', `a duration such as "250ms"`)
 	if !ok {
-		return byDefault
+		return defaultValue
 	}
 	text := literal.String()
 	duration, err := time.ParseDuration(text)
 	if err != nil {
 		v.Problem(`must be a duration such as "250ms" or "10m", not ` + strconv.Quote(text))
-		return byDefault
+		return defaultValue
 	}
-	if duration < least || duration > most {
-		v.Problem("must be between " + least.String() + " and " + most.String() + ", not " + duration.String())
-		return byDefault
+	if duration < minimum || duration > maximum {
+		v.Problem("must be between " + minimum.String() + " and " + maximum.String() + ", not " + duration.String())
+		return defaultValue
 	}
 	return duration
 }
 
-// IsArray reports whether the field is given and an array.
+// IsArray reports whether the field is present and an array.
 func (v *Value) IsArray() bool {
 	return v.Present() && v.raw.Kind() == '['
 }
 
-// Elements returns the values of an array; nil when it is absent or wrong.
+// Elements returns the values of an array; nil if it is absent or invalid.
 func (v *Value) Elements() []*Value {
 	if !v.Present() {
 		return nil
@@ -190,22 +192,22 @@
 	return elements
 }
 
-// Object reads an object. It is never nil: an absent or wrong one is empty, and
-// its fields aren't reported as missing.
+// Object reads an object. The result is never nil: an absent or invalid object is
+// empty, and its fields aren't reported as missing.
 func (v *Value) Object() *Object {
 	if !v.Present() {
-		return quietObject(v.ctx)
+		return newEmptyObject(v.ctx)
 	}
 	raw, isObject := v.raw.(*hujson.Object)
 	if !isObject {
 		v.Problem("must be an object, not " + kindName(v.raw.Kind()))
-		return quietObject(v.ctx)
+		return newEmptyObject(v.ctx)
 	}
 	return newObject(v.ctx, v.path, v.line, raw)
 }
 
-// Any reads any value in the form of encoding/json's Unmarshal into an any.
-// Repeated names inside are reported.
+// Any reads any value as encoding/json's Unmarshal decodes it into an any, and
+// reports duplicate names in it.
 func (v *Value) Any() any {
 	switch raw := v.raw.(type) {
 	case hujson.Literal:
