--- a/settings/load.go
+++ b/settings/load.go
@@ -73,7 +73,7 @@
 	}
 	s.Admin.Token = strings.TrimSpace(string(text))
 	if len(s.Admin.Token) < minTokenLength {
-		field.Problem("the token in it must have at least " + strconv.Itoa(minTokenLength) + " characters")
+		field.Problem("the token in the file must have at least " + strconv.Itoa(minTokenLength) + " characters")
 	}
 }
 
@@ -86,7 +86,7 @@
 	o := listener.Get("tls").Object()
 	if files.CertFile != "" && files.KeyFile != "" {
 		if _, err := tls.LoadX509KeyPair(files.CertFile, files.KeyFile); err != nil {
-			o.Get("certFile").Problem("no usable certificate with its key: " + err.Error())
+			o.Get("certFile").Problem("cannot load the certificate and its key: " + err.Error())
 		}
 	}
 	if files.CAFile == "" {
--- a/settings/parse_limits.go
+++ b/settings/parse_limits.go
@@ -54,7 +54,7 @@
 func checkTiming(o *jsonc.Object, t Timing) {
 	minTTL := renewalsPerTTL*t.RenewEvery + t.Margin
 	if t.LeaseTTL <= minTTL {
-		text := "leaseTTL " + t.LeaseTTL.String() + " must be above 3 × renewEvery + margin = " + minTTL.String() + ", or one lost renewal lapses the lease"
+		text := "leaseTTL " + t.LeaseTTL.String() + " must be above 3 × renewEvery + margin = " + minTTL.String() + ", or a lease expires after one lost renewal"
 		o.Blame("leaseTTL", "renewEvery", "margin").Problem(text)
 	}
 	minSuspectAfter := heartbeatsPerSuspicion * t.HeartbeatEvery
@@ -63,7 +63,7 @@
 		o.Blame("suspectAfter", "heartbeatEvery").Problem(text)
 	}
 	if t.SuspectAfter >= t.LeaseTTL {
-		text := "suspectAfter " + t.SuspectAfter.String() + " must be below leaseTTL = " + t.LeaseTTL.String() + ", or a lost lessor's leases lapse before it is suspected"
+		text := "suspectAfter " + t.SuspectAfter.String() + " must be below leaseTTL = " + t.LeaseTTL.String() + ", or the leases of a failed lessor expire before it is suspected"
 		o.Blame("suspectAfter", "leaseTTL").Problem(text)
 	}
 }
