--- a/cli/explain.go
+++ b/cli/explain.go
@@ -152,11 +152,11 @@
 			fmt.Fprintf(&text, "  step: %s\n", step)
 		}
 	}
-	text.WriteString("  what " + line.Node + " believed:\n")
+	text.WriteString("  state of " + line.Node + " at that time:\n")
 	for _, state := range latestState(line.Node, before) {
 		text.WriteString("    " + describe(state) + "\n")
 	}
-	text.WriteString("  lines of any node about the servers it was sent to:\n")
+	text.WriteString("  lines of all nodes about the servers that the request was sent to:\n")
 	for _, mention := range mentions(steps, before) {
 		text.WriteString("    " + mention.Node + " " + describe(mention) + "\n")
 	}
