--- a/siteconfig/graph.go
+++ b/siteconfig/graph.go
@@ -12,20 +12,20 @@
 func (s *Site) StartOrder() []topo.Service {
 	order := make([]topo.Service, 0, len(s.Services))
 	visited := map[topo.Service]bool{}
-	var place func(name topo.Service)
-	place = func(name topo.Service) {
+	var visit func(name topo.Service)
+	visit = func(name topo.Service) {
 		service, exists := s.Services[name]
 		if !exists || visited[name] {
 			return
 		}
 		visited[name] = true
 		for _, dependency := range slices.Sorted(slices.Values(service.DependsOn)) {
-			place(dependency)
+			visit(dependency)
 		}
 		order = append(order, name)
 	}
 	for _, name := range s.names() {
-		place(name)
+		visit(name)
 	}
 	return order
 }
@@ -39,7 +39,7 @@
 }
 
 // Dependencies returns the direct and transitive dependencies of a service,
-// sorted by name.
+// sorted by name, without the service itself.
 func (s *Site) Dependencies(name topo.Service) []topo.Service {
 	found := map[topo.Service]bool{}
 	var visit func(topo.Service)
