--- a/settings/load.go
+++ b/settings/load.go
@@ -11,9 +11,10 @@
 	"github.com/burdockspindle/burdockspindle/jsonc"
 )
 
-// Load reads a settings file and the files that it names: the administration
-// token and the TLS files, whose paths are relative to the settings file. The
-// error is an *InvalidError with all problems, or a *FileError.
+// Load reads a settings file and the files that it refers to: the administration
+// token and the TLS files. Relative paths are resolved against the directory of
+// the settings file. The error is an *InvalidError with all problems, or a
+// *FileError.
 func Load(file string) (*Settings, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -58,8 +59,8 @@
 	}
 }
 
-// loadToken reads Admin.TokenFile into Admin.Token. The token is the file's
-// text without surrounding white space.
+// loadToken reads Admin.TokenFile into Admin.Token. The token is the
+// content of the file without surrounding white space.
 func loadToken(root *jsonc.Object, s *Settings) {
 	if s.Admin.TokenFile == "" {
 		return
@@ -72,11 +73,12 @@
 	}
 	s.Admin.Token = strings.TrimSpace(string(text))
 	if len(s.Admin.Token) < minTokenLength {
-		field.Problem("the token in it must have at least " + strconv.Itoa(minTokenLength) + " characters")
+		field.Problem("the token in the file must have at least " + strconv.Itoa(minTokenLength) + " characters")
 	}
 }
 
-// checkTLS reports TLS files that cannot be read or do not fit together.
+// checkTLS reports TLS files that cannot be read, and a certificate that does not
+// match its key.
 func checkTLS(listener *jsonc.Object, files *TLS) {
 	if files == nil {
 		return
@@ -84,7 +86,7 @@
 	o := listener.Get("tls").Object()
 	if files.CertFile != "" && files.KeyFile != "" {
 		if _, err := tls.LoadX509KeyPair(files.CertFile, files.KeyFile); err != nil {
-			o.Get("certFile").Problem("no usable certificate with its key: " + err.Error())
+			o.Get("certFile").Problem("cannot load the certificate and its key: " + err.Error())
 		}
 	}
 	if files.CAFile == "" {
