--- a/modules/follower/module.go
+++ b/modules/follower/module.go
@@ -1,5 +1,6 @@
-// Package follower is the module "duty.follower": it runs follower.Follower in a
-// process, and provides state.Source, follower.Appender and follower.Contact.
+// Package follower implements the module "duty.follower", which runs a
+// follower.Follower and provides state.Source, follower.Appender and
+// follower.Contact.
 package follower
 
 import (
@@ -17,13 +18,14 @@
 // ID is the module's ID.
 const ID kernel.ModuleID = "duty.follower"
 
-// pollsPerLease is how many reads of the log fit in one lease TTL, so that
-// contact with the log is always much fresher than a lease.
+// pollsPerLease is the number of log reads per lease TTL. With several reads per
+// TTL, the last contact with the log is always much more recent than a lease.
 const pollsPerLease = 5
 
 func init() { kernel.Register(&Module{}) }
 
-// Module needs platlog.Log, *settings.Settings, peer.Caller and *peer.Handlers.
+// Module runs the follower of one node. It requires platlog.Log,
+// *settings.Settings, peer.Caller and *peer.Handlers.
 type Module struct {
 	follower *follower.Follower
 }
--- a/modules/follower/module_test.go
+++ b/modules/follower/module_test.go
@@ -51,10 +51,10 @@
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 
 		join := &bspb.JoinNode{Node: "a", Boot: "b1", Zone: "zone-a"}
-		fate, err := appender.Submit(t.Context(), &bspb.Record{Body: &bspb.Record_JoinNode{JoinNode: join}})
+		outcome, err := appender.Submit(t.Context(), &bspb.Record{Body: &bspb.Record_JoinNode{JoinNode: join}})
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		synctest.Wait() // the reader notes its contact after the fate is known
-		g.Expect(source.View().Applied()).To(gomega.Equal(fate.Offset))
+		synctest.Wait() // the reader records its contact after the outcome is known
+		g.Expect(source.View().Applied()).To(gomega.Equal(outcome.Offset))
 		g.Expect(contact.LastContact().IsZero()).To(gomega.BeFalse())
 		g.Expect(module.(kernel.Dumper).Dump().(core.Dump).Writer).To(gomega.Equal("a@b1"))
 		g.Expect(module.(kernel.Dumper).Dump().(core.Dump).Relays).To(gomega.Equal([]string{"a"}))
