--- a/modules/loghttp/bench_test.go
+++ b/modules/loghttp/bench_test.go
@@ -13,7 +13,7 @@
 	"github.com/burdockspindle/burdockspindle/standin/platformlog"
 )
 
-// countedListener counts the bytes of its connections, both ways.
+// countedListener counts the bytes that its connections read and write.
 type countedListener struct {
 	net.Listener
 	bytes *atomic.Int64
@@ -44,7 +44,7 @@
 	return n, err
 }
 
-// BenchmarkPoll reports the bytes on the wire of one read at the end of the log.
+// BenchmarkPoll reports the bytes on the wire for one read at the end of the log.
 func BenchmarkPoll(b *testing.B) {
 	var bytes atomic.Int64
 	server := httptest.NewUnstartedServer(platformlog.New(platformlog.Config{}))
--- a/modules/loghttp/client.go
+++ b/modules/loghttp/client.go
@@ -24,8 +24,8 @@
 	maxIdleConnections = 2
 )
 
-// Client is a platlog.Log over the log service's HTTP interface. It is safe for
-// concurrent use.
+// Client implements platlog.Log over the HTTP interface of the log service. It is
+// safe for concurrent use.
 type Client struct {
 	records *url.URL
 	http    *http.Client
@@ -33,8 +33,8 @@
 
 var _ platlog.Log = (*Client)(nil)
 
-// NewClient returns a client of one stream of the service at base, which is a
-// valid URL without a query.
+// NewClient returns a client for one stream of the log service at base, which must
+// be a valid URL without a query.
 func NewClient(base *url.URL, stream string, connectTimeout time.Duration) *Client {
 	transport := newTransport(connectTimeout)
 	return &Client{
@@ -48,8 +48,9 @@
 
 func refuseRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Append implements platlog.Log. It is *platlog.UnavailableError only when no
-// connection was obtained or the service said that nothing was appended.
+// Append implements platlog.Log. It returns *platlog.UnavailableError only if no
+// connection was obtained or the service reported that nothing was appended; after
+// any other failure the outcome is unknown (*platlog.UncertainError).
 func (c *Client) Append(ctx context.Context, data []byte) (topo.Offset, error) {
 	body, err := json.Marshal(logwire.AppendRequest{Data: data})
 	if err != nil {
@@ -64,32 +65,32 @@
 		return 0, &platlog.UnavailableError{Op: opAppend, Cause: err}
 	}
 	req.Header.Set("Content-Type", "application/json")
-	status, answer, err := c.do(req)
+	status, responseBody, err := c.do(req)
 	if err != nil {
 		if !connected.Load() {
 			return 0, &platlog.UnavailableError{Op: opAppend, Cause: err}
 		}
 		return 0, &platlog.UncertainError{Cause: err}
 	}
-	return appendResult(status, answer)
+	return appendResult(status, responseBody)
 }
 
-func appendResult(status int, answer []byte) (topo.Offset, error) {
+func appendResult(status int, responseBody []byte) (topo.Offset, error) {
 	if status == http.StatusOK {
 		var appended logwire.AppendResponse
-		if err := json.Unmarshal(answer, &appended); err != nil {
-			return 0, &platlog.UncertainError{Cause: &ProtocolError{Problem: "answer is not JSON", Cause: err}}
+		if err := json.Unmarshal(responseBody, &appended); err != nil {
+			return 0, &platlog.UncertainError{Cause: &ProtocolError{Problem: "response is not valid JSON", Cause: err}}
 		}
 		if appended.Offset == 0 {
-			return 0, &platlog.UncertainError{Cause: &ProtocolError{Problem: "answer without an offset"}}
+			return 0, &platlog.UncertainError{Cause: &ProtocolError{Problem: "response has no offset"}}
 		}
 		return appended.Offset, nil
 	}
-	refusal := decodeRefusal(status, answer)
-	if refusal.NotAppended {
-		return 0, &platlog.UnavailableError{Op: opAppend, Cause: refusal}
+	statusErr := decodeError(status, responseBody)
+	if statusErr.NotAppended {
+		return 0, &platlog.UnavailableError{Op: opAppend, Cause: statusErr}
 	}
-	return 0, &platlog.UncertainError{Cause: refusal}
+	return 0, &platlog.UncertainError{Cause: statusErr}
 }
 
 // Read implements platlog.Log.
@@ -105,28 +106,28 @@
 	if err != nil {
 		return platlog.Batch{}, &platlog.UnavailableError{Op: opRead, Cause: err}
 	}
-	status, answer, err := c.do(call)
+	status, responseBody, err := c.do(call)
 	if err != nil {
 		if ctx.Err() != nil {
 			return platlog.Batch{}, ctx.Err()
 		}
 		return platlog.Batch{}, &platlog.UnavailableError{Op: opRead, Cause: err}
 	}
-	return readResult(from, status, answer)
+	return readResult(from, status, responseBody)
 }
 
-func readResult(from topo.Offset, status int, answer []byte) (platlog.Batch, error) {
+func readResult(from topo.Offset, status int, responseBody []byte) (platlog.Batch, error) {
 	if status != http.StatusOK {
-		refusal := decodeRefusal(status, answer)
-		if refusal.Code == logwire.CodeTruncated && refusal.First > from {
-			return platlog.Batch{}, &platlog.TruncatedError{From: from, First: refusal.First}
+		statusErr := decodeError(status, responseBody)
+		if statusErr.Code == logwire.CodeTruncated && statusErr.First > from {
+			return platlog.Batch{}, &platlog.TruncatedError{From: from, First: statusErr.First}
 		}
-		return platlog.Batch{}, &platlog.UnavailableError{Op: opRead, Cause: refusal}
+		return platlog.Batch{}, &platlog.UnavailableError{Op: opRead, Cause: statusErr}
 	}
 	var response logwire.ReadResponse
-	if err := json.Unmarshal(answer, &response); err != nil {
+	if err := json.Unmarshal(responseBody, &response); err != nil {
 		return platlog.Batch{}, &platlog.UnavailableError{
-			Op: opRead, Cause: &ProtocolError{Problem: "answer is not JSON", Cause: err},
+			Op: opRead, Cause: &ProtocolError{Problem: "response is not valid JSON", Cause: err},
 		}
 	}
 	batch, err := toBatch(from, response)
@@ -136,7 +137,8 @@
 	return batch, nil
 }
 
-// toBatch checks what a read answered, and leaves out records given again.
+// toBatch validates a read response and skips records that the service delivered
+// before.
 func toBatch(from topo.Offset, response logwire.ReadResponse) (platlog.Batch, error) {
 	batch := platlog.Batch{First: response.First, End: response.End}
 	next := from
@@ -145,44 +147,44 @@
 		case record.Offset < next:
 			continue
 		case record.Offset > next:
-			return platlog.Batch{}, &ProtocolError{Problem: "offsets with a gap"}
+			return platlog.Batch{}, &ProtocolError{Problem: "record offsets have a gap"}
 		}
 		batch.Entries = append(batch.Entries, platlog.Entry{Offset: record.Offset, Data: record.Data})
 		next++
 	}
 	if batch.First == 0 || batch.End < batch.First {
-		return platlog.Batch{}, &ProtocolError{Problem: "impossible bounds"}
+		return platlog.Batch{}, &ProtocolError{Problem: "first or end offset is out of range"}
 	}
 	if len(batch.Entries) > 0 && batch.End < next {
-		return platlog.Batch{}, &ProtocolError{Problem: "end before the last record"}
+		return platlog.Batch{}, &ProtocolError{Problem: "end offset precedes the last record"}
 	}
 	return batch, nil
 }
 
-// do sends a request and reads the whole answer, within the largest size. After
-// a failure idle connections are closed, since whatever made this one silent
-// may have done the same to them.
-func (c *Client) do(req *http.Request) (status int, answer []byte, err error) {
+// do sends a request and reads the whole response, at most logwire.MaxAnswerBytes.
+// After a failure it closes the idle connections, because the fault that stalled
+// this connection may have stalled them too.
+func (c *Client) do(req *http.Request) (status int, responseBody []byte, err error) {
 	response, err := c.http.Do(req)
 	if err != nil {
 		c.http.CloseIdleConnections()
 		return 0, nil, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err = io.ReadAll(io.LimitReader(response.Body, logwire.MaxAnswerBytes+1))
+	responseBody, err = io.ReadAll(io.LimitReader(response.Body, logwire.MaxAnswerBytes+1))
 	if err != nil {
 		c.http.CloseIdleConnections()
 		return 0, nil, err
 	}
-	if len(answer) > logwire.MaxAnswerBytes {
-		return 0, nil, &ProtocolError{Problem: "answer too large"}
+	if len(responseBody) > logwire.MaxAnswerBytes {
+		return 0, nil, &ProtocolError{Problem: "response is too large"}
 	}
-	return response.StatusCode, answer, nil
+	return response.StatusCode, responseBody, nil
 }
 
-func decodeRefusal(status int, answer []byte) *StatusError {
+func decodeError(status int, responseBody []byte) *StatusError {
 	var body logwire.ErrorResponse
-	if err := json.Unmarshal(answer, &body); err != nil {
+	if err := json.Unmarshal(responseBody, &body); err != nil {
 		return &StatusError{Status: status}
 	}
 	return &StatusError{
--- a/modules/loghttp/client_test.go
+++ b/modules/loghttp/client_test.go
@@ -22,8 +22,8 @@
 )
 
 var _ = ginkgo.Describe("client of the log service", func() {
-	// Only the service's own word proves that nothing was appended.
-	ginkgo.DescribeTable("answers to an append",
+	// Only an explicit statement of the log service proves that nothing was appended.
+	ginkgo.DescribeTable("classifies append responses",
 		func(status int, body string, proven bool) {
 			t := ginkgo.GinkgoTB()
 			g := gomega.NewWithT(t)
@@ -39,15 +39,15 @@
 		},
 		ginkgo.Entry("refused by the service", 503, `{"code":"unavailable","appended":false}`, true),
 		ginkgo.Entry("rate limit", 429, `{"code":"rate_limited","appended":false}`, true),
-		ginkgo.Entry("refused without saying", 503, `{"code":"unavailable"}`, false),
-		ginkgo.Entry("says that it appended", 500, `{"code":"unavailable","appended":true}`, false),
-		ginkgo.Entry("from something between", 502, `<html>bad gateway</html>`, false),
+		ginkgo.Entry("refused without stating whether it appended", 503, `{"code":"unavailable"}`, false),
+		ginkgo.Entry("states that it appended", 500, `{"code":"unavailable","appended":true}`, false),
+		ginkgo.Entry("response of an intermediary", 502, `<html>bad gateway</html>`, false),
 		ginkgo.Entry("redirect", 307, ``, false),
 		ginkgo.Entry("offset missing", 200, `{}`, false),
 		ginkgo.Entry("not JSON", 200, `ok`, false),
 	)
 
-	ginkgo.It("nothing listening is proven not appended", func() {
+	ginkgo.It("a refused connection proves that nothing was appended", func() {
 		t := ginkgo.GinkgoTB()
 		g := gomega.NewWithT(t)
 		client, server := connect(t, http.NotFoundHandler())
@@ -57,7 +57,7 @@
 		g.Expect(errors.As(err, &unavailable)).To(gomega.BeTrue(), err.Error())
 	})
 
-	ginkgo.DescribeTable("read answers that break the protocol",
+	ginkgo.DescribeTable("read responses that violate the protocol",
 		func(body string) {
 			t := ginkgo.GinkgoTB()
 			g := gomega.NewWithT(t)
@@ -93,7 +93,7 @@
 	return client, server
 }
 
-// post sends an administration request to the stand-in.
+// post sends an administration request to the simulated log service.
 func post(t testing.TB, target string, body any) {
 	t.Helper()
 	encoded, err := json.Marshal(body)
--- a/modules/loghttp/errors.go
+++ b/modules/loghttp/errors.go
@@ -7,21 +7,21 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// StatusError reports an answer of the log service that refuses a request.
+// StatusError reports a response of the log service that rejects a request.
 type StatusError struct {
 	Status      int
-	Code        logwire.Code // empty when the answer was not the service's own
+	Code        logwire.Code // empty if the response did not come from the log service
 	Message     string
-	NotAppended bool        // the service said that nothing was appended
-	First       topo.Offset // with logwire.CodeTruncated
+	NotAppended bool        // the service reported that nothing was appended
+	First       topo.Offset // first offset in the log; set with logwire.CodeTruncated
 }
 
 // Error implements error.
 func (e *StatusError) Error() string {
-	return fmt.Sprintf("log service answered %d %s: %s", e.Status, e.Code, e.Message)
+	return fmt.Sprintf("log service returned status %d %s: %s", e.Status, e.Code, e.Message)
 }
 
-// ProtocolError reports an answer that breaks the protocol.
+// ProtocolError reports a response that violates the log protocol.
 type ProtocolError struct {
 	Problem string
 	Cause   error // may be nil
@@ -38,7 +38,7 @@
 // Unwrap returns the cause.
 func (e *ProtocolError) Unwrap() error { return e.Cause }
 
-// OptionError reports an option that is missing or cannot be used.
+// OptionError reports a module option that is missing, unknown or invalid.
 type OptionError struct {
 	Option  string
 	Problem string
--- a/modules/loghttp/follow_test.go
+++ b/modules/loghttp/follow_test.go
@@ -20,46 +20,46 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// patience bounds what is expected to happen soon.
-const patience = 30 * time.Second
+// waitTimeout bounds each wait of these tests.
+const waitTimeout = 30 * time.Second
 
-// silencer is a listener whose open connections can be made silent for good,
-// while new ones work.
-type silencer struct {
+// stallingListener is a listener whose open connections can be stalled permanently
+// while new connections work.
+type stallingListener struct {
 	net.Listener
-	mu   sync.Mutex
-	open chan struct{} // closed when the connections accepted so far go silent
+	mu          sync.Mutex
+	stallSignal chan struct{} // closed to stall the connections accepted so far
 }
 
 // Accept implements net.Listener.
-func (l *silencer) Accept() (net.Conn, error) {
+func (l *stallingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return &silentConn{Conn: conn, silent: l.open}, nil
+	return &stallableConn{Conn: conn, stalled: l.stallSignal}, nil
 }
 
-func (l *silencer) silence() {
+func (l *stallingListener) stall() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	close(l.open)
-	l.open = make(chan struct{})
+	close(l.stallSignal)
+	l.stallSignal = make(chan struct{})
 }
 
-type silentConn struct {
+type stallableConn struct {
 	net.Conn
-	silent <-chan struct{}
+	stalled <-chan struct{}
 }
 
-// Read implements net.Conn; what arrives on a silent connection is lost.
-func (c *silentConn) Read(p []byte) (int, error) {
+// Read implements net.Conn. It drops data that arrives on a stalled connection.
+func (c *stallableConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
 		select {
-		case <-c.silent:
+		case <-c.stalled:
 			if err != nil {
 				return 0, err
 			}
@@ -69,34 +69,36 @@
 	}
 }
 
-// Write implements net.Conn; what is sent on a silent connection is lost.
-func (c *silentConn) Write(p []byte) (int, error) {
+// Write implements net.Conn. It drops data that is sent on a stalled connection.
+func (c *stallableConn) Write(p []byte) (int, error) {
 	select {
-	case <-c.silent:
+	case <-c.stalled:
 		return len(p), nil
 	default:
 		return c.Conn.Write(p)
 	}
 }
 
-func TestSilentConnectionIsReplaced(t *testing.T) {
+// A connection that stalls after a successful request must not be reused: the
+// append in flight has an uncertain outcome, and the next append succeeds.
+func TestStalledConnectionIsReplaced(t *testing.T) {
 	g := gomega.NewWithT(t)
 	server := httptest.NewUnstartedServer(platformlog.New(platformlog.Config{}))
-	listener := &silencer{Listener: server.Listener, open: make(chan struct{})}
+	listener := &stallingListener{Listener: server.Listener, stallSignal: make(chan struct{})}
 	server.Listener = listener
 	server.Start()
 	t.Cleanup(server.Close)
 	base, err := url.Parse(server.URL)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	client := loghttp.NewClient(base, "s", patience)
+	client := loghttp.NewClient(base, "s", waitTimeout)
 	t.Cleanup(client.Close)
 
 	_, err = client.Append(t.Context(), []byte("before"))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	listener.silence()
+	listener.stall()
 	limited, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
-	_, err = client.Append(limited, []byte("into the silence"))
+	_, err = client.Append(limited, []byte("on the stalled connection"))
 	var uncertain *platlog.UncertainError
 	g.Expect(err).To(gomega.BeAssignableToTypeOf(uncertain))
 	offset, err := client.Append(t.Context(), []byte("after"))
@@ -104,8 +106,8 @@
 	g.Expect(offset).To(gomega.BeEquivalentTo(2))
 }
 
-// A follower over real connections gets its records in once under each fault of
-// the service.
+// Each record that a follower submits over HTTP is applied exactly once under each
+// injected fault of the log service.
 func TestFollowerOverHTTP(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -113,23 +115,23 @@
 	}{
 		{"healthy", platformlog.Faults{}},
 		{"slow", platformlog.Faults{SlowMs: 100}},
-		{"answer lost", platformlog.Faults{LoseAnswers: 1}},
+		{"response lost", platformlog.Faults{LoseAnswers: 1}},
 		{"request lost", platformlog.Faults{LoseRequests: 1}},
-		{"read again", platformlog.Faults{Repeat: 3}},
+		{"records delivered again", platformlog.Faults{Repeat: 3}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			service := platformlog.New(platformlog.Config{})
 			a, b := follow(t, "a", service), follow(t, "b", service)
-			ctx, cancel := context.WithTimeout(t.Context(), patience)
+			ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 			defer cancel()
 			for base := range uint64(3) {
 				service.SetFaults(c.faults)
-				fate, err := a.Submit(ctx, publishOn(base))
+				outcome, err := a.Submit(ctx, publishOn(base))
 				g.Expect(err).NotTo(gomega.HaveOccurred())
-				g.Expect(fate.Accepted).To(gomega.BeTrue(), fate.Conflict)
-				g.Expect(b.WaitApplied(ctx, fate.Offset)).To(gomega.Succeed())
+				g.Expect(outcome.Accepted).To(gomega.BeTrue(), outcome.Conflict)
+				g.Expect(b.WaitApplied(ctx, outcome.Offset)).To(gomega.Succeed())
 			}
 			g.Expect(b.View().SiteVersion()).To(gomega.Equal(uint64(3)))
 		})
@@ -144,7 +146,7 @@
 			g := gomega.NewWithT(t)
 			service := platformlog.New(platformlog.Config{})
 			a := follow(t, "a", service)
-			ctx, cancel := context.WithTimeout(t.Context(), patience)
+			ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 			defer cancel()
 			_, err := a.Submit(ctx, publishOn(0))
 			g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -155,9 +157,9 @@
 			g.Expect(err).To(gomega.HaveOccurred())
 			service.SetFaults(platformlog.Faults{})
 			g.Eventually(func() bool {
-				fate, err := a.Submit(ctx, publishOn(a.View().SiteVersion()))
-				return err == nil && fate.Accepted
-			}).WithTimeout(patience).WithPolling(10 * time.Millisecond).Should(gomega.BeTrue())
+				outcome, err := a.Submit(ctx, publishOn(a.View().SiteVersion()))
+				return err == nil && outcome.Accepted
+			}).WithTimeout(waitTimeout).WithPolling(10 * time.Millisecond).Should(gomega.BeTrue())
 		})
 	}
 }
--- a/modules/loghttp/fuzz_test.go
+++ b/modules/loghttp/fuzz_test.go
@@ -12,8 +12,9 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Whatever the service answers, a read is a batch that keeps the contract or a
-// typed error, and an append an offset or a typed error.
+// For any response of the service, a read returns either a batch that satisfies the
+// contract of platlog.Log or a typed error, and an append returns either an offset
+// or a typed error.
 func FuzzAnswers(f *testing.F) {
 	f.Add(200, []byte(`{"offset":7}`))
 	f.Add(200, []byte(`{"first":3,"end":6,"records":[{"offset":3,"data":"YQ=="},{"offset":4},{"offset":5}]}`))
@@ -31,7 +32,7 @@
 		}
 		offset, err := appendResult(status, body)
 		if err == nil && offset == 0 {
-			t.Fatal("append without offset or error")
+			t.Fatal("append returned neither an offset nor an error")
 		}
 		if err != nil {
 			checkTyped(t, err)
@@ -47,7 +48,7 @@
 		}
 	}
 	if batch.End < from+topo.Offset(len(batch.Entries)) && len(batch.Entries) > 0 {
-		t.Fatalf("end %d before the last entry", batch.End)
+		t.Fatalf("end %d precedes the last entry", batch.End)
 	}
 }
 
@@ -57,7 +58,7 @@
 	var uncertain *platlog.UncertainError
 	var truncated *platlog.TruncatedError
 	if !errors.As(err, &unavailable) && !errors.As(err, &uncertain) && !errors.As(err, &truncated) {
-		t.Fatalf("error without a type: %v", err)
+		t.Fatalf("untyped error: %v", err)
 	}
 }
 
@@ -65,7 +66,7 @@
 	cases := []struct {
 		name    string
 		options map[string]any
-		bad     string // option that is named; empty when valid
+		bad     string // option named in the error; empty if the options are valid
 	}{
 		{"valid", map[string]any{"url": "http://127.0.0.1:1/x", "stream": "s"}, ""},
 		{"no URL", map[string]any{"stream": "s"}, "url"},
--- a/modules/loghttp/module.go
+++ b/modules/loghttp/module.go
@@ -1,5 +1,5 @@
-// Package loghttp is the module log.http: the platform's log service over HTTP,
-// by the protocol of docs/LOG-PROTOCOL.md.
+// Package loghttp implements the module log.http, a client of the platform's log
+// service over HTTP. docs/LOG-PROTOCOL.md specifies the protocol.
 package loghttp
 
 import (
@@ -17,8 +17,8 @@
 
 // Options of the module.
 const (
-	OptionURL    = "url"    // of the service, such as "http://192.0.2.1:8080"
-	OptionStream = "stream" // name of the stream; DefaultStream when absent
+	OptionURL    = "url"    // base URL of the log service, such as "http://192.0.2.1:8080"
+	OptionStream = "stream" // name of the stream, DefaultStream by default
 )
 
 // Defaults.
@@ -29,7 +29,7 @@
 
 func init() { kernel.Register(&Module{}) }
 
-// Module provides platlog.Log.
+// Module provides a Client as platlog.Log.
 type Module struct {
 	options options
 	client  *Client
@@ -78,13 +78,13 @@
 	}{m.options.base.Redacted(), m.options.stream}
 }
 
-// decodeOptions reads the options; unknown ones are refused.
+// decodeOptions validates the options and rejects unknown ones.
 func decodeOptions(given map[string]any) (options, error) {
 	decoded := options{stream: DefaultStream}
 	for name, value := range given {
 		text, isText := value.(string)
 		if !isText || text == "" {
-			return options{}, &OptionError{Option: name, Problem: "must be a string that is not empty"}
+			return options{}, &OptionError{Option: name, Problem: "must be a non-empty string"}
 		}
 		switch name {
 		case OptionURL:
@@ -111,7 +111,7 @@
 		return nil, &OptionError{Option: OptionURL, Problem: err.Error()}
 	}
 	if base.Scheme != "http" && base.Scheme != "https" || base.Host == "" || base.RawQuery != "" {
-		return nil, &OptionError{Option: OptionURL, Problem: "must be http:// or https://, a host and no query"}
+		return nil, &OptionError{Option: OptionURL, Problem: "must be an http:// or https:// URL with a host and without a query"}
 	}
 	return base, nil
 }
--- a/modules/loghttp/transport.go
+++ b/modules/loghttp/transport.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// newTransport returns a transport without proxies or HTTP/2: each call has a
-// connection of its own, so that a silent one affects nothing else.
+// newTransport returns a transport without proxies or HTTP/2. With HTTP/1 each call
+// has a connection of its own, so that a stalled connection affects no other call.
 func newTransport(connectTimeout time.Duration) *http.Transport {
 	dialer := &net.Dialer{Timeout: connectTimeout}
 	protocols := new(http.Protocols)
