--- a/modules/logmem/module.go
+++ b/modules/logmem/module.go
@@ -1,5 +1,6 @@
-// Package logmem is the module log.memory: one log in memory for every process
-// of the same operating-system process that names it, for the demo and tests.
+// Package logmem implements the module log.memory, an in-memory log for the demo
+// and tests. All nodes in one operating-system process that use the same name share
+// one log.
 package logmem
 
 import (
@@ -27,7 +28,7 @@
 
 func init() { kernel.Register(&Module{}) }
 
-// OptionError reports an option that the module does not know or cannot use.
+// OptionError reports a module option that is unknown or of the wrong type.
 type OptionError struct{ Option string }
 
 // Error implements error.
@@ -35,7 +36,7 @@
 	return fmt.Sprintf("log.memory: option %q is unknown or of the wrong type", e.Option)
 }
 
-// Open returns the log of a name; the first call makes it.
+// Open returns the log with the given name and creates it on first use.
 func Open(name string) platlog.Log {
 	storesMu.Lock()
 	defer storesMu.Unlock()
@@ -47,21 +48,22 @@
 	return log
 }
 
-// Put makes log the one of a name, for example one with faults.
+// Put registers log under a name, for example a log with injected faults.
 func Put(name string, log platlog.Log) {
 	storesMu.Lock()
 	defer storesMu.Unlock()
 	stores[name] = log
 }
 
-// Forget drops the log of a name, so that its memory can be freed.
+// Forget removes the log with the given name, so that its memory can be freed.
 func Forget(name string) {
 	storesMu.Lock()
 	defer storesMu.Unlock()
 	delete(stores, name)
 }
 
-// Module provides platlog.Log. Its only option is "name".
+// Module provides the log with the configured name as platlog.Log. Its only option
+// is "name".
 type Module struct {
 	name string
 }
--- a/modules/logmem/module_test.go
+++ b/modules/logmem/module_test.go
@@ -17,7 +17,7 @@
 )
 
 var _ = ginkgo.Describe("log.memory module", func() {
-	ginkgo.It("one log by name", func() {
+	ginkgo.It("modules with the same name share one log", func() {
 		t := ginkgo.GinkgoTB()
 		g := gomega.NewWithT(t)
 		first, err := provision(t, nil)
@@ -33,7 +33,7 @@
 	})
 })
 
-// provision returns the log that the module provides under some options.
+// provision returns the log that the module provides with the given options.
 func provision(t testing.TB, options map[string]any) (platlog.Log, error) {
 	t.Helper()
 	ctx := kernel.NewContext(kernel.Identity{}, nil)
