--- a/modules/vmshttp/events.go
+++ b/modules/vmshttp/events.go
@@ -7,7 +7,7 @@
 )
 
 var (
-	eventUnavailable = events.Define(1320, hclog.Warn, "VM list unavailable")
-	eventBack        = events.Define(1321, hclog.Info, "VM list available again")
-	eventRowsSkipped = events.Define(1322, hclog.Warn, "VM list has rows that say nothing usable")
+	eventUnavailable    = events.Define(1320, hclog.Warn, "VM list unavailable")
+	eventAvailableAgain = events.Define(1321, hclog.Info, "VM list available again")
+	eventRowsSkipped    = events.Define(1322, hclog.Warn, "VM list contains unusable rows")
 )
--- a/modules/vmshttp/module.go
+++ b/modules/vmshttp/module.go
@@ -1,6 +1,6 @@
-// Package vmshttp is the module vms.http: it reads the platform's VM list as
-// JSON over HTTP, in the form that package vmlist documents. A list that has not
-// changed is not sent again, where the platform's answers carry an ETag.
+// Package vmshttp implements the module vms.http, which reads the platform's VM
+// list as JSON over HTTP in the format that package vmlist documents. If the
+// platform's responses carry an ETag, an unchanged list is not transferred again.
 package vmshttp
 
 import (
@@ -23,11 +23,11 @@
 
 // Driver options.
 const (
-	optionURL       = "url"       // of the list, for example http://10.0.0.1:7100/vms
-	optionTimeoutMs = "timeoutMs" // of one read, default 1000
+	optionURL       = "url"       // URL of the list, for example http://10.0.0.1:7100/vms
+	optionTimeoutMs = "timeoutMs" // timeout of one read in milliseconds, 1000 by default
 )
 
-const defaultTimeout = time.Second
+const defaultTimeout = time.Second // of one read
 
 // Metrics of all nodes in this process, under "vm_list".
 var (
@@ -40,15 +40,15 @@
 
 func init() { kernel.Register(&Module{}) }
 
-// Module implements kernel.Module.
+// Module reads the VM list of the platform and provides it as vmlist.List.
 type Module struct {
 	url       string
 	timeout   time.Duration
 	logger    hclog.Logger
 	transport *http.Transport
 
-	mu        sync.Mutex
-	latest    answer
+	mu        sync.Mutex // guards the fields below
+	latest    fetchedList
 	lastRead  time.Time
 	lastError string
 }
@@ -101,12 +101,12 @@
 	return nil
 }
 
-// answer is a list as it was read, with the tag by which the platform says that
-// it has not changed since.
-type answer struct {
+// fetchedList is a decoded VM list with its ETag, by which the platform reports
+// that the list has not changed.
+type fetchedList struct {
 	vms     []vmlist.VM
 	skipped int
-	tag     string // empty when the platform gave none
+	etag    string // empty if the response had no ETag
 }
 
 // VMs implements vmlist.List.
@@ -116,65 +116,70 @@
 	}
 	metricReads.Add(1)
 	read, err := m.read(ctx)
-	m.note(read, err)
+	m.recordRead(read, err)
 	return slices.Clone(read.vms), err
 }
 
-// read asks for the list, or whether it changed since it was last read.
-func (m *Module) read(ctx context.Context) (answer, error) {
+// read fetches the list. If an ETag is known, the request is conditional and an
+// unchanged list is returned from the previous read.
+func (m *Module) read(ctx context.Context) (fetchedList, error) {
 	ctx, cancel := context.WithTimeout(ctx, m.timeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, m.url, nil)
 	if err != nil {
-		return answer{}, &vmlist.UnavailableError{Cause: err}
+		return fetchedList{}, &vmlist.UnavailableError{Cause: err}
 	}
-	latest := m.lastAnswer()
-	if latest.tag != "" {
-		request.Header.Set("If-None-Match", latest.tag)
+	latest := m.latestList()
+	if latest.etag != "" {
+		request.Header.Set("If-None-Match", latest.etag)
 	}
 	response, err := m.transport.RoundTrip(request)
 	if err != nil {
-		return answer{}, m.failed(err)
+		return fetchedList{}, m.unavailable(err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	switch response.StatusCode {
 	case http.StatusOK:
 		return m.decode(response)
 	case http.StatusNotModified:
-		if latest.tag != "" {
+		if latest.etag != "" {
 			metricUnchanged.Add(1)
 			return latest, nil
 		}
 	}
-	return answer{}, &vmlist.UnavailableError{Cause: &StatusError{Code: response.StatusCode}}
+	return fetchedList{}, &vmlist.UnavailableError{Cause: &StatusError{Code: response.StatusCode}}
 }
 
-func (m *Module) decode(response *http.Response) (answer, error) {
+func (m *Module) decode(response *http.Response) (fetchedList, error) {
 	body, err := io.ReadAll(io.LimitReader(response.Body, vmlist.MaxBytes+1))
 	if err != nil {
-		return answer{}, m.failed(err)
+		return fetchedList{}, m.unavailable(err)
 	}
 	vms, skipped, err := vmlist.Decode(body)
 	if err != nil {
-		return answer{}, err
+		return fetchedList{}, err
 	}
-	return answer{vms: vms, skipped: skipped, tag: response.Header.Get("ETag")}, nil
+	return fetchedList{vms: vms, skipped: skipped, etag: response.Header.Get("ETag")}, nil
 }
 
-func (m *Module) lastAnswer() answer {
+func (m *Module) latestList() fetchedList {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.latest
 }
 
-// failed closes the connection that a read failed on, if it is idle; one that a
-// read was given up on is closed already. The next read opens a new one.
-func (m *Module) failed(cause error) error {
+// unavailable closes the idle connections after a failed read and returns the
+// failure as *vmlist.UnavailableError. The connection of a read that timed out is
+// closed already, so the next read opens a new one.
+func (m *Module) unavailable(cause error) error {
 	m.transport.CloseIdleConnections()
 	return &vmlist.UnavailableError{Cause: cause}
 }
 
-func (m *Module) note(read answer, err error) {
+// recordRead updates the state and metrics with the result of a read. It logs the
+// first failure of an outage, the end of the outage, and a changed number of
+// skipped rows.
+func (m *Module) recordRead(read fetchedList, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err != nil {
@@ -189,7 +194,7 @@
 		eventRowsSkipped.Log(m.logger, "rows", read.skipped)
 	}
 	if m.lastError != "" {
-		eventBack.Log(m.logger, "url", m.url)
+		eventAvailableAgain.Log(m.logger, "url", m.url)
 	}
 	metricSkipped.Add(int64(read.skipped))
 	m.lastRead, m.latest, m.lastError = time.Now(), read, ""
@@ -214,15 +219,16 @@
 	}{m.url, m.lastRead, len(m.latest.vms), m.latest.skipped, m.lastError}
 }
 
-// OptionError reports a driver option that is missing, unknown or wrong.
+// OptionError reports a driver option that is missing, unknown or invalid.
 type OptionError struct{ Key string }
 
 // Error implements error.
 func (e *OptionError) Error() string {
-	return `VM list driver "http": option "` + e.Key + `" is missing or wrong: url is an http or https URL, timeoutMs at least 1`
+	return `VM list driver "http": option "` + e.Key + `" is missing or invalid: url must be an http or https URL, timeoutMs at least 1`
 }
 
-// StatusError reports an HTTP status other than 200.
+// StatusError reports an HTTP status other than 200, or other than 304 in response
+// to a conditional request.
 type StatusError struct{ Code int }
 
 // Error implements error.
--- a/modules/vmshttp/vmshttp_test.go
+++ b/modules/vmshttp/vmshttp_test.go
@@ -22,7 +22,7 @@
 )
 
 var _ = ginkgo.Describe("vms.http", func() {
-	ginkgo.It("an unchanged list is not sent again", func() {
+	ginkgo.It("an unchanged list is not transferred again", func() {
 		t := ginkgo.GinkgoTB()
 		g := gomega.NewWithT(t)
 		p := vms.New()
@@ -32,7 +32,7 @@
 		})
 		server := httptest.NewServer(counted)
 		t.Cleanup(server.Close)
-		m := opened(t, server.URL+vms.PathVMs)
+		m := newModule(t, server.URL+vms.PathVMs)
 		p.Put(vmlist.VM{ID: "a", Role: vmlist.RoleEntry, Zone: "z", Phase: vmlist.PhaseLive})
 		for range 10 {
 			list, err := m.VMs(context.Background())
@@ -40,14 +40,14 @@
 			g.Expect(list).To(gomega.HaveLen(1))
 		}
 		once := bytes.Load()
-		g.Expect(once).To(gomega.BeNumerically("<", 100), "one list of one row")
+		g.Expect(once).To(gomega.BeNumerically("<", 100), "the list of one row is transferred once")
 		p.SetPhase("a", vmlist.PhaseLeaving)
 		_, err := m.VMs(context.Background())
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(bytes.Load()).To(gomega.BeNumerically(">", once))
 	})
 
-	ginkgo.DescribeTable("answers that are no list",
+	ginkgo.DescribeTable("responses that are not a VM list",
 		func(status int, body string, isMalformed bool) {
 			t := ginkgo.GinkgoTB()
 			g := gomega.NewWithT(t)
@@ -58,28 +58,28 @@
 				}
 			}))
 			t.Cleanup(server.Close)
-			_, err := opened(t, server.URL).VMs(context.Background())
+			_, err := newModule(t, server.URL).VMs(context.Background())
 			var malformed *vmlist.MalformedError
 			var away *vmlist.UnavailableError
 			g.Expect(errors.As(err, &malformed)).To(gomega.Equal(isMalformed), "%v", err)
 			g.Expect(errors.As(err, &away)).To(gomega.Equal(!isMalformed), "%v", err)
 		},
 		ginkgo.Entry("other status", http.StatusTeapot, `{"vms":[]}`, false),
-		ginkgo.Entry("no JSON", http.StatusOK, `<html>`, true),
-		ginkgo.Entry("half a list", http.StatusOK, `{"vms":[{"id":"a"`, true),
+		ginkgo.Entry("not JSON", http.StatusOK, `<html>`, true),
+		ginkgo.Entry("truncated list", http.StatusOK, `{"vms":[{"id":"a"`, true),
 		ginkgo.Entry("another document", http.StatusOK, `{"servers":[]}`, true),
-		ginkgo.Entry("unchanged without a first", http.StatusNotModified, ``, false),
+		ginkgo.Entry("not modified without an earlier list", http.StatusNotModified, ``, false),
 	)
 
-	// lets the first connection die without
-	// a word after one answer.
-	ginkgo.It("a connection that fell silent is replaced", func() {
+	// The first connection stalls after one response. The read on it times out, and
+	// the next read must open a new connection.
+	ginkgo.It("a stalled connection is replaced", func() {
 		t := ginkgo.GinkgoTB()
 		g := gomega.NewWithT(t)
 		p := vms.New()
 		var connections atomic.Int64
 		silent := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if r.Context().Value(firstKey{}) == true && connections.Load() == 1 && r.Header.Get("If-None-Match") != "" {
+			if r.Context().Value(firstConnectionKey{}) == true && connections.Load() == 1 && r.Header.Get("If-None-Match") != "" {
 				<-r.Context().Done()
 				return
 			}
@@ -87,11 +87,11 @@
 		})
 		server := httptest.NewUnstartedServer(silent)
 		server.Config.ConnContext = func(ctx context.Context, _ net.Conn) context.Context {
-			return context.WithValue(ctx, firstKey{}, connections.Add(1) == 1)
+			return context.WithValue(ctx, firstConnectionKey{}, connections.Add(1) == 1)
 		}
 		server.Start()
 		t.Cleanup(server.Close)
-		m := opened(t, server.URL+vms.PathVMs)
+		m := newModule(t, server.URL+vms.PathVMs)
 		_, err := m.VMs(context.Background())
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		ctx, cancel := context.WithTimeout(context.Background(), 1e8)
@@ -103,7 +103,7 @@
 		g.Expect(connections.Load()).To(gomega.BeEquivalentTo(2))
 	})
 
-	ginkgo.It("options are checked", func() {
+	ginkgo.It("invalid options are rejected", func() {
 		t := ginkgo.GinkgoTB()
 		g := gomega.NewWithT(t)
 		for _, options := range []map[string]any{
@@ -131,7 +131,7 @@
 	return m, m.Provision(ctx)
 }
 
-func opened(t testing.TB, url string) *Module {
+func newModule(t testing.TB, url string) *Module {
 	m, err := provision(map[string]any{"url": url, "timeoutMs": 20000.0})
 	gomega.NewWithT(t).Expect(err).NotTo(gomega.HaveOccurred())
 	t.Cleanup(func() { _ = m.Stop(context.Background()) })
@@ -143,7 +143,7 @@
 var _ = vmlisttest.Describe("vms.http", func(t testing.TB, p *vms.Platform) vmlist.List {
 	server := httptest.NewServer(vms.Handler(p))
 	t.Cleanup(server.Close)
-	return opened(t, server.URL+vms.PathVMs)
+	return newModule(t, server.URL+vms.PathVMs)
 })
 
 type countingWriter struct {
@@ -156,4 +156,4 @@
 	return w.ResponseWriter.Write(p)
 }
 
-type firstKey struct{}
+type firstConnectionKey struct{}
