--- a/modules/vmsmem/module.go
+++ b/modules/vmsmem/module.go
@@ -1,5 +1,5 @@
-// Package vmsmem is the module vms.memory: a VM list that lives in the
-// process, shared by name between the nodes of a demo or test.
+// Package vmsmem implements the module vms.memory, an in-memory VM list that the
+// nodes of a demo or test in one process share by name.
 package vmsmem
 
 import (
@@ -21,7 +21,7 @@
 
 func init() { kernel.Register(&Module{}) }
 
-// Named returns the shared list of a name, made on first use.
+// Named returns the shared list with the given name and creates it on first use.
 func Named(name string) *vms.Platform {
 	sharedMu.Lock()
 	defer sharedMu.Unlock()
@@ -33,14 +33,14 @@
 	return platform
 }
 
-// Forget drops a shared list, so that its name can be used afresh.
+// Forget removes a shared list, so that its name can be used for a new one.
 func Forget(name string) {
 	sharedMu.Lock()
 	defer sharedMu.Unlock()
 	delete(shared, name)
 }
 
-// Module implements kernel.Module.
+// Module provides the shared VM list with the configured name as vmlist.List.
 type Module struct{ name string }
 
 // ModuleInfo implements kernel.Module.
--- a/modules/vmsmem/vmsmem_test.go
+++ b/modules/vmsmem/vmsmem_test.go
@@ -17,7 +17,7 @@
 )
 
 var _ = ginkgo.Describe("vms.memory", func() {
-	ginkgo.It("a list is shared by name", func() {
+	ginkgo.It("modules with the same name share one list", func() {
 		t := ginkgo.GinkgoTB()
 		g := gomega.NewWithT(t)
 		g.Expect(Named("one")).To(gomega.BeIdenticalTo(Named("one")))
@@ -26,7 +26,7 @@
 		Forget("two")
 	})
 
-	ginkgo.It("options are checked", func() {
+	ginkgo.It("invalid options are rejected", func() {
 		t := ginkgo.GinkgoTB()
 		g := gomega.NewWithT(t)
 		for _, options := range []map[string]any{{"name": 1.0}, {"title": "x"}} {
