--- a/modules/balance/balance.go
+++ b/modules/balance/balance.go
@@ -1,6 +1,5 @@
-// Package balance registers the balancing policies as modules of the namespace
-// "balance". A module provides its policy to later modules as a
-// balance.Policy.
+// Package balance registers the balancing policies as modules in the namespace
+// "balance". Each module provides its policy as balance.Policy.
 package balance
 
 import (
@@ -8,10 +7,10 @@
 	"github.com/burdockspindle/burdockspindle/kernel"
 )
 
-// Namespace holds the modules of this package.
+// Namespace is the namespace of the modules in this package.
 const Namespace = "balance"
 
-// Module makes one policy available to the process.
+// Module provides one balancing policy.
 type Module struct {
 	policy balance.Policy
 }
@@ -57,8 +56,8 @@
 	}{m.policy.Name()}
 }
 
-// Named returns the policy of a name without its namespace, for example
-// "greedy". The error is a *kernel.UnknownModuleError.
+// Named returns the policy with the given name, which excludes the namespace, for
+// example "greedy". For an unknown name the error is *kernel.UnknownModuleError.
 func Named(name string) (balance.Policy, error) {
 	module, err := kernel.New(kernel.ModuleID(Namespace + "." + name))
 	if err != nil {
