--- a/modules/standard/standard.go
+++ b/modules/standard/standard.go
@@ -1,5 +1,5 @@
-// Package standard registers the modules that the released binary contains. A
-// module that is not imported here is not in the binary.
+// Package standard registers the modules of the released binary by importing them.
+// A module that is not imported here is not part of the binary.
 package standard
 
 import (
