--- a/modules/admin/api_test.go
+++ b/modules/admin/api_test.go
@@ -25,7 +25,7 @@
 )
 
 var _ = ginkgo.Describe("administration API", func() {
-	ginkgo.DescribeTable("nothing is answered without the token",
+	ginkgo.DescribeTable("requests without the valid token are rejected",
 		func(authorization string) {
 			r := newRig(ginkgo.GinkgoTB())
 			for path, method := range paths {
@@ -41,7 +41,7 @@
 			r.Expect(r.drains).To(gomega.BeEmpty())
 		},
 		ginkgo.Entry("none", ""),
-		ginkgo.Entry("scheme alone", "Bearer"),
+		ginkgo.Entry("scheme only", "Bearer"),
 		ginkgo.Entry("empty token", "Bearer "),
 		ginkgo.Entry("another token", "Bearer wrong"),
 		ginkgo.Entry("too long", "Bearer "+goodToken+"x"),
@@ -51,20 +51,20 @@
 		ginkgo.Entry("two spaces", "Bearer  "+goodToken),
 	)
 
-	ginkgo.It("without a token there is no module", func() {
+	ginkgo.It("the module requires a token", func() {
 		t := ginkgo.GinkgoTB()
 		g := gomega.NewWithT(t)
 		ctx := kernel.NewContext(kernel.Identity{}, hclog.NewNullLogger())
 		g.Expect(kernel.Provide(ctx, &settings.Settings{})).To(gomega.Succeed())
 		module, err := kernel.New("admin.http")
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		_ = module.(kernel.Provisioner).Provision(ctx) // services are missing, too
-		g.Expect(module.(kernel.Validator).Validate()).To(gomega.MatchError("no administration API without a token"))
+		_ = module.(kernel.Provisioner).Provision(ctx) // fails because services are missing too
+		g.Expect(module.(kernel.Validator).Validate()).To(gomega.MatchError("the administration API requires a token"))
 	})
 
-	ginkgo.DescribeTable("failures have a code, and nothing changes",
+	ginkgo.DescribeTable("a failed request returns a code and changes nothing",
 		func(method, path, body string, status int, code adminapi.Code) {
-			r := newSiteRig(ginkgo.GinkgoTB())
+			r := newPopulatedRig(ginkgo.GinkgoTB())
 			before := len(r.site.Records())
 			response := r.send(method, path, "Bearer "+goodToken, body)
 			answer, _ := io.ReadAll(response.Body)
@@ -99,9 +99,9 @@
 		ginkgo.Entry(nil, "POST", "/v1/moves", `[]`, 400, adminapi.CodeMalformed),
 	)
 
-	ginkgo.It("status and lists", func() {
+	ginkgo.It("reports the status and lists", func() {
 		t := ginkgo.GinkgoTB()
-		r := newSiteRig(t)
+		r := newPopulatedRig(t)
 		status, err := r.client().Status(background)
 		r.Expect(err).NotTo(gomega.HaveOccurred())
 		r.Expect(status.Node).To(gomega.Equal(topo.NodeID("a1")))
@@ -135,9 +135,9 @@
 		r.Expect(metrics).To(gomega.HaveKey("admin"))
 	})
 
-	ginkgo.It("shards are listed in parts", func() {
+	ginkgo.It("lists shards in pages", func() {
 		t := ginkgo.GinkgoTB()
-		r := newSiteRig(t)
+		r := newPopulatedRig(t)
 		var part adminapi.Shards
 		r.get("/v1/shards?service=logs&max=3", &part)
 		r.Expect(part.Shards).To(gomega.HaveLen(3))
@@ -154,23 +154,23 @@
 		r.Expect(one.Shards[0].Shard).To(gomega.Equal(topo.ShardID{Service: "logs", Index: index}.String()))
 	})
 
-	ginkgo.It("drain is asked for once", func() {
+	ginkgo.It("requests a drain once", func() {
 		t := ginkgo.GinkgoTB()
 		r := newRig(t)
 		r.Expect(r.client().Drain(background)).To(gomega.Succeed())
 		r.Expect(r.drains).To(gomega.HaveLen(1))
 	})
 
-	ginkgo.It("loss is recorded only of machines that stopped", func() {
+	ginkgo.It("records a loss only for machines that have stopped", func() {
 		t := ginkgo.GinkgoTB()
-		r := newSiteRig(t)
+		r := newPopulatedRig(t)
 		loss := adminapi.Loss{Servers: []topo.ServerID{"s2"}, Nodes: []topo.NodeID{"b1"}}
 		_, err := r.client().ConfirmLoss(background, loss)
 		r.Expect(r.failure(err, adminapi.CodeInvalid).Problems[0].Field).To(gomega.Equal("stopped"))
 		r.Expect(r.site.View().ServerLost("s2")).To(gomega.BeFalse())
 
 		loss.Stopped = true
-		r.appender.plant(away)
+		r.appender.inject(logUnavailable)
 		_, err = r.client().ConfirmLoss(background, loss)
 		_ = r.failure(err, adminapi.CodeNotAppended)
 		r.Expect(r.site.View().ServerLost("s2")).To(gomega.BeFalse())
@@ -185,9 +185,9 @@
 		r.Expect(source).To(gomega.Equal("operator tester"))
 	})
 
-	ginkgo.It("moves go to the lessor of the owners group", func() {
+	ginkgo.It("sends moves to the lessor of the owner's group", func() {
 		t := ginkgo.GinkgoTB()
-		r := newSiteRig(t)
+		r := newPopulatedRig(t)
 		var local []*bspb.MoveRequest
 		r.handlers.Move = func(_ context.Context, req *bspb.MoveRequest) (*bspb.MoveResponse, error) {
 			local = append(local, req)
@@ -200,17 +200,17 @@
 		r.Expect(accepted.Accepted).To(gomega.Equal(2))
 		r.Expect(local).To(gomega.HaveLen(1), "this node is the lessor of s1's group")
 		r.Expect(local[0].Moves[0].To).To(gomega.Equal("s2"))
-		r.Expect(r.peers.asked["b1"]).To(gomega.HaveLen(1))
-		request := r.peers.asked["b1"][0]
+		r.Expect(r.peers.requests["b1"]).To(gomega.HaveLen(1))
+		request := r.peers.requests["b1"][0]
 		shard, _ := r.site.View().Shard(topo.ShardID{Service: "logs", Index: 1})
 		r.Expect(request.Group).To(gomega.Equal("b/0"))
 		r.Expect(request.Reason).To(gomega.Equal("operator"))
 		r.Expect(request.Moves[0].Fence.Offset).To(gomega.Equal(uint64(shard.Fence.Offset)))
 	})
 
-	ginkgo.It("moves that cannot be are refused together", func() {
+	ginkgo.It("rejects all moves if some are impossible", func() {
 		t := ginkgo.GinkgoTB()
-		r := newSiteRig(t)
+		r := newPopulatedRig(t)
 		wanted := []struct{ shard, to, standby, text string }{
 			{"logs", "s2", "", "cannot read"},
 			{"logs/9", "s2", "", "no such shard"},
@@ -233,12 +233,12 @@
 		for i, w := range wanted {
 			r.Expect(failure.Problems[i].Text).To(gomega.ContainSubstring(w.text))
 		}
-		r.Expect(r.peers.asked).To(gomega.BeEmpty())
+		r.Expect(r.peers.requests).To(gomega.BeEmpty())
 	})
 
-	ginkgo.It("a lessor that gives no answer", func() {
+	ginkgo.It("a call to a lessor fails", func() {
 		t := ginkgo.GinkgoTB()
-		r := newSiteRig(t)
+		r := newPopulatedRig(t)
 		move := adminapi.Moves{Moves: []adminapi.Move{{Shard: "logs/1", To: "s1"}}}
 		r.peers.err = &peer.CallError{Node: "b1", Op: "move", Sent: false, Cause: io.ErrClosedPipe}
 		_, err := r.client().Move(background, move)
@@ -249,7 +249,7 @@
 	})
 })
 
-// paths are all endpoints with the method that is served.
+// paths maps each endpoint to the method that it serves.
 var paths = map[string]string{
 	adminapi.PathStatus: "GET", adminapi.PathDump: "GET", adminapi.PathSite: "GET", adminapi.PathServers: "GET",
 	adminapi.PathShards: "GET", adminapi.PathGroups: "GET", adminapi.PathNodes: "GET",
@@ -257,9 +257,9 @@
 	adminapi.PathMetrics: "GET", adminapi.PathProfile: "GET", adminapi.PathProfile + "/goroutine": "GET", "/none": "GET",
 }
 
-// newSiteRig is newRig on a site with service "logs", whose shards 0 and 1 are
-// owned by s1 in zone a and s2 in zone b; a1 and b1 are the lessors.
-func newSiteRig(t testing.TB) *rig {
+// newPopulatedRig starts node "a1" of a site with the service "logs". Its shard 0 is
+// owned by s1 in zone a and shard 1 by s2 in zone b; a1 and b1 are the lessors.
+func newPopulatedRig(t testing.TB) *rig {
 	r := newRig(t)
 	ok := func(result state.Result) {
 		r.Expect(result.Accepted).To(gomega.BeTrue(), "%v", result.Conflict)
@@ -279,7 +279,7 @@
 	return r
 }
 
-// describeRequest names a row by its request.
+// describeRequest returns the name of a table row from its request.
 func describeRequest(method, path, body string, status int, _ adminapi.Code) string {
 	if len(body) > 40 {
 		body = fmt.Sprintf("%d bytes", len(body))
--- a/modules/admin/errors.go
+++ b/modules/admin/errors.go
@@ -1,6 +1,6 @@
 package admin
 
-// ListenError reports an administration address that cannot be listened on.
+// ListenError reports a failure to listen on the administration address.
 type ListenError struct {
 	Address string
 	Cause   error
@@ -14,7 +14,7 @@
 // Unwrap returns the cause.
 func (e *ListenError) Unwrap() error { return e.Cause }
 
-// BuildError reports that the HTTP routes could not be set up.
+// BuildError reports a failure to set up the HTTP routes.
 type BuildError struct{ Cause error }
 
 // Error implements error.
@@ -23,8 +23,9 @@
 // Unwrap returns the cause.
 func (e *BuildError) Unwrap() error { return e.Cause }
 
-// NoTokenError reports an administration API without a token.
+// NoTokenError reports that the settings contain no token for the administration
+// API.
 type NoTokenError struct{}
 
 // Error implements error.
-func (e *NoTokenError) Error() string { return "no administration API without a token" }
+func (e *NoTokenError) Error() string { return "the administration API requires a token" }
--- a/modules/admin/fuzz_test.go
+++ b/modules/admin/fuzz_test.go
@@ -11,9 +11,9 @@
 	"github.com/burdockspindle/burdockspindle/adminapi"
 )
 
-// FuzzRequest sends a method, path with query, and body with the token. No
-// request may panic, every failure must have a code, and a publication is
-// accepted only with a version one above its base.
+// FuzzRequest sends authorized requests with any method, path, query and body. No
+// request may cause a panic, every failure must have a code, and a publication may
+// only be accepted with a version one above its base.
 func FuzzRequest(f *testing.F) {
 	f.Add("GET", "/v1/status", "")
 	f.Add("GET", "/v1/shards?service=logs&from=2&max=99999999999999999999", "")
@@ -23,7 +23,7 @@
 	f.Add("POST", "/v1/loss", `{"servers": ["s1", ""], "nodes": ["@"], "stopped": true}`)
 	f.Add("POST", "/v1/moves", `{"moves": [{"shard": "logs/0/", "to": "s2"}, {"shard": "//", "to": ""}], "reason": "\u0000"}`)
 	f.Add("PATCH", "/v1//site/..", "[]")
-	r := newSiteRig(f)
+	r := newPopulatedRig(f)
 	f.Fuzz(func(t *testing.T, method, target, body string) {
 		parsed, err := url.ParseRequestURI(target)
 		if err != nil || parsed.Host != "" || strings.HasPrefix(parsed.Path, adminapi.PathProfile) || strings.ContainsAny(method, " \r\n\t") || method == "" {
@@ -36,20 +36,20 @@
 		request.Header.Set("Authorization", "Bearer "+goodToken)
 		response, err := http.DefaultTransport.RoundTrip(request)
 		if err != nil {
-			return // net/http refused to send it
+			return // rejected by the net/http client
 		}
 		defer func() { _ = response.Body.Close() }()
 		text, err := io.ReadAll(response.Body)
 		if err != nil {
-			t.Fatalf("%s %s: answer broke off: %v", method, target, err)
+			t.Fatalf("%s %s: response was interrupted: %v", method, target, err)
 		}
-		checkAnswer(t, request, response.StatusCode, text)
+		checkResponse(t, request, response.StatusCode, text)
 	})
 }
 
-func checkAnswer(t *testing.T, request *http.Request, status int, text []byte) {
+func checkResponse(t *testing.T, request *http.Request, status int, text []byte) {
 	if request.Method == http.MethodHead || status == http.StatusBadRequest && !json.Valid(text) {
-		return // refused by net/http itself
+		return // rejected by the net/http server
 	}
 	if status/100 != 2 {
 		var failure adminapi.Failure
--- a/modules/admin/helper_test.go
+++ b/modules/admin/helper_test.go
@@ -31,34 +31,34 @@
 
 const goodToken = "0123456789abcdef"
 
-// logFault is what happens to the next record that is submitted.
+// logFault is a fault of the log that affects the next submitted record.
 type logFault int
 
 const (
-	healthy    logFault = iota
-	away                // proven not appended
-	lostAnswer          // appended, and the submitter never learns it
-	lostWrite           // not appended, and the submitter never learns it
+	healthy        logFault = iota
+	logUnavailable          // the record is proven not appended
+	lostResponse            // the record is appended, but the submitter receives no response
+	lostWrite               // the record is not appended, and the submitter receives no response
 )
 
-// appender passes records on to the site unless a fault is planted.
+// appender forwards records to the site unless a fault is injected.
 type appender struct {
 	*sitefake.Node
 
 	mu     sync.Mutex
 	faults []logFault
 
-	looks atomic.Int64 // calls of Changed
+	changedCalls atomic.Int64 // number of calls of Changed
 }
 
 // Changed implements state.Source.
 func (a *appender) Changed() <-chan struct{} {
-	a.looks.Add(1)
+	a.changedCalls.Add(1)
 	return a.Node.Changed()
 }
 
-// plant sets what happens to the next records, one fault each.
-func (a *appender) plant(faults ...logFault) {
+// inject sets the faults for the next records, one fault per record.
+func (a *appender) inject(faults ...logFault) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.faults = faults
@@ -79,9 +79,9 @@
 func (a *appender) Submit(ctx context.Context, record *bspb.Record) (follower.Fate, error) {
 	unknown := &follower.UnknownFateError{Cause: &platlog.UncertainError{Cause: context.DeadlineExceeded}}
 	switch a.next() {
-	case away:
+	case logUnavailable:
 		return follower.Fate{}, &follower.NotAppendedError{Cause: &platlog.UnavailableError{Op: "append", Cause: context.DeadlineExceeded}}
-	case lostAnswer:
+	case lostResponse:
 		_, _ = a.Node.Submit(ctx, record)
 		return follower.Fate{}, unknown
 	case lostWrite:
@@ -95,13 +95,13 @@
 
 func (a *appender) Failing() bool { return false }
 
-// peers records the moves that other nodes are asked for.
+// peers records the move requests that are sent to other nodes.
 type peers struct {
-	peer.Caller // nil: only the methods below are called
+	peer.Caller // nil, because only the methods below are called
 	err         error
 
-	mu    sync.Mutex
-	asked map[topo.NodeID][]*bspb.MoveRequest
+	mu       sync.Mutex
+	requests map[topo.NodeID][]*bspb.MoveRequest
 }
 
 func (p *peers) Sender() *bspb.Sender { return &bspb.Sender{Node: "a1", Boot: "1", Zone: "a"} }
@@ -112,11 +112,11 @@
 	if p.err != nil {
 		return nil, p.err
 	}
-	p.asked[to] = append(p.asked[to], req)
+	p.requests[to] = append(p.requests[to], req)
 	return &bspb.MoveResponse{Accepted: uint32(len(req.Moves))}, nil
 }
 
-// rig is one node's administration API over a site in memory.
+// rig is the administration API of one node with an in-memory site.
 type rig struct {
 	*gomega.WithT
 	site     *sitefake.Site
@@ -131,18 +131,18 @@
 // newRig starts node "a1" of a site without records.
 func newRig(t testing.TB) *rig { return joinRig(t, sitefake.New(), "a1") }
 
-// joinRig starts a node of a site that others share.
+// joinRig starts a node of a site that several nodes share.
 func joinRig(t testing.TB, site *sitefake.Site, node string) *rig {
 	return startRig(t, site, node, nil)
 }
 
-// startRig is joinRig with TLS files, if there are any.
+// startRig starts a node of a site, with TLS if files is not nil.
 func startRig(t testing.TB, site *sitefake.Site, node string, files *settings.TLS) *rig {
 	r := &rig{
 		WithT:    gomega.NewWithT(t),
 		site:     site,
 		appender: &appender{Node: site.Node(node, "1")},
-		peers:    &peers{asked: map[topo.NodeID][]*bspb.MoveRequest{}},
+		peers:    &peers{requests: map[topo.NodeID][]*bspb.MoveRequest{}},
 		handlers: &peer.Handlers{},
 		drains:   make(chan struct{}, 8),
 	}
@@ -164,7 +164,7 @@
 		kernel.Provide[peer.Caller](ctx, r.peers),
 		kernel.Provide(ctx, r.handlers),
 		kernel.Provide(ctx, kernel.DumpFunc(func() map[string]any { return map[string]any{"duty.test": "state"} })),
-		kernel.Provide(ctx, kernel.DrainFunc(r.noteDrain)),
+		kernel.Provide(ctx, kernel.DrainFunc(r.recordDrain)),
 	)
 	module, err := kernel.New("admin.http")
 	r.Expect(err).NotTo(gomega.HaveOccurred())
@@ -177,8 +177,8 @@
 	r.url = "http://" + address
 }
 
-// noteDrain never blocks, as a node's does not.
-func (r *rig) noteDrain() {
+// recordDrain records a drain request without blocking, like a node's DrainFunc.
+func (r *rig) recordDrain() {
 	select {
 	case r.drains <- struct{}{}:
 	default:
@@ -197,7 +197,7 @@
 	return client
 }
 
-// send makes one plain request with a token.
+// send sends one request with the given Authorization header, if it is not empty.
 func (r *rig) send(method, path, token, body string) *http.Response {
 	request, err := http.NewRequest(method, r.url+path, strings.NewReader(body))
 	r.Expect(err).NotTo(gomega.HaveOccurred())
@@ -209,7 +209,7 @@
 	return response
 }
 
-// failure expects an answer with a code.
+// failure expects err to be a failure with the given code and returns it.
 func (r *rig) failure(err error, code adminapi.Code) *adminapi.Failure {
 	var failure *adminapi.Failure
 	r.ExpectWithOffset(1, err).To(gomega.BeAssignableToTypeOf(failure))
--- a/modules/admin/lists.go
+++ b/modules/admin/lists.go
@@ -47,7 +47,7 @@
 	writeJSON(w, http.StatusOK, servers)
 }
 
-// countShards counts the shards that each server owns and stands by for.
+// countShards counts the shards of each server as owner and as standby.
 func countShards(view *state.View) (owns, standby map[topo.ServerID]int) {
 	owns, standby = map[topo.ServerID]int{}, map[topo.ServerID]int{}
 	for _, service := range view.Tables() {
@@ -101,7 +101,7 @@
 	view := a.source.View()
 	service := topo.Service(query.Get(adminapi.QueryService))
 	if !slices.Contains(view.Tables(), service) {
-		fail(w, http.StatusNotFound, adminapi.CodeNotFound, "no keyed service is called "+strconv.Quote(string(service)))
+		writeFailure(w, http.StatusNotFound, adminapi.CodeNotFound, "no keyed service is called "+strconv.Quote(string(service)))
 		return
 	}
 	if key := query.Get(adminapi.QueryKey); key != "" {
@@ -109,34 +109,35 @@
 		writeJSON(w, http.StatusOK, adminapi.Shards{Shards: []adminapi.Shard{describeShard(shard)}, Total: 1})
 		return
 	}
-	from, err := readCount(query.Get(adminapi.QueryFrom), 0)
+	from, err := parseCount(query.Get(adminapi.QueryFrom), 0)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
-	most, err := readCount(query.Get(adminapi.QueryMax), adminapi.MaxShardsListed)
+	limit, err := parseCount(query.Get(adminapi.QueryMax), adminapi.MaxShardsListed)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
-	writeJSON(w, http.StatusOK, listShards(view, service, from, most))
+	writeJSON(w, http.StatusOK, listShards(view, service, from, limit))
 }
 
-// readCount reads a parameter that is a count; empty gives the default.
-func readCount(text string, byDefault int) (int, error) {
+// parseCount parses a query parameter that is a count, with a default if it is
+// empty.
+func parseCount(text string, defaultCount int) (int, error) {
 	if text == "" {
-		return byDefault, nil
+		return defaultCount, nil
 	}
 	count, err := strconv.Atoi(text)
 	if err != nil || count < 0 {
-		return 0, failed(http.StatusBadRequest, adminapi.Failure{Code: adminapi.CodeMalformed, Message: "not a count: " + strconv.Quote(text)})
+		return 0, newFailure(http.StatusBadRequest, adminapi.Failure{Code: adminapi.CodeMalformed, Message: "not a count: " + strconv.Quote(text)})
 	}
 	return count, nil
 }
 
-// listShards returns at most `most` shards from a position on: hash ranges by
-// index, then split keys by key.
-func listShards(view *state.View, service topo.Service, from, most int) adminapi.Shards {
+// listShards returns at most `most` shards from position from: hash ranges
+// ordered by index, then split keys ordered by key.
+func listShards(view *state.View, service topo.Service, from, limit int) adminapi.Shards {
 	var all []state.Assignment
 	view.EachShard(service, func(shard state.Assignment) bool {
 		all = append(all, shard)
@@ -145,7 +146,7 @@
 	ranges := min(int(view.ShardCount(service)), len(all))
 	slices.SortFunc(all[ranges:], func(a, b state.Assignment) int { return cmp.Compare(a.Shard.Key, b.Shard.Key) })
 	from = min(from, len(all))
-	end := min(from+min(most, adminapi.MaxShardsListed), len(all))
+	end := min(from+min(limit, adminapi.MaxShardsListed), len(all))
 	part := adminapi.Shards{Shards: make([]adminapi.Shard, 0, end-from), Total: len(all)}
 	for _, shard := range all[from:end] {
 		part.Shards = append(part.Shards, describeShard(shard))
--- a/modules/admin/metrics.go
+++ b/modules/admin/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/burdockspindle/burdockspindle/metrics"
 
-// Metrics of all administration APIs of this process.
+// Metrics of all administration APIs in this process.
 var (
 	metricGroup        = metrics.New("admin")
 	metricRequests     = metricGroup.Counter("requests")
--- a/modules/admin/module.go
+++ b/modules/admin/module.go
@@ -1,7 +1,7 @@
-// Package admin is the module "admin.http": the administration API for
-// operators. It answers only requests that carry the settings' bearer token;
-// without a token there is no listener. Package adminapi holds its interface,
-// docs/ADMIN.md explains it.
+// Package admin implements the module "admin.http", the administration API for
+// operators. It serves only requests that carry the bearer token of the settings;
+// without a token in the settings it opens no listener. Package adminapi defines the
+// interface, docs/ADMIN.md describes it.
 package admin
 
 import (
@@ -24,7 +24,7 @@
 
 func init() { kernel.Register(&Module{}) }
 
-// Timeouts of operators' connections.
+// Timeouts of the HTTP server.
 const (
 	readHeaderTimeout = 10 * time.Second
 	readTimeout       = 30 * time.Second
@@ -33,14 +33,14 @@
 
 // Module is the administration API of one node.
 type Module struct {
-	settings *settings.Settings
-	logger   hclog.Logger
-	api      *api
-	server   *http.Server
-	listener net.Listener
-	served   chan struct{} // closed when the server's goroutine ended
-	cancel   context.CancelFunc
-	followed chan struct{} // closed when the versions' goroutine ended
+	settings   *settings.Settings
+	logger     hclog.Logger
+	api        *api
+	server     *http.Server
+	listener   net.Listener
+	serveDone  chan struct{} // closed when the goroutine of serve has ended
+	cancel     context.CancelFunc
+	followDone chan struct{} // closed when the goroutine of follow has ended
 }
 
 // ModuleInfo implements kernel.Module.
@@ -62,11 +62,11 @@
 		versions: newVersions(m.logger),
 		token:    newToken(m.settings.Admin.Token),
 	}
-	return m.api.use(ctx)
+	return m.api.resolveServices(ctx)
 }
 
-// use finds the services that the API works with.
-func (a *api) use(ctx *kernel.Context) error {
+// resolveServices resolves the services that the API depends on.
+func (a *api) resolveServices(ctx *kernel.Context) error {
 	var errs [6]error
 	a.source, errs[0] = kernel.Use[state.Source](ctx)
 	a.appender, errs[1] = kernel.Use[follower.Appender](ctx)
@@ -109,8 +109,8 @@
 		MaxHeaderBytes:    m.settings.Limits.MaxHeaderBytes,
 		ErrorLog:          m.logger.StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Trace}),
 	}
-	m.served = make(chan struct{})
-	m.followed = make(chan struct{})
+	m.serveDone = make(chan struct{})
+	m.followDone = make(chan struct{})
 	eventListening.Log(m.logger, "address", m.listener.Addr().String(), "tls", config != nil)
 	var ctx context.Context
 	ctx, m.cancel = context.WithCancel(context.Background())
@@ -119,7 +119,8 @@
 	return nil
 }
 
-// serverTLS returns nil when the settings name no certificate.
+// serverTLS returns the server's TLS configuration, or nil if the settings contain
+// no TLS files.
 func (m *Module) serverTLS() (*tls.Config, error) {
 	if m.settings.Admin.TLS == nil {
 		return nil, nil
@@ -132,7 +133,7 @@
 }
 
 func (m *Module) serve() {
-	defer close(m.served)
+	defer close(m.serveDone)
 	var err error
 	if m.server.TLSConfig != nil {
 		err = m.server.ServeTLS(m.listener, "", "")
@@ -145,7 +146,7 @@
 }
 
 func (m *Module) follow(ctx context.Context) {
-	defer close(m.followed)
+	defer close(m.followDone)
 	m.api.versions.follow(ctx, m.api.source)
 }
 
@@ -157,8 +158,8 @@
 	return kernel.RoleAdmin, m.listener.Addr().String()
 }
 
-// Drain implements kernel.Drainer: the API stays up, so that operators can
-// watch the drain.
+// Drain implements kernel.Drainer. The API stays available, so that operators can
+// observe the drain.
 func (m *Module) Drain(context.Context) error {
 	m.api.draining.Store(true)
 	return nil
@@ -172,9 +173,9 @@
 	if err := m.server.Shutdown(ctx); err != nil {
 		_ = m.server.Close()
 	}
-	<-m.served
+	<-m.serveDone
 	m.cancel()
-	<-m.followed
+	<-m.followDone
 	return nil
 }
 
@@ -182,7 +183,7 @@
 func (m *Module) Dump() any {
 	_, address := m.ListenAddress()
 	return struct {
-		Address  string        `json:"address"`
-		Versions []versionSeen `json:"versions"`
+		Address  string            `json:"address"`
+		Versions []recordedVersion `json:"versions"`
 	}{address, m.api.versions.list()}
 }
--- a/modules/admin/moves.go
+++ b/modules/admin/moves.go
@@ -17,65 +17,66 @@
 )
 
 const (
-	// moveTimeout is how long a lessor's answer is waited for.
+	// moveTimeout is the timeout of a move request to a lessor.
 	moveTimeout = 3 * time.Second
-	// moveRetryAfter is when to ask again after a lessor gave no answer: by
-	// then another has taken over.
+	// moveRetryAfter is the delay before an operator retries a move request that
+	// the lessor did not answer. By then another lessor has taken over.
 	moveRetryAfter = 3 * time.Second
 	defaultReason  = "operator"
 )
 
-// plannedMoves are checked moves by the group of the shards' owners.
+// plannedMoves maps the group of the shards' owners to its validated moves.
 type plannedMoves map[topo.GroupID][]*bspb.ShardMove
 
-// postMoves asks the lessors of the shards' owners for planned moves. Only they
-// may change an owned shard.
+// postMoves requests planned moves from the lessors of the shards' owners, because
+// only these lessors may change an owned shard.
 func (a *api) postMoves(w http.ResponseWriter, r *http.Request) {
-	var wanted adminapi.Moves
-	if err := readJSON(w, r, &wanted); err != nil {
+	var request adminapi.Moves
+	if err := readJSON(w, r, &request); err != nil {
 		writeError(w, err)
 		return
 	}
 	view := a.source.View()
-	planned, problems := planMoves(view, wanted.Moves)
+	planned, problems := planMoves(view, request.Moves)
 	if len(problems) > 0 {
-		eventMovesRefused.Log(a.logger, "problems", len(problems), "operator", operator(r), "remote", r.RemoteAddr)
-		writeError(w, invalid("no move is asked for", problems))
+		eventMovesRefused.Log(a.logger, "problems", len(problems), "operator", operatorName(r), "remote", r.RemoteAddr)
+		writeError(w, invalidError("no move is asked for", problems))
 		return
 	}
-	if wanted.Reason == "" {
-		wanted.Reason = defaultReason
+	if request.Reason == "" {
+		request.Reason = defaultReason
 	}
 	accepted := 0
 	for _, id := range sortedKeys(planned) {
-		count, err := a.askLessor(r.Context(), view, id, planned[id], wanted.Reason)
+		count, err := a.requestMoves(r.Context(), view, id, planned[id], request.Reason)
 		accepted += count
 		if err != nil {
-			body := bodyOf(err)
+			body := failureOf(err)
 			body.Message += "; accepted before: " + strconv.Itoa(accepted)
-			eventMovesRefused.Log(a.logger, "group", id, "code", string(body.Code), "operator", operator(r), "remote", r.RemoteAddr)
+			eventMovesRefused.Log(a.logger, "group", id, "code", string(body.Code), "operator", operatorName(r), "remote", r.RemoteAddr)
 			writeError(w, err)
 			return
 		}
 	}
-	metricMoves.Add(int64(len(wanted.Moves)))
-	eventMovesAsked.Log(a.logger, "asked", len(wanted.Moves), "accepted", accepted, "reason", wanted.Reason,
-		"operator", operator(r), "remote", r.RemoteAddr)
+	metricMoves.Add(int64(len(request.Moves)))
+	eventMovesRequested.Log(a.logger, "asked", len(request.Moves), "accepted", accepted, "reason", request.Reason,
+		"operator", operatorName(r), "remote", r.RemoteAddr)
 	writeJSON(w, http.StatusAccepted, adminapi.Accepted{Accepted: accepted})
 }
 
-// planMoves checks every move against the state and sorts them by group.
-func planMoves(view *state.View, wanted []adminapi.Move) (plannedMoves, []jsonc.Problem) {
+// planMoves validates every move against the state and groups the valid moves by
+// the owner's group.
+func planMoves(view *state.View, moves []adminapi.Move) (plannedMoves, []jsonc.Problem) {
 	planned := plannedMoves{}
 	var problems []jsonc.Problem
-	if len(wanted) == 0 {
-		problems = append(problems, problem("moves", "name at least one move"))
+	if len(moves) == 0 {
+		problems = append(problems, newProblem("moves", "name at least one move"))
 	}
-	for i, move := range wanted {
+	for i, move := range moves {
 		field := "moves[" + strconv.Itoa(i) + "]"
 		group, encoded, text := planMove(view, move)
 		if text != "" {
-			problems = append(problems, problem(field, text))
+			problems = append(problems, newProblem(field, text))
 			continue
 		}
 		planned[group] = append(planned[group], encoded)
@@ -83,7 +84,8 @@
 	return planned, problems
 }
 
-// planMove checks one move; the text says what is wrong with it.
+// planMove validates one move and encodes it. The returned text describes the
+// problem of an invalid move and is empty for a valid one.
 func planMove(view *state.View, move adminapi.Move) (topo.GroupID, *bspb.ShardMove, string) {
 	id, err := topo.ParseShardID(move.Shard)
 	if err != nil {
@@ -100,11 +102,11 @@
 	if move.To == shard.Owner {
 		return "", nil, string(move.To) + " owns the shard already"
 	}
-	if text := checkTarget(view, id.Service, move.To); text != "" {
+	if text := targetProblem(view, id.Service, move.To); text != "" {
 		return "", nil, text
 	}
 	if move.Standby != "" {
-		if text := checkTarget(view, id.Service, move.Standby); text != "" {
+		if text := targetProblem(view, id.Service, move.Standby); text != "" {
 			return "", nil, "standby: " + text
 		}
 		if move.Standby == move.To {
@@ -119,9 +121,9 @@
 	}, ""
 }
 
-// checkTarget says why a server cannot take a shard of a service; empty when it
-// can.
-func checkTarget(view *state.View, service topo.Service, id topo.ServerID) string {
+// targetProblem describes why a server cannot take a shard of a service. It is
+// empty if the server can.
+func targetProblem(view *state.View, service topo.Service, id topo.ServerID) string {
 	server, exists := view.Server(id)
 	switch {
 	case !exists:
@@ -134,28 +136,29 @@
 	return ""
 }
 
-// askLessor asks a group's lessor, which may be this node, for moves.
-func (a *api) askLessor(ctx context.Context, view *state.View, id topo.GroupID, moves []*bspb.ShardMove, reason string) (int, error) {
+// requestMoves sends moves to the lessor of a group, which may be this node, and
+// returns the number of accepted moves.
+func (a *api) requestMoves(ctx context.Context, view *state.View, id topo.GroupID, moves []*bspb.ShardMove, reason string) (int, error) {
 	group, exists := view.Group(id)
 	if !exists {
-		return 0, noLessor(id, "it has no lessor")
+		return 0, noLessorError(id, "it has no lessor")
 	}
 	ctx, cancel := context.WithTimeout(ctx, moveTimeout)
 	defer cancel()
 	request := &bspb.MoveRequest{Sender: a.peers.Sender(), Group: string(id), Moves: moves, Reason: reason}
-	answer, err := a.callMove(ctx, group.Lessor, request)
+	response, err := a.callMove(ctx, group.Lessor, request)
 	if err == nil {
-		return int(answer.GetAccepted()), nil
+		return int(response.GetAccepted()), nil
 	}
 	var call *peer.CallError
 	if errors.As(err, &call) && !call.Sent {
-		return 0, noLessor(id, err.Error())
+		return 0, noLessorError(id, err.Error())
 	}
 	message := "group " + string(id) + ": no answer from its lessor, the moves may come: " + err.Error()
 	return 0, unavailable(adminapi.CodeMoveUnknown, message, moveRetryAfter)
 }
 
-func noLessor(id topo.GroupID, why string) error {
+func noLessorError(id topo.GroupID, why string) error {
 	message := "group " + string(id) + ": its lessor was not asked: " + why
 	return unavailable(adminapi.CodeNoLessor, message, moveRetryAfter)
 }
--- a/modules/admin/answer.go
+++ b/modules/admin/response.go
@@ -13,18 +13,19 @@
 	"github.com/burdockspindle/burdockspindle/adminapi"
 )
 
-// failed returns a failure as an error that carries its HTTP status.
-func failed(status int, body adminapi.Failure) error {
+// newFailure returns body as an error that carries an HTTP status.
+func newFailure(status int, body adminapi.Failure) error {
 	return merry.Wrap(&body, merry.WithHTTPCode(status), merry.NoCaptureStack())
 }
 
-// unavailable returns a failure that says when to ask again.
+// unavailable returns a failure with status 503 and the delay before a retry.
 func unavailable(code adminapi.Code, message string, wait time.Duration) error {
-	return failed(http.StatusServiceUnavailable, adminapi.Failure{Code: code, Message: message, RetryAfterMs: wait.Milliseconds()})
+	return newFailure(http.StatusServiceUnavailable, adminapi.Failure{Code: code, Message: message, RetryAfterMs: wait.Milliseconds()})
 }
 
-// bodyOf returns what an error tells the operator.
-func bodyOf(err error) *adminapi.Failure {
+// failureOf returns the failure that err reports to the operator. An error without
+// one becomes adminapi.CodeInternal.
+func failureOf(err error) *adminapi.Failure {
 	var body *adminapi.Failure
 	if errors.As(err, &body) {
 		return body
@@ -32,9 +33,10 @@
 	return &adminapi.Failure{Code: adminapi.CodeInternal, Message: err.Error()}
 }
 
-// writeError answers with the error's status and failure.
+// writeError responds with the status and the failure of err. It rounds Retry-After
+// up to whole seconds.
 func writeError(w http.ResponseWriter, err error) {
-	body := bodyOf(err)
+	body := failureOf(err)
 	if wait := body.RetryAfter(); wait > 0 {
 		seconds := (wait + time.Second - 1) / time.Second
 		w.Header().Set("Retry-After", strconv.FormatInt(int64(seconds), 10))
@@ -42,8 +44,8 @@
 	writeJSON(w, merry.HTTPCode(err), body)
 }
 
-func fail(w http.ResponseWriter, status int, code adminapi.Code, message string) {
-	writeError(w, failed(status, adminapi.Failure{Code: code, Message: message}))
+func writeFailure(w http.ResponseWriter, status int, code adminapi.Code, message string) {
+	writeError(w, newFailure(status, adminapi.Failure{Code: code, Message: message}))
 }
 
 func writeJSON(w http.ResponseWriter, status int, body any) {
@@ -60,7 +62,7 @@
 	_, _ = w.Write(text)
 }
 
-// readBody reads a request's body within the limit.
+// readBody reads a request body of at most adminapi.MaxBodyBytes.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, adminapi.MaxBodyBytes))
 	if err == nil {
@@ -69,23 +71,26 @@
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		message := "longer than " + strconv.Itoa(adminapi.MaxBodyBytes) + " bytes; nothing changed"
-		return nil, failed(http.StatusRequestEntityTooLarge, adminapi.Failure{Code: adminapi.CodeTooLarge, Message: message})
+		return nil, newFailure(http.StatusRequestEntityTooLarge, adminapi.Failure{Code: adminapi.CodeTooLarge, Message: message})
 	}
-	return nil, failed(http.StatusBadRequest, adminapi.Failure{Code: adminapi.CodeMalformed, Message: "body cannot be read; nothing changed"})
+	return nil, newFailure(http.StatusBadRequest, adminapi.Failure{Code: adminapi.CodeMalformed, Message: "body cannot be read; nothing changed"})
 }
 
-// readJSON decodes a request's body and refuses unknown fields.
+// readJSON decodes a request body of at most adminapi.MaxBodyBytes and rejects
+// unknown fields.
 func readJSON(w http.ResponseWriter, r *http.Request, into any) error {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, adminapi.MaxBodyBytes))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
-		return failed(http.StatusBadRequest, adminapi.Failure{Code: adminapi.CodeMalformed, Message: "body: " + err.Error() + "; nothing changed"})
+		return newFailure(http.StatusBadRequest, adminapi.Failure{Code: adminapi.CodeMalformed, Message: "body: " + err.Error() + "; nothing changed"})
 	}
 	return nil
 }
 
-// operator names who asks, for events.
-func operator(r *http.Request) string {
+// operatorName returns the operator's name from the request header for use in
+// events. It truncates the name to adminapi.MaxOperatorBytes and replaces characters
+// outside printable ASCII.
+func operatorName(r *http.Request) string {
 	name := []byte(r.Header.Get(adminapi.HeaderOperator))
 	if len(name) > adminapi.MaxOperatorBytes {
 		name = name[:adminapi.MaxOperatorBytes]
--- a/modules/admin/routes.go
+++ b/modules/admin/routes.go
@@ -20,7 +20,7 @@
 	"github.com/burdockspindle/burdockspindle/state"
 )
 
-// api holds what the handlers work with.
+// api implements the HTTP handlers and holds their dependencies.
 type api struct {
 	identity kernel.Identity
 	logger   hclog.Logger
@@ -35,13 +35,13 @@
 	dump       kernel.DumpFunc
 	drain      kernel.DrainFunc
 	peers      peer.Caller
-	localMoves *peer.Handlers // nil when this process answers no peers
+	localMoves *peer.Handlers // nil if this process serves no peer calls
 }
 
 // methods maps an HTTP method to its handler.
 type methods map[string]http.HandlerFunc
 
-// handler builds the routes behind the token check.
+// handler returns a handler that checks the token and then routes the request.
 func (a *api) handler() (http.Handler, error) {
 	app := iris.New()
 	app.Logger().SetLevel("disable")
@@ -62,14 +62,14 @@
 	if err := app.Build(); err != nil {
 		return nil, &BuildError{Cause: err}
 	}
-	return a.authorized(knownMethods(app)), nil
+	return a.requireToken(rejectUnknownMethods(app)), nil
 }
 
-// knownMethods refuses methods for which the router has no routes at all.
-func knownMethods(next http.Handler) http.Handler {
+// rejectUnknownMethods rejects methods that the router does not support at all.
+func rejectUnknownMethods(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !slices.Contains(router.AllMethods, r.Method) {
-			fail(w, http.StatusMethodNotAllowed, adminapi.CodeMethod, r.Method+" is not served here")
+			writeFailure(w, http.StatusMethodNotAllowed, adminapi.CodeMethod, r.Method+" is not served here")
 			return
 		}
 		next.ServeHTTP(w, r)
@@ -92,12 +92,12 @@
 	}
 }
 
-// adapt makes a plain handler an iris one.
+// adapt converts a net/http handler to an iris handler.
 func adapt(handler http.HandlerFunc) iris.Handler {
 	return func(ctx iris.Context) { handler(ctx.ResponseWriter().Naive(), ctx.Request()) }
 }
 
-// dispatch chooses by method and refuses the others.
+// dispatch selects the handler by method and rejects methods without one.
 func dispatch(handlers methods) http.HandlerFunc {
 	allowed := make([]string, 0, len(handlers))
 	for method := range handlers {
@@ -108,7 +108,7 @@
 		handler, exists := handlers[r.Method]
 		if !exists {
 			w.Header().Set("Allow", allow)
-			fail(w, http.StatusMethodNotAllowed, adminapi.CodeMethod, r.Method+" is not served here; "+allow+" is")
+			writeFailure(w, http.StatusMethodNotAllowed, adminapi.CodeMethod, r.Method+" is not served here; "+allow+" is")
 			return
 		}
 		handler(w, r)
@@ -116,10 +116,10 @@
 }
 
 func notFound(w http.ResponseWriter, r *http.Request) {
-	fail(w, http.StatusNotFound, adminapi.CodeNotFound, "no such path: "+r.URL.Path)
+	writeFailure(w, http.StatusNotFound, adminapi.CodeNotFound, "no such path: "+r.URL.Path)
 }
 
-// serveProfile serves Go's profiles below adminapi.PathProfile.
+// serveProfile serves the profiles of net/http/pprof below adminapi.PathProfile.
 func serveProfile(w http.ResponseWriter, r *http.Request) {
 	switch strings.TrimPrefix(r.URL.Path, adminapi.PathProfile+"/") {
 	case "cmdline":
--- a/modules/admin/site.go
+++ b/modules/admin/site.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// baseWait is how long a node that has not yet applied the base version
-	// waits for it.
+	// baseWait is the maximum time that a node waits for a base version that it has
+	// not applied yet.
 	baseWait = 2 * time.Second
-	// siteName stands for the file in problems of a published text.
-	siteName = "site"
+	// siteFileName is the file name in reported problems of a published text.
+	siteFileName = "site"
 )
 
 func (a *api) getSite(w http.ResponseWriter, _ *http.Request) {
@@ -27,38 +27,38 @@
 	writeJSON(w, http.StatusOK, adminapi.Site{Version: view.SiteVersion(), Text: string(view.SiteText())})
 }
 
-// publication is one operator's wish to replace the site configuration.
+// publication is an operator's request to replace the site configuration.
 type publication struct {
 	base  uint64
-	retry bool // the same text was sent before and its fate is not known
+	retry bool // the same text was sent before, with an unknown outcome
 	text  []byte
 }
 
 func (a *api) postSite(w http.ResponseWriter, r *http.Request) {
-	wanted, err := readPublication(w, r)
+	request, err := readPublication(w, r)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
-	published, err := a.publish(r, wanted)
+	published, err := a.publish(r, request)
 	if err != nil {
-		a.logPublishFailure(r, wanted, bodyOf(err).Code)
+		a.logPublishFailure(r, request, failureOf(err).Code)
 		writeError(w, err)
 		return
 	}
 	metricPublished.Add(1)
 	eventPublished.Log(a.logger, "version", published.Version, "repeated", published.Repeated,
-		"bytes", len(wanted.text), "operator", operator(r), "remote", r.RemoteAddr)
+		"bytes", len(request.text), "operator", operatorName(r), "remote", r.RemoteAddr)
 	writeJSON(w, http.StatusOK, published)
 }
 
-func (a *api) logPublishFailure(r *http.Request, wanted publication, code adminapi.Code) {
+func (a *api) logPublishFailure(r *http.Request, request publication, code adminapi.Code) {
 	event := eventPublishRefused
 	if code == adminapi.CodeFateUnknown {
-		event = eventPublishUnknown
+		event = eventPublishUncertain
 	}
-	event.Log(a.logger, "base", wanted.base, "code", string(code),
-		"operator", operator(r), "remote", r.RemoteAddr)
+	event.Log(a.logger, "base", request.base, "code", string(code),
+		"operator", operatorName(r), "remote", r.RemoteAddr)
 }
 
 func readPublication(w http.ResponseWriter, r *http.Request) (publication, error) {
@@ -66,101 +66,102 @@
 	base, err := strconv.ParseUint(query.Get(adminapi.QueryBase), 10, 64)
 	if err != nil {
 		message := "the parameter base must be the version that the text replaces, 0 for the first"
-		return publication{}, failed(http.StatusBadRequest, adminapi.Failure{Code: adminapi.CodeMalformed, Message: message})
+		return publication{}, newFailure(http.StatusBadRequest, adminapi.Failure{Code: adminapi.CodeMalformed, Message: message})
 	}
 	text, err := readBody(w, r)
 	return publication{base: base, retry: query.Get(adminapi.QueryRetry) == "1", text: text}, err
 }
 
-// publish validates the text against the base version and appends it. The log's
-// order settles competing publishers: the record of the second finds that its
-// base is no longer in force, and changes nothing.
-func (a *api) publish(r *http.Request, wanted publication) (adminapi.Published, error) {
-	view, err := a.viewAtBase(r.Context(), wanted)
+// publish validates the text against the base version and appends it to the log. The
+// order of the log decides between competing publishers: the base of the second
+// record is no longer in force when it is applied, so it changes nothing.
+func (a *api) publish(r *http.Request, request publication) (adminapi.Published, error) {
+	view, err := a.viewAtBase(r.Context(), request)
 	if err != nil {
 		return adminapi.Published{}, err
 	}
-	if view.SiteVersion() != wanted.base {
-		return a.judgeLate(view, wanted)
+	if view.SiteVersion() != request.base {
+		return a.resolveStaleBase(view, request)
 	}
-	site, problems := siteconfig.ParseChange(wanted.text, siteName, view.Site())
+	site, problems := siteconfig.ParseChange(request.text, siteFileName, view.Site())
 	if len(problems) > 0 {
 		metricInvalid.Add(1)
-		return adminapi.Published{}, invalid("the site configuration is not valid; nothing changed", problems)
+		return adminapi.Published{}, invalidError("the site configuration is not valid; nothing changed", problems)
 	}
-	fate, err := a.submit(r, &bspb.Record{Body: &bspb.Record_PublishSite{PublishSite: &bspb.PublishSite{
-		Base:     wanted.base,
-		Text:     wanted.text,
+	outcome, err := a.submit(r, &bspb.Record{Body: &bspb.Record_PublishSite{PublishSite: &bspb.PublishSite{
+		Base:     request.base,
+		Text:     request.text,
 		Compiled: siteconfig.ToProto(site),
 	}}})
 	if err != nil {
 		return adminapi.Published{}, err
 	}
 	view = a.source.View()
-	a.versions.note(view)
-	if fate.Accepted {
-		return adminapi.Published{Version: wanted.base + 1, InForce: view.SiteVersion()}, nil
+	a.versions.record(view)
+	if outcome.Accepted {
+		return adminapi.Published{Version: request.base + 1, InForce: view.SiteVersion()}, nil
 	}
-	if view.SiteVersion() != wanted.base {
-		return a.judgeLate(view, wanted)
+	if view.SiteVersion() != request.base {
+		return a.resolveStaleBase(view, request)
 	}
-	return adminapi.Published{}, failed(http.StatusConflict, adminapi.Failure{Code: adminapi.CodeRejected, Message: fate.Conflict + "; nothing changed"})
+	return adminapi.Published{}, newFailure(http.StatusConflict, adminapi.Failure{Code: adminapi.CodeRejected, Message: outcome.Conflict + "; nothing changed"})
 }
 
-// viewAtBase returns a view in which the base version is, or was, in force. A
-// node that lags waits a little for it.
-func (a *api) viewAtBase(ctx context.Context, wanted publication) (*state.View, error) {
+// viewAtBase returns a view in which the base version is or was in force. If this
+// node has not applied the base version yet, it waits at most baseWait for it.
+func (a *api) viewAtBase(ctx context.Context, request publication) (*state.View, error) {
 	timer := time.NewTimer(baseWait)
 	defer timer.Stop()
 	for {
 		changed := a.source.Changed()
 		view := a.source.View()
-		if view.SiteVersion() >= wanted.base {
+		if view.SiteVersion() >= request.base {
 			return view, nil
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return nil, baseAhead(view, wanted)
+			return nil, baseAheadError(view, request)
 		case <-timer.C:
-			return nil, baseAhead(view, wanted)
+			return nil, baseAheadError(view, request)
 		}
 	}
 }
 
-func baseAhead(view *state.View, wanted publication) error {
+func baseAheadError(view *state.View, request publication) error {
 	inForce := strconv.FormatUint(view.SiteVersion(), 10)
 	message := "this node knows version " + inForce + " only, so it can't replace version " +
-		strconv.FormatUint(wanted.base, 10) + "; nothing changed"
-	return conflict(message, adminapi.Conflict{Base: wanted.base, InForce: view.SiteVersion(), Known: true})
+		strconv.FormatUint(request.base, 10) + "; nothing changed"
+	return conflictError(message, adminapi.Conflict{Base: request.base, InForce: view.SiteVersion(), Known: true})
 }
 
-// judgeLate answers a publication whose base is no longer in force. A retry
-// whose text became the version after its base was accepted before.
-func (a *api) judgeLate(view *state.View, wanted publication) (adminapi.Published, error) {
-	a.versions.note(view)
-	same, known := a.versions.compare(wanted.base+1, wanted.text)
-	if wanted.retry && same {
-		return adminapi.Published{Version: wanted.base + 1, InForce: view.SiteVersion(), Repeated: true}, nil
+// resolveStaleBase returns the result of a publication whose base is no longer in
+// force. A retry whose text became the version after its base was already accepted;
+// any other publication is a conflict.
+func (a *api) resolveStaleBase(view *state.View, request publication) (adminapi.Published, error) {
+	a.versions.record(view)
+	same, known := a.versions.compare(request.base+1, request.text)
+	if request.retry && same {
+		return adminapi.Published{Version: request.base + 1, InForce: view.SiteVersion(), Repeated: true}, nil
 	}
 	metricConflicts.Add(1)
 	message := "version " + strconv.FormatUint(view.SiteVersion(), 10) + " is in force, not " +
-		strconv.FormatUint(wanted.base, 10) + "; nothing changed: take the text in force, change it, publish on its version"
-	if wanted.retry && !known {
-		message = "others published since, and this node did not see version " + strconv.FormatUint(wanted.base+1, 10) +
+		strconv.FormatUint(request.base, 10) + "; nothing changed: take the text in force, change it, publish on its version"
+	if request.retry && !known {
+		message = "others published since, and this node did not see version " + strconv.FormatUint(request.base+1, 10) +
 			": it can't tell whether your text was that version; read the text in force"
 	}
-	return adminapi.Published{}, conflict(message, adminapi.Conflict{
-		Base:    wanted.base,
+	return adminapi.Published{}, conflictError(message, adminapi.Conflict{
+		Base:    request.base,
 		InForce: view.SiteVersion(),
-		Known:   known || !wanted.retry,
+		Known:   known || !request.retry,
 	})
 }
 
-func conflict(message string, first adminapi.Conflict) error {
-	return failed(http.StatusConflict, adminapi.Failure{Code: adminapi.CodeConflict, Message: message, Conflict: &first})
+func conflictError(message string, first adminapi.Conflict) error {
+	return newFailure(http.StatusConflict, adminapi.Failure{Code: adminapi.CodeConflict, Message: message, Conflict: &first})
 }
 
-func invalid(message string, problems []jsonc.Problem) error {
-	return failed(http.StatusUnprocessableEntity, adminapi.Failure{Code: adminapi.CodeInvalid, Message: message, Problems: problems})
+func invalidError(message string, problems []jsonc.Problem) error {
+	return newFailure(http.StatusUnprocessableEntity, adminapi.Failure{Code: adminapi.CodeInvalid, Message: message, Problems: problems})
 }
--- a/modules/admin/site_test.go
+++ b/modules/admin/site_test.go
@@ -15,7 +15,7 @@
 )
 
 var _ = ginkgo.Describe("publication of the site configuration", func() {
-	ginkgo.It("publish and read", func() {
+	ginkgo.It("publishes and reads the site configuration", func() {
 		t := ginkgo.GinkgoTB()
 		r := newRig(t)
 		site, err := r.client().Site(background)
@@ -31,7 +31,7 @@
 		r.Expect(r.site.View().Site().Services).To(gomega.HaveLen(1), "the log carries the compiled form")
 	})
 
-	ginkgo.It("an invalid text is refused with all problems", func() {
+	ginkgo.It("an invalid text is rejected with all its problems", func() {
 		t := ginkgo.GinkgoTB()
 		r := newRig(t)
 		_, err := r.client().PublishOnce(background, 0, []byte("{\"services\": {\n\"Logs\": {\"keyed\": 1}}}"), false)
@@ -41,7 +41,7 @@
 		r.Expect(r.site.Records()).To(gomega.BeEmpty())
 	})
 
-	ginkgo.It("shards may not change against the base", func() {
+	ginkgo.It("the number of shards of the base version may not change", func() {
 		t := ginkgo.GinkgoTB()
 		r := newRig(t)
 		_, err := r.client().PublishOnce(background, 0, siteText(1), false)
@@ -52,7 +52,7 @@
 		r.Expect(failure.Problems[0].Field).To(gomega.Equal("services.logs.shards"))
 	})
 
-	ginkgo.It("of competing publishers exactly one is accepted", func() {
+	ginkgo.It("exactly one of several competing publishers is accepted", func() {
 		t := ginkgo.GinkgoTB()
 		site := sitefake.New()
 		const publishers = 8
@@ -63,7 +63,7 @@
 			for i := range publishers {
 				client := rigs[i%len(rigs)].client()
 				wait.Go(func() {
-					// Half of them publish the very same text.
+					// Pairs of publishers publish the same text.
 					_, errs[i] = client.Publish(background, round, siteText(1+i/2*2), noWait)
 				})
 			}
@@ -82,10 +82,10 @@
 		}
 	})
 
-	ginkgo.DescribeTable("a lost answer",
-		func(c lostAnswerCase) {
+	ginkgo.DescribeTable("an uncertain first attempt",
+		func(c lostResponseCase) {
 			r := newRig(ginkgo.GinkgoTB())
-			r.appender.plant(c.faults...)
+			r.appender.inject(c.faults...)
 			first := true
 			wait := func(context.Context, time.Duration) error {
 				if first && c.between != nil {
@@ -103,13 +103,13 @@
 			r.Expect(published).To(gomega.Equal(c.want))
 			r.Expect(r.site.View().SiteVersion()).To(gomega.Equal(c.version))
 		},
-		ginkgo.Entry("after the write took effect", lostAnswerCase{[]logFault{lostAnswer}, nil, adminapi.Published{Version: 1, InForce: 1, Repeated: true}, "", 1}),
-		ginkgo.Entry("of a write that was lost", lostAnswerCase{[]logFault{lostWrite}, nil, adminapi.Published{Version: 1, InForce: 1}, "", 1}),
-		ginkgo.Entry("twice", lostAnswerCase{[]logFault{lostAnswer, lostAnswer}, nil, adminapi.Published{Version: 1, InForce: 1, Repeated: true}, "", 1}),
-		ginkgo.Entry("log away, then back", lostAnswerCase{[]logFault{away, away}, nil, adminapi.Published{Version: 1, InForce: 1}, "", 1}),
-		ginkgo.Entry("and another publishes on top", lostAnswerCase{[]logFault{lostAnswer}, publishOther(1), adminapi.Published{Version: 1, InForce: 2, Repeated: true}, "", 2}),
-		ginkgo.Entry("and another takes the base", lostAnswerCase{[]logFault{lostWrite}, publishOther(0), adminapi.Published{}, adminapi.CodeConflict, 1}),
-		ginkgo.Entry("log away, and another takes the base", lostAnswerCase{[]logFault{away}, publishOther(0), adminapi.Published{}, adminapi.CodeConflict, 1}),
+		ginkgo.Entry("the response is lost after the append", lostResponseCase{[]logFault{lostResponse}, nil, adminapi.Published{Version: 1, InForce: 1, Repeated: true}, "", 1}),
+		ginkgo.Entry("the write is lost", lostResponseCase{[]logFault{lostWrite}, nil, adminapi.Published{Version: 1, InForce: 1}, "", 1}),
+		ginkgo.Entry("twice", lostResponseCase{[]logFault{lostResponse, lostResponse}, nil, adminapi.Published{Version: 1, InForce: 1, Repeated: true}, "", 1}),
+		ginkgo.Entry("the log is unavailable, then available again", lostResponseCase{[]logFault{logUnavailable, logUnavailable}, nil, adminapi.Published{Version: 1, InForce: 1}, "", 1}),
+		ginkgo.Entry("the response is lost and another operator publishes the next version", lostResponseCase{[]logFault{lostResponse}, publishOther(1), adminapi.Published{Version: 1, InForce: 2, Repeated: true}, "", 2}),
+		ginkgo.Entry("the write is lost and another operator replaces the base", lostResponseCase{[]logFault{lostWrite}, publishOther(0), adminapi.Published{}, adminapi.CodeConflict, 1}),
+		ginkgo.Entry("the log is unavailable and another operator replaces the base", lostResponseCase{[]logFault{logUnavailable}, publishOther(0), adminapi.Published{}, adminapi.CodeConflict, 1}),
 	)
 
 	ginkgo.It("the same text from another operator is a conflict", func() {
@@ -124,7 +124,7 @@
 		r.Expect(published.Repeated).To(gomega.BeTrue())
 	})
 
-	ginkgo.It("a retry at a node that missed the version says so", func() {
+	ginkgo.It("a retry at a node that did not observe the version reports it as unknown", func() {
 		t := ginkgo.GinkgoTB()
 		site := sitefake.New()
 		first := joinRig(t, site, "a1")
@@ -138,55 +138,55 @@
 		late.Expect(failure.Conflict).To(gomega.Equal(&adminapi.Conflict{Base: 0, InForce: 2, Known: false}))
 	})
 
-	ginkgo.It("log away tells proven from unknown", func() {
+	ginkgo.It("failures distinguish records proven not appended from unknown outcomes", func() {
 		t := ginkgo.GinkgoTB()
 		r := newRig(t)
-		r.appender.plant(away, lostWrite)
+		r.appender.inject(logUnavailable, lostWrite)
 		_, err := r.client().PublishOnce(background, 0, siteText(1), false)
 		r.Expect(r.failure(err, adminapi.CodeNotAppended).RetryAfterMs).To(gomega.BeNumerically(">", 0))
 		_, err = r.client().PublishOnce(background, 0, siteText(1), false)
 		r.Expect(r.failure(err, adminapi.CodeFateUnknown).RetryAfterMs).To(gomega.BeNumerically(">", 0))
 
-		r.appender.plant(away)
+		r.appender.inject(logUnavailable)
 		response := r.send("POST", "/v1/site?base=0", "Bearer "+goodToken, string(siteText(1)))
 		defer func() { _ = response.Body.Close() }()
 		r.Expect(response.StatusCode).To(gomega.Equal(503))
 		r.Expect(response.Header.Get("Retry-After")).To(gomega.Equal("2"))
 	})
 
-	ginkgo.It("giving up with an unknown fate says so", func() {
+	ginkgo.It("the client reports an unknown outcome when its attempts are exhausted", func() {
 		t := ginkgo.GinkgoTB()
 		r := newRig(t)
-		r.appender.plant(lostWrite, away, away, away, away, away)
+		r.appender.inject(lostWrite, logUnavailable, logUnavailable, logUnavailable, logUnavailable, logUnavailable)
 		_, err := r.client().Publish(background, 0, siteText(1), noWait)
 		var unknown *adminapi.UnknownError
 		r.Expect(err).To(gomega.BeAssignableToTypeOf(unknown))
-		r.appender.plant(away, away, away, away, away)
+		r.appender.inject(logUnavailable, logUnavailable, logUnavailable, logUnavailable, logUnavailable)
 		_, err = r.client().Publish(background, 0, siteText(1), noWait)
 		_ = r.failure(err, adminapi.CodeNotAppended)
 	})
 
-	ginkgo.It("a node that lags does not take a base for a conflict", func() {
+	ginkgo.It("a lagging node does not treat a newer base as a conflict", func() {
 		t := ginkgo.GinkgoTB()
 		site := sitefake.New()
 		ahead, behind := joinRig(t, site, "a1"), joinRig(t, site, "b1")
 		behind.appender.Freeze()
 		_, err := ahead.client().PublishOnce(background, 0, siteText(1), false)
 		ahead.Expect(err).NotTo(gomega.HaveOccurred())
-		looks := behind.appender.looks.Load()
+		looks := behind.appender.changedCalls.Load()
 		done := make(chan error, 1)
 		go func() {
 			_, err := behind.client().PublishOnce(background, 1, siteText(2), false)
 			done <- err
 		}()
-		behind.Eventually(behind.appender.looks.Load, "10s").Should(gomega.BeNumerically(">", looks), "it looks at the state")
+		behind.Eventually(behind.appender.changedCalls.Load, "10s").Should(gomega.BeNumerically(">", looks), "it checks the state")
 		behind.appender.Thaw()
-		site.Join("x", "a") // a record, so that waiters look again
+		site.Join("x", "a") // appends a record, so that waiters check the state again
 		behind.Eventually(done, "10s").Should(gomega.Receive(gomega.BeNil()))
 		behind.Expect(site.View().SiteVersion()).To(gomega.Equal(uint64(2)))
 	})
 
-	ginkgo.It("a base that nobody published", func() {
+	ginkgo.It("a base version that does not exist is a conflict", func() {
 		t := ginkgo.GinkgoTB()
 		r := newRig(t)
 		_, err := r.client().PublishOnce(background, 7, siteText(1), false)
@@ -197,7 +197,7 @@
 
 var background = context.Background()
 
-// siteText is a valid site configuration, told apart by its deadline.
+// siteText returns a valid site configuration that is identified by its deadline.
 func siteText(seconds int) []byte {
 	return fmt.Appendf(nil, `{"services": {
 "logs": {"keyed": true, "shards": 8, "concurrencyPerServer": 4, "connectionsPerServer": 100, "checksFencing": true, "deadline": "%ds"},
@@ -207,19 +207,19 @@
 
 func noWait(context.Context, time.Duration) error { return nil }
 
-// lostAnswerCase is a publication whose first answers are lost.
-type lostAnswerCase struct {
+// lostResponseCase is a publication whose first attempts fail.
+type lostResponseCase struct {
 	faults  []logFault
-	between func(*rig) // between the first attempt and the second
+	between func(*rig) // runs between the first and the second attempt
 	want    adminapi.Published
-	code    adminapi.Code // of the failure; empty for an acceptance
-	version uint64        // in force in the end
+	code    adminapi.Code // code of the failure, empty if the publication is accepted
+	version uint64        // version in force at the end
 }
 
-// publishOther returns a step in which another operator publishes.
+// publishOther returns a step that publishes on a base as another operator.
 func publishOther(base uint64) func(*rig) {
 	return func(r *rig) {
-		// Wait until this node has noted the version before.
+		// Wait until this node has recorded the previous version.
 		if base > 0 {
 			r.Eventually(func() uint64 { return r.site.View().SiteVersion() }).Should(gomega.Equal(base))
 			_, err := r.client().PublishOnce(background, 0, siteText(99), false)
--- a/modules/admin/status.go
+++ b/modules/admin/status.go
@@ -47,7 +47,8 @@
 	return status
 }
 
-// addRoles lists the groups that this run of the node leads or stands by.
+// addRoles lists the groups of which this incarnation of the node is the lessor or
+// the standby.
 func (a *api) addRoles(status *adminapi.Status, view *state.View) {
 	for _, id := range sortedKeys(view.Groups()) {
 		group, _ := view.Group(id)
@@ -60,7 +61,8 @@
 	}
 }
 
-// contactAge returns the milliseconds since the last contact; -1 for never.
+// contactAge returns the milliseconds since the last contact, or -1 if there was
+// none.
 func contactAge(last, now time.Time) int64 {
 	if last.IsZero() {
 		return -1
@@ -86,7 +88,8 @@
 	return counts
 }
 
-// countUnowned counts the hash ranges without an owner of each service.
+// countUnowned counts the hash ranges without an owner of each keyed service. It
+// omits services without any.
 func countUnowned(view *state.View) map[string]int {
 	unowned := map[string]int{}
 	for _, service := range view.Tables() {
--- a/modules/admin/submit.go
+++ b/modules/admin/submit.go
@@ -13,29 +13,30 @@
 )
 
 const (
-	// submitTimeout is how long a record's fate is waited for.
+	// submitTimeout is the timeout for the outcome of a record.
 	submitTimeout = 10 * time.Second
-	// logRetryAfter is when an operator should ask again while the log is away.
+	// logRetryAfter is the delay before an operator retries while the log is
+	// unavailable.
 	logRetryAfter = 2 * time.Second
 )
 
-// submit appends a record and learns its fate, also when the operator's
-// connection is lost meanwhile. A failure tells whether the record may yet take
+// submit appends a record and returns its outcome. It continues if the operator's
+// connection is lost meanwhile. A failure states whether the record may still take
 // effect.
 func (a *api) submit(r *http.Request, record *bspb.Record) (follower.Fate, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), submitTimeout)
 	defer cancel()
-	fate, err := a.appender.Submit(ctx, record)
+	outcome, err := a.appender.Submit(ctx, record)
 	if err == nil {
-		return fate, nil
+		return outcome, nil
 	}
 	var notAppended *follower.NotAppendedError
 	if errors.As(err, &notAppended) {
 		metricNotAppended.Add(1)
 		message := "the log cannot be reached: nothing changed and nothing will; ask again"
-		return fate, unavailable(adminapi.CodeNotAppended, message, logRetryAfter)
+		return outcome, unavailable(adminapi.CodeNotAppended, message, logRetryAfter)
 	}
 	metricUnknown.Add(1)
 	message := "the log gave no answer: the change may yet take effect; ask again as a retry"
-	return fate, unavailable(adminapi.CodeFateUnknown, message, logRetryAfter)
+	return outcome, unavailable(adminapi.CodeFateUnknown, message, logRetryAfter)
 }
--- a/modules/admin/tls_test.go
+++ b/modules/admin/tls_test.go
@@ -15,7 +15,7 @@
 )
 
 var _ = ginkgo.Describe("administration API over TLS", func() {
-	ginkgo.It("with a CA file operators show a certificate, too", func() {
+	ginkgo.It("with a CA file operators must also present a certificate", func() {
 		t := ginkgo.GinkgoTB()
 		authority, other := tlstest.NewAuthority(t, "site"), tlstest.NewAuthority(t, "other")
 		files := authority.Write(t, t.TempDir(), "a1", authority)
--- a/modules/admin/token.go
+++ b/modules/admin/token.go
@@ -13,12 +13,13 @@
 
 const (
 	bearerScheme = "Bearer "
-	// unauthorizedLogEvery bounds how often wrong tokens are logged.
+	// unauthorizedLogEvery is the minimum interval between log lines about invalid
+	// tokens.
 	unauthorizedLogEvery = time.Second
 )
 
-// token is the digest of the one token that is let in. Digests have one length,
-// so comparing them takes the same time for every guess.
+// token is the digest of the accepted token. All digests have the same length, so
+// that a comparison takes the same time for every guess.
 type token struct {
 	set    bool
 	digest [sha256.Size]byte
@@ -39,8 +40,8 @@
 	return t.set && strings.EqualFold(scheme, bearerScheme) && same
 }
 
-// authorized lets only requests with the token through to next.
-func (a *api) authorized(next http.Handler) http.Handler {
+// requireToken passes only requests with the valid token to next.
+func (a *api) requireToken(next http.Handler) http.Handler {
 	var lastLogged atomic.Int64
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		metricRequests.Add(1)
@@ -54,6 +55,6 @@
 			eventUnauthorized.Log(a.logger, "remote", r.RemoteAddr, "path", r.URL.Path)
 		}
 		w.Header().Set("WWW-Authenticate", `Bearer realm="administration"`)
-		fail(w, http.StatusUnauthorized, adminapi.CodeUnauthorized, "a bearer token is needed")
+		writeFailure(w, http.StatusUnauthorized, adminapi.CodeUnauthorized, "a bearer token is needed")
 	})
 }
--- a/modules/admin/versions.go
+++ b/modules/admin/versions.go
@@ -10,32 +10,32 @@
 	"github.com/burdockspindle/burdockspindle/state"
 )
 
-// keptVersions is how many site versions are remembered.
-const keptVersions = 256
+// maxRecordedVersions is the number of latest site versions to retain.
+const maxRecordedVersions = 256
 
-// versionSeen is one site version that this process had in force.
-type versionSeen struct {
+// recordedVersion is a site version that this process has observed in force.
+type recordedVersion struct {
 	Version uint64 `json:"version"`
 	digest  [sha256.Size]byte
 }
 
-// versions remembers the digests of the latest site versions, so that a
-// publisher whose answer was lost can learn the fate of its text even after
-// others published. A version that was passed over by a restore is missing.
+// versions retains the digests of the latest site versions, so that a publisher
+// whose response was lost can determine the outcome of its text even after other
+// publications. A version that a restore skipped is missing.
 type versions struct {
 	logger hclog.Logger
 
-	mu   sync.Mutex
-	seen []versionSeen // ascending, at most keptVersions
+	mu       sync.Mutex
+	recorded []recordedVersion // ascending, at most maxRecordedVersions
 }
 
 func newVersions(logger hclog.Logger) *versions { return &versions{logger: logger} }
 
-// follow notes each version that comes into force, until ctx ends.
+// follow records each version that comes into force until ctx is done.
 func (v *versions) follow(ctx context.Context, source state.Source) {
 	for {
 		changed := source.Changed()
-		v.note(source.View())
+		v.record(source.View())
 		select {
 		case <-changed:
 		case <-ctx.Done():
@@ -44,39 +44,39 @@
 	}
 }
 
-// note remembers the version in force.
-func (v *versions) note(view *state.View) {
+// record stores the digest of the version in force, unless it is recorded already.
+func (v *versions) record(view *state.View) {
 	version := view.SiteVersion()
 	if version == 0 || version <= v.last() {
 		return
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if len(v.seen) > 0 && version <= v.seen[len(v.seen)-1].Version {
+	if len(v.recorded) > 0 && version <= v.recorded[len(v.recorded)-1].Version {
 		return
 	}
-	if len(v.seen) == keptVersions {
-		v.seen = append(v.seen[:0], v.seen[1:]...)
+	if len(v.recorded) == maxRecordedVersions {
+		v.recorded = append(v.recorded[:0], v.recorded[1:]...)
 	}
-	v.seen = append(v.seen, versionSeen{Version: version, digest: sha256.Sum256(view.SiteText())})
+	v.recorded = append(v.recorded, recordedVersion{Version: version, digest: sha256.Sum256(view.SiteText())})
 	eventSiteInForce.Log(v.logger, "version", version, "applied", view.Applied())
 }
 
 func (v *versions) last() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if len(v.seen) == 0 {
+	if len(v.recorded) == 0 {
 		return 0
 	}
-	return v.seen[len(v.seen)-1].Version
+	return v.recorded[len(v.recorded)-1].Version
 }
 
-// compare reports whether a version had this text; known is false when the
-// version was not seen.
+// compare reports whether a version has the given text. known is false if the
+// version is not recorded.
 func (v *versions) compare(version uint64, text []byte) (same, known bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for _, seen := range v.seen {
+	for _, seen := range v.recorded {
 		if seen.Version == version {
 			return seen.digest == sha256.Sum256(text), true
 		}
@@ -84,8 +84,8 @@
 	return false, false
 }
 
-func (v *versions) list() []versionSeen {
+func (v *versions) list() []recordedVersion {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return append([]versionSeen{}, v.seen...)
+	return append([]recordedVersion{}, v.recorded...)
 }
