--- a/histcheck/assignments.go
+++ b/histcheck/assignments.go
@@ -8,21 +8,21 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// fenced names one fence of one shard.
-type fenced struct {
+// shardFence identifies one fence of one shard.
+type shardFence struct {
 	shard topo.ShardID
 	fence topo.Fence
 }
 
-// Assignments finds fences that were given to two owners, and acknowledged
-// assignments that a settled node never came to know, directly or by a later
+// Assignments finds fences that were assigned to two owners, and acknowledged
+// assignments that a settled node never received, directly or through a later
 // assignment of the same shard.
 func Assignments(events []history.Event, options Options) []Violation {
 	known := history.Select[history.AssignmentKnown](events)
 	found := ambiguousFences(known)
 	latest := latestKnown(known)
 	for _, acknowledged := range known {
-		if !options.asked(acknowledged) {
+		if !options.mustKnow(acknowledged) {
 			continue
 		}
 		for _, node := range options.Settled {
@@ -43,10 +43,10 @@
 }
 
 func ambiguousFences(known []history.AssignmentKnown) []Violation {
-	owners := map[fenced]history.AssignmentKnown{}
+	owners := map[shardFence]history.AssignmentKnown{}
 	var found []Violation
 	for _, assignment := range known {
-		name := fenced{assignment.Shard, assignment.Fence}
+		name := shardFence{assignment.Shard, assignment.Fence}
 		first, seen := owners[name]
 		if !seen {
 			owners[name] = assignment
--- a/histcheck/atmostonce.go
+++ b/histcheck/atmostonce.go
@@ -15,7 +15,7 @@
 		sent[attempt.CallerRequest]++
 	}
 	var found []Violation
-	ticketed := map[string]history.RunBegan{} // by ticket, and by caller's request
+	ticketed := map[string]history.RunBegan{} // by ticket and by caller request
 	requests := map[string]int{}
 	for _, began := range history.Select[history.RunBegan](events) {
 		if began.Ticket != "" {
--- a/histcheck/check.go
+++ b/histcheck/check.go
@@ -5,7 +5,7 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Options say what a history does not tell by itself.
+// Options supply what a history does not record.
 type Options struct {
 	// Idempotent reports whether a method of a service may be repeated. Nil
 	// means that GET and HEAD may be, for every service.
@@ -14,13 +14,13 @@
 	// history ended. Each must know every acknowledged assignment.
 	Settled []topo.NodeID
 	// SettledAt is the offset up to which they had applied the log when they
-	// were found to have caught up. Assignments of later records are not asked
-	// of them, since nodes are stopped one after the other. 0 asks for all.
+	// were found to have caught up. Assignments in later records are not required
+	// of them, because nodes are stopped one after another. 0 requires all.
 	SettledAt topo.Offset
 }
 
-// asked reports whether the settled nodes must know an assignment.
-func (o Options) asked(e history.AssignmentKnown) bool {
+// mustKnow reports whether the settled nodes must know an assignment.
+func (o Options) mustKnow(e history.AssignmentKnown) bool {
 	return e.Acknowledged && (o.SettledAt == 0 || e.Fence.Offset <= o.SettledAt)
 }
 
--- a/histcheck/check_test.go
+++ b/histcheck/check_test.go
@@ -25,23 +25,23 @@
 	})
 }
 
-// planted is a violation put into a clean history. It reports false when the
-// history has no place for it.
-type planted struct {
-	rule  Rule
-	plant func(t *rapid.T, events []history.Event) ([]history.Event, bool)
-	// model is the search that must refuse the history too; nil for none.
+// injectedViolation injects a violation into a clean history. It reports false if the history
+// contains no event to which the violation applies.
+type injectedViolation struct {
+	rule   Rule
+	inject func(t *rapid.T, events []history.Event) ([]history.Event, bool)
+	// model is the linearizability search that must reject the history too; nil for none.
 	model func(events []history.Event) Result
 }
 
-func TestPlantedViolationsAreCaught(t *testing.T) {
-	for name, fault := range plantedViolations() {
+func TestInjectedViolationsAreDetected(t *testing.T) {
+	for name, fault := range injectedViolations() {
 		t.Run(name, func(t *testing.T) {
 			placed := 0
 			rapid.Check(t, func(t *rapid.T) {
-				events, fits := fault.plant(t, cleanHistory(t))
+				events, fits := fault.inject(t, cleanHistory(t))
 				if !fits {
-					t.Skip("no place for the violation")
+					t.Skip("the history has no event for the violation")
 				}
 				placed++
 				history.SortEvents(events)
@@ -56,14 +56,14 @@
 	}
 }
 
-func plantedViolations() map[string]planted {
+func injectedViolations() map[string]injectedViolation {
 	ownership := func(events []history.Event) Result { return LinearizableOwnership(events, 0) }
 	assignments := func(events []history.Event) Result {
 		return LinearizableAssignments(events, settledNode, 0)
 	}
 	counters := func(events []history.Event) Result { return LinearizableCounters(events, settledNode, 0) }
-	return map[string]planted{
-		"overlapping spans of two servers": {rule: RuleSoleOwner, plant: editOne(func(e *history.OwnerInterval) []history.Event {
+	return map[string]injectedViolation{
+		"overlapping spans of two servers": {rule: RuleSoleOwner, inject: editOne(func(e *history.OwnerInterval) []history.Event {
 			other := *e
 			other.Server = "intruder"
 			other.Fence = topo.MakeFence(999, 0)
@@ -71,66 +71,66 @@
 			other.Until = e.Until + 1
 			return []history.Event{other}
 		})},
-		"two runs of one server ID": {rule: RuleSoleOwner, plant: editOne(func(e *history.OwnerInterval) []history.Event {
+		"two runs of one server ID": {rule: RuleSoleOwner, inject: editOne(func(e *history.OwnerInterval) []history.Event {
 			other := *e
 			other.Boot = "b2"
 			return []history.Event{other}
 		})},
-		"committed run outside ownership": {rule: RuleSoleOwner, plant: editOne(func(e *history.RunBegan) []history.Event {
+		"committed run outside ownership": {rule: RuleSoleOwner, inject: editOne(func(e *history.RunBegan) []history.Event {
 			e.Server = "intruder"
 			return []history.Event{history.RunEnded{At: e.At + 1, Server: e.Server, Boot: e.Boot, RequestID: e.RequestID, Committed: true}}
 		})},
-		"run under a lower fence later": {rule: RuleSoleOwner, model: ownership, plant: lateRun(topo.MakeFence(0, 1))},
-		"one fence at two servers":      {rule: RuleSoleOwner, model: ownership, plant: lateRun(topo.Fence{})},
-		"ticket ran twice": {rule: RuleAtMostOnce, plant: editOne(func(e *history.RunBegan) []history.Event {
+		"run under a lower fence later": {rule: RuleSoleOwner, model: ownership, inject: lateRun(topo.MakeFence(0, 1))},
+		"one fence at two servers":      {rule: RuleSoleOwner, model: ownership, inject: lateRun(topo.Fence{})},
+		"ticket ran twice": {rule: RuleAtMostOnce, inject: editOne(func(e *history.RunBegan) []history.Event {
 			e.Ticket = "twice"
 			again := *e
 			again.RequestID += "-again"
 			return []history.Event{again}
 		})},
-		"request ran under two tickets": {rule: RuleAtMostOnce, plant: editOne(func(e *history.RunBegan) []history.Event {
+		"request ran under two tickets": {rule: RuleAtMostOnce, inject: editOne(func(e *history.RunBegan) []history.Event {
 			e.Ticket = "first"
 			again := *e
 			again.RequestID += "-again"
 			again.Ticket = "second"
 			return []history.Event{again}
 		})},
-		"write without a ticket ran twice": {rule: RuleAtMostOnce, plant: editOne(func(e *history.RunBegan) []history.Event {
+		"write without a ticket ran twice": {rule: RuleAtMostOnce, inject: editOne(func(e *history.RunBegan) []history.Event {
 			e.Ticket, e.Method = "", "POST"
 			again := *e
 			again.Server = "other"
 			return []history.Event{again}
 		})},
-		"refused as not run, yet ran": {rule: RuleNotRun, plant: editOne(func(e *history.CallerAnswered) []history.Event {
+		"refused as not run, yet ran": {rule: RuleNotRun, inject: editOne(func(e *history.CallerAnswered) []history.Event {
 			e.Outcome = serverapi.OutcomeNotRun
 			return []history.Event{history.RunBegan{At: e.At, Server: "s1", Boot: "b1", RequestID: "late", CallerRequest: e.CallerRequest, Method: "GET"}}
 		})},
-		"answer to another request": {rule: RuleWholeAnswer, plant: editAnswered(func(e *history.CallerAnswered) {
+		"answer to another request": {rule: RuleWholeAnswer, inject: editAnswered(func(e *history.CallerAnswered) {
 			e.EchoCallerRequest = "c/other"
 		})},
-		"answer cut short": {rule: RuleWholeAnswer, plant: editAnswered(func(e *history.CallerAnswered) {
+		"answer cut short": {rule: RuleWholeAnswer, inject: editAnswered(func(e *history.CallerAnswered) {
 			e.Whole = false
 		})},
-		"answer spliced from two bodies": {rule: RuleWholeAnswer, plant: editAnswered(func(e *history.CallerAnswered) {
+		"answer spliced from two bodies": {rule: RuleWholeAnswer, inject: editAnswered(func(e *history.CallerAnswered) {
 			e.EchoBodyDigest = "other"
 		})},
-		"answer for another key": {rule: RuleWholeAnswer, plant: editAnswered(func(e *history.CallerAnswered) {
+		"answer for another key": {rule: RuleWholeAnswer, inject: editAnswered(func(e *history.CallerAnswered) {
 			e.EchoKey = "other"
 		})},
-		"answer that no server gave": {rule: RuleWholeAnswer, plant: editAnswered(func(e *history.CallerAnswered) {
+		"answer that no server gave": {rule: RuleWholeAnswer, inject: editAnswered(func(e *history.CallerAnswered) {
 			e.EchoRequestID = "none"
 		})},
-		"answer of a run that did not stand": {rule: RuleWholeAnswer, plant: uncommitAnswered},
-		"answer shows a write that nobody sent": {rule: RuleWholeAnswer, model: counters, plant: editAnswered(func(e *history.CallerAnswered) {
+		"answer of a run that was not committed": {rule: RuleWholeAnswer, inject: uncommitAnswered},
+		"answer shows a write that nobody sent": {rule: RuleWholeAnswer, model: counters, inject: editAnswered(func(e *history.CallerAnswered) {
 			e.EchoValue += 100
 		})},
-		"acknowledged assignment lost": {rule: RuleAssignments, model: assignments, plant: editOne(func(e *history.AssignmentKnown) []history.Event {
+		"acknowledged assignment lost": {rule: RuleAssignments, model: assignments, inject: editOne(func(e *history.AssignmentKnown) []history.Event {
 			lost := *e
 			lost.Node = "n2"
 			lost.Fence = topo.MakeFence(999, 0)
 			return []history.Event{lost}
 		})},
-		"fence with two owners": {rule: RuleAssignments, plant: editOne(func(e *history.AssignmentKnown) []history.Event {
+		"fence with two owners": {rule: RuleAssignments, inject: editOne(func(e *history.AssignmentKnown) []history.Event {
 			other := *e
 			other.Node, other.Owner = "n2", "intruder"
 			return []history.Event{other}
@@ -138,8 +138,8 @@
 	}
 }
 
-// editOne picks an event of type T, lets edit change it, and adds the events
-// that edit returns.
+// editOne picks an event of type T, passes it to edit for modification, and adds the
+// events that edit returns.
 func editOne[T history.Event](edit func(e *T) []history.Event) func(*rapid.T, []history.Event) ([]history.Event, bool) {
 	return func(t *rapid.T, events []history.Event) ([]history.Event, bool) {
 		var places []int
@@ -159,7 +159,7 @@
 	}
 }
 
-// editAnswered edits one answer that was given as whole.
+// editAnswered modifies one complete answer.
 func editAnswered(edit func(e *history.CallerAnswered)) func(*rapid.T, []history.Event) ([]history.Event, bool) {
 	return func(_ *rapid.T, events []history.Event) ([]history.Event, bool) {
 		for i, event := range events {
@@ -190,8 +190,8 @@
 	return nil, false
 }
 
-// lateRun repeats the last committed run at another server, later and under a
-// fence; the zero fence stands for the run's own.
+// lateRun repeats the last committed run at another server, later and under the given
+// fence; the zero fence selects the original run's fence.
 func lateRun(fence topo.Fence) func(*rapid.T, []history.Event) ([]history.Event, bool) {
 	return func(_ *rapid.T, events []history.Event) ([]history.Event, bool) {
 		runs := collectRuns(events)
@@ -210,8 +210,8 @@
 	}
 }
 
-// TestAssignmentsAfterTheSettledOffset: settled nodes must know what was
-// acknowledged up to the record at which they had caught up, and no later one.
+// Settled nodes must know the assignments acknowledged up to the record that they had
+// applied when they caught up, and none of the later ones.
 func TestAssignmentsAfterTheSettledOffset(t *testing.T) {
 	shard := topo.ShardID{Service: "s", Index: 1}
 	known := func(node topo.NodeID, at history.Time, offset topo.Offset) history.Event {
--- a/histcheck/counter_order.go
+++ b/histcheck/counter_order.go
@@ -6,24 +6,24 @@
 	"slices"
 )
 
-// ordered reports whether operations on one counter can be put in one order that
+// isLinearizable reports whether the operations on one counter have a total order that
 // explains every answer.
 //
-// An answered write with value v is the v-th of all writes, and a read with value v
-// stands after it and before the next. The places that no answered write takes are
-// those of writes without an answer, which differ only in when they were sent: the
-// earlier place gets the one that was sent earlier, and what is left over takes effect
-// after everything that anybody saw. Then each takes effect as early as it can.
-func ordered(operations []counterOperation) bool {
-	places, fits := placeWrites(operations)
+// An answered write with value v is the v-th write, and a read with value v
+// follows it and precedes the next write. Positions without an answered write belong
+// to writes without an answer, which differ only in their send times: the
+// earlier position gets the write that was sent earlier, and the remaining writes take effect
+// after every observed operation. Then each operation takes effect as early as possible.
+func isLinearizable(operations []counterOperation) bool {
+	positions, fits := orderWrites(operations)
 	if !fits {
 		return false
 	}
 	reads := readsByValue(operations)
 	at := int64(math.MinInt64)
-	for value := range uint64(len(places)) + 1 {
+	for value := range uint64(len(positions)) + 1 {
 		if value > 0 {
-			write := places[value-1]
+			write := positions[value-1]
 			at = max(at, write.sent)
 			if at > write.returned {
 				return false
@@ -42,9 +42,9 @@
 	return true
 }
 
-// placeWrites returns the writes in their order, up to the highest value seen; false
-// if there is no write for a place, or are two.
-func placeWrites(operations []counterOperation) ([]counterOperation, bool) {
+// orderWrites returns the writes in order, up to the highest value seen; false
+// if a position has no write or two writes.
+func orderWrites(operations []counterOperation) ([]counterOperation, bool) {
 	var unanswered []counterOperation
 	answered := map[uint64]counterOperation{}
 	highest := uint64(0)
@@ -66,7 +66,7 @@
 		return nil, false
 	}
 	slices.SortFunc(unanswered, func(a, b counterOperation) int { return cmp.Compare(a.sent, b.sent) })
-	places := make([]counterOperation, 0, highest)
+	positions := make([]counterOperation, 0, highest)
 	for value := uint64(1); value <= highest; value++ {
 		write, known := answered[value]
 		if !known {
@@ -75,9 +75,9 @@
 			}
 			write, unanswered = unanswered[0], unanswered[1:]
 		}
-		places = append(places, write)
+		positions = append(positions, write)
 	}
-	return places, true
+	return positions, true
 }
 
 // readsByValue groups the answered reads.
--- a/histcheck/counter_order_test.go
+++ b/histcheck/counter_order_test.go
@@ -13,7 +13,7 @@
 	"github.com/burdockspindle/burdockspindle/history"
 )
 
-// searchedCounter is what a search says of operations on one counter.
+// searchedCounter returns the result of a linearizability search over operations on one counter.
 func searchedCounter(operations []counterOperation) Result {
 	model := porcupine.Model{
 		Init: func() any { return uint64(0) },
@@ -32,8 +32,8 @@
 	return search(model, history, 0)
 }
 
-// drawCounter draws operations that took effect in turn, some without an answer, and
-// changes what a few of them say.
+// drawCounter draws operations that took effect one after another, some without an
+// answer, and changes the values of up to two answers.
 func drawCounter(t *rapid.T) []counterOperation {
 	const step = 3
 	var operations []counterOperation
@@ -63,24 +63,24 @@
 	return operations
 }
 
-// Every small history gets the verdict that a search for an order gives.
+// For every small history, the direct check and a linearizability search agree.
 func TestOrderOfACounterAgreesWithASearch(t *testing.T) {
 	verdicts := map[bool]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		operations := drawCounter(t)
-		got := ordered(operations)
+		got := isLinearizable(operations)
 		verdicts[got]++
 		if want := searchedCounter(operations) == Linearizable; got != want {
-			t.Fatalf("ordered %v, a search says %v: %+v", got, want, operations)
+			t.Fatalf("direct check reports linearizable: %v, search reports %v: %+v", got, want, operations)
 		}
 	})
 	t.Logf("%v", verdicts)
 	gomega.NewWithT(t).Expect(verdicts).To(gomega.HaveLen(2))
 }
 
-// Where requests stay without an answer, as when a zone is lost on a slow machine, a
-// search tried every choice of those that took effect before the others, and was ended
-// by its limit: "counters: undecided".
+// When many requests have no answer, as after the loss of a zone on a slow machine, a
+// search tries every subset of those that took effect before the others and reaches
+// its time limit: "counters: undecided".
 func TestCounterWithManyUnansweredWritesIsDecided(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const unanswered, limit = 24, 20 * time.Second
--- a/histcheck/counter_test.go
+++ b/histcheck/counter_test.go
@@ -10,7 +10,7 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// write is a request with a ticket, its runs and what its caller learnt.
+// write is a request with a ticket, its runs and the result that its caller received.
 type write struct {
 	name     string
 	sent, at history.Time
--- a/histcheck/generate_test.go
+++ b/histcheck/generate_test.go
@@ -15,8 +15,8 @@
 	generatedShards  uint32       = 2
 )
 
-// generator makes clean histories: one owner a shard at a time, each request
-// run once, each answer its own.
+// generator builds valid histories: each shard has one owner at a time, each request
+// runs once, and each answer belongs to its request.
 type generator struct {
 	t        *rapid.T
 	now      history.Time
@@ -27,7 +27,7 @@
 	events   []history.Event
 }
 
-// cleanHistory draws a history in which nothing is wrong.
+// cleanHistory draws a history without violations.
 func cleanHistory(t *rapid.T) []history.Event {
 	g := &generator{t: t, values: map[string]uint64{}}
 	for shard := range generatedShards {
@@ -77,8 +77,8 @@
 	}
 }
 
-// request sends one request; it is answered, refused, or left unknown with and
-// without a run.
+// request sends one request, which is answered, refused, or left with an unknown
+// outcome, either with or without a run.
 func (g *generator) request(shard uint32) {
 	g.requests++
 	name := fmt.Sprintf("c/%d", g.requests)
--- a/histcheck/linear.go
+++ b/histcheck/linear.go
@@ -7,7 +7,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Result is what a search for a linearization found.
+// Result is the outcome of a search for a linearization.
 type Result int
 
 // Results.
@@ -31,12 +31,12 @@
 	return "undecided"
 }
 
-// never is the return of an operation whose fate its client did not learn: it
+// never is the return time of an operation whose outcome its client does not know: it
 // may take effect at any later moment. One that never takes effect can be
-// ordered after everything that anybody saw.
+// ordered after every observed operation.
 const never int64 = math.MaxInt64
 
-// search looks for a linearization for at most limit; 0 means without limit.
+// search looks for a linearization for at most limit; 0 means no limit.
 func search(model porcupine.Model, operations []porcupine.Operation, limit time.Duration) Result {
 	switch porcupine.CheckOperationsTimeout(model, operations, limit) {
 	case porcupine.Ok:
@@ -47,7 +47,7 @@
 	return Undecided
 }
 
-// partitionBy splits operations by what name returns for their input.
+// partitionBy groups operations by the result of name for their input.
 func partitionBy[K comparable](name func(input any) K) func([]porcupine.Operation) [][]porcupine.Operation {
 	return func(operations []porcupine.Operation) [][]porcupine.Operation {
 		var order []K
--- a/histcheck/linear_assign.go
+++ b/histcheck/linear_assign.go
@@ -10,20 +10,20 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// assignInput is one step on a shard's assignment.
+// assignInput is one operation on a shard's assignment.
 type assignInput struct {
 	shard topo.ShardID
 	fence topo.Fence
 	owner topo.ServerID
-	read  bool // a settled node's knowledge at the end
+	read  bool // what a settled node knows at the end
 }
 
-// maxWrites is how many acknowledged writes of a shard are searched. A register
-// that only rises holds all lower ones if it holds these.
+// maxWrites limits the acknowledged writes of a shard that are searched. A register
+// that only increases contains all lower writes if it contains these.
 const maxWrites = 8
 
 // LinearizableAssignments checks that each shard's assignment behaves as a
-// register that only rises: every acknowledged write is ordered before the
+// register that only increases: every acknowledged write is ordered before the
 // reads that the settled nodes make at the end, and is not undone.
 func LinearizableAssignments(events []history.Event, options Options, limit time.Duration) Result {
 	known := history.Select[history.AssignmentKnown](events)
@@ -42,15 +42,15 @@
 }
 
 // acknowledgedWrites returns the highest acknowledged assignments of each shard
-// that settled nodes must know, in order of their fences, each once for every
-// owner it was said to have. A write was submitted at some moment before it was
-// first acknowledged.
+// that settled nodes must know, in order of their fences, one for each reported
+// owner. A write was submitted at some moment before its first
+// acknowledgment.
 func acknowledgedWrites(known []history.AssignmentKnown, options Options) map[topo.ShardID][]porcupine.Operation {
 	seen := map[assignInput]bool{}
 	writes := map[topo.ShardID][]porcupine.Operation{}
 	for _, e := range known {
 		input := assignInput{shard: e.Shard, fence: e.Fence, owner: e.Owner}
-		if !options.asked(e) || seen[input] {
+		if !options.mustKnow(e) || seen[input] {
 			continue
 		}
 		seen[input] = true
@@ -67,16 +67,16 @@
 
 func finalReads(known []history.AssignmentKnown, shards map[topo.ShardID]bool, settled []topo.NodeID, end int64) []porcupine.Operation {
 	latest := latestKnown(known)
-	owners := map[fenced]topo.ServerID{}
+	owners := map[shardFence]topo.ServerID{}
 	for _, e := range known {
-		owners[fenced{e.Shard, e.Fence}] = e.Owner
+		owners[shardFence{e.Shard, e.Fence}] = e.Owner
 	}
 	var reads []porcupine.Operation
 	for _, node := range settled {
 		for shard := range shards {
 			fence := latest[node][shard]
 			reads = append(reads, porcupine.Operation{
-				Input:  assignInput{shard: shard, fence: fence, owner: owners[fenced{shard, fence}], read: true},
+				Input:  assignInput{shard: shard, fence: fence, owner: owners[shardFence{shard, fence}], read: true},
 				Call:   end + 1,
 				Return: end + 1,
 			})
--- a/histcheck/linear_counter.go
+++ b/histcheck/linear_counter.go
@@ -8,37 +8,37 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// counterName is one key's counter under one ownership: a server that becomes
-// the owner begins with an empty state.
-type counterName struct {
+// counterKey identifies one key's counter under one ownership, because a server that
+// becomes the owner begins with an empty state.
+type counterKey struct {
 	key   serviceKey
 	fence topo.Fence
 }
 
-// counterOperation reads or increments a counter. It takes effect between the two
-// times.
+// counterOperation reads or increments a counter. It takes effect between sent and
+// returned.
 type counterOperation struct {
 	write          bool
 	result         counterResult
-	sent, returned int64 // returned is never without an answer
+	sent, returned int64 // returned is never if there was no answer
 }
 
-// counterResult is what the caller learnt.
+// counterResult is the result that the caller received.
 type counterResult struct {
 	answered bool
 	value    uint64 // after the operation; only when answered
 }
 
-// LinearizableCounters checks requests that ran against a counter for each key
-// and ownership: a request takes effect once between its first sending and its
-// answer, one without an answer once at any later time, and every answer shows
-// the value that follows. A request that ran twice shows as a skipped value.
-// Writes are the methods that are not idempotent.
+// LinearizableCounters checks requests that ran against one counter for each key
+// and ownership. A request takes effect once between its first sending and its
+// answer; a request without an answer takes effect once at any later time. Every answer
+// contains the value after its operation, so a request that ran twice shows as a skipped
+// value. Writes are the requests whose methods are not idempotent.
 //
-// The values tell the order, so it is not searched for and no limit is needed.
+// The values determine the order, so the check needs neither a search nor a time limit.
 func LinearizableCounters(events []history.Event, options Options, _ time.Duration) Result {
 	for _, operations := range counterOperations(events, options) {
-		if !ordered(operations) {
+		if !isLinearizable(operations) {
 			return NotLinearizable
 		}
 	}
@@ -46,12 +46,12 @@
 }
 
 // counterOperations returns the operations on each counter.
-func counterOperations(events []history.Event, options Options) map[counterName][]counterOperation {
+func counterOperations(events []history.Event, options Options) map[counterKey][]counterOperation {
 	collector := counterCollector{
 		options:    options,
 		requests:   collectAttempts(events),
 		seen:       map[string]bool{},
-		operations: map[counterName][]counterOperation{},
+		operations: map[counterKey][]counterOperation{},
 	}
 	for _, r := range collectRuns(events) {
 		collector.add(r)
@@ -59,13 +59,13 @@
 	return collector.operations
 }
 
-// counterCollector turns runs into operations, one for each ticket, or for each
-// run when there is none.
+// counterCollector converts runs into operations: one for each ticket, or one for each
+// run without a ticket.
 type counterCollector struct {
 	options    Options
 	requests   map[string]*attempts
 	seen       map[string]bool // tickets
-	operations map[counterName][]counterOperation
+	operations map[counterKey][]counterOperation
 }
 
 func (c *counterCollector) add(r run) {
@@ -75,18 +75,18 @@
 	}
 	if r.began.Ticket != "" {
 		if c.seen[r.began.Ticket] {
-			// The second run of a ticket is no operation of its own: its effect
-			// has to show as a value that the operations do not explain.
+			// The second run of a ticket is not a separate operation: its effect must
+			// show as a value that the operations do not explain.
 			return
 		}
 		c.seen[r.began.Ticket] = true
 	}
-	result, returned := request.learnt(r.began.RequestID)
+	result, returned := request.resultOf(r.began.RequestID)
 	write := !c.options.idempotent(r.began.Service, r.began.Method)
 	if !write && !result.answered {
 		return // without an effect and without an answer
 	}
-	name := counterName{serviceKey{r.began.Service, r.began.Key}, r.began.Fence}
+	name := counterKey{serviceKey{r.began.Service, r.began.Key}, r.began.Fence}
 	c.operations[name] = append(c.operations[name], counterOperation{
 		write:    write,
 		result:   result,
@@ -95,8 +95,8 @@
 	})
 }
 
-// learnt returns what the answers that came from a run told the caller.
-func (a *attempts) learnt(requestID string) (counterResult, int64) {
+// resultOf returns the result that the caller received in the answers of a run.
+func (a *attempts) resultOf(requestID string) (counterResult, int64) {
 	result, returned := counterResult{}, never
 	for _, answer := range a.answered {
 		if answer.Outcome != serverapi.OutcomeAnswered || answer.EchoRequestID != requestID {
--- a/histcheck/linear_owner.go
+++ b/histcheck/linear_owner.go
@@ -9,8 +9,8 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// ownerOperation is one committed run: the server exercised its ownership of
-// the key at some moment between the run's beginning and its end.
+// ownerOperation is one committed run: the server used its ownership of
+// the key at some moment between the run's start and its end.
 type ownerOperation struct {
 	key    serviceKey
 	server topo.ServerID
@@ -19,8 +19,8 @@
 }
 
 // LinearizableOwnership checks that the committed runs of each key can be
-// ordered so that ownership only ever passes to higher fences, each of which
-// belongs to one run of one server.
+// ordered so that ownership passes only to higher fences, each of which
+// belongs to one incarnation of one server.
 func LinearizableOwnership(events []history.Event, limit time.Duration) Result {
 	var operations []porcupine.Operation
 	for _, r := range collectRuns(events) {
@@ -41,7 +41,7 @@
 	return search(ownerModel(), operations, limit)
 }
 
-// ownerModel holds the latest exercise of ownership of one key.
+// ownerModel holds the latest use of the ownership of one key.
 func ownerModel() porcupine.Model {
 	return porcupine.Model{
 		Partition: partitionBy(func(input any) serviceKey { return input.(ownerOperation).key }),
--- a/histcheck/linear_site.go
+++ b/histcheck/linear_site.go
@@ -14,7 +14,7 @@
 	digest string
 }
 
-// publishOutput is what its publisher was told.
+// publishOutput is the result reported to the publisher.
 type publishOutput struct {
 	accepted bool
 	unknown  bool
@@ -22,26 +22,26 @@
 	digest   string // read back, for nodes
 }
 
-// siteRegister is the model's state: the version in force.
-type siteRegister struct {
+// versionRegister is the state of the model: the version in force.
+type versionRegister struct {
 	version uint64
 	digest  string
 }
 
-// observation is a node's statement that a version was in force.
+// observation is a node's report that a version was in force.
 type observation struct{ version uint64 }
 
-// LinearizableSite checks that publications behave as compare-and-set on one
-// register: each is accepted on the version in force or refused on another one,
-// and what came into force at nodes was published. Initial is the version in
-// force before the history.
+// LinearizableSite checks that publications behave as compare-and-set operations on one
+// register: each is accepted if its base is the version in force and refused otherwise,
+// and every version in force at a node was published. Initial is the version in
+// force before the history begins.
 func LinearizableSite(events []history.Event, initial uint64, limit time.Duration) Result {
 	var operations []porcupine.Operation
 	for _, e := range history.Select[history.SitePublished](events) {
 		operations = append(operations, publishOperation(e))
 	}
-	// A node learns a version some time after it was accepted, so an observation
-	// has only an end: the version existed before the node had it.
+	// A node applies a version some time after its acceptance, so an observation
+	// has only an end: the version existed before the node applied it.
 	for _, e := range history.Select[history.SiteInForce](events) {
 		if e.Version <= initial {
 			continue
@@ -71,12 +71,12 @@
 
 func siteModel(initial uint64) porcupine.Model {
 	return porcupine.Model{
-		Init: func() any { return siteRegister{version: initial} },
+		Init: func() any { return versionRegister{version: initial} },
 		Step: func(state, input, output any) (bool, any) {
-			current, result := state.(siteRegister), output.(publishOutput)
+			current, result := state.(versionRegister), output.(publishOutput)
 			switch in := input.(type) {
 			case observation:
-				seen := siteRegister{version: in.version, digest: result.digest}
+				seen := versionRegister{version: in.version, digest: result.digest}
 				return seen == current, current
 			case publishInput:
 				return publishStep(current, in, result)
@@ -86,8 +86,8 @@
 	}
 }
 
-func publishStep(current siteRegister, in publishInput, result publishOutput) (bool, any) {
-	next := siteRegister{version: in.base + 1, digest: in.digest}
+func publishStep(current versionRegister, in publishInput, result publishOutput) (bool, any) {
+	next := versionRegister{version: in.base + 1, digest: in.digest}
 	matches := in.base == current.version
 	switch {
 	case result.unknown && matches:
--- a/histcheck/notrun.go
+++ b/histcheck/notrun.go
@@ -7,14 +7,14 @@
 	"github.com/burdockspindle/burdockspindle/serverapi"
 )
 
-// attempts is what a caller knows of one of its requests.
+// attempts is a caller's record of one of its requests.
 type attempts struct {
 	sent     []history.CallerSent
 	answered map[int]history.CallerAnswered // by attempt number
 }
 
-// mayRunAt counts the attempts sent by a moment that were not refused as "not
-// run".
+// mayRunAt counts the attempts sent up to a moment and not refused as "not run" by
+// then.
 func (a *attempts) mayRunAt(at history.Time) int {
 	count := 0
 	for _, sent := range a.sent {
@@ -27,9 +27,9 @@
 	return count
 }
 
-// NotRun finds runs of requests of which every attempt sent before was refused
-// as "not run". A request that is not idempotent may not run more often than it
-// has attempts that were not so refused.
+// NotRun finds runs of requests for which every attempt sent before the run was refused
+// as "not run". A request that is not idempotent may not run more often than it has
+// attempts without such a refusal.
 func NotRun(events []history.Event, options Options) []Violation {
 	requests := collectAttempts(events)
 	var found []Violation
--- a/histcheck/owner_test.go
+++ b/histcheck/owner_test.go
@@ -29,11 +29,11 @@
 		run   []history.Event
 		found int
 	}{
-		"while granted":                       {[]history.Event{granted}, run(5, "k"), 0},
-		"in flight when it was revoked":       {[]history.Event{granted, inFlight}, run(12, "k"), 0},
-		"another key after it was revoked":    {[]history.Event{granted, inFlight}, run(12, "l"), 1},
-		"after all of it":                     {[]history.Event{granted, inFlight}, run(25, "k"), 1},
-		"next owner before the key is let go": {[]history.Event{granted, inFlight, next}, run(12, "k"), 1},
+		"while granted":                         {[]history.Event{granted}, run(5, "k"), 0},
+		"in flight when it was revoked":         {[]history.Event{granted, inFlight}, run(12, "k"), 0},
+		"another key after it was revoked":      {[]history.Event{granted, inFlight}, run(12, "l"), 1},
+		"after the run in flight ended":         {[]history.Event{granted, inFlight}, run(25, "k"), 1},
+		"next owner before the key is released": {[]history.Event{granted, inFlight, next}, run(12, "k"), 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/histcheck/runs.go
+++ b/histcheck/runs.go
@@ -5,8 +5,8 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// run is one execution of a request by a server. A run without an end was cut
-// off when its server stopped, or outlived the history.
+// run is one execution of a request by a server. A run without an end was interrupted
+// when its server stopped, or had not ended when the history ended.
 type run struct {
 	began history.RunBegan
 	ended history.RunEnded
@@ -16,27 +16,27 @@
 // committed reports whether the run ended while its server was still the owner.
 func (r run) committed() bool { return r.over && r.ended.Committed }
 
-// runName identifies a run: attempts have unique request IDs, but a faulty
-// system may run one twice, even at one server.
-type runName struct {
+// runKey identifies a run: attempts have unique request IDs, but a faulty
+// system may run one attempt twice, even at one server.
+type runKey struct {
 	server  topo.ServerID
 	boot    topo.BootID
 	request string
 }
 
-// collectRuns joins the beginnings and ends of runs, in order of beginning. Two
+// collectRuns joins the start and end events of runs, in order of their start. Two
 // runs of one request at one server are joined in order.
 func collectRuns(events []history.Event) []run {
 	var runs []run
-	open := map[runName][]int{}
+	open := map[runKey][]int{}
 	for _, event := range events {
 		switch e := event.(type) {
 		case history.RunBegan:
-			name := runName{e.Server, e.Boot, e.RequestID}
+			name := runKey{e.Server, e.Boot, e.RequestID}
 			open[name] = append(open[name], len(runs))
 			runs = append(runs, run{began: e})
 		case history.RunEnded:
-			name := runName{e.Server, e.Boot, e.RequestID}
+			name := runKey{e.Server, e.Boot, e.RequestID}
 			if len(open[name]) == 0 {
 				continue
 			}
@@ -57,7 +57,7 @@
 // String renders the key as "service/key".
 func (k serviceKey) String() string { return string(k.service) + "/" + k.key }
 
-// runsByKey groups the runs of services divided by key, in order of beginning.
+// runsByKey groups the runs of services divided by key, in order of their start.
 func runsByKey(runs []run) map[serviceKey][]run {
 	byKey := map[serviceKey][]run{}
 	for _, r := range runs {
--- a/histcheck/siteversions.go
+++ b/histcheck/siteversions.go
@@ -8,10 +8,10 @@
 )
 
 // SiteVersions finds versions with two texts, two publications accepted on one
-// base, acceptances that skip versions, and nodes at which the version in force
-// went back. A restarted node may begin anywhere but also never goes back.
+// base, accepted publications that skip versions, and nodes at which the version in
+// force decreased. A restarted node may begin at any version and must not go back either.
 func SiteVersions(events []history.Event) []Violation {
-	check := siteCheck{digests: map[uint64]string{}, accepted: map[uint64]string{}, inForce: map[nodeRun]uint64{}}
+	check := siteCheck{digests: map[uint64]string{}, accepted: map[uint64]string{}, inForce: map[nodeIncarnation]uint64{}}
 	for _, event := range events {
 		switch e := event.(type) {
 		case history.SitePublished:
@@ -23,8 +23,8 @@
 	return check.found
 }
 
-// nodeRun is one run of a node.
-type nodeRun struct {
+// nodeIncarnation identifies one incarnation of a node.
+type nodeIncarnation struct {
 	node topo.NodeID
 	boot topo.BootID
 }
@@ -32,7 +32,7 @@
 type siteCheck struct {
 	digests  map[uint64]string // by version
 	accepted map[uint64]string // publisher by base
-	inForce  map[nodeRun]uint64
+	inForce  map[nodeIncarnation]uint64
 	found    []Violation
 }
 
@@ -52,7 +52,7 @@
 
 func (c *siteCheck) cameIntoForce(e history.SiteInForce) {
 	c.sameText(e.At, string(e.Node), e.Version, e.Digest)
-	name := nodeRun{e.Node, e.Boot}
+	name := nodeIncarnation{e.Node, e.Boot}
 	if before := c.inForce[name]; e.Version < before {
 		c.add(e.At, string(e.Node), fmt.Sprintf("went back from version %d to %d", before, e.Version))
 	}
--- a/histcheck/soleowner.go
+++ b/histcheck/soleowner.go
@@ -9,9 +9,9 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// SoleOwner finds moments at which two servers owned the same key, judged only
-// by what servers recorded: overlapping spans of ownership, a committed run
-// outside its server's ownership, and runs of one key whose fences go back.
+// SoleOwner finds moments at which two servers owned the same key. It uses only the
+// servers' own records: overlapping owner intervals, a committed run outside its
+// server's ownership, and runs of one key whose fences decrease.
 func SoleOwner(events []history.Event) []Violation {
 	var found []Violation
 	intervals := history.Select[history.OwnerInterval](events)
@@ -28,8 +28,8 @@
 	index   uint32
 }
 
-// overlappingIntervals compares the spans of each hash range, and of the keys
-// split out of it, in order of their beginning.
+// overlappingIntervals compares the intervals of each hash range, and of the keys
+// split out of it, in order of their start.
 func overlappingIntervals(intervals []history.OwnerInterval) []Violation {
 	byRange := map[hashRange][]history.OwnerInterval{}
 	for _, interval := range intervals {
@@ -74,7 +74,7 @@
 
 func sameRun(a, b history.OwnerInterval) bool { return a.Server == b.Server && a.Boot == b.Boot }
 
-// shareKey reports whether two spans of one hash range cover a common key.
+// shareKey reports whether two intervals of one hash range cover a common key.
 func shareKey(a, b history.OwnerInterval) bool {
 	switch {
 	case a.Shard.Key == "" && b.Shard.Key == "":
@@ -87,8 +87,8 @@
 	return a.Shard.Key == b.Shard.Key
 }
 
-// owned names one server run's ownership of a shard under a fence.
-type owned struct {
+// ownership identifies the ownership of a shard by one incarnation of a server under a fence.
+type ownership struct {
 	server topo.ServerID
 	boot   topo.BootID
 	shard  topo.ShardID
@@ -98,9 +98,9 @@
 // runsOutsideOwnership finds committed runs that began when their server did
 // not own the shard under the run's fence.
 func runsOutsideOwnership(runs []run, intervals []history.OwnerInterval) []Violation {
-	spans := map[owned][]history.OwnerInterval{}
+	spans := map[ownership][]history.OwnerInterval{}
 	for _, interval := range intervals {
-		key := owned{interval.Server, interval.Boot, interval.Shard, interval.Fence}
+		key := ownership{interval.Server, interval.Boot, interval.Shard, interval.Fence}
 		spans[key] = append(spans[key], interval)
 	}
 	var found []Violation
@@ -121,10 +121,10 @@
 	return found
 }
 
-// ownedBy reports whether a run began within a span of its server's ownership,
-// of the shard or, for a run in flight when the shard was revoked, of its key.
-func ownedBy(spans map[owned][]history.OwnerInterval, began history.RunBegan) bool {
-	name := owned{began.Server, began.Boot, began.Shard, began.Fence}
+// ownedBy reports whether a run began within an interval in which its server owned the
+// shard or, for a run in flight when the shard was revoked, the run's key.
+func ownedBy(spans map[ownership][]history.OwnerInterval, began history.RunBegan) bool {
+	name := ownership{began.Server, began.Boot, began.Shard, began.Fence}
 	if covered(spans[name], began.At) {
 		return true
 	}
@@ -141,8 +141,8 @@
 	return false
 }
 
-// runsUnderLowerFence finds, for each key, a committed run that was not over
-// when a run under a higher fence had begun, and a fence with two servers.
+// runsUnderLowerFence finds, for each key, committed runs that had not ended when a run
+// under a higher fence began, and fences used by two servers.
 func runsUnderLowerFence(runs []run) []Violation {
 	var found []Violation
 	for key, group := range runsByKey(runs) {
@@ -151,9 +151,9 @@
 			sameServer := r.began.Server == highest.Server && r.began.Boot == highest.Boot
 			switch {
 			case r.began.Fence.Less(highest.Fence) && r.committed():
-				found = append(found, lowerFence(key, highest, r))
+				found = append(found, fenceViolation(key, highest, r))
 			case r.began.Fence == highest.Fence && !sameServer:
-				found = append(found, lowerFence(key, highest, r))
+				found = append(found, fenceViolation(key, highest, r))
 			case highest.Fence.Less(r.began.Fence):
 				highest = r.began
 			}
@@ -177,14 +177,14 @@
 				break
 			}
 			if low.began.Fence.Less(high.began.Fence) && low.began.Server != high.began.Server {
-				found = append(found, lowerFence(key, high.began, low))
+				found = append(found, fenceViolation(key, high.began, low))
 			}
 		}
 	}
 	return found
 }
 
-func lowerFence(key serviceKey, highest history.RunBegan, r run) Violation {
+func fenceViolation(key serviceKey, highest history.RunBegan, r run) Violation {
 	return Violation{
 		Rule:    RuleSoleOwner,
 		At:      r.began.At,
--- a/histcheck/unavailable.go
+++ b/histcheck/unavailable.go
@@ -8,7 +8,7 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Unavailability is how long the keys of a history went unanswered.
+// Unavailability measures for how long the keys of a history were not served.
 type Unavailability struct {
 	// Longest is the longest span of any key.
 	Longest time.Duration
@@ -22,20 +22,20 @@
 }
 
 // Unavailable measures the probes of a history: attempts of callers for which
-// isProbe is true. A key is unavailable from the moment its first failed probe
-// was sent until the next probe that was sent after it and answered. A span
-// that is open when the history ends counts to the key's last event.
+// isProbe is true. A key is unavailable from the sending of its first failed probe
+// until the answer to a probe that was sent after that one. An interval that is
+// open when the history ends lasts until the key's last event.
 func Unavailable(events []history.Event, isProbe func(history.CallerSent) bool) Unavailability {
 	keys := map[serviceKey]*keySpans{}
-	probes := map[attemptName]history.CallerSent{}
+	probes := map[attemptKey]history.CallerSent{}
 	for _, event := range events {
 		switch e := event.(type) {
 		case history.CallerSent:
 			if isProbe(e) {
-				probes[attemptName{e.CallerRequest, e.Attempt}] = e
+				probes[attemptKey{e.CallerRequest, e.Attempt}] = e
 			}
 		case history.CallerAnswered:
-			sent, is := probes[attemptName{e.CallerRequest, e.Attempt}]
+			sent, is := probes[attemptKey{e.CallerRequest, e.Attempt}]
 			if !is {
 				continue
 			}
@@ -58,12 +58,12 @@
 	return result
 }
 
-type attemptName struct {
+type attemptKey struct {
 	request string
 	attempt int
 }
 
-// keySpans follows one key. Answers come in order of their arrival.
+// keySpans tracks the unavailability of one key. Answers are added in order of arrival.
 type keySpans struct {
 	failing     bool
 	since       history.Time
--- a/histcheck/violation.go
+++ b/histcheck/violation.go
@@ -6,7 +6,7 @@
 	"github.com/burdockspindle/burdockspindle/history"
 )
 
-// Rule names one thing that must always hold.
+// Rule names one invariant.
 type Rule string
 
 // Rules.
@@ -19,7 +19,7 @@
 	RuleWholeAnswer Rule = "whole-answer"
 	// RuleNotRun: a request that was refused as "not run" did not run.
 	RuleNotRun Rule = "not-run"
-	// RuleAssignments: an acknowledged assignment survives, and a fence has one
+	// RuleAssignments: an acknowledged assignment is not lost, and a fence has one
 	// owner.
 	RuleAssignments Rule = "assignments"
 	// RuleSiteVersions: a site configuration is published by compare-and-set,
@@ -27,10 +27,10 @@
 	RuleSiteVersions Rule = "site-versions"
 )
 
-// Violation is one proof that a rule was broken.
+// Violation is one detected breach of a rule.
 type Violation struct {
 	Rule    Rule
-	At      history.Time // when it showed; 0 when it has no one moment
+	At      history.Time // when it was detected; 0 if it has no single moment
 	Subject string       // shard, key, ticket, request or node
 	Detail  string
 }
--- a/histcheck/wholeanswer.go
+++ b/histcheck/wholeanswer.go
@@ -7,9 +7,9 @@
 	"github.com/burdockspindle/burdockspindle/serverapi"
 )
 
-// WholeAnswer finds answers that were given as whole but were cut short, belong
-// to another request, or come from a run that never was or did not stand. A
-// caller that saw its connection break records "unknown", not "answered".
+// WholeAnswer finds answers recorded as whole that were truncated, belong
+// to another request, or come from a run that does not exist or was not committed. A
+// caller whose connection failed records "unknown", not "answered".
 func WholeAnswer(events []history.Event) []Violation {
 	runs := map[string]run{}
 	for _, r := range collectRuns(events) {
@@ -38,7 +38,7 @@
 	return found
 }
 
-// wrongAnswer says what is wrong with an answer; empty for nothing.
+// wrongAnswer describes the fault of an answer; it is empty if there is none.
 func wrongAnswer(answer history.CallerAnswered, sent history.CallerSent, runs map[string]run) string {
 	r, ran := runs[answer.EchoRequestID]
 	switch {
