--- a/history/encode.go
+++ b/history/encode.go
@@ -14,7 +14,7 @@
 	Event json.RawMessage `json:"event"`
 }
 
-// Encode writes events as JSON, one a line.
+// Encode writes events as JSON, one per line.
 func Encode(w io.Writer, events []Event) error {
 	encoder := json.NewEncoder(w)
 	for _, event := range events {
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// Decode reads what Encode wrote, to the end of r.
+// Decode reads events in the format of Encode until the end of r.
 func Decode(r io.Reader) ([]Event, error) {
 	decoder := json.NewDecoder(r)
 	var events []Event
@@ -84,7 +84,7 @@
 
 // EncodingError reports an event that cannot be written or read.
 type EncodingError struct {
-	Kind  Kind // empty when not known
+	Kind  Kind // empty if unknown
 	Cause error
 }
 
@@ -96,8 +96,8 @@
 // Unwrap returns the cause.
 func (e *EncodingError) Unwrap() error { return e.Cause }
 
-// UnknownKindError reports an encoded event of a kind that is not known.
+// UnknownKindError reports an encoded event of an unknown kind.
 type UnknownKindError struct{ Kind Kind }
 
 // Error implements error.
-func (e *UnknownKindError) Error() string { return "history event kind not known: " + string(e.Kind) }
+func (e *UnknownKindError) Error() string { return "unknown history event kind: " + string(e.Kind) }
--- a/history/events.go
+++ b/history/events.go
@@ -7,10 +7,10 @@
 
 // Event is one of the types below.
 type Event interface {
-	// Kind names the type in the encoded form.
+	// Kind returns the name of the type in the encoded form.
 	Kind() Kind
-	// When returns the moment by which a history is sorted: the only one, or
-	// the beginning of an interval.
+	// When returns the time by which a history is sorted: the event's only time or
+	// the start of its interval.
 	When() Time
 }
 
@@ -30,15 +30,15 @@
 	KindSiteInForce     Kind = "site-in-force"
 )
 
-// OwnerInterval is a span during which a server, by its own clock, held an
+// OwnerInterval is an interval during which a server, by its own clock, held an
 // unexpired lease and a grant for a shard under one fence. It is recorded when
-// it ends: revoked, replaced by a higher fence, lapsed, or the run is over. A
-// lease that was renewed before it lapsed is one interval, or several that
-// touch.
+// it ends: revoked, replaced by a higher fence, expired, or the incarnation ended. A
+// lease that was renewed before it expired is one interval, or several adjacent
+// ones.
 //
-// A Shard without a Key covers every key of its hash range but those of Except;
-// one with a Key covers that key alone. A run that was in flight when its shard
-// was revoked keeps its own key for the server until it ends: an interval of
+// A Shard without a Key covers every key of its hash range except those in Except;
+// a Shard with a Key covers only that key. A run that was in flight when its shard
+// was revoked keeps its key owned by the server until the run ends: an interval of
 // the split key's ShardID under the hash range's fence.
 type OwnerInterval struct {
 	Server topo.ServerID `json:"server"`
@@ -51,14 +51,14 @@
 	Until  Time     `json:"until"` // exclusive
 }
 
-// RunBegan is recorded just before a server begins to run a request, after its
-// checks of ownership and of the ticket.
+// RunBegan is recorded just before a server starts to run a request, after it
+// checked its ownership and the ticket.
 type RunBegan struct {
 	At        Time          `json:"at"`
 	Server    topo.ServerID `json:"server"`
 	Boot      topo.BootID   `json:"boot"`
 	RequestID string        `json:"requestId"` // of the attempt
-	// CallerRequest is the caller's own name for the request; see
+	// CallerRequest is the caller's name for the request; see
 	// HeaderCallerRequest.
 	CallerRequest string       `json:"callerRequest"`
 	Service       topo.Service `json:"service"`
@@ -69,27 +69,27 @@
 	Ticket        string       `json:"ticket"` // empty without one
 }
 
-// RunEnded is recorded when the run is over and before its answer is sent.
+// RunEnded is recorded after the run has ended and before its answer is sent.
 type RunEnded struct {
-	// At is the moment of the server's last check of its ownership. A committed
-	// run counts as having taken place then. A server may pause between its
+	// At is the time of the server's last check of its ownership. A committed
+	// run is treated as executed at that time. A server may pause between its
 	// checks, so RunBegan of a committed run need not lie in an owner interval,
 	// but At must.
 	At        Time          `json:"at"`
 	Server    topo.ServerID `json:"server"`
 	Boot      topo.BootID   `json:"boot"`
 	RequestID string        `json:"requestId"`
-	// Committed is true when the server was still the owner after the run took
-	// effect, so that its answer stands. Otherwise the server answers "unknown".
+	// Committed is true if the server was still the owner after the run took
+	// effect, so that its answer is valid. Otherwise the server answers "unknown".
 	Committed bool `json:"committed"`
 	// Value is the key's value after the run.
 	Value uint64 `json:"value"`
-	// BodyDigest of the request's body, as computed by the server.
+	// BodyDigest is the digest of the request's body, as computed by the server.
 	BodyDigest string `json:"bodyDigest"`
 }
 
-// ServerStopped is recorded when a run of a server is over: killed, restarted
-// or stopped by plan.
+// ServerStopped is recorded when an incarnation of a server ends: killed, restarted
+// or stopped as planned.
 type ServerStopped struct {
 	At     Time          `json:"at"`
 	Server topo.ServerID `json:"server"`
@@ -109,7 +109,7 @@
 	BodyDigest    string       `json:"bodyDigest"`
 }
 
-// CallerAnswered is recorded when a caller has the whole answer to an attempt,
+// CallerAnswered is recorded when a caller has received the whole answer to an attempt,
 // or a failure. The Echo fields are copied from the answer's body.
 type CallerAnswered struct {
 	At            Time              `json:"at"`
@@ -120,7 +120,7 @@
 	Outcome       serverapi.Outcome `json:"outcome"`
 	Reason        serverapi.Reason  `json:"reason"`
 	Replayed      bool              `json:"replayed"`
-	// Whole is false when the body ended early or did not match its own check.
+	// Whole is false if the body was truncated or failed its own verification.
 	Whole             bool   `json:"whole"`
 	EchoCallerRequest string `json:"echoCallerRequest"`
 	EchoKey           string `json:"echoKey"`
@@ -129,8 +129,8 @@
 	EchoValue         uint64 `json:"echoValue"`
 }
 
-// AssignmentKnown is recorded by an entry node when it applied an assignment,
-// and with Acknowledged when it told somebody that the assignment took effect.
+// AssignmentKnown is recorded by an entry node when it applies an assignment,
+// and with Acknowledged when it reports that the assignment took effect.
 type AssignmentKnown struct {
 	At           Time          `json:"at"`
 	Node         topo.NodeID   `json:"node"`
@@ -140,20 +140,20 @@
 	Acknowledged bool          `json:"acknowledged"`
 }
 
-// SitePublished is recorded when a publisher learns the fate of its text, or
-// gives up on learning it.
+// SitePublished is recorded when a publisher receives the outcome of its publication or
+// stops waiting for it.
 type SitePublished struct {
 	Began     Time   `json:"began"` // before the publisher sent it
 	At        Time   `json:"at"`
 	Publisher string `json:"publisher"`
 	Base      uint64 `json:"base"`
 	Accepted  bool   `json:"accepted"`
-	Unknown   bool   `json:"unknown"` // fate not learnt; then not Accepted
+	Unknown   bool   `json:"unknown"` // outcome not received; Accepted is then false
 	Version   uint64 `json:"version"` // the new version; 0 when not accepted
 	Digest    string `json:"digest"`  // of the text
 }
 
-// SiteInForce is recorded by an entry node when a version comes into force.
+// SiteInForce is recorded by an entry node when a version takes effect.
 type SiteInForce struct {
 	At      Time        `json:"at"`
 	Node    topo.NodeID `json:"node"`
--- a/history/history_test.go
+++ b/history/history_test.go
@@ -37,7 +37,7 @@
 	g.Expect(decoded).To(gomega.Equal(oneOfEach()))
 }
 
-func TestDecodeRefusesUnknownKindsAndBrokenLines(t *testing.T) {
+func TestDecodeRefusesUnknownKindsAndInvalidLines(t *testing.T) {
 	g := gomega.NewWithT(t)
 	_, err := Decode(bytes.NewBufferString(`{"kind":"other","event":{}}`))
 	var unknown *UnknownKindError
@@ -48,7 +48,7 @@
 	g.Expect(encoding.Kind).To(gomega.Equal(KindRunBegan))
 }
 
-func TestMemorySortsByMomentAndKeepsConcurrentRecords(t *testing.T) {
+func TestMemorySortsByTimeAndKeepsConcurrentRecords(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var memory Memory
 	var wait sync.WaitGroup
--- a/history/recorder.go
+++ b/history/recorder.go
@@ -5,24 +5,24 @@
 	"sync"
 )
 
-// HeaderCallerRequest carries a caller's own, unique name for a request. The
-// stand-in server echoes it in its answer's body, so that an answer that was
-// given to the wrong caller is found.
+// HeaderCallerRequest carries a caller's unique name for a request. The
+// stand-in server echoes it in the body of its answer, so that an answer
+// delivered to the wrong caller is detected.
 const HeaderCallerRequest = "Caller-Request"
 
-// Recorder takes events. Record may be called concurrently and never blocks for
+// Recorder accepts events. Record may be called concurrently and does not block for
 // long.
 type Recorder interface {
 	Record(event Event)
 }
 
-// Discard is a Recorder that keeps nothing.
+// Discard is a Recorder that drops every event.
 type Discard struct{}
 
 // Record implements Recorder.
 func (Discard) Record(Event) {}
 
-// Memory is an append-only Recorder that keeps everything.
+// Memory is an append-only Recorder that keeps all events in memory.
 type Memory struct {
 	mu     sync.Mutex
 	events []Event
@@ -42,8 +42,8 @@
 	return len(m.events)
 }
 
-// Events returns a copy of all events, sorted by When; events of the same
-// moment stay in the order in which they were recorded.
+// Events returns a copy of all events, sorted by When; events with the same
+// time stay in the order in which they were recorded.
 func (m *Memory) Events() []Event {
 	m.mu.Lock()
 	all := make([]Event, len(m.events))
@@ -53,12 +53,12 @@
 	return all
 }
 
-// SortEvents sorts events by When, keeping the order of equal ones.
+// SortEvents sorts events by When, and keeps the order of events with equal times.
 func SortEvents(events []Event) {
 	sort.SliceStable(events, func(i, j int) bool { return events[i].When() < events[j].When() })
 }
 
-// Select returns the events of type T in order.
+// Select returns the events of type T in their original order.
 func Select[T Event](events []Event) []T {
 	var selected []T
 	for _, event := range events {
