--- a/proof/faults_test.go
+++ b/proof/faults_test.go
@@ -25,13 +25,13 @@
 	settle    = 500 * time.Millisecond // load before the first fault
 )
 
-// faultCase is one row: which faults come while a site is under load.
+// faultCase is one row of the fault table: the faults that occur while a site is under load.
 type faultCase struct {
 	name string
-	// top is added to the top level of the site configuration, and service to
+	// top is inserted at the top level of the site configuration, and service into
 	// each service.
 	top, service string
-	// servers is how many servers the row needs; their keys are probed.
+	// servers is the number of servers that the row affects; their keys are probed.
 	servers int
 	faults  func(ctx context.Context, r *run, servers []*demo.SiteServer)
 }
@@ -216,7 +216,7 @@
 		pause(ctx, 2*pastLease)
 		r.LoseServer(s[0])
 		heal()
-		pause(ctx, pastLease) // leases that run at the heal end in it
+		pause(ctx, pastLease) // leases that are valid at the heal expire during this pause
 	}},
 	{name: "zone without disconnected ownership cut off from all", service: noDisconnected, servers: 1, faults: func(ctx context.Context, r *run, s []*demo.SiteServer) {
 		heal := r.cutZoneOff(s[0])
@@ -280,7 +280,7 @@
 	}},
 }
 
-// waitLeased waits until a server has a lease of its own group's lessor.
+// waitLeased waits until a server has a lease from the lessor of its group.
 func (r *run) waitLeased(one *demo.SiteServer) {
 	gomega.NewWithT(r.t).Eventually(func() bool {
 		view, err := r.View()
@@ -291,7 +291,7 @@
 		group, claimed := view.Group(listed.Group)
 		holder := one.Dump().(server.Dump).Holder
 		return claimed && holder.HighestTerm == group.Term.String() && holder.Now < holder.Expires
-	}).WithTimeout(30*time.Second).Should(gomega.BeTrue(), "%s was not leased", one.ID)
+	}).WithTimeout(30*time.Second).Should(gomega.BeTrue(), "%s received no lease", one.ID)
 }
 
 func freeze(ctx context.Context, one *demo.SiteServer) {
@@ -300,7 +300,7 @@
 	one.Unfreeze()
 }
 
-// cutZoneOff cuts a server's zone off from the others and from the log.
+// cutZoneOff separates a server's zone from the other zones and from the log.
 func (r *run) cutZoneOff(one *demo.SiteServer) (heal func()) {
 	zone := r.lessorOf(one).Zone
 	r.Network.CutZones(one.Zone)
@@ -317,10 +317,10 @@
 	r.LoseServer(s[0])
 	pause(ctx, 2*pastLease)
 	heal()
-	pause(ctx, pastLease) // leases that run at the heal end in it
+	pause(ctx, pastLease) // leases that are valid at the heal expire during this pause
 }
 
-// eachNode visits the nodes of a zone that run.
+// eachNode visits the running nodes of a zone.
 func (r *run) eachNode(zone int, visit func(*demo.SiteNode)) {
 	for _, one := range r.Nodes {
 		if one.Zone == zone && !one.Lost {
--- a/proof/leaving_test.go
+++ b/proof/leaving_test.go
@@ -22,7 +22,7 @@
 	leavePoll  = 50 * time.Millisecond
 )
 
-// ownedBy counts the shards that the first node believes a server to own.
+// ownedBy counts the shards that a server owns in the view of the first running node; -1 if there is no view.
 func (r *run) ownedBy(id topo.ServerID) int {
 	view, err := r.View()
 	if err != nil || view.Site() == nil {
@@ -40,12 +40,12 @@
 	return count
 }
 
-// patience is longer than any pause of a busy machine. Where nothing fails,
-// nothing but such a pause could make a lease lapse or a deadline pass, and no
-// such outcome belongs to the test.
+// patience is longer than any pause of a busy machine. In tests without faults,
+// only such a pause could make a lease or a deadline expire, and these tests
+// must not depend on it.
 const patience = 30 * time.Second
 
-// plannedSite is a small site in which a slow machine is not taken for a fault.
+// plannedSite returns a small site whose timeouts do not mistake a slow machine for a fault.
 func plannedSite() demo.SiteOptions {
 	options := smallSiteWith("", fmt.Sprintf("%q: %q,", "deadline", patience))
 	options.Adjust = func(s *settings.Settings) {
@@ -57,12 +57,12 @@
 	return options
 }
 
-// TestLeavingServers: a server that leaves hands over all its shards while the
-// load goes on, and from then on gets no request.
+// A server that leaves must hand over all its shards while the
+// load continues, and must run no request afterwards.
 func TestLeavingServers(t *testing.T) {
 	for name, leave := range map[string]func(r *run, one *demo.SiteServer){
-		"by the VM list":  func(r *run, one *demo.SiteServer) { r.Platform.SetPhase(string(one.ID), vmlist.PhaseLeaving) },
-		"by its own word": func(_ *run, one *demo.SiteServer) { one.Drain(true) },
+		"by the VM list":    func(r *run, one *demo.SiteServer) { r.Platform.SetPhase(string(one.ID), vmlist.PhaseLeaving) },
+		"by its own report": func(_ *run, one *demo.SiteServer) { one.Drain(true) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			ctx, r := startRun(t, plannedSite())
@@ -75,20 +75,20 @@
 					WithContext(ctx).WithTimeout(leaveLimit).WithPolling(leavePoll).Should(gomega.BeZero())
 				r.WaitSettled(ctx)
 				left = r.Clock()
-				pause(ctx, settle) // load after it has left
+				pause(ctx, settle) // load after the server has left
 			}, one)
 			g := gomega.NewWithT(t)
 			for _, began := range history.Select[history.RunBegan](r.Memory.Events()) {
 				late := began.Server == one.ID && began.At > left
-				g.Expect(late).To(gomega.BeFalse(), "ran %s after it had left", began.RequestID)
+				g.Expect(late).To(gomega.BeFalse(), "server ran %s after it had left", began.RequestID)
 			}
 			g.Expect(summary.Unknown).To(gomega.BeZero(), "a planned move left an outcome unknown: %+v", r.unknown())
 		})
 	}
 }
 
-// TestGracefulShutdownCutsNothingOff: an entry node that drains under load
-// finishes what it has begun; nobody sees a broken connection.
+// An entry node that drains under load must
+// finish the requests that it has begun, so that no caller sees a broken connection.
 func TestGracefulShutdownCutsNothingOff(t *testing.T) {
 	ctx, r := startRun(t, plannedSite())
 	one := r.owners(1)[0]
@@ -100,7 +100,7 @@
 	gomega.NewWithT(t).Expect(r.unknown()).To(gomega.BeEmpty())
 }
 
-// unknown returns the answers that left an outcome unknown.
+// unknown returns the answers with an unknown outcome.
 func (r *run) unknown() []history.CallerAnswered {
 	var found []history.CallerAnswered
 	for _, answer := range history.Select[history.CallerAnswered](r.Memory.Events()) {
--- a/proof/multiprocess_test.go
+++ b/proof/multiprocess_test.go
@@ -27,21 +27,21 @@
 const (
 	repository    = ".."
 	siteFolder    = "examples/site"
-	siteLimit     = 3 * time.Minute // for all commands of the pages, on a busy machine
+	siteLimit     = 3 * time.Minute // for all commands of one documentation page, on a busy machine
 	endOfCommands = "ALL COMMANDS RAN"
 )
 
-// loopbackPort finds the addresses that the pages and settings use.
+// loopbackPort matches the addresses in the documentation pages and settings.
 var loopbackPort = regexp.MustCompile(`127\.0\.0\.1:(\d+)`)
 
-// portForLoop finds the ports of the pages' loops, which stand alone.
+// portForLoop matches the ports in the pages' shell loops, which have no host part.
 var portForLoop = regexp.MustCompile(`\b7[1-5]\d\d\b`)
 
-// processes is the site that one page's commands start.
+// processes is the site started by the commands of one page.
 type processes struct {
 	t      *testing.T
 	folder string            // a copy of what the commands need
-	ports  map[string]string // free ones, by those of the pages
+	ports  map[string]string // free ports by the fixed ports of the pages
 	script string
 }
 
@@ -76,7 +76,7 @@
 	return binary
 }
 
-// siteScripts joins the commands of each page that has some.
+// siteScripts joins the commands of each page that contains any.
 func siteScripts(t *testing.T) map[string]string {
 	t.Helper()
 	blocks, err := docblocks.ReadAll(repository)
@@ -90,8 +90,8 @@
 	return scripts
 }
 
-// startProcesses runs a script to its end. What it started in the background
-// goes on until the test is over.
+// startProcesses runs a script to its end. Its background processes
+// run until the test ends.
 func startProcesses(t *testing.T, binary, script string) *processes {
 	t.Helper()
 	g := gomega.NewWithT(t)
@@ -111,8 +111,8 @@
 	return site
 }
 
-// prepare copies the binary and the examples, with ports that are free now in
-// place of the pages' ones.
+// prepare links the binary and copies the examples, with free ports in
+// place of the fixed ports of the pages.
 func (p *processes) prepare(binary string) {
 	g := gomega.NewWithT(p.t)
 	g.Expect(os.MkdirAll(filepath.Join(p.folder, "bin"), 0o750)).To(gomega.Succeed())
@@ -136,7 +136,7 @@
 	g.Expect(os.WriteFile(filepath.Join(p.folder, name), []byte(p.withFreePorts(string(text))), 0o600)).To(gomega.Succeed())
 }
 
-// withFreePorts replaces each fixed port by a free one, the same everywhere.
+// withFreePorts replaces each fixed port by a free one, consistently across all files.
 func (p *processes) withFreePorts(text string) string {
 	text = loopbackPort.ReplaceAllStringFunc(text, func(address string) string {
 		return "127.0.0.1:" + p.port(strings.TrimPrefix(address, "127.0.0.1:"))
@@ -158,7 +158,7 @@
 	return false
 }
 
-// port returns the free port that stands for one of the pages.
+// port returns the free port that replaces a fixed port of the pages.
 func (p *processes) port(fixed string) string {
 	if fixed == "0" {
 		return fixed
@@ -169,8 +169,8 @@
 	return p.ports[fixed]
 }
 
-// Ports for processes are taken from below those that the system gives to
-// connections, so that none is taken before its process listens.
+// Ports for processes are chosen below the ephemeral range that the system assigns to
+// connections, so that none is in use before its process listens.
 const (
 	firstPort = 20_000
 	portCount = 12_000
@@ -194,8 +194,8 @@
 	return ""
 }
 
-// adapt makes a page's script run in the copy: on free ports, with the binary
-// that is built already. The stand-ins' default ports are spelt out.
+// adapt makes a page's script run in the copy: on free ports and with the binary
+// that is already built. The stand-ins' default ports become explicit.
 func (p *processes) adapt(script string) string {
 	script = strings.ReplaceAll(script, "go build -o bin/burdockspindle ./cmd/burdockspindle", "true")
 	script = strings.ReplaceAll(script, "standin log &", "standin log --listen 127.0.0.1:7100 &")
@@ -203,8 +203,8 @@
 	return "set -euo pipefail\n" + p.withFreePorts(script) + "\necho " + endOfCommands + "\n"
 }
 
-// start runs the script in a process group of its own, which is ended with the
-// test.
+// start runs the script in its own process group, which is killed when the test
+// ends.
 func (p *processes) start(ctx context.Context) *exec.Cmd {
 	g := gomega.NewWithT(p.t)
 	logFile, err := os.Create(filepath.Join(p.folder, "log"))
@@ -228,7 +228,7 @@
 	return string(text)
 }
 
-// request asks an entry node for a record until it is answered.
+// request retries a request for a record at an entry node until it is answered.
 func (p *processes) request(ctx context.Context, port string) server.Answer {
 	g := gomega.NewWithT(p.t)
 	var answer server.Answer
--- a/proof/planted_test.go
+++ b/proof/planted_test.go
@@ -11,8 +11,8 @@
 	"github.com/burdockspindle/burdockspindle/standin/server"
 )
 
-// plantedCases are sites whose servers break a rule. The run must be found out:
-// otherwise the checks of the other rows prove nothing.
+// plantedCases are sites whose servers violate a rule. The checkers must detect it;
+// otherwise passing checks of the other cases are no evidence.
 var plantedCases = []struct {
 	name   string
 	rule   histcheck.Rule
@@ -24,7 +24,7 @@
 		rule: histcheck.RuleSoleOwner,
 		faults: func(ctx context.Context, r *run, one *demo.SiteServer) {
 			r.misbehave(server.Faults{IgnoreFences: true})
-			one.Freeze() // what is in flight runs when others have taken over
+			one.Freeze() // requests in flight run after other servers have taken over
 			pause(ctx, pastLease)
 			one.Unfreeze()
 		},
@@ -42,7 +42,7 @@
 	},
 }
 
-// misbehave gives every server the same faults.
+// misbehave injects the same faults into every server.
 func (r *run) misbehave(faults server.Faults) {
 	for _, one := range r.Servers {
 		one.SetFaults(faults)
--- a/proof/processes_test.go
+++ b/proof/processes_test.go
@@ -26,15 +26,15 @@
 
 const (
 	processLimit = 2 * time.Minute // for a site of processes to start, on a busy machine
-	pausedFor    = 3 * time.Second // well past a lease
+	pausedFor    = 3 * time.Second // well beyond a lease
 	exampleToken = "example-token-for-trials-only"
 	stopPolling  = 100 * time.Millisecond
 )
 
-// The entry nodes of examples/site by zone.
+// entryNodes lists the entry nodes of examples/site by zone.
 var entryNodes = [][]string{{"entry-a1", "entry-a2"}, {"entry-b1", "entry-b2"}, {"entry-c1", "entry-c2"}}
 
-// processSite is a site of which each part is a process of its own.
+// processSite is a site whose components are separate processes.
 type processSite struct {
 	*processes
 	running map[string]*exec.Cmd
@@ -44,7 +44,7 @@
 }
 
 // startProcessSite starts the log, the VM list, two servers for each service
-// and zone, and six entry nodes, and waits until they serve.
+// in each zone, and six entry nodes, and waits until they serve.
 func startProcessSite(t *testing.T, binary string) (context.Context, *processSite) {
 	t.Helper()
 	t.Parallel()
@@ -70,7 +70,7 @@
 	return ctx, site
 }
 
-// launch starts the binary in the site's folder. It is killed with the test.
+// launch starts the binary in the site's folder and kills it when the test ends.
 func (p *processSite) launch(name string, arguments ...string) {
 	g := gomega.NewWithT(p.t)
 	logFile, err := os.Create(filepath.Join(p.folder, name+".log"))
@@ -175,7 +175,7 @@
 	}).WithContext(ctx).WithTimeout(processLimit).WithPolling(stopPolling).Should(gomega.Succeed())
 }
 
-// collect joins what the callers recorded with the histories of the servers.
+// collect merges the events recorded by the callers with the histories of the servers.
 func (p *processSite) collect(ctx context.Context) []history.Event {
 	g := gomega.NewWithT(p.t)
 	events := p.memory.Events()
@@ -193,12 +193,12 @@
 	return events
 }
 
-// processCases: what happens to processes under load. Every server lives on to
-// tell its history.
+// processCases are faults of processes under load. No server is killed, because each
+// must still return its history.
 var processCases = []struct {
 	name   string
 	faults func(ctx context.Context, p *processSite)
-	// graceful: no request may be cut off.
+	// graceful requires that no request has an unknown outcome.
 	graceful bool
 }{
 	{name: "entry node paused past its leases and back", faults: func(ctx context.Context, p *processSite) {
--- a/proof/publish_test.go
+++ b/proof/publish_test.go
@@ -26,13 +26,13 @@
 const (
 	publishers       = 4
 	publications     = 12
-	publishGiveUp    = 2 * time.Second // then the publisher's fate is unknown
+	publishGiveUp    = 2 * time.Second // after this time the outcome of a publication is unknown
 	textComment      = "// %s, attempt %d\n"
 	appendFaultEvery = 100 * time.Millisecond
 )
 
-// publisher publishes through one node, always on the version that the node has
-// in force, against the others.
+// publisher publishes through one node, always based on the version that the node has
+// in force, in competition with the other publishers.
 type publisher struct {
 	r        *run
 	name     string
@@ -86,14 +86,14 @@
 	p.r.Memory.Record(event)
 }
 
-// notAppended reports whether it is proven that nothing was published.
+// notAppended reports whether err proves that nothing was published.
 func notAppended(err error) bool {
 	var proven *follower.NotAppendedError
 	return errors.As(err, &proven)
 }
 
-// TestCompetingPublishers: publications behave as compare-and-set on one
-// register, also when answers of the log are lost, and no node goes back.
+// Publications must behave as compare-and-set operations on one
+// register, also when the log's answers are lost, and no node may revert to an older version.
 func TestCompetingPublishers(t *testing.T) {
 	for name, faults := range map[string]logfault.Faults{
 		"healthy log":           {},
@@ -117,7 +117,7 @@
 	}
 }
 
-// publishWithFaults lets the publishers compete while faults come and go.
+// publishWithFaults runs the competing publishers while faults are injected and healed repeatedly.
 func publishWithFaults(ctx context.Context, r *run, faults logfault.Faults) {
 	publishing, done := context.WithCancel(ctx)
 	var wait, faulty sync.WaitGroup
--- a/proof/relays_test.go
+++ b/proof/relays_test.go
@@ -13,8 +13,8 @@
 	"github.com/burdockspindle/burdockspindle/settings"
 )
 
-// relayCases are rows about relays; behindRelays names further rows of
-// faultCases that are run again with one relay in each zone.
+// relayCases are fault cases for relays; behindRelays names rows of
+// faultCases that are repeated with one relay in each zone.
 var relayCases = []faultCase{
 	{name: "log relay lost", servers: 1, faults: func(_ context.Context, r *run, s []*demo.SiteServer) {
 		r.LoseNode(r.relayOf(r.lessorOf(s[0]).Zone))
@@ -45,7 +45,7 @@
 	"open connections go silent twice",
 }
 
-// relayOf returns the zone's node that reads the log for the other.
+// relayOf returns the node of the zone that reads the log directly and serves the other node.
 func (r *run) relayOf(zone int) *demo.SiteNode {
 	var relay *demo.SiteNode
 	gomega.NewWithT(r.t).Eventually(func() int {
@@ -79,7 +79,7 @@
 			ctx, r := startRun(t, options)
 			servers := r.owners(row.servers)
 			for zone := range zonesOfSite {
-				r.relayOf(zone) // one reads, one follows
+				r.relayOf(zone) // one node reads the log, the other reads from the relay
 			}
 			r.exercise(ctx, func(ctx context.Context, r *run) {
 				pause(ctx, settle)
--- a/proof/site_test.go
+++ b/proof/site_test.go
@@ -1,6 +1,6 @@
-// Package proof_test runs whole sites under seeded faults, records what servers
-// and callers did, and hands the histories to the checkers. Nothing here
-// asserts on speed: a run fails when something did not hold, or when keys were
+// Package proof_test runs whole sites under seeded faults, records the actions of servers
+// and callers, and passes the histories to the checkers. No test here
+// asserts on speed: a run fails if an invariant was violated or if keys were
 // never served again.
 package proof_test
 
@@ -30,18 +30,18 @@
 	searchLimit = 20 * time.Second // of one search for a linearization
 	loadSpan    = 4 * time.Second
 	requests    = 400
-	sitesAtOnce = 5 // more would only slow each other down
+	sitesAtOnce = 5 // more sites at once only slow each other down
 
-	serversPerService = 6 // two a zone
+	serversPerService = 6 // two per zone
 )
 
-// seed decides which servers a run hurts, and the load.
+// seed determines which servers the faults of a run affect, and the load.
 var seed uint64
 
 func init() { flag.Uint64Var(&seed, "proof.seed", 7, "seed of each run") }
 
-// smallSiteWith is the site of most runs: as many services, shards and servers
-// as the rules need, so that several sites can run at once. Further fields are
+// smallSiteWith returns the site of most runs: only as many services, shards and servers
+// as the checks need, so that several sites can run at once. The given fields are
 // added to the site configuration, and to each service.
 func smallSiteWith(top, service string) demo.SiteOptions {
 	text := fmt.Sprintf(`{
@@ -64,7 +64,7 @@
 
 func smallSite() demo.SiteOptions { return smallSiteWith("", "") }
 
-// running limits the sites that run at once.
+// running is the semaphore that limits the sites running at once.
 var running = make(chan struct{}, sitesAtOnce)
 
 // run is one site under load.
@@ -74,10 +74,10 @@
 	random *rand.Rand
 	keys   []demo.OwnedKey
 
-	explained atomic.Bool // the nodes' state was logged
+	explained atomic.Bool // whether the nodes' state was logged
 }
 
-// startRun starts a site beside those of other tests, and waits until it
+// startRun starts a site in parallel with those of other tests, and waits until it
 // serves.
 func startRun(t *testing.T, options demo.SiteOptions) (context.Context, *run) {
 	t.Helper()
@@ -104,7 +104,7 @@
 }
 
 // logVariable names the environment variable that sets the level at which the
-// sites log; unset, they do not.
+// sites log; if it is unset, they do not log.
 const logVariable = "BURDOCKSPINDLE_TEST_LOG"
 
 func siteLogger() hclog.Logger {
@@ -115,7 +115,7 @@
 	return hclog.New(&hclog.LoggerOptions{Level: hclog.LevelFromString(level), Output: os.Stderr})
 }
 
-// owners returns count servers that own keys, drawn by the seed.
+// owners returns count servers that own keys, chosen at random from the seed.
 func (r *run) owners(count int) []*demo.SiteServer {
 	all := r.OwnersOf(r.keys)
 	r.random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
@@ -130,17 +130,17 @@
 	return lessor
 }
 
-// pause waits a part of a second while the load goes on.
+// pause waits for d while the load continues.
 func pause(ctx context.Context, d time.Duration) { clock.Wait(ctx, d) }
 
-// exercise sends a load under faults, probing keys of the given owners first,
+// exercise sends a load under faults, with probes for keys of the given owners first,
 // and stops the site.
 func (r *run) exercise(ctx context.Context, faults func(context.Context, *run), probed ...*demo.SiteServer) {
 	r.t.Helper()
 	r.exerciseWith(ctx, demo.Load{}, faults, probed)
 }
 
-// exercisePatiently is exercise without a deadline that a slow machine misses.
+// exercisePatiently is exercise with request deadlines that a slow machine also meets.
 func (r *run) exercisePatiently(ctx context.Context, faults func(context.Context, *run), probed ...*demo.SiteServer) demo.Summary {
 	r.t.Helper()
 	return r.exerciseWith(ctx, demo.Load{Deadline: patience}, faults, probed)
@@ -167,8 +167,8 @@
 	return summary
 }
 
-// explain logs what there is to know of a key that nobody serves: where it
-// belongs, and the state of the nodes that could help.
+// explain logs the diagnostics of a key that is not served: its assignment and
+// owner, and the state of the running nodes.
 func (r *run) explain(key demo.OwnedKey, latest history.CallerAnswered) {
 	view, err := r.View()
 	if err != nil {
@@ -192,7 +192,7 @@
 	}
 }
 
-// linearizable hands the history to the models.
+// linearizable checks the history against the linearizability models.
 func (r *run) linearizable(options histcheck.Options) {
 	r.t.Helper()
 	events := r.Memory.Events()
