--- a/proof/faults_test.go
+++ b/proof/faults_test.go
@@ -187,9 +187,9 @@
 	}},
 	{name: "log away for a zone", servers: 1, faults: func(ctx context.Context, r *run, s []*demo.SiteServer) {
 		zone := r.lessorOf(s[0]).Zone
-		r.eachNode(zone, func(n *demo.SiteNode) { n.Log.Down() })
+		r.eachRunningNode(zone, func(n *demo.SiteNode) { n.Log.Down() })
 		pause(ctx, 2*pastLease)
-		r.eachNode(zone, func(n *demo.SiteNode) { n.Log.Heal() })
+		r.eachRunningNode(zone, func(n *demo.SiteNode) { n.Log.Heal() })
 	}},
 	{name: "open connections between nodes and to servers go silent", faults: func(_ context.Context, r *run, _ []*demo.SiteServer) {
 		r.Network.SilenceOpen()
@@ -224,10 +224,10 @@
 		heal()
 	}},
 	{name: "both nodes of a zone lost", top: trustVMList, servers: 1, faults: func(_ context.Context, r *run, s []*demo.SiteServer) {
-		r.eachNode(r.lessorOf(s[0]).Zone, r.LoseNode)
+		r.eachRunningNode(r.lessorOf(s[0]).Zone, r.LoseNode)
 	}},
 	{name: "a whole zone lost", top: trustVMList, servers: 1, faults: func(_ context.Context, r *run, s []*demo.SiteServer) {
-		r.eachNode(r.lessorOf(s[0]).Zone, r.LoseNode)
+		r.eachRunningNode(r.lessorOf(s[0]).Zone, r.LoseNode)
 		for _, one := range r.Servers {
 			if one.Zone == s[0].Zone {
 				r.LoseServer(one)
@@ -304,9 +304,9 @@
 func (r *run) cutZoneOff(one *demo.SiteServer) (heal func()) {
 	zone := r.lessorOf(one).Zone
 	r.Network.CutZones(one.Zone)
-	r.eachNode(zone, func(n *demo.SiteNode) { n.Log.Down() })
+	r.eachRunningNode(zone, func(n *demo.SiteNode) { n.Log.Down() })
 	return func() {
-		r.eachNode(zone, func(n *demo.SiteNode) { n.Log.Heal() })
+		r.eachRunningNode(zone, func(n *demo.SiteNode) { n.Log.Heal() })
 		r.Network.Heal()
 	}
 }
@@ -320,8 +320,8 @@
 	pause(ctx, pastLease) // leases that are valid at the heal expire during this pause
 }
 
-// eachNode visits the running nodes of a zone.
-func (r *run) eachNode(zone int, visit func(*demo.SiteNode)) {
+// eachRunningNode visits the running nodes of a zone.
+func (r *run) eachRunningNode(zone int, visit func(*demo.SiteNode)) {
 	for _, one := range r.Nodes {
 		if one.Zone == zone && !one.Lost {
 			visit(one)
--- a/proof/leaving_test.go
+++ b/proof/leaving_test.go
@@ -40,19 +40,19 @@
 	return count
 }
 
-// patience is longer than any pause of a busy machine. In tests without faults,
+// longTimeout is longer than any pause of a busy machine. In tests without faults,
 // only such a pause could make a lease or a deadline expire, and these tests
 // must not depend on it.
-const patience = 30 * time.Second
+const longTimeout = 30 * time.Second
 
 // plannedSite returns a small site whose timeouts do not mistake a slow machine for a fault.
 func plannedSite() demo.SiteOptions {
-	options := smallSiteWith("", fmt.Sprintf("%q: %q,", "deadline", patience))
+	options := smallSiteWith("", fmt.Sprintf("%q: %q,", "deadline", longTimeout))
 	options.Adjust = func(s *settings.Settings) {
-		s.Timing.LeaseTTL = patience
-		s.Timing.SuspectAfter = patience / 2
-		s.Limits.SilentAfter = patience
-		s.Servers.Options = map[string]any{"controlSilentAfterMs": float64((patience / 4).Milliseconds())}
+		s.Timing.LeaseTTL = longTimeout
+		s.Timing.SuspectAfter = longTimeout / 2
+		s.Limits.SilentAfter = longTimeout
+		s.Servers.Options = map[string]any{"controlSilentAfterMs": float64((longTimeout / 4).Milliseconds())}
 	}
 	return options
 }
@@ -68,7 +68,7 @@
 			ctx, r := startRun(t, plannedSite())
 			one := r.owners(1)[0]
 			var left history.Time
-			summary := r.exercisePatiently(ctx, func(ctx context.Context, r *run) {
+			summary := r.exerciseWithLongDeadlines(ctx, func(ctx context.Context, r *run) {
 				pause(ctx, settle)
 				leave(r, one)
 				gomega.NewWithT(t).Eventually(func() int { return r.ownedBy(one.ID) }).
@@ -89,11 +89,11 @@
 
 // An entry node that drains under load must
 // finish the requests that it has begun, so that no caller sees a broken connection.
-func TestGracefulShutdownCutsNothingOff(t *testing.T) {
+func TestGracefulShutdownCompletesRequests(t *testing.T) {
 	ctx, r := startRun(t, plannedSite())
 	one := r.owners(1)[0]
 	draining := r.lessorOf(one)
-	r.exercisePatiently(ctx, func(ctx context.Context, r *run) {
+	r.exerciseWithLongDeadlines(ctx, func(ctx context.Context, r *run) {
 		pause(ctx, settle)
 		gomega.NewWithT(t).Expect(r.ShutDownNode(ctx, draining)).To(gomega.Succeed())
 	}, one)
--- a/proof/multiprocess_test.go
+++ b/proof/multiprocess_test.go
@@ -34,8 +34,8 @@
 // loopbackPort matches the addresses in the documentation pages and settings.
 var loopbackPort = regexp.MustCompile(`127\.0\.0\.1:(\d+)`)
 
-// portForLoop matches the ports in the pages' shell loops, which have no host part.
-var portForLoop = regexp.MustCompile(`\b7[1-5]\d\d\b`)
+// loopPort matches the ports in the pages' shell loops, which have no host part.
+var loopPort = regexp.MustCompile(`\b7[1-5]\d\d\b`)
 
 // processes is the site started by the commands of one page.
 type processes struct {
@@ -45,9 +45,9 @@
 	script string
 }
 
-// TestSitesOfThePages runs the blocks of commands tagged "sh site" of each page
+// TestSitesOfDocumentationPages runs the blocks of commands tagged "sh site" of each page
 // in one shell, then sends a request through each zone.
-func TestSitesOfThePages(t *testing.T) {
+func TestSitesOfDocumentationPages(t *testing.T) {
 	if _, err := exec.LookPath("bash"); err != nil {
 		t.Skip("no bash to run the pages' commands")
 	}
@@ -141,7 +141,7 @@
 	text = loopbackPort.ReplaceAllStringFunc(text, func(address string) string {
 		return "127.0.0.1:" + p.port(strings.TrimPrefix(address, "127.0.0.1:"))
 	})
-	return portForLoop.ReplaceAllStringFunc(text, func(port string) string {
+	return loopPort.ReplaceAllStringFunc(text, func(port string) string {
 		if p.isFree(port) {
 			return port
 		}
--- a/proof/processes_test.go
+++ b/proof/processes_test.go
@@ -28,7 +28,7 @@
 	processLimit = 2 * time.Minute // for a site of processes to start, on a busy machine
 	pausedFor    = 3 * time.Second // well beyond a lease
 	exampleToken = "example-token-for-trials-only"
-	stopPolling  = 100 * time.Millisecond
+	pollInterval = 100 * time.Millisecond
 )
 
 // entryNodes lists the entry nodes of examples/site by zone.
@@ -106,7 +106,7 @@
 			return err
 		}
 		return conn.Close()
-	}).WithTimeout(processLimit).WithPolling(stopPolling).Should(gomega.Succeed())
+	}).WithTimeout(processLimit).WithPolling(pollInterval).Should(gomega.Succeed())
 }
 
 func (p *processSite) startServers() {
@@ -149,7 +149,7 @@
 			"--admin", "http://127.0.0.1:"+p.port("7501"), "--token", exampleToken, "site.jsonc")
 		command.Dir = p.folder
 		return command.Run()
-	}).WithContext(ctx).WithTimeout(processLimit).WithPolling(stopPolling).Should(gomega.Succeed())
+	}).WithContext(ctx).WithTimeout(processLimit).WithPolling(pollInterval).Should(gomega.Succeed())
 }
 
 // waitServing waits until each entry node answers requests to some keys.
@@ -172,7 +172,7 @@
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		defer func() { _ = response.Body.Close() }()
 		g.Expect(response.Header.Get(callerapi.HeaderOutcome)).To(gomega.Equal(string(serverapi.OutcomeAnswered)))
-	}).WithContext(ctx).WithTimeout(processLimit).WithPolling(stopPolling).Should(gomega.Succeed())
+	}).WithContext(ctx).WithTimeout(processLimit).WithPolling(pollInterval).Should(gomega.Succeed())
 }
 
 // collect merges the events recorded by the callers with the histories of the servers.
--- a/proof/publish_test.go
+++ b/proof/publish_test.go
@@ -26,7 +26,7 @@
 const (
 	publishers       = 4
 	publications     = 12
-	publishGiveUp    = 2 * time.Second // after this time the outcome of a publication is unknown
+	publishTimeout   = 2 * time.Second // after this time the outcome of a publication is unknown
 	textComment      = "// %s, attempt %d\n"
 	appendFaultEvery = 100 * time.Millisecond
 )
@@ -68,14 +68,14 @@
 	gomega.NewWithT(p.r.t).Expect(problems).To(gomega.BeEmpty())
 	base := p.source.View().SiteVersion()
 	event := history.SitePublished{Began: p.r.Clock(), Publisher: p.name, Base: base, Digest: server.DigestOf(text)}
-	ctx, cancel := context.WithTimeout(ctx, publishGiveUp)
+	ctx, cancel := context.WithTimeout(ctx, publishTimeout)
 	defer cancel()
-	fate, err := p.appender.Submit(ctx, &bspb.Record{Body: &bspb.Record_PublishSite{PublishSite: &bspb.PublishSite{
+	outcome, err := p.appender.Submit(ctx, &bspb.Record{Body: &bspb.Record_PublishSite{PublishSite: &bspb.PublishSite{
 		Base: base, Text: text, Compiled: siteconfig.ToProto(site),
 	}}})
 	event.At = p.r.Clock()
 	switch {
-	case err == nil && fate.Accepted:
+	case err == nil && outcome.Accepted:
 		event.Accepted, event.Version = true, base+1
 	case err != nil:
 		if notAppended(err) {
--- a/proof/relays_test.go
+++ b/proof/relays_test.go
@@ -50,7 +50,7 @@
 	var relay *demo.SiteNode
 	gomega.NewWithT(r.t).Eventually(func() int {
 		reading := 0
-		r.eachNode(zone, func(n *demo.SiteNode) {
+		r.eachRunningNode(zone, func(n *demo.SiteNode) {
 			if sourceOf(r.t, n) == "log" {
 				relay = n
 				reading++
--- a/proof/site_test.go
+++ b/proof/site_test.go
@@ -26,11 +26,11 @@
 )
 
 const (
-	runLimit    = 90 * time.Second // of one run, on a busy machine
-	searchLimit = 20 * time.Second // of one search for a linearization
-	loadSpan    = 4 * time.Second
-	requests    = 400
-	sitesAtOnce = 5 // more sites at once only slow each other down
+	runLimit           = 90 * time.Second // of one run, on a busy machine
+	searchLimit        = 20 * time.Second // of one search for a linearization
+	loadSpan           = 4 * time.Second
+	requests           = 400
+	maxConcurrentSites = 5 // more sites at once only slow each other down
 
 	serversPerService = 6 // two per zone
 )
@@ -65,7 +65,7 @@
 func smallSite() demo.SiteOptions { return smallSiteWith("", "") }
 
 // running is the semaphore that limits the sites running at once.
-var running = make(chan struct{}, sitesAtOnce)
+var running = make(chan struct{}, maxConcurrentSites)
 
 // run is one site under load.
 type run struct {
@@ -74,7 +74,7 @@
 	random *rand.Rand
 	keys   []demo.OwnedKey
 
-	explained atomic.Bool // whether the nodes' state was logged
+	stateLogged atomic.Bool // whether the nodes' state was logged
 }
 
 // startRun starts a site in parallel with those of other tests, and waits until it
@@ -103,12 +103,12 @@
 	return ctx, &run{Site: site, t: t, random: rand.New(rand.NewPCG(seed, 1)), keys: keys}
 }
 
-// logVariable names the environment variable that sets the level at which the
+// logLevelVariable names the environment variable that sets the level at which the
 // sites log; if it is unset, they do not log.
-const logVariable = "BURDOCKSPINDLE_TEST_LOG"
+const logLevelVariable = "BURDOCKSPINDLE_TEST_LOG"
 
 func siteLogger() hclog.Logger {
-	level := os.Getenv(logVariable)
+	level := os.Getenv(logLevelVariable)
 	if level == "" {
 		return hclog.NewNullLogger()
 	}
@@ -140,10 +140,10 @@
 	r.exerciseWith(ctx, demo.Load{}, faults, probed)
 }
 
-// exercisePatiently is exercise with request deadlines that a slow machine also meets.
-func (r *run) exercisePatiently(ctx context.Context, faults func(context.Context, *run), probed ...*demo.SiteServer) demo.Summary {
+// exerciseWithLongDeadlines is exercise with request deadlines that a slow machine also meets.
+func (r *run) exerciseWithLongDeadlines(ctx context.Context, faults func(context.Context, *run), probed ...*demo.SiteServer) demo.Summary {
 	r.t.Helper()
-	return r.exerciseWith(ctx, demo.Load{Deadline: patience}, faults, probed)
+	return r.exerciseWith(ctx, demo.Load{Deadline: longTimeout}, faults, probed)
 }
 
 func (r *run) exerciseWith(ctx context.Context, load demo.Load, faults func(context.Context, *run), probed []*demo.SiteServer) demo.Summary {
@@ -151,7 +151,7 @@
 	g := gomega.NewWithT(r.t)
 	load.Requests, load.Seed, load.Span = requests, seed, loadSpan
 	load.Probed = demo.Spread(r.keys, probed...)
-	load.Unserved = r.explain
+	load.Unserved = r.logUnserved
 	settled, err := r.Exercise(ctx, load, func(ctx context.Context) { faults(ctx, r) })
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(settled).To(gomega.BeTrue(), "probed keys were not served again")
@@ -161,15 +161,15 @@
 	for _, violation := range found {
 		r.t.Errorf("seed %d: %s", seed, violation)
 	}
-	r.linearizable(r.CheckOptions(nodes))
+	r.checkLinearizable(r.CheckOptions(nodes))
 	g.Expect(summary.Answered).To(gomega.BeNumerically(">", 0))
 	r.t.Logf("%+v", summary)
 	return summary
 }
 
-// explain logs the diagnostics of a key that is not served: its assignment and
+// logUnserved logs the diagnostics of a key that is not served: its assignment and
 // owner, and the state of the running nodes.
-func (r *run) explain(key demo.OwnedKey, latest history.CallerAnswered) {
+func (r *run) logUnserved(key demo.OwnedKey, latest history.CallerAnswered) {
 	view, err := r.View()
 	if err != nil {
 		r.t.Logf("%s of %s: %v", key.Key, key.Service, err)
@@ -180,7 +180,7 @@
 	group, _ := view.Group(owner.Group)
 	r.t.Logf("%s of %s: latest %+v\nassignment %+v\nowner %+v, lost %t\ngroup %+v",
 		key.Key, key.Service, latest, assignment, owner, view.ServerLost(assignment.Owner), group)
-	if r.explained.Swap(true) {
+	if r.stateLogged.Swap(true) {
 		return
 	}
 	for _, one := range r.Nodes {
@@ -192,8 +192,8 @@
 	}
 }
 
-// linearizable checks the history against the linearizability models.
-func (r *run) linearizable(options histcheck.Options) {
+// checkLinearizable checks the history against the linearizability models.
+func (r *run) checkLinearizable(options histcheck.Options) {
 	r.t.Helper()
 	events := r.Memory.Events()
 	for name, result := range map[string]histcheck.Result{
--- a/proof/planted_test.go
+++ b/proof/violations_test.go
@@ -11,9 +11,9 @@
 	"github.com/burdockspindle/burdockspindle/standin/server"
 )
 
-// plantedCases are sites whose servers violate a rule. The checkers must detect it;
+// violationCases are sites whose servers violate a rule. The checkers must detect it;
 // otherwise passing checks of the other cases are no evidence.
-var plantedCases = []struct {
+var violationCases = []struct {
 	name   string
 	rule   histcheck.Rule
 	faults func(ctx context.Context, r *run, one *demo.SiteServer)
@@ -23,7 +23,7 @@
 		name: "servers serve without owning",
 		rule: histcheck.RuleSoleOwner,
 		faults: func(ctx context.Context, r *run, one *demo.SiteServer) {
-			r.misbehave(server.Faults{IgnoreFences: true})
+			r.injectServerFaults(server.Faults{IgnoreFences: true})
 			one.Freeze() // requests in flight run after other servers have taken over
 			pause(ctx, pastLease)
 			one.Unfreeze()
@@ -34,23 +34,23 @@
 		name: "servers run repeated tickets again",
 		rule: histcheck.RuleAtMostOnce,
 		faults: func(ctx context.Context, r *run, _ *demo.SiteServer) {
-			r.misbehave(server.Faults{IgnoreTickets: true, LoseRatio: 0.5})
+			r.injectServerFaults(server.Faults{IgnoreTickets: true, LoseRatio: 0.5})
 			pause(ctx, pastLease)
-			r.misbehave(server.Faults{IgnoreTickets: true})
+			r.injectServerFaults(server.Faults{IgnoreTickets: true})
 		},
 		counts: func(s demo.Summary) int { return s.DoubleRun },
 	},
 }
 
-// misbehave injects the same faults into every server.
-func (r *run) misbehave(faults server.Faults) {
+// injectServerFaults injects the same faults into every server.
+func (r *run) injectServerFaults(faults server.Faults) {
 	for _, one := range r.Servers {
 		one.SetFaults(faults)
 	}
 }
 
-func TestViolationsOfServersAreFoundOut(t *testing.T) {
-	for _, row := range plantedCases {
+func TestServerViolationsAreDetected(t *testing.T) {
+	for _, row := range violationCases {
 		t.Run(row.name, func(t *testing.T) {
 			ctx, r := startRun(t, smallSite())
 			one := r.owners(1)[0]
