--- a/demo/balancer.go
+++ b/demo/balancer.go
@@ -13,59 +13,59 @@
 )
 
 const (
-	dialTimeout = 500 * time.Millisecond // bounds one connection attempt of a caller
-	checkEvery  = 100 * time.Millisecond // between two health checks of an entry node
-	checkLimit  = time.Second            // of one health check
+	dialTimeout         = 500 * time.Millisecond // of one connection attempt of a caller
+	healthCheckInterval = 100 * time.Millisecond // between two health checks of an entry node
+	healthCheckTimeout  = time.Second            // of one health check
 )
 
-// balancer is the platform's balancer in front of the entry VMs, as callers see
-// it: a connection goes to an entry node of the caller's zone, and to the next
-// one when it cannot be made. An entry node whose health check refuses gets new
-// connections only when all others fail.
+// balancer simulates the platform's load balancer in front of the entry VMs for callers:
+// a connection goes to an entry node of the caller's zone, or to the next
+// node if it cannot be established. An entry node that fails its health check gets new
+// connections only if all others fail.
 type balancer struct {
 	zones [][]string // front-end addresses by zone
 	next  atomic.Uint64
 
-	mu       sync.Mutex
-	refusing map[string]bool // by address
+	mu        sync.Mutex
+	unhealthy map[string]bool // by address
 }
 
-// check asks all entry nodes for their health until ctx ends.
-func (b *balancer) check(ctx context.Context, wait *sync.WaitGroup) {
+// checkAll checks the health of all entry nodes until ctx ends.
+func (b *balancer) checkAll(ctx context.Context, wait *sync.WaitGroup) {
 	for _, zone := range b.zones {
 		for _, address := range zone {
-			wait.Go(func() { b.checkOne(ctx, address) })
+			wait.Go(func() { b.checkNode(ctx, address) })
 		}
 	}
 }
 
-// checkOne follows one entry node. Only a clear refusal takes it out: no answer
-// is left for the next connection attempt to find.
-func (b *balancer) checkOne(ctx context.Context, address string) {
-	client := &http.Client{Timeout: checkLimit}
+// checkNode checks one entry node periodically. Only status 503 marks it unhealthy; a node
+// that does not answer is detected by the next connection attempt.
+func (b *balancer) checkNode(ctx context.Context, address string) {
+	client := &http.Client{Timeout: healthCheckTimeout}
 	defer client.CloseIdleConnections()
 	for {
 		if response, err := client.Get("http://" + address + callerapi.PathHealth); err == nil {
 			_ = response.Body.Close()
-			b.note(address, response.StatusCode == http.StatusServiceUnavailable)
+			b.setUnhealthy(address, response.StatusCode == http.StatusServiceUnavailable)
 		}
-		if !clock.Wait(ctx, checkEvery) {
+		if !clock.Wait(ctx, healthCheckInterval) {
 			return
 		}
 	}
 }
 
-func (b *balancer) note(address string, refuses bool) {
+func (b *balancer) setUnhealthy(address string, refuses bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.refusing == nil {
-		b.refusing = map[string]bool{}
+	if b.unhealthy == nil {
+		b.unhealthy = map[string]bool{}
 	}
-	b.refusing[address] = refuses
+	b.unhealthy[address] = refuses
 }
 
-// dialer returns the dial function of the callers of a zone. Other zones'
-// entry nodes come last.
+// dialer returns the dial function of the callers of a zone. The other zones'
+// entry nodes are tried last.
 func (b *balancer) dialer(zone int) dialFunc {
 	return func(ctx context.Context, network, _ string) (net.Conn, error) {
 		dialer := net.Dialer{Timeout: dialTimeout}
@@ -81,8 +81,8 @@
 	}
 }
 
-// toOnly returns the dial function of a caller that insists on one entry node.
-func toOnly(address string) dialFunc {
+// dialOnly returns a dial function that always connects to the given entry node.
+func dialOnly(address string) dialFunc {
 	return func(ctx context.Context, network, _ string) (net.Conn, error) {
 		dialer := net.Dialer{Timeout: dialTimeout}
 		return dialer.DialContext(ctx, network, address)
@@ -97,16 +97,16 @@
 		order = append(order, addresses[first:]...)
 		order = append(order, addresses[:first]...)
 	}
-	return b.refusingLast(order)
+	return b.unhealthyLast(order)
 }
 
-func (b *balancer) refusingLast(order []string) []string {
+func (b *balancer) unhealthyLast(order []string) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	sorted := make([]string, 0, len(order))
 	var last []string
 	for _, address := range order {
-		if b.refusing[address] {
+		if b.unhealthy[address] {
 			last = append(last, address)
 			continue
 		}
--- a/demo/callers.go
+++ b/demo/callers.go
@@ -12,12 +12,12 @@
 	"github.com/burdockspindle/burdockspindle/standin/server"
 )
 
-// Behaviour of the demo's callers.
+// Parameters of the demo's callers.
 const (
-	callerWorkers    = 128 // requests in flight at most, over all zones
+	callerWorkers    = 128 // maximum requests in flight, over all zones
 	requestDeadline  = 4 * time.Second
-	ticketAttempts   = 3 // tickets asked for before giving up
-	writeAttempts    = 3 // sendings of one ticket while its outcome is unknown
+	ticketAttempts   = 3 // ticket requests before giving up
+	writeAttempts    = 3 // attempts with one ticket while its outcome is unknown
 	pauseBeforeRetry = 200 * time.Millisecond
 )
 
@@ -26,18 +26,18 @@
 	clients  []*client // by zone
 	plan     []plannedRequest
 	deadline time.Duration // of each request
-	// done is told after each request with the number finished so far; nil for
-	// nobody.
-	done func(finished int)
+	// onFinished is called after each request with the number finished so far; nil for
+	// none.
+	onFinished func(finished int)
 
 	mu       sync.Mutex
 	finished int
 }
 
-// run sends every request at its planned time, or as soon after it as a worker
+// run sends every request at its planned time, or as soon afterwards as a worker
 // is free, and returns when all are finished or ctx ends.
 func (s *sender) run(ctx context.Context) {
-	queue := make(chan plannedRequest) // full: the dispatcher waits, requests are late
+	queue := make(chan plannedRequest) // unbuffered: if no worker is free, the dispatcher waits and requests are late
 	var wait sync.WaitGroup
 	for range callerWorkers {
 		wait.Go(func() {
@@ -71,12 +71,12 @@
 	s.finished++
 	finished := s.finished
 	s.mu.Unlock()
-	if s.done != nil {
-		s.done(finished)
+	if s.onFinished != nil {
+		s.onFinished(finished)
 	}
 }
 
-// send makes the attempts at one request. A write is sent again under the same
+// send makes the attempts of one request. A write is sent again with the same
 // ticket while it is unknown whether it ran.
 func (s *sender) send(ctx context.Context, request plannedRequest) {
 	client := s.clients[request.Zone]
@@ -96,10 +96,10 @@
 		client.send(ctx, one)
 		return
 	}
-	uses := 0 // of the ticket that one carries
+	uses := 0 // attempts made with the current ticket
 	for ; one.number <= writeAttempts; one.number++ {
 		if uses == 0 && !s.obtainTicket(ctx, client, &one) {
-			client.giveUp(one)
+			client.recordUnsent(one)
 			return
 		}
 		answer := client.send(ctx, one)
@@ -108,7 +108,7 @@
 		case answer.Outcome != serverapi.OutcomeUnknown:
 			return
 		case answer.Reason == serverapi.ReasonStaleTicket && uses > 1:
-			return // it stays stale, and the earlier use may have run
+			return // the ticket stays stale, and the earlier attempt may have run
 		case answer.Reason == serverapi.ReasonStaleTicket:
 			uses = 0 // nothing ran: a new ticket is safe
 			continue
@@ -133,8 +133,8 @@
 	return false
 }
 
-// giveUp records a request that was never sent, for lack of a ticket.
-func (c *client) giveUp(a attempt) {
+// recordUnsent records a request that was never sent because no ticket was issued.
+func (c *client) recordUnsent(a attempt) {
 	at := c.clock()
 	c.recorder.Record(history.CallerSent{
 		At: at, Caller: a.caller, CallerRequest: a.request, Attempt: a.number,
--- a/demo/client.go
+++ b/demo/client.go
@@ -23,19 +23,19 @@
 const (
 	entryURL         = "http://entry" // the balancer's dialer chooses the address
 	callerIdleConns  = 256
-	deadlineGrace    = time.Second // the caller waits this much longer than its deadline
+	deadlineGrace    = time.Second // additional wait of the caller beyond its deadline
 	reasonNoEntry    = serverapi.Reason("no-entry-node")
 	reasonConnection = serverapi.Reason("connection-broken")
 )
 
-// client sends attempts of one zone's callers and records them.
+// client sends the attempts of one zone's callers and records them.
 type client struct {
 	http     *http.Client
 	recorder history.Recorder
 	clock    history.Clock
 }
 
-// dialFunc opens a connection to some entry node.
+// dialFunc opens a connection.
 type dialFunc func(ctx context.Context, network, _ string) (net.Conn, error)
 
 func newClient(dial dialFunc, recorder history.Recorder, clock history.Clock) *client {
@@ -49,22 +49,22 @@
 
 func (c *client) close() { c.http.CloseIdleConnections() }
 
-// attempt is one sending of a caller's request.
+// attempt is one attempt of a caller's request.
 type attempt struct {
 	caller   string
-	request  string // caller's name for the request
+	request  string // the caller's unique name for the request
 	number   int
 	service  topo.Service
 	keyed    bool
-	record   string // the key of a keyed service, a record's name otherwise
+	record   string // the key for a keyed service, otherwise the record's name
 	method   string
 	ticket   string
 	body     []byte
-	size     int // filler bytes wanted in the answer
+	size     int // filler bytes requested in the answer
 	deadline time.Duration
 }
 
-// path is the caller's path, which ends in the stand-in server's own.
+// path returns the request path, which ends in the stand-in server's path.
 func (a attempt) path() string {
 	rest := "records/" + url.PathEscape(a.record) + "?size=" + strconv.Itoa(a.size)
 	if !a.keyed {
@@ -73,7 +73,7 @@
 	return callerapi.KeyedPath(a.service, a.record, rest)
 }
 
-// send makes one attempt and records its sending and its answer.
+// send makes one attempt and records the attempt and its answer.
 func (c *client) send(ctx context.Context, a attempt) history.CallerAnswered {
 	c.recorder.Record(history.CallerSent{
 		At: c.clock(), Caller: a.caller, CallerRequest: a.request, Attempt: a.number,
@@ -89,7 +89,7 @@
 func (c *client) exchange(ctx context.Context, a attempt) history.CallerAnswered {
 	ctx, cancel := context.WithTimeout(ctx, a.deadline+deadlineGrace)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, a.method, entryURL+a.path(), onceOnly(a.body))
+	request, err := http.NewRequestWithContext(ctx, a.method, entryURL+a.path(), withoutReplay(a.body))
 	if err != nil {
 		return notSent()
 	}
@@ -112,8 +112,8 @@
 	return readAnswer(response, body)
 }
 
-// readAnswer reads the outcome of a whole HTTP answer, and for an answer of a
-// server what it says of the request that it answers.
+// readAnswer reads the outcome of a complete HTTP response and, if a
+// server answered, the server's echo of the request.
 func readAnswer(response *http.Response, body []byte) history.CallerAnswered {
 	answered := history.CallerAnswered{
 		Status:   response.StatusCode,
@@ -134,9 +134,9 @@
 	return answered
 }
 
-// onceOnly hides a body's type from net/http, which would otherwise send a
-// request again by itself when a reused connection breaks.
-func onceOnly(body []byte) io.Reader {
+// withoutReplay hides a body's type from net/http, which would otherwise resend a
+// request automatically when a reused connection breaks.
+func withoutReplay(body []byte) io.Reader {
 	return struct{ io.Reader }{bytes.NewReader(body)}
 }
 
@@ -148,8 +148,8 @@
 	return history.CallerAnswered{Status: status, Outcome: serverapi.OutcomeUnknown, Reason: reasonConnection}
 }
 
-// failedExchange judges an attempt without an answer: only one that got no
-// connection is known not to have been sent.
+// failedExchange classifies an attempt without an answer: only an attempt without a
+// connection is certain not to have been sent.
 func failedExchange(err error) history.CallerAnswered {
 	var network *net.OpError
 	if errors.As(err, &network) && network.Op == "dial" {
@@ -158,7 +158,7 @@
 	return brokenExchange(0)
 }
 
-// ticket asks for an idempotency ticket; ok is false when none was issued.
+// ticket requests an idempotency ticket; the result is false if none was issued.
 func (c *client) ticket(ctx context.Context, a attempt) (string, bool) {
 	path := callerapi.UnkeyedTicketPath(a.service)
 	if a.keyed {
--- a/demo/command.go
+++ b/demo/command.go
@@ -17,12 +17,12 @@
 	verbose, historyFile := false, ""
 	return cli.Command{
 		Name:        "demo",
-		Description: "Run a whole site under load and faults and end in one line of JSON.",
+		Description: "Run a whole site under load and faults and print a summary as one line of JSON.",
 		Flags: func(sub *flaggy.Subcommand) {
 			sub.Int(&options.Requests, "n", "requests", "requests to send")
 			sub.UInt64(&options.Seed, "", "seed", "seed of requests and faults")
 			sub.String(&options.Deployment, "d", "deployment", "kavango or urbion")
-			sub.Bool(&verbose, "", "verbose", "log what nodes and servers log")
+			sub.Bool(&verbose, "", "verbose", "print the log lines of nodes and servers")
 			sub.String(&historyFile, "", "history", "file to write the recorded history to, as lines of JSON")
 		},
 		Run: func(ctx context.Context, env *cli.Env) error {
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -1,7 +1,7 @@
 // Package demo is the command "demo": a whole site in one process, under load
-// and faults, judged by what its servers and callers recorded. The entry nodes
-// are the real thing over loopback TCP; the platform and the backend servers
-// are stand-ins. Tests use its Site too.
+// and faults, evaluated from the history that its servers and callers record. The entry nodes
+// are real and use loopback TCP; the platform and the backend servers
+// are stand-ins. Tests also use its Site.
 package demo
 
 import (
@@ -24,22 +24,22 @@
 	DefaultDeployment = model.Kavango
 
 	requestsPerSecond = 400
-	shortestLoad      = 10 * time.Second // room for all faults
-	runTimeout        = time.Minute      // beyond the load itself
+	minLoadSpan       = 10 * time.Second // long enough for all faults
+	runTimeout        = time.Minute      // in addition to the load
 	progressSteps     = 10
 	faultStream       = 0xfa17 // separates the faults' random numbers from the load's
 )
 
-// Options say what to run.
+// Options configure a run.
 type Options struct {
 	Requests   int
 	Seed       uint64
 	Deployment string
-	// Logger gets the demo's progress, and Nodes what nodes and servers log;
+	// Logger receives the demo's progress, and Nodes the log lines of nodes and servers;
 	// nil for neither.
 	Logger hclog.Logger
 	Nodes  hclog.Logger
-	// History gets the recorded history in its encoded form; nil for nobody.
+	// History receives the recorded history in its encoded form; nil for none.
 	History io.Writer
 }
 
@@ -59,13 +59,13 @@
 	return o
 }
 
-// span returns how long the load lasts.
+// span returns the duration of the load.
 func (o Options) span() time.Duration {
-	return max(shortestLoad, time.Duration(o.Requests)*time.Second/requestsPerSecond)
+	return max(minLoadSpan, time.Duration(o.Requests)*time.Second/requestsPerSecond)
 }
 
-// Run runs the demo to its end. The error is a *ViolationError when something
-// did not hold that must hold; the summary is then filled in.
+// Run runs the demo to its end. The error is a *ViolationError if an invariant
+// was violated or nothing was answered; the summary is then complete.
 func Run(ctx context.Context, options Options) (Summary, error) {
 	options = options.withDefaults()
 	ctx, cancel := context.WithTimeout(ctx, options.span()+runTimeout)
@@ -93,7 +93,7 @@
 			return Summary{}, err
 		}
 	}
-	return judge(site, settled, options.Logger)
+	return evaluate(site, settled, options.Logger)
 }
 
 // exercise runs the demo's load and faults.
@@ -103,16 +103,16 @@
 	if err != nil {
 		return err
 	}
-	chosen, err := s.chooseVictims(keys, random)
+	chosen, err := s.chooseFaultTargets(keys, random)
 	if err != nil {
 		return err
 	}
 	load := Load{
-		Requests: options.Requests,
-		Seed:     options.Seed,
-		Span:     options.span(),
-		Probed:   Spread(keys, chosen.lost, chosen.frozen),
-		Progress: progress(options),
+		Requests:   options.Requests,
+		Seed:       options.Seed,
+		Span:       options.span(),
+		Probed:     Spread(keys, chosen.lost, chosen.frozen),
+		OnProgress: progress(options),
 	}
 	eventServing.Log(options.Logger, "requests", load.Requests, "over", load.Span)
 	settled, err := s.Exercise(ctx, load, func(ctx context.Context) {
@@ -133,9 +133,9 @@
 	}
 }
 
-// judge reports what the checkers found.
-func judge(s *Site, settled Settled, logger hclog.Logger) (Summary, error) {
-	summary, found := s.Judge(settled)
+// evaluate logs the violations and returns the summary.
+func evaluate(s *Site, settled Settled, logger hclog.Logger) (Summary, error) {
+	summary, found := s.Evaluate(settled)
 	longest := histcheck.Unavailable(s.Memory.Events(), IsProbe)
 	eventLongest.Log(logger, "service", longest.Service, "key", longest.Key, "for", longest.Longest, "from", longest.From.Sub(0))
 	texts := make([]string, len(found))
@@ -143,7 +143,7 @@
 		texts[i] = violation.String()
 		eventViolation.Log(logger, "violation", texts[i])
 	}
-	if !summary.Holds() {
+	if !summary.Passed() {
 		return summary, &ViolationError{Violations: texts}
 	}
 	return summary, nil
--- a/demo/deployment.go
+++ b/demo/deployment.go
@@ -15,10 +15,10 @@
 
 const (
 	nodesPerZone   = 2
-	defaultServers = 10 // of a service that the preset does not know
+	defaultServers = 10 // for a service that the preset does not contain
 )
 
-// deployment is what the demo runs.
+// deployment is the deployment that the demo runs.
 type deployment struct {
 	name    string
 	text    []byte // site configuration
@@ -56,7 +56,7 @@
 	return d, nil
 }
 
-// resize sets the number of servers of each service; 0 leaves it.
+// resize sets the number of servers of each service; 0 leaves it unchanged.
 func (d *deployment) resize(servers int) {
 	for service := range d.servers {
 		if servers > 0 {
--- a/demo/errors.go
+++ b/demo/errors.go
@@ -6,23 +6,23 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// DeploymentError reports a deployment that is not known.
+// DeploymentError reports an unknown deployment.
 type DeploymentError struct{ Name string }
 
 // Error implements error.
 func (e *DeploymentError) Error() string {
-	return "deployment " + e.Name + ": not known; there are kavango and urbion"
+	return "deployment " + e.Name + ": unknown; known deployments are kavango and urbion"
 }
 
-// PublishError reports that the site configuration did not come into force.
+// PublishError reports that the publication of the site configuration was rejected.
 type PublishError struct{ Conflict string }
 
 // Error implements error.
 func (e *PublishError) Error() string { return "publish site configuration: " + e.Conflict }
 
-// NotReadyError reports a site that does not serve in time.
+// NotReadyError reports a site that is not ready in time.
 type NotReadyError struct {
-	Missing string // what is missing
+	Missing string // the unmet condition
 	Cause   error
 }
 
@@ -48,9 +48,9 @@
 type OneServiceError struct{}
 
 // Error implements error.
-func (*OneServiceError) Error() string { return "the site has one service only" }
+func (*OneServiceError) Error() string { return "the site has only one service" }
 
-// ViolationError reports that something did not hold that must always hold.
+// ViolationError reports violated invariants, or a run without any answered request.
 type ViolationError struct{ Violations []string }
 
 // Error implements error.
--- a/demo/events.go
+++ b/demo/events.go
@@ -8,13 +8,13 @@
 
 var (
 	eventStarting  = events.Define(1950, hclog.Info, "demo: site starting")
-	eventServing   = events.Define(1951, hclog.Info, "demo: site serves, sending requests")
-	eventKilled    = events.Define(1952, hclog.Info, "demo: server lost")
-	eventNodeLost  = events.Define(1953, hclog.Info, "demo: entry node lost")
+	eventServing   = events.Define(1951, hclog.Info, "demo: site ready, sending requests")
+	eventKilled    = events.Define(1952, hclog.Info, "demo: server killed")
+	eventNodeLost  = events.Define(1953, hclog.Info, "demo: entry node killed")
 	eventFrozen    = events.Define(1954, hclog.Info, "demo: server frozen")
-	eventReturned  = events.Define(1955, hclog.Info, "demo: frozen server returned")
+	eventReturned  = events.Define(1955, hclog.Info, "demo: frozen server resumed")
 	eventProgress  = events.Define(1956, hclog.Info, "demo: progress")
 	eventViolation = events.Define(1957, hclog.Error, "demo: violation found in the history")
 	eventLongest   = events.Define(1958, hclog.Info, "demo: longest unavailable key")
-	eventUnsettled = events.Define(1959, hclog.Warn, "demo: keys were still unavailable when the demo gave up waiting")
+	eventUnsettled = events.Define(1959, hclog.Warn, "demo: keys still unavailable when the wait timed out")
 )
--- a/demo/faults.go
+++ b/demo/faults.go
@@ -12,31 +12,31 @@
 	"github.com/burdockspindle/burdockspindle/vmlist"
 )
 
-// When the faults come, as parts of the load's span, and how long they last.
+// Start times of the faults, as fractions of the load's span, and their durations.
 const (
 	loseServerAt   = 0.20
 	loseNodeAt     = 0.45
 	freezeServerAt = 0.65
-	frozenFor      = 2500 * time.Millisecond // well past the lease
-	vmListLag      = 2 * time.Second         // until the platform notices a lost VM
+	freezeDuration = 2500 * time.Millisecond // well beyond the lease
+	vmListLag      = 2 * time.Second         // until the platform detects a lost VM
 )
 
-// victims are what the demo loses and freezes.
-type victims struct {
+// faultTargets are the servers and the node that the demo kills or freezes.
+type faultTargets struct {
 	lost   *SiteServer
 	frozen *SiteServer
 	node   *SiteNode
 }
 
-// chooseVictims draws two servers that own keys, and the node that renews the
-// leases of the second one's group if it can be told.
-func (s *Site) chooseVictims(keys []OwnedKey, random *rand.Rand) (victims, error) {
+// chooseFaultTargets draws two servers that own keys, and the node that renews the
+// leases of the second server's group, or any node if that one is unknown.
+func (s *Site) chooseFaultTargets(keys []OwnedKey, random *rand.Rand) (faultTargets, error) {
 	owners := s.OwnersOf(keys)
 	if len(owners) < 2 {
-		return victims{}, &NotReadyError{Missing: "fewer than two servers own keys"}
+		return faultTargets{}, &NotReadyError{Missing: "fewer than two servers own keys"}
 	}
 	random.Shuffle(len(owners), func(i, j int) { owners[i], owners[j] = owners[j], owners[i] })
-	chosen := victims{lost: owners[0], frozen: owners[1]}
+	chosen := faultTargets{lost: owners[0], frozen: owners[1]}
 	chosen.node = s.LessorOf(chosen.frozen.ID)
 	if chosen.node == nil {
 		chosen.node = s.Nodes[random.IntN(len(s.Nodes))]
@@ -44,7 +44,7 @@
 	return chosen, nil
 }
 
-// reuseSeed is the seed of a server that takes a lost one's address.
+// reuseSeed is the seed of a server that reuses the address of a lost server.
 const reuseSeed = 1000
 
 // OwnersOf returns the servers that own the keys, in the site's order.
@@ -62,7 +62,7 @@
 	return owners
 }
 
-// LessorOf returns the node that is the lessor of a server's group; nil when
+// LessorOf returns the node that is the lessor of a server's group; nil if
 // there is none.
 func (s *Site) LessorOf(id topo.ServerID) *SiteNode {
 	view, err := s.View()
@@ -79,11 +79,11 @@
 	return nil
 }
 
-// LoseServer kills a server; the platform notices after its lag.
-func (s *Site) LoseServer(one *SiteServer) {
+// KillServer kills a server; the platform detects the loss after vmListLag.
+func (s *Site) KillServer(one *SiteServer) {
 	one.Kill()
 	one.Lost = true
-	s.noticeLater(string(one.ID))
+	s.markGoneLater(string(one.ID))
 }
 
 // ReuseAddress starts a new server of another service at the address of a lost one.
@@ -103,14 +103,14 @@
 	return nil, &ServerError{Server: lost.ID, Cause: &OneServiceError{}}
 }
 
-// LoseNode kills an entry node; the platform notices after its lag.
-func (s *Site) LoseNode(one *SiteNode) {
+// KillNode kills an entry node; the platform detects the loss after vmListLag.
+func (s *Site) KillNode(one *SiteNode) {
 	one.Lost = true
 	_ = one.Kill()
-	s.noticeLater(string(one.ID))
+	s.markGoneLater(string(one.ID))
 }
 
-// ShutDownNode drains an entry node and stops it, as a planned stop does. The
+// ShutDownNode drains and stops an entry node as in a planned stop. The
 // platform's balancer sends no new connections to it.
 func (s *Site) ShutDownNode(ctx context.Context, one *SiteNode) error {
 	s.Platform.SetPhase(string(one.ID), vmlist.PhaseLeaving)
@@ -120,13 +120,13 @@
 	return err
 }
 
-func (s *Site) noticeLater(id string) {
+func (s *Site) markGoneLater(id string) {
 	time.AfterFunc(vmListLag, func() { s.Platform.SetPhase(id, vmlist.PhaseGone) })
 }
 
-// injectFaults brings the faults about while the load runs, and returns when the
-// frozen server is back.
-func (s *Site) injectFaults(ctx context.Context, v victims, span time.Duration, logger hclog.Logger) {
+// injectFaults injects the faults while the load runs, and returns when the
+// frozen server runs again.
+func (s *Site) injectFaults(ctx context.Context, v faultTargets, span time.Duration, logger hclog.Logger) {
 	began := time.Now()
 	until := func(part float64) time.Duration {
 		return time.Duration(part*float64(span)) - time.Since(began)
@@ -135,18 +135,18 @@
 		return
 	}
 	eventKilled.Log(logger, "server", v.lost.ID, "zone", v.lost.Zone)
-	s.LoseServer(v.lost)
+	s.KillServer(v.lost)
 	if !clock.Wait(ctx, until(loseNodeAt)) {
 		return
 	}
 	eventNodeLost.Log(logger, "lost", v.node.ID)
-	s.LoseNode(v.node)
+	s.KillNode(v.node)
 	if !clock.Wait(ctx, until(freezeServerAt)) {
 		return
 	}
-	eventFrozen.Log(logger, "server", v.frozen.ID, "for", frozenFor)
+	eventFrozen.Log(logger, "server", v.frozen.ID, "for", freezeDuration)
 	v.frozen.Freeze()
-	clock.Wait(ctx, frozenFor)
+	clock.Wait(ctx, freezeDuration)
 	v.frozen.Unfreeze()
 	eventReturned.Log(logger, "server", v.frozen.ID)
 }
--- a/demo/load.go
+++ b/demo/load.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	probedOwners  = 12 // keys probed, of as many owners as possible
+	probedOwners  = 12 // number of keys probed, of as many owners as possible
 	settleTimeout = 30 * time.Second
 )
 
-// Load is what callers send while a site is exercised.
+// Load describes the requests that callers send to a site.
 type Load struct {
 	Requests int
 	Seed     uint64
 	Span     time.Duration // over which the requests arrive
-	// Probed are the keys whose unavailable time is measured; by default some
+	// Probed lists the keys whose unavailable time is measured; by default keys
 	// of as many owners as possible.
 	Probed []OwnedKey
-	// Progress is told how many requests are finished; nil for nobody.
-	Progress func(finished int)
-	// Deadline of requests and probes, where no outcome may be lost to a slow
-	// machine; 0 for the usual ones.
+	// OnProgress is called with the number of finished requests; nil for none.
+	OnProgress func(finished int)
+	// Deadline applies to requests and probes if no outcome may be lost because of a slow
+	// machine; 0 for the default deadlines.
 	Deadline time.Duration
-	// Unserved is told each probed key that was not served again in the end, and
-	// the latest answer to a probe of it; nil for nobody.
-	Unserved func(key OwnedKey, latest history.CallerAnswered)
+	// OnUnserved is called for each probed key that is not served again at the end, with
+	// the latest answer to one of its probes; nil for none.
+	OnUnserved func(key OwnedKey, latest history.CallerAnswered)
 }
 
 // Exercise sends the load through the site's nodes; see Callers.Exercise.
@@ -50,43 +50,43 @@
 	for _, one := range s.Nodes {
 		fronts[one.Zone] = append(fronts[one.Zone], one.Frontend())
 	}
-	callers := &Callers{Fronts: fronts, Site: s.deployment.site, Recorder: s.Memory, Clock: s.Clock}
+	callers := &Callers{Frontends: fronts, Site: s.deployment.site, Recorder: s.Memory, Clock: s.Clock}
 	return callers.Exercise(ctx, load, faults)
 }
 
-// Callers send requests to a site and record what they learn.
+// Callers send requests to a site and record the results.
 type Callers struct {
-	// Fronts are the entry nodes' addresses for callers, by zone. Callers are
-	// spread over the zones.
-	Fronts   [][]string
-	Site     *siteconfig.Site
-	Recorder history.Recorder
-	Clock    history.Clock
+	// Frontends lists the entry nodes' addresses for callers, by zone. Callers are
+	// distributed over the zones.
+	Frontends [][]string
+	Site      *siteconfig.Site
+	Recorder  history.Recorder
+	Clock     history.Clock
 }
 
-// Exercise sends the load while faults runs beside it, and waits until both are
-// over and the probed keys are served again. Settled is false when they were
-// not in time.
+// Exercise sends the load while faults runs concurrently, and waits until both are
+// finished and the probed keys are served again. Settled is false if the keys were
+// not served in time.
 func (c *Callers) Exercise(ctx context.Context, load Load, faults func(context.Context)) (settled bool, err error) {
-	front := &balancer{zones: c.Fronts}
+	front := &balancer{zones: c.Frontends}
 	clients := c.clients(front)
 	probing, stopProbing := context.WithCancel(ctx)
 	defer stopProbing()
 	probers, probesDone := startProbers(probing, clients, load)
-	front.check(probing, probesDone)
+	front.checkAll(probing, probesDone)
 	var wait sync.WaitGroup
 	wait.Go(func() { faults(ctx) })
 	sending := &sender{
-		clients:  clients,
-		deadline: cmp.Or(load.Deadline, requestDeadline),
-		plan:     planRequests(load.Requests, load.Seed, load.Span, len(clients), c.Site),
-		done:     load.Progress,
+		clients:    clients,
+		deadline:   cmp.Or(load.Deadline, requestDeadline),
+		plan:       planRequests(load.Requests, load.Seed, load.Span, len(clients), c.Site),
+		onFinished: load.OnProgress,
 	}
 	sending.run(ctx)
 	wait.Wait()
 	settled = waitHealthy(ctx, probers)
-	if !settled && load.Unserved != nil {
-		tellUnserved(probers, load.Unserved)
+	if !settled && load.OnUnserved != nil {
+		reportUnserved(probers, load.OnUnserved)
 	}
 	stopProbing()
 	probesDone.Wait()
@@ -98,20 +98,20 @@
 
 // clients returns one client for each zone, behind the platform's balancer.
 func (c *Callers) clients(front *balancer) []*client {
-	clients := make([]*client, len(c.Fronts))
+	clients := make([]*client, len(c.Frontends))
 	for zone := range clients {
 		clients[zone] = newClient(front.dialer(zone), c.Recorder, c.Clock)
 	}
 	return clients
 }
 
-// Judge computes the summary of what was recorded and lists all violations.
-// Settled are the nodes that were connected to the end.
-func (s *Site) Judge(settled Settled) (Summary, []histcheck.Violation) {
+// Evaluate computes the summary of the recorded history and lists all violations.
+// Settled contains the nodes that were connected until the end.
+func (s *Site) Evaluate(settled Settled) (Summary, []histcheck.Violation) {
 	return summarize(s.Memory.Events(), s.CheckOptions(settled))
 }
 
-// CheckOptions returns what the checkers need to know of the site.
+// CheckOptions returns the options of the checkers for this site.
 func (s *Site) CheckOptions(settled Settled) histcheck.Options {
 	return histcheck.Options{
 		Idempotent: idempotentBy(s.deployment.site),
@@ -120,7 +120,7 @@
 	}
 }
 
-// idempotentBy tells by a site configuration which methods may be repeated.
+// idempotentBy returns a function that reports whether a site configuration allows a method to be repeated.
 func idempotentBy(site *siteconfig.Site) func(service topo.Service, method string) bool {
 	return func(service topo.Service, method string) bool {
 		config, exists := site.Services[service]
@@ -128,13 +128,13 @@
 	}
 }
 
-// Judge computes the summary of a history that the callers and others recorded,
+// Evaluate computes the summary of a history recorded by the callers and the servers,
 // and lists all violations.
-func (c *Callers) Judge(events []history.Event) (Summary, []histcheck.Violation) {
+func (c *Callers) Evaluate(events []history.Event) (Summary, []histcheck.Violation) {
 	return summarize(events, histcheck.Options{Idempotent: idempotentBy(c.Site)})
 }
 
-// Keys lists the keys that the callers ask for. Their owners are not known.
+// Keys lists the keys that the callers request. Their owners are unknown.
 func (c *Callers) Keys() []OwnedKey {
 	var keys []OwnedKey
 	for _, service := range sortedServices(c.Site) {
@@ -145,7 +145,7 @@
 	return keys
 }
 
-// startProbers probes keys, each from the next zone.
+// startProbers starts one prober per key, cycling through the zones.
 func startProbers(ctx context.Context, clients []*client, load Load) ([]*prober, *sync.WaitGroup) {
 	var wait sync.WaitGroup
 	probers := make([]*prober, len(load.Probed))
@@ -159,7 +159,7 @@
 	return probers, &wait
 }
 
-// Spread picks keys to probe: one of each owner in turn, some owners first.
+// Spread selects keys to probe: one of each owner in turn, beginning with the owners in first.
 func Spread(keys []OwnedKey, first ...*SiteServer) []OwnedKey {
 	byOwner := map[topo.ServerID][]OwnedKey{}
 	var order []topo.ServerID
@@ -184,22 +184,22 @@
 }
 
 // waitHealthy waits until the latest probe of every key was answered. On a
-// machine too slow for probes of the usual deadline it goes on with longer ones:
-// the question is whether the keys are served again, not how fast.
+// machine too slow for the default probe deadline it continues with a longer one,
+// because it checks whether the keys are served again, not how fast.
 func waitHealthy(ctx context.Context, probers []*prober) bool {
-	if allHealthy(ctx, impatientFor, probers) {
+	if allHealthy(ctx, shortProbePeriod, probers) {
 		return true
 	}
 	for _, one := range probers {
-		one.bePatient()
+		one.extendDeadline()
 	}
 	return allHealthy(ctx, settleTimeout, probers)
 }
 
-func tellUnserved(probers []*prober, tell func(OwnedKey, history.CallerAnswered)) {
+func reportUnserved(probers []*prober, tell func(OwnedKey, history.CallerAnswered)) {
 	for _, one := range probers {
 		if !one.healthy() {
-			tell(one.key, one.last())
+			tell(one.key, one.latestAnswer())
 		}
 	}
 }
--- a/demo/network.go
+++ b/demo/network.go
@@ -10,83 +10,83 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// place is where an end of a connection is: a zone, and the entry node if it is
-// one.
-type place struct {
+// endpoint is the location of one end of a connection: its zone and, if the end is an
+// entry node, the node.
+type endpoint struct {
 	zone topo.Zone
 	node topo.NodeID
 }
 
-// Network is what lies between the entry nodes of a site, and between them and
-// the servers. It can be cut: connections that cross the cut carry nothing any
-// more, for good, and new ones are not answered until it is healed.
+// Network simulates the network between the entry nodes of a site, and between them and
+// the servers. It can be partitioned: connections that cross the partition stall
+// permanently, and new ones are not established until it is healed.
 type Network struct {
-	mu     sync.Mutex
-	places map[string]place // by address
-	cut    func(from, to place) bool
-	conns  map[*cutConn]struct{}
+	mu        sync.Mutex
+	endpoints map[string]endpoint // by address
+	cut       func(from, to endpoint) bool
+	conns     map[*stallableConn]struct{}
 }
 
 func newNetwork() *Network {
-	return &Network{places: map[string]place{}, conns: map[*cutConn]struct{}{}}
+	return &Network{endpoints: map[string]endpoint{}, conns: map[*stallableConn]struct{}{}}
 }
 
-// CutZones separates a zone's nodes from everything in other zones.
-func (n *Network) CutZones(zone topo.Zone) {
-	n.setCut(func(from, to place) bool { return (from.zone == zone) != (to.zone == zone) })
+// IsolateZone separates a zone from the nodes and servers of all other zones.
+func (n *Network) IsolateZone(zone topo.Zone) {
+	n.setCut(func(from, to endpoint) bool { return (from.zone == zone) != (to.zone == zone) })
 }
 
 // CutNodes separates the given entry nodes from all other entry nodes, and from
-// each other. Servers are still reached.
+// each other. Servers stay reachable.
 func (n *Network) CutNodes(nodes ...topo.NodeID) {
-	apart := map[topo.NodeID]bool{}
+	isolated := map[topo.NodeID]bool{}
 	for _, node := range nodes {
-		apart[node] = true
+		isolated[node] = true
 	}
-	n.setCut(func(from, to place) bool { return to.node != "" && (apart[from.node] || apart[to.node]) })
+	n.setCut(func(from, to endpoint) bool { return to.node != "" && (isolated[from.node] || isolated[to.node]) })
 }
 
-// CutNodeOff separates an entry node from all other nodes and all servers.
-func (n *Network) CutNodeOff(node topo.NodeID) {
-	n.setCut(func(from, to place) bool { return from.node == node || to.node == node })
+// IsolateNode separates an entry node from all other nodes and from all servers.
+func (n *Network) IsolateNode(node topo.NodeID) {
+	n.setCut(func(from, to endpoint) bool { return from.node == node || to.node == node })
 }
 
-// SilenceOpen makes every connection that is open now silent for good. New ones
-// work.
-func (n *Network) SilenceOpen() {
-	n.setCut(func(place, place) bool { return true })
+// StallOpenConnections stalls every currently open connection permanently. New connections
+// are not affected.
+func (n *Network) StallOpenConnections() {
+	n.setCut(func(endpoint, endpoint) bool { return true })
 	n.Heal()
 }
 
-// Heal lets new connections through. Those that were cut stay silent.
+// Heal allows new connections. Stalled connections stay stalled.
 func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cut = nil
 }
 
-func (n *Network) setCut(cut func(from, to place) bool) {
+func (n *Network) setCut(cut func(from, to endpoint) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cut = cut
 	for conn := range n.conns {
-		if cut(conn.from, n.places[conn.address]) {
-			conn.silence()
+		if cut(conn.from, n.endpoints[conn.address]) {
+			conn.stall()
 		}
 	}
 }
 
-// put notes where an address is.
-func (n *Network) put(address string, at place) {
+// put registers the endpoint of an address.
+func (n *Network) put(address string, at endpoint) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.places[address] = at
+	n.endpoints[address] = at
 }
 
-// dialFrom returns how a node at a place opens connections.
-func (n *Network) dialFrom(from place) dialFunc {
+// dialFrom returns the dial function of a node at an endpoint.
+func (n *Network) dialFrom(from endpoint) dialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		if n.separated(from, address) {
+		if n.isCut(from, address) {
 			<-ctx.Done()
 			return nil, &net.OpError{Op: "dial", Net: network, Err: os.ErrDeadlineExceeded}
 		}
@@ -98,59 +98,59 @@
 	}
 }
 
-func (n *Network) separated(from place, address string) bool {
+func (n *Network) isCut(from endpoint, address string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cut != nil && n.cut(from, n.places[address])
+	return n.cut != nil && n.cut(from, n.endpoints[address])
 }
 
-func (n *Network) track(inner net.Conn, from place, address string) net.Conn {
+func (n *Network) track(inner net.Conn, from endpoint, address string) net.Conn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	conn := &cutConn{Conn: inner, network: n, from: from, address: address, silent: make(chan struct{}), closed: make(chan struct{})}
+	conn := &stallableConn{Conn: inner, network: n, from: from, address: address, stalled: make(chan struct{}), closed: make(chan struct{})}
 	n.conns[conn] = struct{}{}
-	if n.cut != nil && n.cut(from, n.places[address]) {
-		conn.silence()
+	if n.cut != nil && n.cut(from, n.endpoints[address]) {
+		conn.stall()
 	}
 	return conn
 }
 
-func (n *Network) forget(conn *cutConn) {
+func (n *Network) forget(conn *stallableConn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.conns, conn)
 }
 
-// cutConn is a connection that can go silent.
-type cutConn struct {
+// stallableConn is a connection that can stall.
+type stallableConn struct {
 	net.Conn
 	network *Network
-	from    place
+	from    endpoint
 	address string
 
-	silenceOnce sync.Once
-	silent      chan struct{}
-	closeOnce   sync.Once
-	closed      chan struct{}
+	stallOnce sync.Once
+	stalled   chan struct{}
+	closeOnce sync.Once
+	closed    chan struct{}
 }
 
-func (c *cutConn) silence() { c.silenceOnce.Do(func() { close(c.silent) }) }
+func (c *stallableConn) stall() { c.stallOnce.Do(func() { close(c.stalled) }) }
 
-func (c *cutConn) isSilent() bool {
+func (c *stallableConn) isStalled() bool {
 	select {
-	case <-c.silent:
+	case <-c.stalled:
 		return true
 	default:
 		return false
 	}
 }
 
-// Read returns what arrives, until the connection is silent; from then on it
-// waits for the deadline or the end.
-func (c *cutConn) Read(p []byte) (int, error) {
+// Read reads from the connection until it stalls; a stalled connection discards data and
+// blocks until the deadline or Close.
+func (c *stallableConn) Read(p []byte) (int, error) {
 	for {
 		count, err := c.Conn.Read(p)
-		if !c.isSilent() || isTimeout(err) {
+		if !c.isStalled() || isTimeout(err) {
 			return count, err
 		}
 		if err != nil {
@@ -160,17 +160,17 @@
 	}
 }
 
-// Write writes, or only claims to.
-func (c *cutConn) Write(p []byte) (int, error) {
-	if c.isSilent() {
+// Write writes to the connection; if it has stalled, Write discards p and reports success.
+func (c *stallableConn) Write(p []byte) (int, error) {
+	if c.isStalled() {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
 }
 
-// Close closes the connection; the other end of a silent one learns nothing of
-// it before it looks for progress itself.
-func (c *cutConn) Close() error {
+// Close closes the connection; the peer of a stalled connection does not observe
+// the close until it checks for progress itself.
+func (c *stallableConn) Close() error {
 	c.network.forget(c)
 	c.closeOnce.Do(func() { close(c.closed) })
 	return c.Conn.Close()
--- a/demo/observer.go
+++ b/demo/observer.go
@@ -11,9 +11,9 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// observer records what an entry node has applied from the log: assignments and
-// the site configuration in force. What is applied was read back from the log
-// at its offset, so it counts as acknowledged.
+// observer records the records of the log that an entry node has applied: assignments and
+// the site configuration in force. An applied record was read back from the log
+// at its offset, so it is treated as acknowledged.
 type observer struct {
 	identity kernel.Identity
 	source   state.Source
@@ -67,13 +67,13 @@
 	}
 	for service := range view.Site().Services {
 		view.EachShard(service, func(assignment state.Assignment) bool {
-			o.assigned(at, assignment)
+			o.recordAssignment(at, assignment)
 			return true
 		})
 	}
 }
 
-func (o *observer) assigned(at history.Time, assignment state.Assignment) {
+func (o *observer) recordAssignment(at history.Time, assignment state.Assignment) {
 	if assignment.Fence == o.fences[assignment.Shard] {
 		return
 	}
--- a/demo/plan.go
+++ b/demo/plan.go
@@ -10,7 +10,7 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Shape of the load.
+// Parameters of the generated load.
 const (
 	keysPerService = 200
 	keySkew        = 1.1 // Zipf exponent; above 1
@@ -22,24 +22,24 @@
 // plannedRequest is one request of the sequence.
 type plannedRequest struct {
 	Number  int
-	After   time.Duration // since the beginning of the load
+	After   time.Duration // since the start of the load
 	Zone    int           // index of the caller's zone
 	Service topo.Service
 	Keyed   bool
-	Record  string // the key of a keyed service, a record's name otherwise
+	Record  string // the key for a keyed service, otherwise the record's name
 	Method  string
 	Body    []byte // nil for none
-	Size    int    // filler bytes wanted in the answer
+	Size    int    // filler bytes requested in the answer
 }
 
-// name is the caller's own, unique name for the request.
+// name returns the caller's unique name for the request.
 func (p plannedRequest) name() string { return fmt.Sprintf("request/%d", p.Number) }
 
-// caller names the caller that sends the request.
+// caller returns the name of the caller that sends the request.
 func (p plannedRequest) caller() string { return fmt.Sprintf("caller-%d", p.Zone) }
 
 // planRequests draws a seeded sequence of requests that arrive at random over a
-// span. The same arguments give the same sequence.
+// span. Equal arguments produce equal sequences.
 func planRequests(count int, seed uint64, span time.Duration, zones int, site *siteconfig.Site) []plannedRequest {
 	random := rand.New(rand.NewPCG(seed, uint64(count)))
 	services := sortedServices(site)
@@ -69,7 +69,7 @@
 	return plan
 }
 
-// keyName returns the index-th key of a service, hottest first.
+// keyName returns the index-th key of a service; index 0 is the hottest key.
 func keyName(service topo.Service, index int) string {
 	return fmt.Sprintf("%s-key-%d", service, index)
 }
--- a/demo/probes.go
+++ b/demo/probes.go
@@ -13,23 +13,23 @@
 	"github.com/burdockspindle/burdockspindle/serverapi"
 )
 
-// Probing of keys, to measure unavailable time. Each probe is short, so that
-// its failure tells when a key went away and its answer when it came back.
+// Parameters of the probes that measure unavailable time. Each probe has a short deadline, so
+// that a failure and the next answer show when a key became unavailable and available again.
 const (
 	probeEvery    = 50 * time.Millisecond
 	probeDeadline = 200 * time.Millisecond
 	probePrefix   = "probe/"
-	// patientDeadline is that of probes once the usual ones did not find all keys
-	// served for impatientFor after the faults.
-	patientDeadline = 5 * time.Second
-	impatientFor    = 10 * time.Second
+	// extendedProbeDeadline applies if probes with probeDeadline did not find all keys
+	// served within shortProbePeriod after the faults.
+	extendedProbeDeadline = 5 * time.Second
+	shortProbePeriod      = 10 * time.Second
 )
 
-// IsProbe tells the probes of a history from its requests.
+// IsProbe reports whether an attempt of a history is a probe rather than a request.
 func IsProbe(sent history.CallerSent) bool { return strings.HasPrefix(sent.CallerRequest, probePrefix) }
 
 // prober probes one key until its context ends, one probe at a time. The last
-// probe is finished.
+// probe is completed.
 type prober struct {
 	client   *client
 	key      OwnedKey
@@ -40,14 +40,14 @@
 	latest history.CallerAnswered
 }
 
-// bePatient gives later probes a deadline that a slow machine can meet too.
-func (p *prober) bePatient() {
+// extendDeadline gives later probes a deadline that a slow machine can also meet.
+func (p *prober) extendDeadline() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.deadline = max(p.deadline, patientDeadline)
+	p.deadline = max(p.deadline, extendedProbeDeadline)
 }
 
-func (p *prober) limit() time.Duration {
+func (p *prober) currentDeadline() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.deadline
@@ -64,7 +64,7 @@
 			keyed:    true,
 			record:   p.key.Key,
 			method:   http.MethodGet,
-			deadline: p.limit(),
+			deadline: p.currentDeadline(),
 		})
 		p.mu.Lock()
 		p.latest = answer
@@ -75,7 +75,7 @@
 	}
 }
 
-func (p *prober) last() history.CallerAnswered {
+func (p *prober) latestAnswer() history.CallerAnswered {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.latest
--- a/demo/ready.go
+++ b/demo/ready.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	readyTimeout  = 30 * time.Second
-	readyPoll     = 50 * time.Millisecond
-	readyDeadline = time.Second
-	settledWithin = 20 * time.Second
+	readyTimeout   = 30 * time.Second
+	readyPoll      = 50 * time.Millisecond
+	readyDeadline  = time.Second
+	settledTimeout = 20 * time.Second
 )
 
-// OwnedKey is a key and the server that owned it when it was looked up.
+// OwnedKey is a key with its owner at the time of the lookup.
 type OwnedKey struct {
 	Service topo.Service
 	Key     string
 	Owner   topo.ServerID
 }
 
-// View returns what the first node that still runs has applied.
+// View returns the view of the first node that still runs.
 func (s *Site) View() (*state.View, error) {
 	for _, one := range s.Nodes {
 		if one.Lost {
@@ -41,10 +41,10 @@
 		}
 		return source.View(), nil
 	}
-	return nil, &NotReadyError{Missing: "no entry node runs"}
+	return nil, &NotReadyError{Missing: "no entry node is running"}
 }
 
-// WaitReady returns when every node answers requests to every service, and
+// WaitReady waits until every node answers requests to every service and
 // every shard has an owner.
 func (s *Site) WaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
@@ -97,7 +97,7 @@
 
 // waitServing waits until a node answers a request to each service.
 func (s *Site) waitServing(ctx context.Context, one *SiteNode) error {
-	direct := newClient(toOnly(one.Frontend()), history.Discard{}, s.Clock)
+	direct := newClient(dialOnly(one.Frontend()), history.Discard{}, s.Clock)
 	defer direct.close()
 	for _, service := range sortedServices(s.deployment.site) {
 		for {
@@ -141,29 +141,29 @@
 	return keys, nil
 }
 
-// Settled are nodes that had applied the log up to the same record.
+// Settled lists nodes that have applied the log up to the same record.
 type Settled struct {
 	Nodes   []topo.NodeID
 	Applied topo.Offset
 }
 
-// WaitSettled waits until the nodes that run have applied the same records, and
-// returns them. Those that still lag after a long time are left out: the rule
-// that acknowledged assignments survive is not about speed.
+// WaitSettled waits until the running nodes have applied the same records, and
+// returns them. Nodes that still lag after settledTimeout are left out, because the rule
+// that acknowledged assignments are not lost does not limit the lag.
 func (s *Site) WaitSettled(ctx context.Context) Settled {
-	ctx, cancel := context.WithTimeout(ctx, settledWithin)
+	ctx, cancel := context.WithTimeout(ctx, settledTimeout)
 	defer cancel()
 	for {
-		furthest, lagging := s.furthest()
+		settled, lagging := s.mostAdvanced()
 		if lagging == 0 || !clock.Wait(ctx, readyPoll) {
-			return furthest
+			return settled
 		}
 	}
 }
 
-// furthest lists the nodes that run and have applied most, and counts the
-// others.
-func (s *Site) furthest() (settled Settled, lagging int) {
+// mostAdvanced lists the running nodes with the highest applied offset, and counts the
+// other running nodes.
+func (s *Site) mostAdvanced() (settled Settled, lagging int) {
 	for _, one := range s.Nodes {
 		if one.Lost {
 			continue
--- a/demo/settings.go
+++ b/demo/settings.go
@@ -5,8 +5,8 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// settingsOf returns the settings of one entry node: the defaults, with the
-// stand-ins of this process in the platform's place.
+// settingsOf returns the settings of one entry node: the defaults with the in-memory
+// stand-ins of this process instead of the platform.
 func (s *Site) settingsOf(id topo.NodeID, zone topo.Zone) *settings.Settings {
 	node := &settings.Settings{
 		Node:     id,
--- a/demo/site.go
+++ b/demo/site.go
@@ -34,7 +34,7 @@
 
 const (
 	serviceTime   = 2 * time.Millisecond
-	serviceSpread = 0.5 // shape of the log-normal service time
+	serviceSpread = 0.5 // shape parameter of the log-normal service time
 	stopTimeout   = 5 * time.Second
 	publisher     = "demo"
 )
@@ -44,7 +44,7 @@
 type Site struct {
 	Deployment string
 	Platform   *vms.Platform
-	// Log is the log as everybody sees it; its faults are everybody's.
+	// Log is the log shared by all nodes; its faults affect every node.
 	Log     *logfault.Log
 	Network *Network
 	Servers []*SiteServer
@@ -52,15 +52,15 @@
 	Memory  *history.Memory
 	Clock   history.Clock
 
-	deployment *deployment
-	name       string // of the shared log and VM list
-	listen     string // loopback address of the site's own, any port
-	logger     hclog.Logger
-	adjust     func(*settings.Settings) // of each node; nil for none
-	observing  context.Context
-	stop       context.CancelFunc
-	observers  sync.WaitGroup
-	stopped    sync.Once
+	deployment     *deployment
+	name           string // of the shared log and the VM list
+	listen         string // loopback address used only by this site, any port
+	logger         hclog.Logger
+	adjust         func(*settings.Settings) // applied to each node's settings; nil for none
+	observeContext context.Context
+	stop           context.CancelFunc
+	observers      sync.WaitGroup
+	stopped        sync.Once
 }
 
 // SiteServer is one backend server of a site.
@@ -79,7 +79,7 @@
 	*node.Node
 	ID   topo.NodeID
 	Zone int
-	// Log is the log as this node alone sees it.
+	// Log is this node's view of the log; its faults affect only this node.
 	Log *logfault.Log
 	// Lost is true after the node was killed or stopped.
 	Lost bool
@@ -88,13 +88,13 @@
 // Frontend returns the address for callers.
 func (n *SiteNode) Frontend() string { return n.Addresses()[kernel.RoleFrontend] }
 
-// SiteOptions say what site to start.
+// SiteOptions configure the site to start.
 type SiteOptions struct {
 	Deployment string
-	// Text is the site configuration; by default the deployment's own.
+	// Text is the site configuration; by default that of the deployment.
 	Text []byte
 	// Servers is the number of servers of each service; by default the
-	// deployment's own.
+	// deployment's number.
 	Servers int
 	Seed    uint64
 	Logger  hclog.Logger // nil for none
@@ -104,8 +104,8 @@
 }
 
 // StartSite starts the stand-ins, the servers and the nodes of a deployment,
-// and publishes its site configuration. The caller must call Stop if there is a
-// site, also after an error.
+// and publishes its site configuration. The caller must call Stop if a site is
+// returned, even with an error.
 func StartSite(ctx context.Context, options SiteOptions) (*Site, error) {
 	if options.Logger == nil {
 		options.Logger = hclog.NewNullLogger()
@@ -135,27 +135,27 @@
 		Network:    newNetwork(),
 		deployment: d,
 		name:       fmt.Sprintf("%s-%d", d.name, began.UnixNano()),
-		listen:     ownLoopback(),
+		listen:     uniqueLoopback(),
 		logger:     logger,
 	}
 	site.Platform = vmsmem.Named(site.name)
 	site.Log = logfault.Wrap(memlog.New(memlog.Retention{}))
-	site.observing, site.stop = context.WithCancel(context.Background())
+	site.observeContext, site.stop = context.WithCancel(context.Background())
 	return site
 }
 
-// sites counts the sites of this process.
+// sites counts the sites started by this process.
 var sites atomic.Uint32
 
-// ownLoopback returns a loopback address that no other site uses, in this process or
-// another one. Sites have the same server IDs: what is sent to a lost server must not
-// reach a server of another site that has got its port.
-func ownLoopback() string {
+// uniqueLoopback returns a loopback address that no other site uses, in this process or
+// another one. Sites use the same server IDs, so a request to a lost server must not
+// reach a server of another site that now uses the same port.
+func uniqueLoopback() string {
 	process, site := os.Getpid(), sites.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d:0", 1+process>>8&0x7f, process&0xff, 1+site%254)
 }
 
-// startServers spreads the servers of each service over the zones.
+// startServers distributes the servers of each service over the zones.
 func (s *Site) startServers(seed uint64) error {
 	for _, service := range sortedServices(s.deployment.site) {
 		for i := range s.deployment.servers[service.Name] {
@@ -195,7 +195,7 @@
 	if err != nil {
 		return nil, &ServerError{Server: id, Cause: err}
 	}
-	s.Network.put(address, place{zone: zone})
+	s.Network.put(address, endpoint{zone: zone})
 	s.Platform.Put(vmlist.VM{
 		ID: string(id), Role: vmlist.RoleServer, Service: service.Name, Zone: zone,
 		Region: region, Address: address, Phase: vmlist.PhaseLive,
@@ -220,7 +220,7 @@
 	id := model.NodeID(name, index)
 	own := logfault.Wrap(s.Log)
 	logmem.Put(s.logName(id), own)
-	at := place{zone: name, node: id}
+	at := endpoint{zone: name, node: id}
 	dial := s.Network.dialFrom(at)
 	started, err := node.NewWith(s.settingsOf(id, name), s.logger,
 		node.WithService(peer.Dial(dial)), node.WithService(router.Dial(dial)), node.WithService(backend.Dial(dial)))
@@ -235,28 +235,28 @@
 	s.Platform.Put(vmlist.VM{
 		ID: string(id), Role: vmlist.RoleEntry, Zone: name, Region: region, Phase: vmlist.PhaseLive,
 	})
-	return observe(s.observing, &s.observers, started.Context(), s.Memory, s.Clock)
+	return observe(s.observeContext, &s.observers, started.Context(), s.Memory, s.Clock)
 }
 
-// logName names the log of one node in this process.
+// logName returns the name of one node's log in this process.
 func (s *Site) logName(id topo.NodeID) string { return s.name + "/" + string(id) }
 
-// publish brings the deployment's site configuration into force.
+// publish publishes the deployment's site configuration.
 func (s *Site) publish(ctx context.Context) error {
 	appender, err := kernel.Use[follower.Appender](s.Nodes[0].Context())
 	if err != nil {
 		return err
 	}
 	began := s.Clock()
-	fate, err := appender.Submit(ctx, &bspb.Record{Body: &bspb.Record_PublishSite{PublishSite: &bspb.PublishSite{
+	outcome, err := appender.Submit(ctx, &bspb.Record{Body: &bspb.Record_PublishSite{PublishSite: &bspb.PublishSite{
 		Text:     s.deployment.text,
 		Compiled: siteconfig.ToProto(s.deployment.site),
 	}}})
 	if err != nil {
 		return err
 	}
-	if !fate.Accepted {
-		return &PublishError{Conflict: fate.Conflict}
+	if !outcome.Accepted {
+		return &PublishError{Conflict: outcome.Conflict}
 	}
 	s.Memory.Record(history.SitePublished{
 		Began: began, At: s.Clock(), Publisher: publisher, Accepted: true, Version: 1,
@@ -265,7 +265,7 @@
 	return nil
 }
 
-// Stop stops what still runs and flushes what servers have recorded. Further
+// Stop flushes the servers' histories and stops everything that still runs. Further
 // calls do nothing.
 func (s *Site) Stop() { s.stopped.Do(s.stopAll) }
 
--- a/demo/summary.go
+++ b/demo/summary.go
@@ -18,22 +18,22 @@
 	Answered int `json:"answered"`
 	NotRun   int `json:"notRun"`
 	Unknown  int `json:"unknown"`
-	// Misdelivered, DualOwner and DoubleRun count violations found in what
+	// Misdelivered, DualOwner and DoubleRun count violations found in the history that
 	// servers and callers recorded; see package histcheck.
 	Misdelivered int `json:"misdelivered"`
 	DualOwner    int `json:"dualOwner"`
 	DoubleRun    int `json:"doubleRun"`
-	// UnavailableMs is the longest time for which a probed key went unanswered.
+	// UnavailableMs is the longest time for which a probed key was not served, in milliseconds.
 	UnavailableMs float64 `json:"unavailableMs"`
-	// P50Ms and P99Ms are of answered requests, from sending to the whole
-	// answer.
+	// P50Ms and P99Ms are latencies of answered requests, from sending to the whole
+	// answer, in milliseconds.
 	P50Ms float64 `json:"p50Ms"`
 	P99Ms float64 `json:"p99Ms"`
 }
 
-// Holds reports whether everything held that must hold, and anything was
-// answered at all.
-func (s Summary) Holds() bool {
+// Passed reports whether no invariant was violated and at least one request was
+// answered.
+func (s Summary) Passed() bool {
 	return s.Misdelivered == 0 && s.DualOwner == 0 && s.DoubleRun == 0 && s.Answered > 0
 }
 
@@ -50,9 +50,9 @@
 	microsecondsPerMs = 1000
 )
 
-// violations maps what the checkers found to the summary's three counts: a run
-// of a request that was refused as "not run" counts with the runs, and an
-// assignment or configuration that went back with the owners.
+// violations maps the violations to the summary's three counts: a run
+// of a request that was refused as "not run" counts as a double run, and an
+// assignment or configuration that reverted counts as a dual owner.
 func (s *Summary) violations(found []histcheck.Violation) {
 	s.Misdelivered = histcheck.Count(found, histcheck.RuleWholeAnswer)
 	s.DualOwner = histcheck.Count(found, histcheck.RuleSoleOwner) +
@@ -63,10 +63,10 @@
 }
 
 // summarize computes the summary of a history. Probes measure unavailable time
-// and are not among the requests.
+// and are not counted as requests.
 func summarize(events []history.Event, options histcheck.Options) (Summary, []histcheck.Violation) {
 	var summary Summary
-	requests := map[string]*requestFate{}
+	requests := map[string]*requestOutcome{}
 	for _, event := range events {
 		switch e := event.(type) {
 		case history.CallerSent:
@@ -74,17 +74,17 @@
 				continue
 			}
 			if requests[e.CallerRequest] == nil {
-				requests[e.CallerRequest] = &requestFate{sentAt: e.At, outcome: serverapi.OutcomeUnknown}
+				requests[e.CallerRequest] = &requestOutcome{sentAt: e.At, outcome: serverapi.OutcomeUnknown}
 			}
 		case history.CallerAnswered:
-			if fate := requests[e.CallerRequest]; fate != nil {
-				fate.learn(e)
+			if request := requests[e.CallerRequest]; request != nil {
+				request.record(e)
 			}
 		}
 	}
 	latencies := hdrhistogram.New(minLatency, maxLatency, latencyDigits)
-	for _, fate := range requests {
-		summary.count(fate, latencies)
+	for _, request := range requests {
+		summary.count(request, latencies)
 	}
 	summary.P50Ms = float64(latencies.ValueAtPercentile(medianQuantile)) / microsecondsPerMs
 	summary.P99Ms = float64(latencies.ValueAtPercentile(highQuantile)) / microsecondsPerMs
@@ -94,8 +94,8 @@
 	return summary, found
 }
 
-// requestFate is what became of one request over all attempts at it.
-type requestFate struct {
+// requestOutcome is the outcome of one request over all its attempts.
+type requestOutcome struct {
 	sentAt     history.Time
 	answeredAt history.Time
 	outcome    serverapi.Outcome
@@ -103,9 +103,9 @@
 	mayHaveRun bool
 }
 
-// learn joins the outcome of one more attempt: an answer stands, and "not run"
-// stands only if no attempt may have run.
-func (f *requestFate) learn(answer history.CallerAnswered) {
+// record merges the outcome of one more attempt: an answer is final, and "not run"
+// is the result only if no attempt may have run.
+func (f *requestOutcome) record(answer history.CallerAnswered) {
 	if f.decided && f.outcome == serverapi.OutcomeAnswered {
 		return
 	}
@@ -120,12 +120,12 @@
 	}
 }
 
-func (s *Summary) count(fate *requestFate, latencies *hdrhistogram.Histogram) {
+func (s *Summary) count(request *requestOutcome, latencies *hdrhistogram.Histogram) {
 	s.Sent++
-	switch fate.outcome {
+	switch request.outcome {
 	case serverapi.OutcomeAnswered:
 		s.Answered++
-		latency := fate.answeredAt.Sub(fate.sentAt).Microseconds()
+		latency := request.answeredAt.Sub(request.sentAt).Microseconds()
 		_ = latencies.RecordValue(min(max(latency, minLatency), maxLatency))
 	case serverapi.OutcomeNotRun:
 		s.NotRun++
--- a/demo/summary_test.go
+++ b/demo/summary_test.go
@@ -17,24 +17,24 @@
 	return history.CallerSent{At: at, CallerRequest: request, Attempt: number, Service: "s", Key: "k", Method: "GET"}
 }
 
-func told(request string, number int, at history.Time, outcome serverapi.Outcome) history.CallerAnswered {
+func answered(request string, number int, at history.Time, outcome serverapi.Outcome) history.CallerAnswered {
 	return history.CallerAnswered{At: at, CallerRequest: request, Attempt: number, Outcome: outcome}
 }
 
 func TestRequestsAreCountedOnceByTheirFinalOutcome(t *testing.T) {
 	g := gomega.NewWithT(t)
 	events := []history.Event{
-		sent("a", 1, 1), told("a", 1, 2, serverapi.OutcomeNotRun),
-		sent("b", 1, 3), told("b", 1, 4, serverapi.OutcomeUnknown),
-		sent("b", 2, 5), told("b", 2, 6, serverapi.OutcomeNotRun), // may have run at first
-		sent("c", 1, 7), // never heard of again
-		sent(probePrefix+"x", 1, 8), told(probePrefix+"x", 1, 9, serverapi.OutcomeNotRun),
+		sent("a", 1, 1), answered("a", 1, 2, serverapi.OutcomeNotRun),
+		sent("b", 1, 3), answered("b", 1, 4, serverapi.OutcomeUnknown),
+		sent("b", 2, 5), answered("b", 2, 6, serverapi.OutcomeNotRun), // the first attempt may have run
+		sent("c", 1, 7), // no answer recorded
+		sent(probePrefix+"x", 1, 8), answered(probePrefix+"x", 1, 9, serverapi.OutcomeNotRun),
 	}
 	summary, _ := summarize(events, histcheck.Options{})
 	g.Expect(summary).To(gomega.HaveField("Sent", 3))
 	g.Expect(summary).To(gomega.HaveField("NotRun", 1))
 	g.Expect(summary).To(gomega.HaveField("Unknown", 2))
-	g.Expect(summary.Holds()).To(gomega.BeFalse(), "nothing was answered")
+	g.Expect(summary.Passed()).To(gomega.BeFalse(), "nothing was answered")
 }
 
 func TestTheSummaryCountsEachKindOfViolation(t *testing.T) {
@@ -47,8 +47,8 @@
 	})
 	g.Expect([]int{summary.Misdelivered, summary.DualOwner, summary.DoubleRun}).To(gomega.Equal([]int{1, 3, 2}))
 	summary.Answered = 1
-	g.Expect(summary.Holds()).To(gomega.BeFalse())
-	g.Expect(Summary{Answered: 1}.Holds()).To(gomega.BeTrue())
+	g.Expect(summary.Passed()).To(gomega.BeFalse())
+	g.Expect(Summary{Answered: 1}.Passed()).To(gomega.BeTrue())
 }
 
 func TestTheSummaryIsOneLineWithTheAgreedFields(t *testing.T) {
--- a/proof/faults_test.go
+++ b/proof/faults_test.go
@@ -39,22 +39,22 @@
 var faultCases = []faultCase{
 	{name: "no fault", faults: func(context.Context, *run, []*demo.SiteServer) {}},
 	{name: "server lost", servers: 1, faults: func(_ context.Context, r *run, s []*demo.SiteServer) {
-		r.LoseServer(s[0])
+		r.KillServer(s[0])
 	}},
 	{name: "a lost server's address goes to another server", servers: 1, faults: func(_ context.Context, r *run, s []*demo.SiteServer) {
-		r.LoseServer(s[0])
+		r.KillServer(s[0])
 		taker, err := r.ReuseAddress(s[0])
 		gomega.NewWithT(r.t).Expect(err).NotTo(gomega.HaveOccurred())
 		r.waitLeased(taker)
 	}},
 	{name: "two servers lost at once", servers: 2, faults: func(_ context.Context, r *run, s []*demo.SiteServer) {
-		r.LoseServer(s[0])
-		r.LoseServer(s[1])
+		r.KillServer(s[0])
+		r.KillServer(s[1])
 	}},
 	{name: "two servers lost one after the other", servers: 2, faults: func(ctx context.Context, r *run, s []*demo.SiteServer) {
-		r.LoseServer(s[0])
+		r.KillServer(s[0])
 		pause(ctx, settle)
-		r.LoseServer(s[1])
+		r.KillServer(s[1])
 	}},
 	{name: "server frozen past its lease and back", servers: 1, faults: func(ctx context.Context, _ *run, s []*demo.SiteServer) {
 		freeze(ctx, s[0])
@@ -71,7 +71,7 @@
 	}},
 	{name: "server frozen and another lost", servers: 2, faults: func(ctx context.Context, r *run, s []*demo.SiteServer) {
 		s[0].Freeze()
-		r.LoseServer(s[1])
+		r.KillServer(s[1])
 		pause(ctx, pastLease)
 		s[0].Unfreeze()
 	}},
@@ -103,17 +103,17 @@
 		s[0].SetFaults(server.Faults{})
 	}},
 	{name: "lessor lost", servers: 1, faults: func(_ context.Context, r *run, s []*demo.SiteServer) {
-		r.LoseNode(r.lessorOf(s[0]))
+		r.KillNode(r.lessorOf(s[0]))
 	}},
 	{name: "lessor and a server of its group lost together", servers: 1, faults: func(_ context.Context, r *run, s []*demo.SiteServer) {
 		lessor := r.lessorOf(s[0])
-		r.LoseServer(s[0])
-		r.LoseNode(lessor)
+		r.KillServer(s[0])
+		r.KillNode(lessor)
 	}},
 	{name: "server frozen, then its lessor lost, then back", servers: 1, faults: func(ctx context.Context, r *run, s []*demo.SiteServer) {
 		lessor := r.lessorOf(s[0])
 		s[0].Freeze()
-		r.LoseNode(lessor)
+		r.KillNode(lessor)
 		pause(ctx, 2*pastLease)
 		s[0].Unfreeze()
 	}},
@@ -125,35 +125,35 @@
 	{name: "log away, a server lost meanwhile", servers: 1, faults: func(ctx context.Context, r *run, s []*demo.SiteServer) {
 		r.Log.Down()
 		pause(ctx, settle)
-		r.LoseServer(s[0])
+		r.KillServer(s[0])
 		pause(ctx, 2*pastLease)
 		r.Log.Heal()
 	}},
 	{name: "the log and a lessor lost together", servers: 1, faults: func(ctx context.Context, r *run, s []*demo.SiteServer) {
 		lessor := r.lessorOf(s[0])
 		r.Log.Down()
-		r.LoseNode(lessor)
+		r.KillNode(lessor)
 		pause(ctx, 2*pastLease)
 		r.Log.Heal()
 	}},
 	{name: "log away, the lessor lost meanwhile", servers: 1, faults: func(ctx context.Context, r *run, s []*demo.SiteServer) {
 		r.Log.Down()
 		pause(ctx, settle)
-		r.LoseNode(r.lessorOf(s[0]))
+		r.KillNode(r.lessorOf(s[0]))
 		pause(ctx, 2*pastLease)
 		r.Log.Heal()
 	}},
 	{name: "log away for long, then the lessor lost", servers: 1, faults: func(ctx context.Context, r *run, s []*demo.SiteServer) {
 		r.Log.Down()
 		pause(ctx, pastLease)
-		r.LoseNode(r.lessorOf(s[0]))
+		r.KillNode(r.lessorOf(s[0]))
 		pause(ctx, 2*pastLease)
 		r.Log.Heal()
 	}},
 	{name: "log away for long, then a server lost", servers: 1, faults: func(ctx context.Context, r *run, s []*demo.SiteServer) {
 		r.Log.Down()
 		pause(ctx, pastLease)
-		r.LoseServer(s[0])
+		r.KillServer(s[0])
 		pause(ctx, 2*pastLease)
 		r.Log.Heal()
 	}},
@@ -164,18 +164,18 @@
 	}},
 	{name: "log slow", servers: 1, faults: func(ctx context.Context, r *run, s []*demo.SiteServer) {
 		r.Log.Set(logfault.Faults{Slow: 300 * time.Millisecond})
-		r.LoseServer(s[0])
+		r.KillServer(s[0])
 		pause(ctx, 2*pastLease)
 		r.Log.Heal()
 	}},
 	{name: "answers to appends lost while a server is lost", servers: 1, faults: func(ctx context.Context, r *run, s []*demo.SiteServer) {
 		r.Log.Set(logfault.Faults{LoseAnswers: 20})
-		r.LoseServer(s[0])
+		r.KillServer(s[0])
 		pause(ctx, pastLease)
 	}},
 	{name: "appends take effect late while a server is lost", servers: 1, faults: func(ctx context.Context, r *run, s []*demo.SiteServer) {
 		r.Log.Set(logfault.Faults{LateAppends: 5, LateBy: settle})
-		r.LoseServer(s[0])
+		r.KillServer(s[0])
 		pause(ctx, pastLease)
 		r.Log.Settle()
 	}},
@@ -192,15 +192,15 @@
 		r.eachRunningNode(zone, func(n *demo.SiteNode) { n.Log.Heal() })
 	}},
 	{name: "open connections between nodes and to servers go silent", faults: func(_ context.Context, r *run, _ []*demo.SiteServer) {
-		r.Network.SilenceOpen()
+		r.Network.StallOpenConnections()
 	}},
 	{name: "open connections go silent twice", faults: func(ctx context.Context, r *run, _ []*demo.SiteServer) {
-		r.Network.SilenceOpen()
+		r.Network.StallOpenConnections()
 		pause(ctx, settle)
-		r.Network.SilenceOpen()
+		r.Network.StallOpenConnections()
 	}},
 	{name: "zone cut off from the others, not from the log", servers: 1, faults: func(ctx context.Context, r *run, s []*demo.SiteServer) {
-		r.Network.CutZones(s[0].Zone)
+		r.Network.IsolateZone(s[0].Zone)
 		pause(ctx, 2*pastLease)
 		r.Network.Heal()
 	}},
@@ -214,7 +214,7 @@
 	{name: "zone cut off from all, a server of it lost at the end", servers: 1, faults: func(ctx context.Context, r *run, s []*demo.SiteServer) {
 		heal := r.cutZoneOff(s[0])
 		pause(ctx, 2*pastLease)
-		r.LoseServer(s[0])
+		r.KillServer(s[0])
 		heal()
 		pause(ctx, pastLease) // leases that are valid at the heal expire during this pause
 	}},
@@ -224,13 +224,13 @@
 		heal()
 	}},
 	{name: "both nodes of a zone lost", top: trustVMList, servers: 1, faults: func(_ context.Context, r *run, s []*demo.SiteServer) {
-		r.eachRunningNode(r.lessorOf(s[0]).Zone, r.LoseNode)
+		r.eachRunningNode(r.lessorOf(s[0]).Zone, r.KillNode)
 	}},
 	{name: "a whole zone lost", top: trustVMList, servers: 1, faults: func(_ context.Context, r *run, s []*demo.SiteServer) {
-		r.eachRunningNode(r.lessorOf(s[0]).Zone, r.LoseNode)
+		r.eachRunningNode(r.lessorOf(s[0]).Zone, r.KillNode)
 		for _, one := range r.Servers {
 			if one.Zone == s[0].Zone {
-				r.LoseServer(one)
+				r.KillServer(one)
 			}
 		}
 	}},
@@ -241,7 +241,7 @@
 	}},
 	{name: "lessor cut off from nodes, servers and the log", servers: 1, faults: func(ctx context.Context, r *run, s []*demo.SiteServer) {
 		lessor := r.lessorOf(s[0])
-		r.Network.CutNodeOff(lessor.ID)
+		r.Network.IsolateNode(lessor.ID)
 		lessor.Log.Down()
 		pause(ctx, 2*pastLease)
 		lessor.Log.Heal()
@@ -250,7 +250,7 @@
 	{name: "lessor cut off from nodes, servers and the log, twice", servers: 1, faults: func(ctx context.Context, r *run, s []*demo.SiteServer) {
 		for range 2 {
 			lessor := r.lessorOf(s[0])
-			r.Network.CutNodeOff(lessor.ID)
+			r.Network.IsolateNode(lessor.ID)
 			lessor.Log.Down()
 			pause(ctx, pastLease)
 			lessor.Log.Heal()
@@ -269,7 +269,7 @@
 	}},
 	{name: "VM list away while a server is lost", servers: 1, faults: func(ctx context.Context, r *run, s []*demo.SiteServer) {
 		r.Platform.SetFaults(vms.Faults{Outage: true})
-		r.LoseServer(s[0])
+		r.KillServer(s[0])
 		pause(ctx, pastLease)
 		r.Platform.SetFaults(vms.Faults{})
 	}},
@@ -303,7 +303,7 @@
 // cutZoneOff separates a server's zone from the other zones and from the log.
 func (r *run) cutZoneOff(one *demo.SiteServer) (heal func()) {
 	zone := r.lessorOf(one).Zone
-	r.Network.CutZones(one.Zone)
+	r.Network.IsolateZone(one.Zone)
 	r.eachRunningNode(zone, func(n *demo.SiteNode) { n.Log.Down() })
 	return func() {
 		r.eachRunningNode(zone, func(n *demo.SiteNode) { n.Log.Heal() })
@@ -314,7 +314,7 @@
 func loseServerCutOff(ctx context.Context, r *run, s []*demo.SiteServer) {
 	heal := r.cutZoneOff(s[0])
 	pause(ctx, pastLease)
-	r.LoseServer(s[0])
+	r.KillServer(s[0])
 	pause(ctx, 2*pastLease)
 	heal()
 	pause(ctx, pastLease) // leases that are valid at the heal expire during this pause
--- a/proof/processes_test.go
+++ b/proof/processes_test.go
@@ -64,7 +64,7 @@
 	site.startServers()
 	site.startNodes()
 	parsed, _ := siteconfig.Parse(config, "site.jsonc")
-	site.callers = &demo.Callers{Fronts: site.fronts(), Site: parsed, Recorder: site.memory, Clock: history.WallClock()}
+	site.callers = &demo.Callers{Frontends: site.fronts(), Site: parsed, Recorder: site.memory, Clock: history.WallClock()}
 	site.publish(ctx)
 	site.waitServing(ctx)
 	return ctx, site
@@ -154,7 +154,7 @@
 
 // waitServing waits until each entry node answers requests to some keys.
 func (p *processSite) waitServing(ctx context.Context) {
-	for _, zone := range p.callers.Fronts {
+	for _, zone := range p.callers.Frontends {
 		for _, address := range zone {
 			for _, key := range p.callers.Keys()[:4] {
 				p.waitAnswered(ctx, address, key)
@@ -255,7 +255,7 @@
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			g.Expect(settled).To(gomega.BeTrue(), "probed keys were not served again")
 			events := site.collect(ctx)
-			summary, found := site.callers.Judge(events)
+			summary, found := site.callers.Evaluate(events)
 			t.Logf("%+v", summary)
 			for _, violation := range found {
 				t.Errorf("seed %d: %s", seed, violation)
--- a/proof/relays_test.go
+++ b/proof/relays_test.go
@@ -17,11 +17,11 @@
 // faultCases that are repeated with one relay in each zone.
 var relayCases = []faultCase{
 	{name: "log relay lost", servers: 1, faults: func(_ context.Context, r *run, s []*demo.SiteServer) {
-		r.LoseNode(r.relayOf(r.lessorOf(s[0]).Zone))
+		r.KillNode(r.relayOf(r.lessorOf(s[0]).Zone))
 	}},
 	{name: "log relay and a server lost together", servers: 1, faults: func(_ context.Context, r *run, s []*demo.SiteServer) {
-		r.LoseNode(r.relayOf(r.lessorOf(s[0]).Zone))
-		r.LoseServer(s[0])
+		r.KillNode(r.relayOf(r.lessorOf(s[0]).Zone))
+		r.KillServer(s[0])
 	}},
 	{name: "log away for every relay", servers: 1, faults: func(ctx context.Context, r *run, s []*demo.SiteServer) {
 		for zone := range zonesOfSite {
@@ -30,7 +30,7 @@
 			defer relay.Log.Heal()
 		}
 		pause(ctx, pastLease)
-		r.LoseServer(s[0])
+		r.KillServer(s[0])
 		pause(ctx, pastLease)
 	}},
 }
--- a/proof/site_test.go
+++ b/proof/site_test.go
@@ -151,13 +151,13 @@
 	g := gomega.NewWithT(r.t)
 	load.Requests, load.Seed, load.Span = requests, seed, loadSpan
 	load.Probed = demo.Spread(r.keys, probed...)
-	load.Unserved = r.logUnserved
+	load.OnUnserved = r.logUnserved
 	settled, err := r.Exercise(ctx, load, func(ctx context.Context) { faults(ctx, r) })
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(settled).To(gomega.BeTrue(), "probed keys were not served again")
 	nodes := r.WaitSettled(ctx)
 	r.Stop()
-	summary, found := r.Judge(nodes)
+	summary, found := r.Evaluate(nodes)
 	for _, violation := range found {
 		r.t.Errorf("seed %d: %s", seed, violation)
 	}
--- a/proof/violations_test.go
+++ b/proof/violations_test.go
@@ -63,10 +63,10 @@
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			nodes := r.WaitSettled(ctx)
 			r.Stop()
-			summary, found := r.Judge(nodes)
+			summary, found := r.Evaluate(nodes)
 			g.Expect(histcheck.Count(found, row.rule)).To(gomega.BeNumerically(">", 0))
 			g.Expect(row.counts(summary)).To(gomega.BeNumerically(">", 0))
-			g.Expect(summary.Holds()).To(gomega.BeFalse())
+			g.Expect(summary.Passed()).To(gomega.BeFalse())
 		})
 	}
 }
