--- a/model/arrivals.go
+++ b/model/arrivals.go
@@ -9,24 +9,24 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Traffic says how callers' requests vary over a run.
+// Traffic describes how callers' requests vary over a run.
 type Traffic struct {
 	Duration time.Duration
-	// Phases scale every service's rate from a moment on; before the first one
+	// Phases scale the services' rates from their start times on; before the first phase
 	// the factor is 1. They are ordered by time.
 	Phases []Phase
-	// MoveHotKeysEvery gives the hottest ranks to other keys again and again;
-	// 0 never does.
+	// MoveHotKeysEvery is the interval at which the hottest ranks move to other keys;
+	// 0 disables the moves.
 	MoveHotKeysEvery time.Duration
 	MovedRanks       int
-	// HotKeyShare is the part of a keyed service's requests that go to one
+	// HotKeyShare is the fraction of a keyed service's requests that go to one
 	// single key from HotKeyFrom on.
 	HotKeyShare float64
 	HotKeyFrom  time.Duration
 }
 
-// Phase sets the rate of one service, or of all if Service is empty: as a part
-// of the capacity if Utilization is above 0, else as a multiple of the usual
+// Phase sets the rate of one service, or of all if Service is empty: as a fraction
+// of the capacity if Utilization is above 0, otherwise as a multiple of the base
 // rate.
 type Phase struct {
 	From        time.Duration
@@ -35,7 +35,7 @@
 	Service     topo.Service
 }
 
-// factor returns the multiple of a service's usual rate.
+// factor returns the rate as a multiple of a service's base rate.
 func (p Phase) factor(service *Service) float64 {
 	if p.Utilization > 0 {
 		return p.Utilization / service.Utilization
@@ -43,26 +43,26 @@
 	return p.Factor
 }
 
-// Arrival is one request of a caller. Runs of different policies get the very
+// Arrival is one request of a caller. Runs with different policies receive the
 // same arrivals.
 type Arrival struct {
 	At         time.Duration // since the start of the run
 	Service    int           // index into Deployment.Services
 	Key        int           // index of the key
 	Caller     int
-	Entry      int     // index of the entry VM that the platform's balancer chose
-	Work       float64 // busy time on a server of ordinary speed, in seconds
+	Entry      int     // index of the entry VM that the platform's balancer chooses
+	Work       float64 // service time on a server of nominal speed, in seconds
 	Idempotent bool
 	// Calls is the index into Service.DependsOn of the service that the request
-	// calls in turn, or -1, with that call's key and busy time.
+	// calls, or -1 for none; CallKey, CallWork and CallEntry describe that call.
 	Calls     int
 	CallKey   int
 	CallWork  float64
 	CallEntry int
 }
 
-// Arrivals generates the open-loop arrivals of a run, in order of time. The
-// same arguments give the same arrivals.
+// Arrivals generates the open-loop arrivals of a run, in order of time. Equal
+// arguments produce equal arrivals.
 func Arrivals(d *Deployment, traffic Traffic, seed uint64) []Arrival {
 	popularity := make([]*Popularity, len(d.Services))
 	for i := range d.Services {
@@ -82,7 +82,7 @@
 	return all
 }
 
-// Streams of random numbers of one service.
+// Random number streams of one service.
 const (
 	streamRanks = iota
 	streamArrivals
@@ -103,13 +103,13 @@
 	random     *rand.Rand
 	moves      *rand.Rand
 	entries    int
-	moved      time.Duration // when hot keys moved last
+	moved      time.Duration // time of the last move of hot keys
 }
 
 func (g *generator) run() []Arrival {
 	service := &g.deployment.Services[g.service]
-	// Candidates come at the highest rate, and each is kept with the
-	// probability of its moment: the arrivals of an uneven Poisson process.
+	// Candidates arrive at the highest rate, and each is kept with the ratio of the
+	// current to the highest rate as its probability (thinning of a Poisson process).
 	highest := g.highestFactor()
 	if highest <= 0 {
 		return nil
@@ -176,7 +176,7 @@
 	}
 }
 
-// factor returns by what the service's rate is scaled at a moment.
+// factor returns the scale factor of the service's rate at a time.
 func (g *generator) factor(at time.Duration) float64 {
 	service := &g.deployment.Services[g.service]
 	factor := 1.0
--- a/model/model.go
+++ b/model/model.go
@@ -1,6 +1,6 @@
 // Package model describes the systems that burdockspindle serves, for the
-// experiment tool: zones, servers, their limits and delays, and what callers
-// ask for. It holds data and seeded generators, and nothing that decides.
+// experiment tool: zones, servers, their limits and delays, and the load of
+// callers. It contains data and seeded generators, but no decision logic.
 package model
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Deployment is one site.
+// Deployment describes one site.
 type Deployment struct {
 	Name         string
 	Zones        []topo.Zone
@@ -21,53 +21,53 @@
 	CallerDelay time.Duration
 	ZoneDelay   time.Duration
 	LocalDelay  time.Duration
-	// NewConnection is what opening a connection costs before its first
-	// request; ProbeCost is how long a server takes to answer a probe of its
+	// NewConnection is the time to open a connection before its first
+	// request; ProbeCost is the time in which a server answers a probe of its
 	// load.
 	NewConnection time.Duration
 	ProbeCost     time.Duration
 	Services      []Service
 }
 
-// Service is one service of a deployment.
+// Service describes one service of a deployment.
 type Service struct {
 	Name        topo.Service
 	Keyed       bool
 	Shards      uint32 // hash ranges of a keyed service
 	Targets     int    // backend servers
-	Concurrency int    // requests that a server may hold at once
-	Connections int    // connections that a server may hold
+	Concurrency int    // concurrent requests allowed per server
+	Connections int    // connections allowed per server
 	Weighting   siteconfig.Weighting
 	Deadline    time.Duration
 	DependsOn   []Dependency
-	// MeanBusy is the mean time for which a request holds its place on a server
-	// of ordinary speed; Variation is its coefficient of variation.
+	// MeanBusy is the mean time for which a request occupies its slot on a server
+	// of nominal speed; Variation is the coefficient of variation of that time.
 	MeanBusy  time.Duration
 	Variation float64
-	// Utilization is the offered load as a part of all servers' capacity.
+	// Utilization is the offered load as a fraction of all servers' capacity.
 	Utilization float64
-	// Keys is the number of keys in use, and Skew the exponent of the Zipf law
-	// by which requests choose among them.
+	// Keys is the number of keys in use, and Skew the exponent of the Zipf distribution
+	// from which requests draw their keys.
 	Keys int
 	Skew float64
 	// Callers is the number of callers that share the service.
 	Callers int
-	// Idempotent is the part of the requests that may be repeated.
+	// Idempotent is the fraction of the requests that may be repeated.
 	Idempotent float64
 }
 
-// Dependency is a service that requests to another one call in turn.
+// Dependency is a service that is called by requests to another service.
 type Dependency struct {
 	Service topo.Service
-	// Share is the part of the requests that call it.
+	// Share is the fraction of the requests that call it.
 	Share float64
 }
 
-// Capacity returns how many units of concurrency all servers have.
+// Capacity returns the total concurrency of all servers.
 func (s *Service) Capacity() float64 { return float64(s.Targets * s.Concurrency) }
 
-// Rate returns the requests per second of callers at factor 1, calls from other
-// services left out.
+// Rate returns the callers' requests per second at factor 1, excluding calls from other
+// services.
 func (s *Service) Rate() float64 {
 	return s.Utilization * s.Capacity() / s.MeanBusy.Seconds()
 }
@@ -118,17 +118,17 @@
 	return config
 }
 
-// ServerID names the index-th server of a service.
+// ServerID returns the ID of the index-th server of a service.
 func ServerID(service topo.Service, index int) topo.ServerID {
 	return topo.ServerID(fmt.Sprintf("%s-%02d", service, index))
 }
 
-// NodeID names the index-th entry VM of a zone.
+// NodeID returns the ID of the index-th entry VM of a zone.
 func NodeID(zone topo.Zone, index int) topo.NodeID {
 	return topo.NodeID(fmt.Sprintf("%s-entry-%d", zone, index))
 }
 
-// Key names the index-th key of a service.
+// Key returns the index-th key of a service.
 func Key(service topo.Service, index int) string {
 	return fmt.Sprintf("%s-key-%d", service, index)
 }
--- a/model/popularity.go
+++ b/model/popularity.go
@@ -6,15 +6,15 @@
 	"sort"
 )
 
-// Popularity draws keys by a Zipf law whose ranks can be given to other keys
-// under way.
+// Popularity draws keys from a Zipf distribution whose ranks can be reassigned to other
+// keys during a run.
 type Popularity struct {
 	cumulative []float64 // by rank
 	keys       []int     // by rank: index of the key
 }
 
-// NewPopularity returns a law over count keys with an exponent of at least 0;
-// which key has which rank is drawn at random.
+// NewPopularity returns a distribution over count keys with an exponent of at least 0;
+// the ranks are assigned to keys at random.
 func NewPopularity(count int, exponent float64, random *rand.Rand) *Popularity {
 	p := &Popularity{cumulative: make([]float64, count), keys: random.Perm(count)}
 	sum := 0.0
@@ -28,16 +28,16 @@
 	return p
 }
 
-// Draw returns the index of a key.
+// Draw returns the index of a random key.
 func (p *Popularity) Draw(random *rand.Rand) int {
 	rank := sort.SearchFloat64s(p.cumulative, random.Float64())
 	return p.keys[min(rank, len(p.keys)-1)]
 }
 
-// Hottest returns the index of the key of a rank, 0 being the hottest.
+// Hottest returns the index of the key at a rank; rank 0 is the hottest.
 func (p *Popularity) Hottest(rank int) int { return p.keys[rank] }
 
-// Move gives each of the first ranks to a random key that was cold.
+// Move swaps each of the first ranks with a random key outside these ranks.
 func (p *Popularity) Move(ranks int, random *rand.Rand) {
 	ranks = min(ranks, len(p.keys)/2)
 	for rank := range ranks {
@@ -46,8 +46,8 @@
 	}
 }
 
-// busyTime draws a time of service of mean 1 and a coefficient of variation,
-// from a log-normal law.
+// busyTime draws a service time with mean 1 and the given coefficient of variation
+// from a log-normal distribution.
 func busyTime(variation float64, random *rand.Rand) float64 {
 	variance := math.Log(1 + variation*variation)
 	return math.Exp(random.NormFloat64()*math.Sqrt(variance) - variance/2)
--- a/model/presets.go
+++ b/model/presets.go
@@ -14,13 +14,13 @@
 )
 
 // The sizes, zones, limits and delays are those of the two deployments. Busy
-// times, numbers of keys, skew and utilization are assumptions, the same for
+// times, numbers of keys, skew and utilization are assumptions and equal for
 // every policy.
 const (
 	archiveKeys = 20_000
 	quoteKeys   = 30_000
-	// shardsPerTarget is how many hash ranges there are for each server of a
-	// keyed service: enough for a single one to be small against a server.
+	// shardsPerTarget is the number of hash ranges per server of a
+	// keyed service, high enough that one range is small compared to a server's load.
 	shardsPerTarget = 16
 )
 
@@ -35,7 +35,7 @@
 	return nil, false
 }
 
-// kavango has its zones in Windhoek and puts availability first.
+// kavango has its zones in Windhoek and prioritizes availability.
 func kavango() *Deployment {
 	const concurrency, connections = 4, 100
 	return &Deployment{
@@ -73,7 +73,7 @@
 	}
 }
 
-// urbion has its zones in Soria and puts even load first.
+// urbion has its zones in Soria and prioritizes even load.
 func urbion() *Deployment {
 	const concurrency, connections = 6, 130
 	return &Deployment{
