--- a/scenarios/scenarios.go
+++ b/scenarios/scenarios.go
@@ -1,5 +1,5 @@
 // Package scenarios embeds the scenarios of the experiment tool. Package
-// experiment reads them; docs/BALANCE.md lists what each brings about.
+// experiment reads them; docs/BALANCE.md describes the effect of each.
 package scenarios
 
 import (
@@ -13,10 +13,10 @@
 //go:embed *.jsonc
 var files embed.FS
 
-// Extension is that of scenario files.
+// Extension is the file name extension of scenario files.
 const Extension = ".jsonc"
 
-// Names lists the embedded scenarios in order.
+// Names lists the names of the embedded scenarios in alphabetical order.
 func Names() []string {
 	matches, _ := fs.Glob(files, "*"+Extension) // the pattern is constant and valid
 	for i, name := range matches {
@@ -26,7 +26,7 @@
 	return matches
 }
 
-// Text returns the text of an embedded scenario; false if there is none of the
+// Text returns the text of an embedded scenario; false if there is none with that
 // name.
 func Text(name string) ([]byte, bool) {
 	text, err := files.ReadFile(name + Extension)
