--- a/experiment/engine/availability.go
+++ b/experiment/engine/availability.go
@@ -8,19 +8,19 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// availability adds up for how long keys had no server that would serve them:
-// from the moment at which a server was revoked a shard, was lost or let its
-// lease lapse, to that at which a server was granted it.
+// availability sums the time during which keys had no server that would serve them:
+// from the time at which a server's shard was revoked, the server was lost or its
+// lease expired, until a server was granted the shard.
 type availability struct {
 	site    *site
 	held    map[topo.ServerID]map[topo.ShardID][]string // grants under a valid lease, with exceptions
 	holders map[topo.ShardID]int
-	excepts map[topo.ShardID]int // by key: grants of its hash range without it
-	keys    map[topo.ShardID]int // by hash range: its keys in use
+	excepts map[topo.ShardID]int // by key: number of grants of its hash range that exclude it
+	keys    map[topo.ShardID]int // by hash range: number of its keys in use
 	since   map[topo.ShardID]time.Time
 
-	// keyTime adds up outages, each times its keys. It is a whole number so that
-	// it does not depend on the order of adding.
+	// keyTime is the sum of all outages, each multiplied by its number of keys. It is an
+	// integer, so that it does not depend on the order of addition.
 	keyTime time.Duration
 	longest time.Duration
 }
@@ -50,8 +50,8 @@
 	}
 }
 
-// granted takes what a server may serve now, and looks again when its lease
-// ends.
+// granted records the shards that a server may serve now, and checks again when its lease
+// expires.
 func (a *availability) granted(s *server) {
 	now := s.uptime()
 	next := map[topo.ShardID][]string{}
@@ -69,7 +69,7 @@
 	a.replace(s.id, next)
 }
 
-// lost takes away all that a server held.
+// lost removes all grants of a server.
 func (a *availability) lost(id topo.ServerID) { a.replace(id, nil) }
 
 func (a *availability) replace(id topo.ServerID, next map[topo.ShardID][]string) {
@@ -81,7 +81,7 @@
 	for shard := range touched {
 		a.settle(shard)
 	}
-	// A key that is out by itself is back when its whole hash range is granted.
+	// A key with its own outage is available again when its whole hash range is granted.
 	for id := range a.since {
 		if id.Key != "" && touched[topo.ShardID{Service: id.Service, Index: id.Index}] {
 			a.settle(id)
@@ -101,7 +101,7 @@
 	}
 }
 
-// served reports whether some server would serve a hash range or a key that is
+// served reports whether some server would serve a hash range, or a key that is
 // or was split out of one.
 func (a *availability) served(id topo.ShardID) bool {
 	if a.holders[id] > 0 {
@@ -126,7 +126,7 @@
 	}
 }
 
-// count adds an outage up to now.
+// count adds an outage that lasted from since until now.
 func (a *availability) count(id topo.ShardID, since time.Time) {
 	from := later(since, a.site.measure.from)
 	lasted := a.site.clock.now.Sub(from)
@@ -141,7 +141,7 @@
 	a.longest = max(a.longest, lasted)
 }
 
-// finish adds the outages that last.
+// finish adds the outages that have not ended.
 func (a *availability) finish() {
 	ids := make([]topo.ShardID, 0, len(a.since))
 	for id := range a.since {
@@ -153,7 +153,7 @@
 	}
 }
 
-// total returns the key-seconds of all keyed services over a time.
+// total returns the key-seconds of all keyed services over a duration.
 func (a *availability) total(length time.Duration) float64 {
 	keys := 0
 	for _, count := range a.keys {
--- a/experiment/engine/availability_test.go
+++ b/experiment/engine/availability_test.go
@@ -14,8 +14,8 @@
 
 type held = map[topo.ShardID][]string
 
-// TestOutagesOfRangesAndKeys plays grants and revocations and checks the
-// key-seconds that were counted.
+// TestOutagesOfRangesAndKeys applies grants and revocations and checks the
+// counted key-seconds.
 func TestOutagesOfRangesAndKeys(t *testing.T) {
 	whole := topo.ShardID{Service: "quotes", Index: 3}
 	single := topo.ShardID{Service: "quotes", Index: 3, Key: "hot"}
@@ -25,7 +25,7 @@
 	}
 	cases := []struct {
 		name  string
-		steps []step // one a second, then one more second
+		steps []step // one per second, then one more second
 		out   func(keys int) time.Duration
 	}{
 		{"a range moves", []step{{"a", held{whole: nil}}, {"a", nil}, {"b", held{whole: nil}}},
@@ -47,7 +47,7 @@
 			s := newSite(&Options{
 				Deployment: deployment, Policy: balance.Push{}, Picker: func() pick.Picker { return pick.Random{} },
 			})
-			s.clock.now = epoch.Add(lead)
+			s.clock.now = epoch.Add(setupTime)
 			for _, step := range c.steps {
 				s.availability.replace(step.server, step.grants)
 				s.clock.now = s.clock.now.Add(time.Second)
--- a/experiment/engine/call.go
+++ b/experiment/engine/call.go
@@ -14,52 +14,52 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// call is one request on its way through one entry node. Its steps follow those
-// of the router's module; what each step decides comes from the same packages.
+// call is one request in flight through one entry node. Its steps follow those
+// of the router's module; each decision is made by the same packages.
 type call struct {
-	node     *node
-	service  *model.Service
-	arrival  *model.Arrival
-	key      string
-	work     float64 // seconds on a server of ordinary speed
-	caller   string
-	deadline time.Time
-	repeat   bool // idempotent
-	hop      int
-	from     *node         // that forwarded it; nil when it came from outside
-	deputize topo.NodeID   // lessor that from could not reach; "" for none
-	chosen   topo.ServerID // by the forwarding node, a hint
-	done     func(outcome.Verdict)
+	node       *node
+	service    *model.Service
+	arrival    *model.Arrival
+	key        string
+	work       float64 // seconds on a server of nominal speed
+	caller     string
+	deadline   time.Time
+	idempotent bool // idempotent
+	hop        int
+	from       *node         // node that forwarded it; nil if a caller or server sent it
+	deputize   topo.NodeID   // lessor that was unreachable for from; "" for none
+	chosen     topo.ServerID // hint of the forwarding node
+	done       func(outcome.Verdict)
 
-	tally  outcome.Tally
-	counts int
-	tried  []topo.ServerID
-	waited []buffer.Key
-	probe  *buffer.Key
-	past   []topo.NodeID // lessors and deputies that could not be reached
-	trace  *trace
+	tally        outcome.Tally
+	attemptCount int
+	tried        []topo.ServerID
+	waited       []buffer.Key
+	probe        *buffer.Key
+	bypassed     []topo.NodeID // unreachable lessors and deputies
+	trace        *trace
 }
 
-// trace is what the figures need of one request over all nodes that it passes.
+// trace collects data for the figures about one request across all its nodes.
 type trace struct {
 	attempts int
-	offered  bool // its work counts as offered to some server
-	failed   bool // a call that it made to another service failed
+	offered  bool // its work is already counted as offered load
+	failed   bool // one of its calls to another service failed
 }
 
-// result is what one attempt came to.
+// result is the outcome of one attempt.
 type result struct {
-	verdict outcome.Verdict
-	out     *buffer.Key
-	cause   buffer.Cause
-	contact bool
-	moved   bool // the way changed before anything was sent
+	verdict      outcome.Verdict
+	outageKey    *buffer.Key
+	cause        buffer.Cause
+	contacted    bool
+	routeChanged bool // the route changed before anything was sent
 }
 
 func unsent(v outcome.Verdict) result { return result{verdict: v} }
 
 func (r result) outage(key buffer.Key, cause buffer.Cause) result {
-	r.out, r.cause = &key, cause
+	r.outageKey, r.cause = &key, cause
 	return r
 }
 
@@ -67,7 +67,7 @@
 
 func (c *call) expired() bool { return !c.now().Before(c.deadline) }
 
-// next decides where the request goes now, and goes there.
+// next determines the current route of the request and follows it.
 func (c *call) next() {
 	if c.expired() {
 		c.finish(outcome.NotRun(serverapi.ReasonDeadline))
@@ -86,25 +86,25 @@
 			}
 			d = deputized
 		}
-		if d.Path == route.PathForward && c.out(d.Lessor) {
+		if d.Path == route.PathForward && c.isUnreachable(d.Lessor) {
 			d = c.pastLessor(d)
 		}
-		c.hold(d)
+		c.bufferOrExecute(d)
 	})
 }
 
-// out reports whether a node cannot be reached, as far as this request or its
-// node knows.
-func (c *call) out(id topo.NodeID) bool {
-	return slices.Contains(c.past, id) || c.node.lessorOut(id)
+// isUnreachable reports whether a node is unreachable according to this request or its
+// node.
+func (c *call) isUnreachable(id topo.NodeID) bool {
+	return slices.Contains(c.bypassed, id) || c.node.lessorEjected(id)
 }
 
-// pastLessor turns a forward into the way past the lessor.
+// pastLessor converts a forward into a route that bypasses the lessor.
 func (c *call) pastLessor(d route.Decision) route.Decision {
-	return d.PastLessor(c.node.view, c.node.self(), c.out, c.node.random.Float64)
+	return d.PastLessor(c.node.view, c.node.self(), c.isUnreachable, c.node.random.Float64)
 }
 
-// destination decides by the node's own view.
+// destination determines the route from the node's own view.
 func (c *call) destination(then func(route.Decision)) {
 	if c.service.Keyed {
 		then(route.Keyed(c.node.view, nil, c.node.self(), c.service.Name, c.key))
@@ -113,8 +113,8 @@
 	c.choose(then)
 }
 
-// hold lets the request wait while something on its way is out.
-func (c *call) hold(d route.Decision) {
+// bufferOrExecute buffers the request during an outage on its route, and executes it otherwise.
+func (c *call) bufferOrExecute(d route.Decision) {
 	book := c.node.book
 	if d.Path == route.PathWait {
 		key, cause := buffer.ShardKey(d), buffer.Unowned
@@ -143,7 +143,7 @@
 	c.execute(d)
 }
 
-// keysOf lists what may be out on the way that a decision names.
+// keysOf lists the keys on a decision's route that may have an outage.
 func keysOf(d route.Decision) []buffer.Key {
 	if d.Path == route.PathForward {
 		return []buffer.Key{buffer.LessorKey(d)}
@@ -162,7 +162,7 @@
 }
 
 func (c *call) execute(d route.Decision) {
-	c.count(d)
+	c.countOffered(d)
 	if d.Next() != "" {
 		c.forward(d)
 		return
@@ -170,24 +170,24 @@
 	c.admit(d)
 }
 
-// count adds the request's work to the figures of the server that it goes to,
-// once.
-func (c *call) count(d route.Decision) {
+// countOffered adds the request's work to the offered load of its server,
+// at most once per request.
+func (c *call) countOffered(d route.Decision) {
 	if !c.trace.offered {
 		c.trace.offered = true
 		c.node.site.measure.offered(c, d.Server)
 	}
 }
 
-// settle takes the result of an attempt and decides what comes next.
-func (c *call) settle(d route.Decision, res result) {
+// handleResult processes the result of an attempt and decides the next step.
+func (c *call) handleResult(d route.Decision, res result) {
 	c.report(d, res)
-	if res.moved {
+	if res.routeChanged {
 		c.next()
 		return
 	}
 	c.tally.Add(res.verdict)
-	c.counts++
+	c.attemptCount++
 	if res.verdict.Outcome == serverapi.OutcomeAnswered {
 		c.finish(res.verdict)
 		return
@@ -195,8 +195,8 @@
 	decided := retry.Decide(c.now(), c.attempt(res), c.node.takeRetry(c.service.Name), c.node.random.Float64)
 	switch decided.Action {
 	case retry.Reroute:
-		c.counts--
-		if res.out == nil {
+		c.attemptCount--
+		if res.outageKey == nil {
 			c.node.failed(keysOf(d)[0], buffer.Moving)
 		}
 		c.next()
@@ -213,28 +213,28 @@
 	return retry.Attempt{
 		Verdict:    res.verdict,
 		Keyed:      c.service.Keyed,
-		Idempotent: c.repeat,
+		Idempotent: c.idempotent,
 		Replayable: true,
 		Forwarded:  c.from != nil,
 		Hop:        c.hop,
-		Attempts:   c.counts,
+		Attempts:   c.attemptCount,
 		Deadline:   c.deadline,
 	}
 }
 
-// report tells the buffer what an attempt showed.
+// report updates the buffer with the result of an attempt.
 func (c *call) report(d route.Decision, res result) {
 	n := c.node
-	if res.out != nil {
-		n.failed(*res.out, res.cause)
-		if !slices.Contains(c.waited, *res.out) {
-			c.waited = append(c.waited, *res.out)
+	if res.outageKey != nil {
+		n.failed(*res.outageKey, res.cause)
+		if !slices.Contains(c.waited, *res.outageKey) {
+			c.waited = append(c.waited, *res.outageKey)
 		}
 	}
 	if res.verdict.Outcome == serverapi.OutcomeAnswered {
 		n.recovered(keysOf(d)...)
 		n.recovered(c.waited...)
-	} else if res.contact && d.Next() == "" {
+	} else if res.contacted && d.Next() == "" {
 		n.recovered(buffer.ServerKey(d))
 	}
 	if c.probe != nil {
@@ -243,7 +243,7 @@
 	}
 }
 
-// finish gives the request its final answer.
+// finish sends the final answer to the request.
 func (c *call) finish(last outcome.Verdict) {
 	verdict := c.tally.Final(last)
 	if verdict.RetryAfter == 0 && verdict.Outcome != serverapi.OutcomeAnswered {
@@ -253,11 +253,11 @@
 	c.done(verdict)
 }
 
-// defaultRetryAfter is told when nothing better is known.
+// defaultRetryAfter is the retry delay in an answer without a more precise one.
 const defaultRetryAfter = 500 * time.Millisecond
 
-// callDependency makes the request's call to another service, if it has one,
-// from the server that runs it, and goes on when that has its final answer.
+// callDependency sends the request's call to another service, if it has one,
+// from the server that runs it, and calls then after the final answer.
 func (c *call) callDependency(from topo.ServerID, then func()) {
 	a := c.arrival
 	if a == nil || a.Calls < 0 || c.hop > 0 {
@@ -268,14 +268,14 @@
 	dependency := c.service.DependsOn[a.Calls]
 	entry := site.entry(a.CallEntry)
 	called := &call{
-		service:  site.deployment.Service(dependency.Service),
-		key:      model.Key(dependency.Service, a.CallKey),
-		work:     a.CallWork,
-		caller:   string(from),
-		deadline: c.deadline,
-		repeat:   true,
-		hop:      c.hop + 1,
-		trace:    &trace{},
+		service:    site.deployment.Service(dependency.Service),
+		key:        model.Key(dependency.Service, a.CallKey),
+		work:       a.CallWork,
+		caller:     string(from),
+		deadline:   c.deadline,
+		idempotent: true,
+		hop:        c.hop + 1,
+		trace:      &trace{},
 		done: func(v outcome.Verdict) {
 			c.trace.failed = c.trace.failed || v.Outcome != serverapi.OutcomeAnswered
 			site.clock.after(site.deployment.LocalDelay, then)
--- a/experiment/engine/choose.go
+++ b/experiment/engine/choose.go
@@ -12,24 +12,24 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// choose picks a server of a service that is not divided by key. A picker that
-// probes costs the request the time of its probes.
+// choose picks a server of a service that is not divided by key. With a picker that
+// probes, the request is delayed by its probes.
 func (c *call) choose(then func(route.Decision)) {
 	n := c.node
-	ways := c.ways()
-	if len(ways) == 0 {
+	routes := c.routes()
+	if len(routes) == 0 {
 		config, _ := n.view.Service(c.service.Name)
 		then(route.Decision{Path: route.PathWait, Reason: callerapi.ReasonNoServer, Service: config})
 		return
 	}
 	if c.from != nil {
-		then(preferred(ways, c.chosen))
+		then(preferred(routes, c.chosen))
 		return
 	}
 	picker := n.picker(c.service.Name)
-	candidates := make([]pick.Candidate, len(ways))
-	for i := range ways {
-		candidates[i] = n.candidate(ways[i], picker)
+	candidates := make([]pick.Candidate, len(routes))
+	for i := range routes {
+		candidates[i] = n.candidate(routes[i], picker)
 	}
 	before := probesOf(picker)
 	chosen, found := picker.Pick(candidates, n.random.Float64)
@@ -39,10 +39,10 @@
 	}
 	probed := probesOf(picker) - before
 	n.site.measure.probes += probed
-	n.site.clock.after(time.Duration(probed)*n.site.deployment.ProbeCost, func() { then(ways[chosen]) })
+	n.site.clock.after(time.Duration(probed)*n.site.deployment.ProbeCost, func() { then(routes[chosen]) })
 }
 
-// Prober is a picker that asks servers for their load; Probes counts that.
+// Prober is a picker that probes servers for their load; Probes returns the number of probes.
 type Prober interface{ Probes() int }
 
 func probesOf(picker pick.Picker) int {
@@ -52,20 +52,20 @@
 	return 0
 }
 
-// preferred returns the way to the server that the forwarding node chose, or
-// the first one.
-func preferred(ways []route.Decision, chosen topo.ServerID) route.Decision {
-	for _, d := range ways {
+// preferred returns the route to the server that the forwarding node chose, or
+// the first route.
+func preferred(routes []route.Decision, chosen topo.ServerID) route.Decision {
+	for _, d := range routes {
 		if d.Server == chosen {
 			return d
 		}
 	}
-	return ways[0]
+	return routes[0]
 }
 
-// ways lists the decisions that the request may take: those that did not fail
-// already and are not out, as long as there are any.
-func (c *call) ways() []route.Decision {
+// routes lists the routes that the request may take: those that have not failed
+// and have no outage or, if there are none, all of them.
+func (c *call) routes() []route.Decision {
 	n := c.node
 	var all, fresh []route.Decision
 	for _, id := range n.live(c.service.Name) {
@@ -74,7 +74,7 @@
 			continue
 		}
 		all = append(all, d)
-		if !slices.Contains(c.tried, id) && !n.out(keysOf(d)[0]) {
+		if !slices.Contains(c.tried, id) && !n.inOutage(keysOf(d)[0]) {
 			fresh = append(fresh, d)
 		}
 	}
@@ -84,7 +84,7 @@
 	return all
 }
 
-// mayTake reports whether a forwarded request may take a way: this node's own,
+// mayTake reports whether a forwarded request may take a route: one of this node,
 // or that of a deputy to the server that the forwarding node chose.
 func (c *call) mayTake(d route.Decision) bool {
 	if d.Path == route.PathLocal {
@@ -93,7 +93,7 @@
 	return d.Server == c.chosen && c.deputize != "" && d.Lessor == c.deputize
 }
 
-// live lists the live servers of a service in order, once for each view.
+// live lists the live servers of a service in order; it is computed once per view.
 func (n *node) live(service topo.Service) []topo.ServerID {
 	if n.liveOf != n.view {
 		n.liveOf = n.view
@@ -110,8 +110,8 @@
 	return n.liveServers[service]
 }
 
-// candidate describes one way. A picker that probes sees the exact loads, any
-// other what the node knows.
+// candidate describes one route. A picker that probes gets the exact loads, any
+// other picker the loads known to the node.
 func (n *node) candidate(d route.Decision, picker pick.Picker) pick.Candidate {
 	now := n.site.clock.now
 	server, _ := n.view.Server(d.Server)
@@ -136,31 +136,31 @@
 	return c
 }
 
-// out reports whether something is known to be out.
-func (n *node) out(key buffer.Key) bool {
+// inOutage reports whether a key has a known outage.
+func (n *node) inOutage(key buffer.Key) bool {
 	_, out := n.outages[key]
 	return out
 }
 
-// remoteLoad is what a node knows of a server whose admission point is another
-// node, as in the router's module: its own requests there, and what that node
-// last said.
+// remoteLoad is a node's estimate of the load of a server whose admission point is another
+// node, as in the router's module: its own requests there and the load that the other node
+// last reported.
 type remoteLoad struct {
-	own   int
-	heard float64
-	at    time.Time
+	own      int
+	reported float64
+	at       time.Time
 }
 
-// heardFor is how long a load that an admission point told counts.
-const heardFor = time.Second
+// reportedLoadTTL is the time over which a load reported by an admission point decays to 0.
+const reportedLoadTTL = time.Second
 
-func (r *remoteLoad) hear(now time.Time, load float64) { r.heard, r.at = load, now }
+func (r *remoteLoad) update(now time.Time, load float64) { r.reported, r.at = load, now }
 
 func (r *remoteLoad) load(now time.Time, limit int) float64 {
 	own := float64(r.own) / float64(limit)
 	age := now.Sub(r.at)
-	if r.at.IsZero() || age > heardFor {
+	if r.at.IsZero() || age > reportedLoadTTL {
 		return own
 	}
-	return max(own, r.heard*(1-float64(age)/float64(heardFor)))
+	return max(own, r.reported*(1-float64(age)/float64(reportedLoadTTL)))
 }
--- a/experiment/engine/clock.go
+++ b/experiment/engine/clock.go
@@ -1,14 +1,14 @@
 // Package engine runs the production decision code of the project against
-// small stand-in servers on a virtual clock: arrivals, service times, delays
-// and faults are events in one queue, so that a run depends on its seed alone
-// and on no machine's speed.
+// simulated servers on a virtual clock: arrivals, service times, delays
+// and faults are events in one queue, so that a run depends only on its seed
+// and not on the speed of the machine.
 //
-// What decides is the code that runs in production: package state applies the
+// All decisions are made by the production code: package state applies the
 // records, route chooses the server, limit admits, buffer holds requests while
-// a shard moves, retry, outcome, health and shed judge, pick chooses among the
-// servers of unkeyed services, lease is the rule by which a server owns shards,
-// and load and balance plan moves. The engine itself adds delays and
-// bookkeeping only.
+// a shard moves, retry, outcome, health and shed evaluate attempts, pick chooses among the
+// servers of unkeyed services, lease implements the ownership of shards by servers,
+// and load and balance plan moves. The engine itself adds only delays and
+// bookkeeping.
 package engine
 
 import (
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// epoch is the virtual clock's start. It is far from the zero time, which the
-// production code reads as "never".
+// epoch is the start of the virtual clock. It differs from the zero time, which the
+// production code interprets as "never".
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // clock is a queue of events in virtual time.
@@ -29,19 +29,19 @@
 
 type event struct {
 	at       time.Time
-	sequence uint64 // keeps events of one moment in the order of their making
+	sequence uint64 // orders events with equal times by their creation
 	run      func()
 }
 
 func newClock() *clock { return &clock{now: epoch} }
 
-// after schedules run; a delay below 0 counts as 0.
+// after schedules run; a negative delay is treated as 0.
 func (c *clock) after(delay time.Duration, run func()) {
 	c.sequence++
 	heap.Push(&c.events, event{at: c.now.Add(max(delay, 0)), sequence: c.sequence, run: run})
 }
 
-// every schedules run at a fixed interval, first after one interval, until the
+// every schedules run at a fixed interval, for the first time after one interval, until the
 // end of the run.
 func (c *clock) every(interval time.Duration, run func()) {
 	var tick func()
@@ -55,8 +55,8 @@
 // elapsed returns the virtual time since the start.
 func (c *clock) elapsed() time.Duration { return c.now.Sub(epoch) }
 
-// step runs the next event unless it is later than end; it reports whether
-// there was one.
+// step runs the next event unless it is later than end; it reports whether it
+// ran one.
 func (c *clock) step(end time.Time) bool {
 	if len(c.events) == 0 || c.events[0].at.After(end) {
 		return false
--- a/experiment/engine/convert.go
+++ b/experiment/engine/convert.go
@@ -35,7 +35,7 @@
 	return grants
 }
 
-// reportOf reads a reply of a stand-in server, which is always well formed.
+// reportOf converts a reply of a simulated server, which is always valid.
 func reportOf(reply serverapi.LeaseReply, active bool) lessor.LeaseReport {
 	term, _ := topo.ParseTerm(reply.HighestTerm)
 	report := lessor.LeaseReport{
--- a/experiment/engine/counting.go
+++ b/experiment/engine/counting.go
@@ -2,7 +2,7 @@
 
 import "github.com/burdockspindle/burdockspindle/balance"
 
-// countingPolicy adds up what a policy decided and probed.
+// countingPolicy collects the moves and counts the probes of a policy.
 type countingPolicy struct {
 	balance.Policy
 	probes int
--- a/experiment/engine/engine_test.go
+++ b/experiment/engine/engine_test.go
@@ -14,7 +14,7 @@
 	"github.com/burdockspindle/burdockspindle/pick"
 )
 
-// options returns a short run of a deployment.
+// options returns the options of a short run of a deployment.
 func options(name string, traffic model.Traffic, faults ...engine.Fault) *engine.Options {
 	deployment, _ := model.Preset(name)
 	return &engine.Options{
@@ -98,8 +98,8 @@
 	g.Expect(err).To(gomega.MatchError(context.Canceled))
 }
 
-// A server may be gone by the time at which the record that moves a shard to it
-// is applied. The shard must then go back to its owner.
+// A server may be gone when the record that moves a shard to it
+// is applied. The shard must then return to its owner.
 func TestARefusedMoveLeavesTheShardWithItsOwner(t *testing.T) {
 	g := gomega.NewWithT(t)
 	lose := engine.Fault{Kind: engine.FaultLoseZone, Zone: 2, At: 2 * time.Second}
@@ -109,8 +109,8 @@
 	g.Expect(f.LongestUnavailable).To(gomega.BeNumerically("<", 3000))
 }
 
-// The lessors of a lost zone's servers cannot be reached; those of the others
-// can, and alone send to theirs.
+// The lessors of a lost zone's servers are unreachable. The lessors of other servers are
+// reachable, so only they may send requests to those servers.
 func TestALostZoneLeavesTheOtherServersWithinTheirLimits(t *testing.T) {
 	g := gomega.NewWithT(t)
 	lose := engine.Fault{Kind: engine.FaultLoseZone, Zone: 2, At: 2 * time.Second}
@@ -118,8 +118,8 @@
 	g.Expect(f.LimitExceeded).To(gomega.BeZero())
 }
 
-// A call to a server that is lost ends at its deadline, also while no connection
-// can be made, so that the server that waits for it is free when its place is.
+// A call to a lost server must end at its deadline, even while no connection
+// can be established, so that the waiting server is free when its slot is released.
 func TestALostServersCallersAreFreeAtTheirDeadline(t *testing.T) {
 	g := gomega.NewWithT(t)
 	lose := engine.Fault{Kind: engine.FaultLoseZone, Zone: 2, At: 2 * time.Second}
@@ -128,9 +128,9 @@
 	g.Expect(f.AdmittedLate).To(gomega.BeZero())
 }
 
-// Far more entry nodes than a server has places lose the lessors: what servers
-// refuse is bounded by what the lost lessors had there, not by the nodes.
-func TestLostLessorsArePassedByWithinTheLimits(t *testing.T) {
+// Far more entry nodes than a server has slots lose the lessors. The number of refusals
+// by servers is bounded by the lost lessors' slots there, not by the number of nodes.
+func TestLostLessorsAreBypassedWithinTheLimits(t *testing.T) {
 	g := gomega.NewWithT(t)
 	lost := engine.Fault{Kind: engine.FaultLoseLessor, Zone: 1, Standby: true, At: 2 * time.Second}
 	deployment, _ := model.Preset(model.Urbion)
@@ -139,12 +139,12 @@
 	o := options(model.Urbion, traffic, lost)
 	o.Deployment, o.Arrivals = deployment, model.Arrivals(deployment, traffic, 1)
 	f := run(t, o)
-	g.Expect(f.LimitExceeded).To(gomega.BeNumerically("<=", 6)) // the places of one server
+	g.Expect(f.LimitExceeded).To(gomega.BeNumerically("<=", 6)) // the slots of one server
 	g.Expect(f.GoodputShare).To(gomega.BeNumerically(">", 0.97))
 }
 
-// A server honours the deadline while it waits for its call to another service,
-// also when the answer comes a moment too late.
+// A server must respect the deadline while it waits for its call to another service,
+// even if the answer arrives just after it.
 func TestAServerDoesNotWaitForItsCallPastTheDeadline(t *testing.T) {
 	g := gomega.NewWithT(t)
 	lose := engine.Fault{Kind: engine.FaultLoseZone, Zone: 2, At: 15 * time.Second}
@@ -153,9 +153,9 @@
 	g.Expect(run(t, o).LimitExceeded).To(gomega.BeZero())
 }
 
-// A lessor that claims again, to name another standby lessor, has records of its
-// old term on their way. What they were to move is not left without a server.
-func TestMovesUnderWayOutliveTheLessorsNextTerm(t *testing.T) {
+// A lessor that claims a new term to appoint another standby lessor may have records of its
+// old term in flight. The shards of those moves must not be left without a server.
+func TestMovesInFlightSurviveTheLessorsNextTerm(t *testing.T) {
 	g := gomega.NewWithT(t)
 	lost := engine.Fault{Kind: engine.FaultLoseLessor, Zone: 0, Standby: true, At: 2 * time.Second}
 	f := run(t, options(model.Urbion, model.Traffic{Duration: 9 * time.Second}, lost))
--- a/experiment/engine/faults.go
+++ b/experiment/engine/faults.go
@@ -10,33 +10,33 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// plant schedules the faults of a run whose arrivals start now.
-func (s *site) plant(faults []Fault) {
+// scheduleFaults schedules the faults relative to the current time, at which arrivals start.
+func (s *site) scheduleFaults(faults []Fault) {
 	for _, fault := range faults {
-		s.clock.after(fault.At, func() { s.begin(fault) })
+		s.clock.after(fault.At, func() { s.beginFault(fault) })
 		if fault.Until > 0 {
-			s.clock.after(fault.Until, func() { s.end(fault) })
+			s.clock.after(fault.Until, func() { s.endFault(fault) })
 		}
 	}
 }
 
-func (s *site) begin(fault Fault) {
+func (s *site) beginFault(fault Fault) {
 	switch fault.Kind {
 	case FaultLoseZone:
 		s.loseZone(s.deployment.Zones[fault.Zone])
 	case FaultLoseLessor:
 		s.loseLessor(topo.MakeGroupID(s.deployment.Zones[fault.Zone], 0), fault.Standby)
 	case FaultReplace:
-		s.replaceInTurn(s.hit(fault), fault.Interval)
+		s.replaceInTurn(s.targets(fault), fault.Interval)
 	default:
-		for _, hit := range s.hit(fault) {
-			s.hurt(hit, fault)
+		for _, hit := range s.targets(fault) {
+			s.applyFault(hit, fault)
 		}
 	}
 }
 
-// hit lists the servers that a fault names.
-func (s *site) hit(fault Fault) []*server {
+// targets lists the servers that a fault affects.
+func (s *site) targets(fault Fault) []*server {
 	all := s.byService[fault.Service]
 	if len(fault.Servers) == 0 {
 		return all
@@ -50,12 +50,12 @@
 	return list
 }
 
-func (s *site) hurt(hit *server, fault Fault) {
+func (s *site) applyFault(hit *server, fault Fault) {
 	switch fault.Kind {
 	case FaultSlow:
 		hit.slow = fault.Factor
 	case FaultLie:
-		hit.liar = true
+		hit.reportsNoLoad = true
 		hit.slow = fault.Factor
 	case FaultShed:
 		hit.shed = fault.Share
@@ -68,14 +68,14 @@
 	}
 }
 
-// end takes a fault back.
-func (s *site) end(fault Fault) {
-	for _, hit := range s.hit(fault) {
+// endFault reverts a fault.
+func (s *site) endFault(fault Fault) {
+	for _, hit := range s.targets(fault) {
 		switch fault.Kind {
 		case FaultSlow:
 			hit.slow = 1
 		case FaultLie:
-			hit.liar, hit.slow = false, 1
+			hit.reportsNoLoad, hit.slow = false, 1
 		case FaultShed:
 			hit.shed = 0
 		case FaultFail:
@@ -84,7 +84,7 @@
 	}
 }
 
-// lose stops a server without a word. The VM list shows it later.
+// lose stops a server without notice. The VM list shows the loss after vmListDelay.
 func (s *site) lose(hit *server) {
 	hit.up = false
 	s.availability.lost(hit.id)
@@ -120,8 +120,8 @@
 	})
 }
 
-// loseLessor ends the process of the entry VM that leads a group, and with standby
-// its standby lessor's, as the log names them.
+// loseLessor ends the process of the entry VM that is the lessor of a group and, with standby,
+// that of its standby lessor, as recorded in the log.
 func (s *site) loseLessor(id topo.GroupID, standby bool) {
 	group, _ := s.log.view.Group(id)
 	lost := []topo.NodeID{group.Lessor}
@@ -138,7 +138,7 @@
 	s.clock.after(vmListDelay, func() { s.confirm(loss) })
 }
 
-// confirm and update write what the membership module would, at the node that
+// confirm and update write the records of the membership module at the node that
 // watches the VM list.
 func (s *site) confirm(loss *bspb.ConfirmLoss) {
 	s.write(&bspb.Record{Body: &bspb.Record_ConfirmLoss{ConfirmLoss: loss}})
@@ -156,8 +156,8 @@
 	}
 }
 
-// replaceInTurn drains one server after another. Each gets a cold successor at
-// once, and stops when it holds nothing any more.
+// replaceInTurn drains one server after another. Each gets a cold replacement at
+// once, and stops when it has no grants and no requests.
 func (s *site) replaceInTurn(list []*server, interval time.Duration) {
 	for i, old := range list {
 		s.clock.after(time.Duration(i)*interval, func() { s.replace(old) })
@@ -179,9 +179,9 @@
 	})
 }
 
-// stopWhenEmpty stops a draining server once it owns nothing and is idle.
+// stopWhenEmpty stops a draining server when it owns nothing and is idle.
 func (s *site) stopWhenEmpty(old *server) {
-	if old.held == 0 && len(old.holder.Grants()) == 0 {
+	if old.inFlight == 0 && len(old.holder.Grants()) == 0 {
 		old.up = false
 		s.update(old, bspb.ServerPhase_SERVER_PHASE_GONE)
 		return
--- a/experiment/engine/gate.go
+++ b/experiment/engine/gate.go
@@ -7,16 +7,16 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// gate is the virtual-time runtime of one limit.Queue: a node's admission of
+// gate runs one limit.Queue in virtual time: a node's admission of
 // requests to one server.
 type gate struct {
-	node    *node
-	queue   *limit.Queue
-	server  topo.ServerID
-	service topo.Service
-	waiting map[uint64]func(*limit.Refusal)
-	shed    uint64 // refused, as counted for load reports
-	told    uint64 // of shed, already counted
+	node         *node
+	queue        *limit.Queue
+	server       topo.ServerID
+	service      topo.Service
+	waiting      map[uint64]func(*limit.Refusal)
+	shed         uint64 // refused requests, for load reports
+	reportedShed uint64 // part of shed that is already reported
 }
 
 func (n *node) gate(gates map[topo.ServerID]*gate, service topo.Service, id topo.ServerID, spec limit.Spec) *gate {
@@ -31,8 +31,8 @@
 	return g
 }
 
-// warmSince is when a gate that is made now counts as cold from. Runs that
-// start warm have gates that were there before.
+// warmSince returns the time from which the ramp of a new gate is measured. In runs
+// that start warm, the ramp of the initial gates is already complete.
 func (n *node) warmSince() time.Time {
 	if n.site.warmStart() {
 		return epoch.Add(-gateRamp)
@@ -40,8 +40,8 @@
 	return n.site.clock.now
 }
 
-// acquire asks for a place and goes on with nil when it is granted, or with the
-// refusal. The number names the place for release.
+// acquire requests a slot and calls then with nil when it is granted, or with the
+// refusal. The ID identifies the slot for release.
 func (g *gate) acquire(c *call, then func(id uint64, refused *limit.Refusal)) {
 	g.node.sequence++
 	id := g.node.sequence
@@ -52,7 +52,7 @@
 	g.apply(g.queue.Offer(g.now(), entry, full))
 }
 
-// release gives a place back.
+// release returns a slot.
 func (g *gate) release(id uint64, result limit.Result) {
 	g.apply(g.queue.Finish(g.now(), id, result))
 }
@@ -63,18 +63,18 @@
 	}
 }
 
-// apply goes on with the requests whose fate is known.
+// apply continues the requests that were granted or refused.
 func (g *gate) apply(changes limit.Changes) {
 	for _, id := range changes.Granted {
-		g.tell(id, nil)
+		g.resolve(id, nil)
 	}
 	for i := range changes.Refused {
 		g.shed++
-		g.tell(changes.Refused[i].ID, &changes.Refused[i].Refusal)
+		g.resolve(changes.Refused[i].ID, &changes.Refused[i].Refusal)
 	}
 }
 
-func (g *gate) tell(id uint64, refused *limit.Refusal) {
+func (g *gate) resolve(id uint64, refused *limit.Refusal) {
 	then, waits := g.waiting[id]
 	if !waits {
 		return
@@ -84,7 +84,7 @@
 	then(refused)
 }
 
-// load returns requests in flight and waiting over what the server may hold.
+// load returns the requests in flight and queued, relative to the queue's window.
 func (g *gate) load() float64 {
 	held := g.queue.InFlight() + g.queue.Queued()
 	return float64(held) / float64(g.queue.Window(g.now()))
--- a/experiment/engine/lessors.go
+++ b/experiment/engine/lessors.go
@@ -9,8 +9,8 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// groupMember drives one node's part in one group, as the lessor's module does:
-// it tells the lessor.Member what it observes and starts what is due.
+// groupMember runs one node's lessor.Member for one group, as the lessor's module does:
+// it passes observations to the member and starts the actions that are due.
 type groupMember struct {
 	node   *node
 	group  topo.GroupID
@@ -19,7 +19,7 @@
 	view   *state.View
 	detail bool
 	facts  *lessor.Facts
-	nodes  []state.Node // of facts
+	nodes  []state.Node // nodes of facts
 }
 
 func newGroupMember(n *node, group topo.GroupID) *groupMember {
@@ -39,10 +39,10 @@
 
 func (m *groupMember) clock() *clock { return m.node.site.clock }
 
-// now is the member's clock.
+// now returns the time of the member's clock.
 func (m *groupMember) now() time.Duration { return m.clock().elapsed() }
 
-// observe tells the member the latest state and starts what is due.
+// observe passes the latest state to the member and starts the actions that are due.
 func (m *groupMember) observe() {
 	n := m.node
 	if !n.up || n.view == nil {
@@ -99,8 +99,8 @@
 	}
 }
 
-// lease makes one call to a server: ask is what the server does with it. The
-// call fails when the server does not answer in time.
+// lease makes one call to a server: ask computes the server's reply. The
+// call fails if the server does not answer in time.
 func (m *groupMember) lease(id topo.ServerID, attempt uint64, active bool, ask func(*server) serverapi.LeaseReply) {
 	target, exists := m.node.site.servers[id]
 	settled := false
@@ -154,27 +154,27 @@
 }
 
 func (m *groupMember) heartbeat(to topo.NodeID) {
-	beat, allowed := m.member.BeginHeartbeat(m.now())
+	heartbeat, allowed := m.member.BeginHeartbeat(m.now())
 	if !allowed {
 		return
 	}
-	m.ask(to, func(peer *groupMember) func() {
-		reply := peer.member.HeartbeatReceived(peer.now(), beat)
+	m.callPeer(to, func(peer *groupMember) func() {
+		reply := peer.member.HeartbeatReceived(peer.now(), heartbeat)
 		return func() { m.member.HeartbeatAnswered(m.now(), reply) }
 	}, func() {})
 }
 
 func (m *groupMember) probe(id topo.NodeID) {
 	m.member.BeginProbe(m.now(), id)
-	m.ask(id, func(peer *groupMember) func() {
+	m.callPeer(id, func(peer *groupMember) func() {
 		run := lessor.Run{Node: peer.node.id, Boot: peer.node.boot}
 		return func() { m.member.ProbeAnswered(m.now(), run) }
 	}, func() { m.member.ProbeFailed(id) })
 }
 
-// ask makes one call to another node's part in the group. received runs there
-// and returns what the answer does here; failed runs if none comes.
-func (m *groupMember) ask(id topo.NodeID, received func(*groupMember) func(), failed func()) {
+// callPeer makes one call to another node's member of the group. received runs there
+// and returns the function that processes the answer here; failed runs if no answer arrives.
+func (m *groupMember) callPeer(id topo.NodeID, received func(*groupMember) func(), failed func()) {
 	site := m.node.site
 	peer, exists := site.nodes[id]
 	settled := false
@@ -231,7 +231,7 @@
 	})
 }
 
-// move asks the member for planned moves and returns how many it takes up.
+// move requests planned moves from the member and returns the number that it accepts.
 func (m *groupMember) move(moves []lessor.Move) int {
 	accepted := m.member.RequestMove(m.now(), moves)
 	m.observe()
--- a/experiment/engine/log.go
+++ b/experiment/engine/log.go
@@ -10,9 +10,9 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// sharedLog is the platform's log, in one zone, and the state that follows from
-// it. Every node would apply the same records to the same state, so the state is
-// kept once, and each node gets its views after the delay of its own reading.
+// sharedLog is the platform's log, in one zone, and the state derived from
+// it. Every node would compute the same state from the same records, so the state is
+// kept only once, and each node receives its views after its read delay.
 type sharedLog struct {
 	site      *site
 	state     *state.State
@@ -25,8 +25,8 @@
 	return &sharedLog{site: s, state: state.New(), sequences: map[string]uint64{}}
 }
 
-// append writes a record for a node. Once the node has read it back, done is
-// told where it is and what it did.
+// append writes a record for a node. When the node has read it back, done is
+// called with its offset and effect.
 func (l *sharedLog) append(n *node, rec *bspb.Record, done func(state.Result)) {
 	l.appends++
 	l.sign(rec, record.Writer(n.id, n.boot))
@@ -34,7 +34,7 @@
 		result := l.apply(rec)
 		view := l.view
 		for _, reader := range l.site.nodeList {
-			l.site.clock.after(l.readDelay(reader), func() { reader.take(view) })
+			l.site.clock.after(l.readDelay(reader), func() { reader.applyView(view) })
 		}
 		l.site.clock.after(l.readDelay(n), func() {
 			if n.up {
@@ -44,7 +44,7 @@
 	})
 }
 
-// apply appends and applies at once, and makes the view.
+// apply appends and applies a record immediately and creates the new view.
 func (l *sharedLog) apply(rec *bspb.Record) state.Result {
 	before := l.view
 	result := l.state.Apply(l.state.Applied()+1, rec)
@@ -68,7 +68,7 @@
 	}
 }
 
-// zone is where the log runs: the first zone that is not lost.
+// zone returns the zone of the log: the first zone that is not lost.
 func (l *sharedLog) zone() topo.Zone {
 	for _, zone := range l.site.deployment.Zones {
 		if !l.site.lostZones[zone] {
@@ -82,8 +82,8 @@
 	return readDelay + l.site.delay(l.zone(), n.zone)
 }
 
-// poll lets every node read the log's end: what tells that its view is up to
-// date, and from when.
+// poll makes every node read the end of the log, which confirms that its view is
+// current as of the start of the read.
 func (l *sharedLog) poll() {
 	asked := l.site.clock.now
 	for _, n := range l.site.nodeList {
--- a/experiment/engine/measure.go
+++ b/experiment/engine/measure.go
@@ -14,31 +14,31 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// measure collects a run's figures from the end of the warm-up on.
+// measure collects the figures of a run from the end of the warm-up on.
 type measure struct {
 	site *site
 	from time.Time // end of the warm-up
 
-	services  []*serviceMeasure
-	second    secondMeasure
-	timeline  []Second
-	reasons   map[string]int
-	received  int
-	attempted int
-	attempts  int
-	retries   int
-	calls     int // callers' own retries
-	probes    int
-	ejections int
-	accepted  int // moves that lessors took up
-	moves     int
-	keysMoved int
-	splits    int
-	merges    int
-	reported  int // bytes of load reports
+	services      []*serviceMeasure
+	second        secondMeasure
+	timeline      []Second
+	reasons       map[string]int
+	received      int
+	attempted     int
+	attempts      int
+	retries       int
+	callerRetries int // callers' own retries
+	probes        int
+	ejections     int
+	accepted      int // moves accepted by lessors
+	moves         int
+	keysMoved     int
+	splits        int
+	merges        int
+	reported      int // bytes of load reports
 }
 
-// serviceMeasure is one service's part.
+// serviceMeasure collects the figures of one service.
 type serviceMeasure struct {
 	service   *model.Service
 	loads     map[topo.ServerID]float64 // offered in this second
@@ -48,7 +48,7 @@
 	offered   int
 	good      int
 	goodWork  float64 // seconds of service, calls from other services included
-	disturbed float64 // part of goodWork that ended during the disturbance
+	disturbed float64 // the share of goodWork, in seconds, that ended during the disturbance
 	late      int     // sent and ended after the deadline
 	sent      int
 	notRun    int
@@ -56,7 +56,7 @@
 	failed    int
 }
 
-// secondMeasure is the present second.
+// secondMeasure collects the figures of the current second.
 type secondMeasure struct {
 	latencies *hdrhistogram.Histogram
 	offered   int
@@ -80,7 +80,7 @@
 	return m.sum / float64(m.count)
 }
 
-// Histograms count microseconds up to a minute, with three digits.
+// Histograms record microseconds up to one minute with three significant digits.
 const (
 	highestLatency = int64(time.Minute / time.Microsecond)
 	latencyDigits  = 3
@@ -91,7 +91,7 @@
 }
 
 func newMeasure(s *site) *measure {
-	m := &measure{site: s, from: epoch.Add(lead + s.options.Warmup), reasons: map[string]int{}}
+	m := &measure{site: s, from: epoch.Add(setupTime + s.options.Warmup), reasons: map[string]int{}}
 	m.second.latencies = newHistogram()
 	for i := range s.deployment.Services {
 		m.services = append(m.services, &serviceMeasure{
@@ -104,8 +104,8 @@
 // active reports whether the warm-up is over.
 func (m *measure) active() bool { return !m.site.clock.now.Before(m.from) }
 
-// offered counts a request's work towards the server that it goes to, as busy
-// time at the server's present speed.
+// offered adds a request's work to the offered load of its server, as busy
+// time at the server's current speed.
 func (m *measure) offered(c *call, id topo.ServerID) {
 	target, exists := m.site.servers[id]
 	if !exists {
@@ -130,7 +130,7 @@
 	}
 }
 
-// ended counts the final answer to a caller's request that was to start at
+// ended counts the final answer to a caller's request whose intended start was
 // since.
 func (m *measure) ended(a *model.Arrival, since time.Time, t *trace, v outcome.Verdict) {
 	service := m.services[a.Service]
@@ -164,8 +164,8 @@
 	}
 }
 
-// countWork counts what a request that was answered in time took of its own
-// service and of the one that it called.
+// countWork adds the work of a request that was answered in time to its own
+// service and to the service that it called.
 func (m *measure) countWork(a *model.Arrival) {
 	m.services[a.Service].addWork(a.Work, m.disturbed())
 	if a.Calls < 0 {
@@ -186,9 +186,9 @@
 	}
 }
 
-// disturbed reports whether the run is in its disturbance.
+// disturbed reports whether the disturbance is in progress.
 func (m *measure) disturbed() bool {
-	elapsed := m.site.clock.elapsed() - lead
+	elapsed := m.site.clock.elapsed() - setupTime
 	return elapsed >= m.site.options.DisturbedFrom && elapsed < m.site.options.DisturbedUntil
 }
 
@@ -208,18 +208,18 @@
 }
 
 func recordLatency(h *hdrhistogram.Histogram, took time.Duration) {
-	// A latency beyond the histogram's range counts as the highest.
+	// A latency beyond the histogram's range is recorded as the highest value.
 	_ = h.RecordValue(min(max(took.Microseconds(), 1), highestLatency))
 }
 
-// planned counts what a balancing decision looked at.
+// planned counts the probes of a balancing decision.
 func (m *measure) planned(p *countingPolicy) {
 	if m.active() {
 		m.probes += p.probes
 	}
 }
 
-// applied counts the changes of owner that a record made.
+// applied counts the changes of owner by a record.
 func (m *measure) applied(before *state.View, rec *bspb.Record, result state.Result) {
 	body := rec.GetAssignShards()
 	if body == nil || body.GetGroup() == "" || before == nil {
--- a/experiment/engine/node.go
+++ b/experiment/engine/node.go
@@ -22,7 +22,7 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// node is one entry VM: the production cores, and queues of virtual time in
+// node is one entry VM: the production decision code, with queues in virtual time in
 // place of goroutines.
 type node struct {
 	site   *site
@@ -30,29 +30,29 @@
 	boot   topo.BootID
 	zone   topo.Zone
 	up     bool
-	refuse bool // when not up: connections are refused at once, not lost
+	refuse bool // if not up: connections are refused at once instead of timing out
 	random *rand.Rand
 
 	view    *state.View
-	seenAt  time.Time // when the latest read of the log began that showed the view up to date
+	seenAt  time.Time // start of the latest read of the log that confirmed the view as current
 	members []*groupMember
 
 	book     *buffer.Book
-	outages  map[buffer.Key]bool // keys told to the book as failed and not recovered
+	outages  map[buffer.Key]bool // keys reported to the book as failed and not yet as recovered
 	waits    map[uint64]*waiter
 	sequence uint64
 
-	gates   map[topo.ServerID]*gate
-	directs map[topo.ServerID]*gate
-	queued  map[topo.Service]int
-	holds   *limit.Node
-	pools   map[*server]*pool
-	remotes map[topo.ServerID]*remoteLoad
-	servers map[topo.ServerID]*health.Tracker
-	nodes   map[topo.NodeID]*health.Tracker
-	budgets map[topo.Service]*retry.Budget
-	shed    *shed.Set
-	table   *load.Table
+	gates    map[topo.ServerID]*gate
+	directs  map[topo.ServerID]*gate
+	queued   map[topo.Service]int
+	inFlight *limit.Node
+	pools    map[*server]*pool
+	remotes  map[topo.ServerID]*remoteLoad
+	servers  map[topo.ServerID]*health.Tracker
+	nodes    map[topo.NodeID]*health.Tracker
+	budgets  map[topo.Service]*retry.Budget
+	shed     *shed.Set
+	table    *load.Table
 
 	pickers     map[topo.Service]pick.Picker
 	liveOf      *state.View
@@ -67,33 +67,33 @@
 
 func newNode(s *site, id topo.NodeID, zone topo.Zone, random *rand.Rand) *node {
 	return &node{
-		site:    s,
-		id:      id,
-		boot:    topo.BootID(string(id) + "-1"),
-		zone:    zone,
-		up:      true,
-		random:  random,
-		book:    buffer.NewBook(maxBuffered),
-		outages: map[buffer.Key]bool{},
-		waits:   map[uint64]*waiter{},
-		gates:   map[topo.ServerID]*gate{},
-		directs: map[topo.ServerID]*gate{},
-		queued:  map[topo.Service]int{},
-		holds:   limit.NewNode(settings.DefaultMaxInFlight),
-		pools:   map[*server]*pool{},
-		remotes: map[topo.ServerID]*remoteLoad{},
-		servers: map[topo.ServerID]*health.Tracker{},
-		nodes:   map[topo.NodeID]*health.Tracker{},
-		budgets: map[topo.Service]*retry.Budget{},
-		shed:    shed.NewSet(),
-		table:   load.NewTable(load.DefaultConfig()),
-		pickers: map[topo.Service]pick.Picker{},
+		site:     s,
+		id:       id,
+		boot:     topo.BootID(string(id) + "-1"),
+		zone:     zone,
+		up:       true,
+		random:   random,
+		book:     buffer.NewBook(maxBuffered),
+		outages:  map[buffer.Key]bool{},
+		waits:    map[uint64]*waiter{},
+		gates:    map[topo.ServerID]*gate{},
+		directs:  map[topo.ServerID]*gate{},
+		queued:   map[topo.Service]int{},
+		inFlight: limit.NewNode(settings.DefaultMaxInFlight),
+		pools:    map[*server]*pool{},
+		remotes:  map[topo.ServerID]*remoteLoad{},
+		servers:  map[topo.ServerID]*health.Tracker{},
+		nodes:    map[topo.NodeID]*health.Tracker{},
+		budgets:  map[topo.Service]*retry.Budget{},
+		shed:     shed.NewSet(),
+		table:    load.NewTable(load.DefaultConfig()),
+		pickers:  map[topo.Service]pick.Picker{},
 	}
 }
 
 func (n *node) self() route.Self { return route.Self{Node: n.id, Boot: n.boot} }
 
-// enter takes a request in, unless the node is full or it is shed.
+// enter accepts a request unless the node is full or sheds it.
 func (n *node) enter(c *call) {
 	if !n.up {
 		return
@@ -113,7 +113,7 @@
 		c.done(outcome.NotRun(callerapi.ReasonDependency).Later(time.Second))
 		return
 	}
-	if !n.holds.Enter(c.service.Name, c.hop) {
+	if !n.inFlight.Enter(c.service.Name, c.hop) {
 		c.done(outcome.NotRun(callerapi.ReasonBusy).Later(defaultRetryAfter))
 		return
 	}
@@ -121,12 +121,12 @@
 	c.next()
 }
 
-// leave notes the final answer to a request that was taken in.
+// leave records the final answer to an accepted request.
 func (n *node) leave(c *call, v outcome.Verdict) {
 	if c.from != nil {
 		return
 	}
-	n.holds.Leave(c.service.Name)
+	n.inFlight.Leave(c.service.Name)
 	refused := v.Outcome != serverapi.OutcomeAnswered && v.Status() >= 429
 	n.shed.Add(n.site.clock.now, n.view.Site(), c.service.Name, c.hop > 0, refused)
 }
@@ -134,15 +134,15 @@
 func (n *node) budget(service topo.Service) *retry.Budget {
 	budget, exists := n.budgets[service]
 	if !exists {
-		budget = retry.NewBudget(settings.DefaultRetryBudget, retriesAlways)
+		budget = retry.NewBudget(settings.DefaultRetryBudget, minRetriesPerWindow)
 		n.budgets[service] = budget
 	}
 	return budget
 }
 
-// retriesAlways is how many retries a service may have in each window of its
-// budget however few its requests are.
-const retriesAlways = 3
+// minRetriesPerWindow is the number of retries that a service may always make in each window of its
+// budget, independent of its number of requests.
+const minRetriesPerWindow = 3
 
 func (n *node) takeRetry(service topo.Service) func() bool {
 	return func() bool { return n.budget(service).Take(n.site.clock.now) }
@@ -184,7 +184,7 @@
 	return tracker
 }
 
-func (n *node) lessorOut(id topo.NodeID) bool {
+func (n *node) lessorEjected(id topo.NodeID) bool {
 	return n.nodeHealth(id).Ejected(n.site.clock.now)
 }
 
@@ -194,16 +194,16 @@
 	}
 }
 
-// judge takes an attempt without an answer into account and reports whether the
-// server is out now.
-func (n *node) judge(id topo.ServerID, f outcome.Failure, lasted time.Duration) bool {
+// recordFailure records an attempt without an answer and reports whether the
+// server is ejected now.
+func (n *node) recordFailure(id topo.ServerID, f outcome.Failure, lasted time.Duration) bool {
 	seen := health.Broken
 	switch {
 	case !f.Sent && f.Deadline:
 		return false
 	case !f.Sent:
 		seen = health.Unreachable
-	case f.Deadline && lasted < silenceCounts:
+	case f.Deadline && lasted < minUnresponsiveTime:
 		return n.serverHealth(id).Ejected(n.site.clock.now)
 	case f.Silent, f.Deadline:
 		seen = health.Silent
@@ -212,7 +212,7 @@
 	return n.serverHealth(id).Ejected(n.site.clock.now)
 }
 
-// loadOf returns the load of a server whose admission point this node is.
+// loadOf returns the load of a server, measured at this node as its admission point.
 func (n *node) loadOf(id topo.ServerID) float64 {
 	g, exists := n.gates[id]
 	if !exists {
@@ -221,7 +221,7 @@
 	return g.load()
 }
 
-// loadAs returns the load of a server as its admission point, or as a deputy.
+// loadAs returns the load of a server, measured as its admission point or as a deputy.
 func (n *node) loadAs(d route.Decision) float64 {
 	if g, exists := n.directs[d.Server]; exists && d.Path == route.PathDeputy {
 		return g.load()
@@ -229,7 +229,7 @@
 	return n.loadOf(d.Server)
 }
 
-// join lets a request wait in the buffer, or refuses it.
+// join queues a request in the buffer or refuses it.
 func (n *node) join(c *call, key buffer.Key) {
 	n.sequence++
 	id := n.sequence
@@ -243,14 +243,14 @@
 	n.waits[id] = &waiter{call: c, key: key}
 }
 
-// failed tells the buffer that something cannot be served.
+// failed reports to the buffer that a key cannot be served.
 func (n *node) failed(key buffer.Key, cause buffer.Cause) {
 	n.outages[key] = true
 	n.book.Failed(n.site.clock.now, key, cause, n.random.Float64())
 }
 
-// recovered tells the buffer that something is served; who waited for it
-// decides anew.
+// recovered reports to the buffer that keys are served again; the requests that waited
+// for them are routed again.
 func (n *node) recovered(keys ...buffer.Key) {
 	for _, key := range keys {
 		delete(n.outages, key)
@@ -269,7 +269,7 @@
 	n.site.clock.after(0, func() { then(w.call) })
 }
 
-// sweep refuses what waits without hope and chooses who probes.
+// sweep refuses buffered requests that cannot be served in time and selects those that probe.
 func (n *node) sweep() {
 	if !n.up {
 		return
@@ -297,8 +297,8 @@
 	}
 }
 
-// take makes a newer view the node's; requests that wait decide anew.
-func (n *node) take(view *state.View) {
+// applyView installs a newer view; buffered requests are routed again.
+func (n *node) applyView(view *state.View) {
 	if !n.up || (n.view != nil && view.Applied() <= n.view.Applied()) {
 		return
 	}
--- a/experiment/engine/options.go
+++ b/experiment/engine/options.go
@@ -17,41 +17,41 @@
 	Arrivals   []model.Arrival
 	Faults     []Fault
 	Policy     balance.Policy
-	// Picker makes the picker of one node and service.
+	// Picker creates the picker of one node and service.
 	Picker func() pick.Picker
 	Seed   uint64
-	// Warmup is left out of the figures.
+	// Warmup is the initial time that the figures exclude.
 	Warmup time.Duration
-	// CallerRetries is how often a caller asks again after a refusal, when the
-	// answer told it to come back.
+	// CallerRetries is the number of times a caller retries after a refusal if the
+	// answer contains a retry delay.
 	CallerRetries int
-	// Cold starts every server cold; otherwise they are warm at the start.
+	// Cold starts every server cold; otherwise servers start warm.
 	Cold bool
-	// DisturbedFrom and DisturbedUntil bound what the run recovers from; both 0
-	// if there is no such time.
+	// DisturbedFrom and DisturbedUntil bound the disturbance from which the run recovers; both are 0
+	// if there is none.
 	DisturbedFrom  time.Duration
 	DisturbedUntil time.Duration
-	// Progress is told now and then how much of the run is done; may be nil.
+	// Progress is called periodically with the elapsed and total time of the run; may be nil.
 	Progress func(elapsed, whole time.Duration)
 }
 
-// disturbance returns how long the disturbance lasts.
+// disturbance returns the duration of the disturbance.
 func (o *Options) disturbance() time.Duration { return o.DisturbedUntil - o.DisturbedFrom }
 
-// Delays of the platform that the deployments do not name, and intervals of the
+// Platform delays that the deployments do not define, and intervals of the
 // entry nodes' duties.
 const (
-	appendDelay     = 3 * time.Millisecond // from a record's sending to its offset
+	appendDelay     = 3 * time.Millisecond // from sending a record to its offset
 	readDelay       = 2 * time.Millisecond // from its offset to a reader in the log's zone
 	logPoll         = 100 * time.Millisecond
-	vmListDelay     = 4 * time.Second // until the VM list shows that a VM is gone
-	drainNotice     = time.Second     // until the nodes know that a server leaves
+	vmListDelay     = 4 * time.Second // until the VM list shows a lost VM
+	drainNotice     = time.Second     // until the nodes observe that a server is leaving
 	planEvery       = time.Second
-	planSettle      = 100 * time.Millisecond // after a change, so that one decision sees several
+	planSettle      = 100 * time.Millisecond // after a change, so that one decision covers several changes
 	sweepEvery      = 10 * time.Millisecond
 	lessorTick      = 10 * time.Millisecond
 	coldTime        = 5 * time.Second // from cold to full speed
-	coldSpeed       = 0.4             // of a server that has just started
+	coldSpeed       = 0.4             // relative speed of a server that has just started
 	connectTimeout  = settings.DefaultConnectTimeout
 	silentAfter     = settings.DefaultSilentAfter
 	maxQueued       = settings.DefaultMaxQueued
@@ -63,7 +63,7 @@
 	lessorRetry     = 50 * time.Millisecond
 	moveTimeout     = 10 * time.Second
 	gateRamp        = time.Second
-	callerRetryLate = 0.5 // random part that a caller adds to the time told
+	callerRetryLate = 0.5 // random fraction that a caller adds to the retry delay
 )
 
 // leaseTiming returns the default timing of leases.
--- a/experiment/engine/planning.go
+++ b/experiment/engine/planning.go
@@ -14,7 +14,7 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// planning is the planner's role, held by the first node that is up.
+// planning is the planner role, which the first node that is up holds.
 type planning struct {
 	site      *site
 	reporting planner.Reporting
@@ -22,11 +22,11 @@
 	collector *load.Collector
 	random    *rand.Rand
 	holder    *node
-	assigning int // records of assignments whose fate is not known yet
+	assigning int // assignment records whose outcome is not known yet
 	settling  bool
 }
 
-// changed lets the planner decide shortly after it sees a new view.
+// changed schedules a planner decision planSettle after a new view.
 func (p *planning) changed(n *node) {
 	if p.settling || p.node() != n {
 		return
@@ -44,24 +44,24 @@
 		reporting: planner.ReportingFor(len(s.deployment.Zones) * s.deployment.EntryPerZone),
 		random:    random,
 	}
-	p.forget()
+	p.reset()
 	return p
 }
 
-// forget makes the role start anew.
-func (p *planning) forget() {
+// reset discards the state of the role.
+func (p *planning) reset() {
 	p.tracker = planner.NewTracker()
 	p.collector = load.NewCollector(p.reporting.MaxAge())
 }
 
-// node returns the holder of the role. A new holder remembers nothing.
+// node returns the holder of the role. A new holder starts without state.
 func (p *planning) node() *node {
 	for _, n := range p.site.nodeList {
 		if !n.up {
 			continue
 		}
 		if p.holder != nil && p.holder != n {
-			p.forget()
+			p.reset()
 		}
 		p.holder = n
 		return n
@@ -89,16 +89,16 @@
 	}
 }
 
-// countShed adds what the gates refused since the last time.
+// countShed adds the requests that the gates refused since the previous call.
 func (n *node) countShed() {
 	for _, id := range sortedKeys(n.gates) {
 		g := n.gates[id]
-		n.table.Shed(n.site.clock.now, id, g.shed-g.told)
-		g.told = g.shed
+		n.table.Shed(n.site.clock.now, id, g.shed-g.reportedShed)
+		g.reportedShed = g.shed
 	}
 }
 
-// decide makes one plan and carries it out.
+// decide computes one plan and executes it.
 func (p *planning) decide() {
 	n := p.node()
 	if n == nil || n.view == nil || n.view.Site() == nil || p.assigning > 0 {
--- a/experiment/engine/pool.go
+++ b/experiment/engine/pool.go
@@ -3,7 +3,7 @@
 import "time"
 
 // pool is one node's connections to one server. The admission point never sends
-// more than the server's concurrency limit, so it never opens more either.
+// more than the server's concurrency limit, so it never opens more connections either.
 type pool struct {
 	idle int
 }
@@ -15,9 +15,9 @@
 	reused bool
 }
 
-// open takes an idle connection, or opens one at its cost, and goes on with it.
-// It goes on with nil when the server does not answer by the deadline or its
-// limit of connections is reached.
+// open takes an idle connection, or opens one after a delay, and passes it to then.
+// It passes nil if the server does not answer by the deadline or its
+// connection limit is reached.
 func (n *node) open(s *server, deadline time.Time, then func(*connection)) {
 	p := n.pool(s)
 	if p.idle > 0 {
@@ -48,7 +48,7 @@
 	return p
 }
 
-// release puts a connection back, or closes it when in doubt.
+// release returns a connection to the pool, or closes it if its state is uncertain.
 func (c *connection) release(inDoubt bool) {
 	if inDoubt {
 		c.server.conns = max(c.server.conns-1, 0)
--- a/experiment/engine/run.go
+++ b/experiment/engine/run.go
@@ -11,39 +11,39 @@
 	"github.com/burdockspindle/burdockspindle/serverapi"
 )
 
-// lead is the time before the first arrival, in which lessors claim their
+// setupTime is the time before the first arrival, during which lessors claim their
 // groups, shards are placed and leases begin.
-const lead = 5 * time.Second
+const setupTime = 5 * time.Second
 
-// progressEvery is how much virtual time passes between two calls of Progress.
+// progressEvery is the virtual time between two calls of Progress.
 const progressEvery = time.Second
 
-// lostAnswer is how long after its deadline a caller gives up on an answer.
-const lostAnswer = 100 * time.Millisecond
+// answerGrace is the time after its deadline at which a caller stops waiting for an answer.
+const answerGrace = 100 * time.Millisecond
 
-// contextEvery is how many events pass between two looks at the context.
-const contextEvery = 4096
+// contextCheckEvents is the number of events between two checks of the context.
+const contextCheckEvents = 4096
 
-// Run makes one run and returns its figures. The same options give the same
-// figures. The error is the context's.
+// Run executes one run and returns its figures. Equal options produce equal
+// figures. The only possible error is that of the context.
 func Run(ctx context.Context, options *Options) (*Figures, error) {
 	s := newSite(options)
 	s.startDuties()
-	if err := s.until(ctx, epoch.Add(lead)); err != nil {
+	if err := s.until(ctx, epoch.Add(setupTime)); err != nil {
 		return nil, err
 	}
 	s.startTraffic()
-	if err := s.until(ctx, epoch.Add(lead+options.Traffic.Duration)); err != nil {
+	if err := s.until(ctx, epoch.Add(setupTime+options.Traffic.Duration)); err != nil {
 		return nil, err
 	}
 	s.availability.finish()
 	return s.measure.figures(), nil
 }
 
-// until runs the events up to a moment.
+// until runs the events up to the time end.
 func (s *site) until(ctx context.Context, end time.Time) error {
 	for count := 1; s.clock.step(end); count++ {
-		if count%contextEvery == 0 && ctx.Err() != nil {
+		if count%contextCheckEvents == 0 && ctx.Err() != nil {
 			return ctx.Err()
 		}
 	}
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// startDuties schedules what runs at fixed intervals.
+// startDuties schedules the periodic tasks.
 func (s *site) startDuties() {
 	s.log.poll()
 	s.clock.every(logPoll, s.log.poll)
@@ -69,8 +69,8 @@
 	s.clock.every(planEvery, s.planning.decide)
 }
 
-// tickMembers lets the members that have a part in their group look at the
-// time.
+// tickMembers runs the members that are lessor or standby of their group on every tick,
+// and the other members at every heartbeat interval.
 func (n *node) tickMembers() {
 	for _, m := range n.members {
 		if m.detail || n.site.clock.now.Sub(epoch)%heartbeatEvery == 0 {
@@ -79,7 +79,7 @@
 	}
 }
 
-// startTraffic begins the callers' requests, the faults and the figures.
+// startTraffic starts the callers' requests, the faults and the collection of figures.
 func (s *site) startTraffic() {
 	s.warmGates()
 	s.started = true
@@ -88,7 +88,7 @@
 			s.servers[id].coldUntil = s.clock.now.Add(coldTime)
 		}
 	}
-	s.plant(s.options.Faults)
+	s.scheduleFaults(s.options.Faults)
 	s.clock.every(time.Second, s.measure.tick)
 	s.clock.every(progressEvery, s.progress)
 	s.nextArrival(0)
@@ -96,18 +96,18 @@
 
 func (s *site) progress() {
 	if s.options.Progress != nil {
-		s.options.Progress(s.clock.elapsed()-lead, s.options.Traffic.Duration)
+		s.options.Progress(s.clock.elapsed()-setupTime, s.options.Traffic.Duration)
 	}
 }
 
-// nextArrival schedules the arrivals one after another, so that the queue of
+// nextArrival schedules the arrivals one by one, so that the queue of
 // events stays short.
 func (s *site) nextArrival(index int) {
 	if index >= len(s.options.Arrivals) {
 		return
 	}
 	arrival := &s.options.Arrivals[index]
-	since := epoch.Add(lead + arrival.At)
+	since := epoch.Add(setupTime + arrival.At)
 	s.clock.after(since.Sub(s.clock.now), func() {
 		s.nextArrival(index + 1)
 		s.measure.arrived(arrival.Service)
@@ -115,40 +115,40 @@
 	})
 }
 
-// request sends one request of a caller, who asks again so many times when told
-// to come back.
-func (s *site) request(arrival *model.Arrival, since time.Time, again int) {
+// request sends one request of a caller, which retries up to retriesLeft times if the answer
+// contains a retry delay.
+func (s *site) request(arrival *model.Arrival, since time.Time, retriesLeft int) {
 	service := &s.deployment.Services[arrival.Service]
 	deadline := s.clock.now.Add(service.Deadline)
 	c := &call{
-		service:  service,
-		arrival:  arrival,
-		key:      s.key(arrival.Service, arrival.Key),
-		work:     arrival.Work,
-		caller:   "caller-" + strconv.Itoa(arrival.Caller),
-		deadline: deadline,
-		repeat:   arrival.Idempotent,
-		trace:    &trace{},
+		service:    service,
+		arrival:    arrival,
+		key:        s.key(arrival.Service, arrival.Key),
+		work:       arrival.Work,
+		caller:     "caller-" + strconv.Itoa(arrival.Caller),
+		deadline:   deadline,
+		idempotent: arrival.Idempotent,
+		trace:      &trace{},
 	}
 	settled := false
 	c.done = func(v outcome.Verdict) {
 		s.clock.after(s.deployment.CallerDelay, func() {
 			if !settled {
 				settled = true
-				s.answered(c, since, again, v)
+				s.answered(c, since, retriesLeft, v)
 			}
 		})
 	}
-	// An entry VM that is lost answers nothing.
-	s.clock.after(service.Deadline+lostAnswer, func() { c.done(outcome.Unknown(callerapi.ReasonNoAnswer)) })
+	// A lost entry VM does not answer.
+	s.clock.after(service.Deadline+answerGrace, func() { c.done(outcome.Unknown(callerapi.ReasonNoAnswer)) })
 	s.clock.after(s.deployment.CallerDelay, func() { s.entry(arrival.Entry).enter(c) })
 }
 
-func (s *site) answered(c *call, since time.Time, again int, v outcome.Verdict) {
-	if v.Outcome == serverapi.OutcomeNotRun && v.RetryAfter > 0 && again > 0 {
-		s.measure.calls++
+func (s *site) answered(c *call, since time.Time, retriesLeft int, v outcome.Verdict) {
+	if v.Outcome == serverapi.OutcomeNotRun && v.RetryAfter > 0 && retriesLeft > 0 {
+		s.measure.callerRetries++
 		wait := v.RetryAfter + time.Duration(s.random.Float64()*callerRetryLate*float64(v.RetryAfter))
-		s.clock.after(wait, func() { s.request(c.arrival, since, again-1) })
+		s.clock.after(wait, func() { s.request(c.arrival, since, retriesLeft-1) })
 		return
 	}
 	s.measure.ended(c.arrival, since, c.trace, v)
--- a/experiment/engine/send.go
+++ b/experiment/engine/send.go
@@ -12,8 +12,8 @@
 	"github.com/burdockspindle/burdockspindle/serverapi"
 )
 
-// admit waits for a place at the server, as its admission point or past it, and
-// sends.
+// admit waits for a slot at the server, as its admission point or bypassing it, and
+// sends the request.
 func (c *call) admit(d route.Decision) {
 	n := c.node
 	gates, spec := n.gates, limit.Spec{Limit: d.Service.ConcurrencyPerServer, MaxQueued: maxQueued, Ramp: gateRamp}
@@ -23,20 +23,20 @@
 	g := n.gate(gates, c.service.Name, d.Server, spec)
 	g.acquire(c, func(id uint64, refused *limit.Refusal) {
 		if refused != nil {
-			c.settle(d, unsent(outcome.NotRun(refused.Reason).Later(refused.RetryAfter)))
+			c.handleResult(d, unsent(outcome.NotRun(refused.Reason).Later(refused.RetryAfter)))
 			return
 		}
 		if c.changed(d) {
 			g.release(id, limit.Result{})
-			c.settle(d, result{moved: true})
+			c.handleResult(d, result{routeChanged: true})
 			return
 		}
-		place := &place{call: c, decision: d, gate: g, id: id, since: c.now()}
-		place.send()
+		granted := &slot{call: c, decision: d, gate: g, id: id, since: c.now()}
+		granted.send()
 	})
 }
 
-// changed reports whether the way changed while the request waited.
+// changed reports whether the route changed while the request waited.
 func (c *call) changed(d route.Decision) bool {
 	var now route.Decision
 	if c.service.Keyed {
@@ -50,8 +50,8 @@
 	return !now.SameOwner(d)
 }
 
-// place is a request's place at a server.
-type place struct {
+// slot is a request's slot at a server.
+type slot struct {
 	call     *call
 	decision route.Decision
 	gate     *gate
@@ -62,101 +62,101 @@
 }
 
 // send makes the attempt.
-func (p *place) send() {
-	n := p.call.node
-	target, exists := n.site.servers[p.decision.Server]
+func (s *slot) send() {
+	n := s.call.node
+	target, exists := n.site.servers[s.decision.Server]
 	if !exists {
-		p.unanswered(outcome.Failure{})
+		s.unanswered(outcome.Failure{})
 		return
 	}
-	n.site.measure.attempt(p.call.trace)
-	n.open(target, p.call.deadline, func(conn *connection) {
+	n.site.measure.attempt(s.call.trace)
+	n.open(target, s.call.deadline, func(conn *connection) {
 		if conn == nil {
-			p.unanswered(outcome.Failure{Deadline: p.call.expired()})
+			s.unanswered(outcome.Failure{Deadline: s.call.expired()})
 			return
 		}
-		p.conn = conn
-		p.request(target)
+		s.conn = conn
+		s.request(target)
 	})
 }
 
-// request carries the request to the server and its answer back. When nothing
-// comes back, the attempt ends with the deadline or as silent.
-func (p *place) request(target *server) {
-	n := p.call.node
+// request delivers the request to the server and its answer back. Without an
+// answer, the attempt ends at the deadline, or earlier if the server is unresponsive.
+func (s *slot) request(target *server) {
+	n := s.call.node
 	clock := n.site.clock
 	delay := n.site.delay(n.zone, target.zone)
-	patience := min(silentAfter, p.call.deadline.Sub(clock.now))
+	timeout := min(silentAfter, s.call.deadline.Sub(clock.now))
 	clock.after(delay, func() {
 		if !target.up {
 			return
 		}
 		target.accept(work{
-			call: p.call, shard: p.decision.Shard, fence: p.decision.Fence, key: p.call.key,
-			deadline: p.call.deadline,
+			call: s.call, shard: s.decision.Shard, fence: s.decision.Fence, key: s.call.key,
+			deadline: s.call.deadline,
 			reply: func(v outcome.Verdict, broken bool) {
-				clock.after(delay, func() { p.answered(v, broken) })
+				clock.after(delay, func() { s.answered(v, broken) })
 			},
 		})
 	})
-	clock.after(patience, func() {
-		p.unanswered(outcome.Failure{Sent: true, Silent: patience == silentAfter, Deadline: p.call.expired()})
+	clock.after(timeout, func() {
+		s.unanswered(outcome.Failure{Sent: true, Silent: timeout == silentAfter, Deadline: s.call.expired()})
 	})
 }
 
-// answered takes what the server said.
-func (p *place) answered(v outcome.Verdict, broken bool) {
-	if p.settled {
+// answered processes the server's answer.
+func (s *slot) answered(v outcome.Verdict, broken bool) {
+	if s.settled {
 		return
 	}
 	if broken {
-		p.unanswered(outcome.Failure{Sent: true})
+		s.unanswered(outcome.Failure{Sent: true})
 		return
 	}
-	p.settled = true
-	p.conn.release(false)
-	n, d := p.call.node, p.decision
+	s.settled = true
+	s.conn.release(false)
+	n, d := s.call.node, s.decision
 	now := n.site.clock.now
 	ran := v.Outcome == serverapi.OutcomeAnswered
-	p.gate.release(p.id, limit.Result{Served: ran, Overloaded: v.Reason == serverapi.ReasonOverloaded})
+	s.gate.release(s.id, limit.Result{Served: ran, Overloaded: v.Reason == serverapi.ReasonOverloaded})
 	n.observe(d.Server, health.Answered)
-	n.table.Observe(now, d.Shard, p.call.key, d.Server, now.Sub(p.since), v.Outcome)
-	res := result{verdict: v, contact: true}
+	n.table.Observe(now, d.Shard, s.call.key, d.Server, now.Sub(s.since), v.Outcome)
+	res := result{verdict: v, contacted: true}
 	moving := v.Reason == serverapi.ReasonNotOwner || v.Reason == serverapi.ReasonDraining
 	if moving && d.Service.Keyed && v.NotRunProven() {
 		res = res.outage(buffer.ShardKey(d), buffer.Moving)
 	}
-	p.call.settle(d, res)
+	s.call.handleResult(d, res)
 }
 
-// silenceCounts is how long an attempt must have lasted for its missing answer
-// to count against the server when the deadline ended it.
-const silenceCounts = time.Second
+// minUnresponsiveTime is the minimum duration of an attempt for which a missing answer
+// is held against the server if the deadline ended the attempt.
+const minUnresponsiveTime = time.Second
 
-// unanswered ends an attempt that brought no answer.
-func (p *place) unanswered(f outcome.Failure) {
-	if p.settled {
+// unanswered ends an attempt without an answer.
+func (s *slot) unanswered(f outcome.Failure) {
+	if s.settled {
 		return
 	}
-	p.settled = true
-	if p.conn != nil {
-		p.conn.release(true)
+	s.settled = true
+	if s.conn != nil {
+		s.conn.release(true)
 	}
-	n, d := p.call.node, p.decision
+	n, d := s.call.node, s.decision
 	now := n.site.clock.now
-	p.gate.release(p.id, limit.Result{Failed: true})
-	n.table.Observe(now, d.Shard, p.call.key, d.Server, now.Sub(p.since), serverapi.OutcomeUnknown)
-	ejected := n.judge(d.Server, f, now.Sub(p.since))
+	s.gate.release(s.id, limit.Result{Failed: true})
+	n.table.Observe(now, d.Shard, s.call.key, d.Server, now.Sub(s.since), serverapi.OutcomeUnknown)
+	ejected := n.recordFailure(d.Server, f, now.Sub(s.since))
 	verdict := outcome.Failed(f)
 	res := unsent(verdict)
 	if d.Service.Keyed && (!f.Sent || ejected) {
 		res = res.outage(buffer.ServerKey(d), buffer.Unreachable)
 	}
-	p.call.settle(d, res)
+	s.call.handleResult(d, res)
 }
 
-// forwardMargin is how much earlier the other node gives up, so that what it
-// knows of the request arrives in time.
+// forwardMargin is subtracted from the deadline of a forwarded request, so that the other
+// node's outcome arrives in time.
 const forwardMargin = 5 * time.Millisecond
 
 // forward sends the request to the node that is the server's admission point, or
@@ -166,7 +166,7 @@
 	to, exists := n.site.nodes[d.Next()]
 	lost := unsent(outcome.NotRun(callerapi.ReasonNotLessor)).outage(buffer.LessorKey(d), buffer.Unled)
 	if !exists {
-		c.settle(d, lost)
+		c.handleResult(d, lost)
 		return
 	}
 	if !to.up {
@@ -179,21 +179,21 @@
 	sent := *c
 	sent.node, sent.from, sent.chosen = to, n, d.Server
 	sent.deadline = c.deadline.Add(-forwardMargin)
-	sent.tally, sent.counts, sent.tried, sent.waited, sent.probe = outcome.Tally{}, 0, nil, nil, nil
-	sent.past, sent.deputize = nil, ""
+	sent.tally, sent.attemptCount, sent.tried, sent.waited, sent.probe = outcome.Tally{}, 0, nil, nil, nil
+	sent.bypassed, sent.deputize = nil, ""
 	if d.Path == route.PathDeputy {
 		sent.deputize = d.Lessor
 	}
 	answered := false
 	sent.done = func(v outcome.Verdict) {
-		heard := to.loadAs(d)
+		reported := to.loadAs(d)
 		n.site.clock.after(delay, func() {
 			if answered {
 				return
 			}
 			answered = true
 			remote.own--
-			remote.hear(n.site.clock.now, heard)
+			remote.update(n.site.clock.now, reported)
 			n.nodeHealth(to.id).Observe(c.now(), health.Answered)
 			c.forwardAnswered(d, v)
 		})
@@ -209,12 +209,12 @@
 		}
 		answered = true
 		remote.own--
-		c.settle(d, unsent(outcome.Unknown(serverapi.ReasonDeadline)))
+		c.handleResult(d, unsent(outcome.Unknown(serverapi.ReasonDeadline)))
 	})
 }
 
-// refusal is how long another node takes to learn that this one, which is down,
-// takes no connection.
+// refusal returns the time after which another node detects that this node, which is down,
+// accepts no connection.
 func (n *node) refusal(from *node) time.Duration {
 	if n.refuse {
 		return 2 * n.site.delay(from.zone, n.zone)
@@ -222,34 +222,34 @@
 	return connectTimeout
 }
 
-// unreachable ends a forward to a node that takes no connection.
+// unreachable ends a forward to a node that accepts no connection.
 func (c *call) unreachable(d route.Decision, lost result) {
 	c.node.nodeHealth(d.Next()).Observe(c.now(), health.Unreachable)
 	c.notForwarded(d, lost)
 }
 
-// forwardAnswered passes on what the other node said.
+// forwardAnswered processes the other node's answer.
 func (c *call) forwardAnswered(d route.Decision, v outcome.Verdict) {
 	if v.Reason == callerapi.ReasonNotLessor && v.NotRunProven() {
 		if d.Path == route.PathDeputy {
 			c.notForwarded(d, unsent(v).outage(buffer.LessorKey(d), buffer.Unled))
 			return
 		}
-		c.settle(d, unsent(v).outage(buffer.LessorKey(d), buffer.Unled))
+		c.handleResult(d, unsent(v).outage(buffer.LessorKey(d), buffer.Unled))
 		return
 	}
-	c.settle(d, result{verdict: v, contact: true})
+	c.handleResult(d, result{verdict: v, contacted: true})
 }
 
-// notForwarded goes past a lessor's node or a deputy that does not take the
+// notForwarded bypasses a lessor's node or a deputy that does not accept the
 // request.
 func (c *call) notForwarded(d route.Decision, lost result) {
-	c.past = append(c.past, d.Next())
+	c.bypassed = append(c.bypassed, d.Next())
 	d.Path = route.PathForward
 	if c.pastLessor(d).Path != route.PathForward {
-		c.settle(d, result{moved: true})
+		c.handleResult(d, result{routeChanged: true})
 		return
 	}
-	c.past = nil
-	c.settle(d, lost)
+	c.bypassed = nil
+	c.handleResult(d, lost)
 }
--- a/experiment/engine/server.go
+++ b/experiment/engine/server.go
@@ -11,14 +11,14 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// server is a small stand-in for a backend server: it follows the production
-// rule of ownership, holds so many requests at once and refuses more, and takes
-// for each request the time that the arrival says, by its speed.
+// server simulates a backend server: it follows the production
+// rule of ownership, refuses requests beyond its concurrency limit, and spends on
+// each request the service time of its arrival, scaled by its speed.
 type server struct {
 	site    *site
 	id      topo.ServerID
 	service *model.Service
-	index   int // of the service in the deployment
+	index   int // index of the service in the deployment
 	zone    topo.Zone
 	holder  *lease.Holder
 	random  *rand.Rand
@@ -29,35 +29,35 @@
 	draining  bool // takes no new requests of an unkeyed service
 	coldUntil time.Time
 
-	slow  float64 // divides the speed; 1 normally
-	shed  float64 // part of the requests refused as overloaded
-	fail  float64 // part of the requests broken without an answer
-	liar  bool
-	held  int
-	peak  int
-	over  int // requests that found the limit reached
-	conns int
-	most  int // connections at once
+	slow          float64 // divides the speed; 1 normally
+	shed          float64 // fraction of requests refused as overloaded
+	fail          float64 // fraction of requests broken without an answer
+	reportsNoLoad bool
+	inFlight      int
+	peakInFlight  int
+	limitExceeded int // requests that arrived at the concurrency limit
+	conns         int
+	peakConns     int // highest number of connections at once
 }
 
-// work is one attempt as the server sees it.
+// work is one attempt at the server.
 type work struct {
 	call     *call
 	shard    topo.ShardID
 	fence    topo.Fence
 	key      string
 	deadline time.Time
-	// reply takes the server's answer; broken is true when the connection ended
+	// reply receives the server's answer; broken is true if the connection ended
 	// instead.
 	reply func(v outcome.Verdict, broken bool)
 }
 
 func (s *server) clock() *clock { return s.site.clock }
 
-// uptime is the server's own monotonic clock.
+// uptime returns the server's monotonic clock.
 func (s *server) uptime() time.Duration { return s.clock().now.Sub(s.startedAt) }
 
-// speed is how fast the server works against one of ordinary speed.
+// speed returns the speed of the server relative to the nominal speed.
 func (s *server) speed() float64 {
 	speed := 1 / s.slow
 	if left := s.coldUntil.Sub(s.clock().now); left > 0 {
@@ -67,28 +67,28 @@
 	return speed
 }
 
-// accept takes one request.
+// accept refuses one request or runs it.
 func (s *server) accept(w work) {
 	if verdict, refused := s.refuse(w); refused {
 		w.reply(verdict, false)
 		return
 	}
-	s.held++
-	s.peak = max(s.peak, s.held)
+	s.inFlight++
+	s.peakInFlight = max(s.peakInFlight, s.inFlight)
 	run, owned := s.begin(w)
 	if !owned {
-		s.held--
+		s.inFlight--
 		w.reply(outcome.NotRun(serverapi.ReasonNotOwner), false)
 		return
 	}
 	s.run(w, run)
 }
 
-// refuse decides what needs no look at the request's shard.
+// refuse makes the checks that do not depend on the request's shard.
 func (s *server) refuse(w work) (outcome.Verdict, bool) {
 	switch {
-	case s.held >= s.service.Concurrency:
-		s.over++
+	case s.inFlight >= s.service.Concurrency:
+		s.limitExceeded++
 		return outcome.NotRun(serverapi.ReasonOverloaded), true
 	case s.draining && !s.service.Keyed:
 		return outcome.NotRun(serverapi.ReasonDraining), true
@@ -119,8 +119,8 @@
 	})
 }
 
-// await lets the server wait for its call to another service, but not past the
-// deadline, whatever became of the entry node that it asked.
+// await waits for the server's call to another service, but not beyond the
+// deadline, because the entry node that it called may be lost.
 func (s *server) await(w work, then func()) {
 	gone := false
 	once := func() {
@@ -135,20 +135,20 @@
 	}
 }
 
-// spend lets the server work for so many seconds, but not past the deadline,
+// spend occupies the server for the given work in seconds, but not beyond the deadline,
 // which servers honour.
 func (s *server) spend(w work, seconds float64, then func()) {
 	busy := time.Duration(seconds / s.speed() * float64(time.Second))
 	s.clock().after(min(busy, w.deadline.Sub(s.clock().now)), then)
 }
 
-// end gives the place back and answers. A server that was lost or restarted
-// meanwhile answers nothing.
+// end releases the slot and answers. A server that was lost or restarted
+// in the meantime does not answer.
 func (s *server) end(w work, run lease.RunID, boot topo.BootID) {
 	if !s.up || s.boot != boot {
 		return
 	}
-	s.held--
+	s.inFlight--
 	owned := true
 	if s.service.Keyed {
 		owned = s.holder.Recheck(s.uptime(), run) == nil
@@ -166,22 +166,22 @@
 	}
 }
 
-// restart makes the server a new run that owns nothing.
+// restart begins a new incarnation of the server without grants.
 func (s *server) restart(boot topo.BootID) {
 	s.boot = boot
 	s.startedAt = s.clock().now
 	s.holder = lease.NewHolder(boot)
 	s.up = true
-	s.held = 0
+	s.inFlight = 0
 	s.conns = 0
 }
 
-// connect counts a connection; false means that the server's limit is reached.
+// connect counts a new connection; it returns false if the server's limit is reached.
 func (s *server) connect() bool {
 	if s.conns >= s.service.Connections {
 		return false
 	}
 	s.conns++
-	s.most = max(s.most, s.conns)
+	s.peakConns = max(s.peakConns, s.conns)
 	return true
 }
--- a/experiment/engine/site.go
+++ b/experiment/engine/site.go
@@ -12,7 +12,7 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// site is everything of one run.
+// site is the state of one run.
 type site struct {
 	options    *Options
 	deployment *model.Deployment
@@ -24,17 +24,18 @@
 	nodeList  []*node // in a fixed order
 	nodes     map[topo.NodeID]*node
 	servers   map[topo.ServerID]*server
-	byService map[topo.Service][]*server // as of the setup; replaced ones in place
+	byService map[topo.Service][]*server // including replacements
 	lostZones map[topo.Zone]bool
 
 	planning     *planning
 	availability *availability
 	measure      *measure
-	started      bool // callers' requests have begun
+	started      bool // callers' requests have started
 	keys         map[int][]string
 }
 
-// Streams of random numbers are drawn from the run's seed in a fixed order.
+// stream returns the next random number stream of the run. Streams are derived from the
+// run's seed in fixed order.
 func (s *site) stream() *rand.Rand {
 	s.streams++
 	return rand.New(rand.NewPCG(s.options.Seed, s.streams))
@@ -98,7 +99,7 @@
 }
 
 // writeSetup writes the site configuration and the members to the log, as
-// operators and the membership module would.
+// operators and the membership module do in production.
 func (s *site) writeSetup() {
 	s.log.setup(&bspb.Record{Body: &bspb.Record_PublishSite{PublishSite: &bspb.PublishSite{
 		Compiled: siteconfig.ToProto(s.deployment.Site()),
@@ -120,7 +121,7 @@
 	}
 }
 
-// entry describes the server to the log.
+// entry returns the registry entry of the server for the log.
 func (s *server) entry(phase bspb.ServerPhase) *bspb.ServerEntry {
 	return &bspb.ServerEntry{
 		Id: string(s.id), Service: string(s.service.Name), Zone: string(s.zone), Address: string(s.id),
@@ -136,8 +137,8 @@
 	return s.deployment.ZoneDelay
 }
 
-// entry returns the entry VM that the platform's balancer chose, or the next
-// one that is up.
+// entry returns the entry VM that the platform's balancer chose, or the next VM
+// that is up.
 func (s *site) entry(index int) *node {
 	for i := range s.nodeList {
 		n := s.nodeList[(index+i)%len(s.nodeList)]
@@ -148,8 +149,8 @@
 	return s.nodeList[index%len(s.nodeList)]
 }
 
-// warmStart reports whether what is made now counts as warm: the run has not
-// begun, or is not one of a cold start.
+// warmStart reports whether objects created now are treated as warm: the run has not
+// started, and it is not a cold-start run.
 func (s *site) warmStart() bool { return !s.options.Cold && !s.started }
 
 // key returns a key's name.
@@ -165,7 +166,7 @@
 	return names[index]
 }
 
-// warmGates makes the admission points' queues before the run, as warm.
+// warmGates creates the warm queues of the admission points before the run.
 func (s *site) warmGates() {
 	for _, n := range s.nodeList {
 		for _, id := range sortedKeys(s.servers) {
--- a/experiment/engine/summary.go
+++ b/experiment/engine/summary.go
@@ -9,10 +9,10 @@
 	"github.com/burdockspindle/burdockspindle/state"
 )
 
-// tick ends one second: it takes the loads that were offered in it.
+// tick ends one second and records the load offered during it.
 func (m *measure) tick() {
 	point := Second{
-		At:      m.site.clock.elapsed().Seconds() - lead.Seconds(),
+		At:      m.site.clock.elapsed().Seconds() - setupTime.Seconds(),
 		Offered: m.second.offered,
 		Good:    m.second.good,
 		NotRun:  m.second.notRun,
@@ -38,8 +38,8 @@
 	m.second.latencies.Reset()
 }
 
-// spread returns the coefficient of variation and the maximum over the mean of
-// the loads offered to a service's live servers in this second.
+// spread returns the coefficient of variation and the ratio of maximum to mean of
+// the loads offered to a service's live servers in the current second.
 func (m *measure) spread(service *serviceMeasure) (variation, peak float64, known bool) {
 	var loads []float64
 	for _, id := range sortedKeys(m.site.servers) {
@@ -77,7 +77,7 @@
 	return float64(h.ValueAtQuantile(percentile)) / float64(time.Millisecond/time.Microsecond)
 }
 
-// figures sums the run up.
+// figures returns the figures of the run.
 func (m *measure) figures() *Figures {
 	length := m.site.clock.now.Sub(m.from)
 	f := &Figures{
@@ -90,7 +90,7 @@
 		Merges:                m.merges,
 		UnavailableKeySeconds: m.site.availability.keyTime.Seconds(),
 		LongestUnavailable:    m.site.availability.longest.Seconds() * millisecondsPerSecond,
-		CallerRetries:         m.calls,
+		CallerRetries:         m.callerRetries,
 		Probes:                m.probes,
 		Ejections:             m.ejections,
 		LogAppends:            m.site.log.appends,
@@ -161,24 +161,24 @@
 	}
 }
 
-// sumServers takes what the servers counted.
+// sumServers adds the counters of the servers.
 func (m *measure) sumServers(f *Figures) {
 	for _, id := range sortedKeys(m.site.servers) {
 		s := m.site.servers[id]
-		f.LimitExceeded += s.over
-		f.ConnectionsPeak = max(f.ConnectionsPeak, float64(s.most)/float64(s.service.Connections))
+		f.LimitExceeded += s.limitExceeded
+		f.ConnectionsPeak = max(f.ConnectionsPeak, float64(s.peakConns)/float64(s.service.Connections))
 	}
 }
 
-// Normal again means: refusals below normalRefused of the requests, and the
-// second's p99 at most normalLatency times that before the disturbance.
+// A second is normal if at most the fraction normalRefused of its requests was refused and
+// its p99 is at most normalLatency times the p99 before the disturbance.
 const (
 	normalRefused = 0.01
 	normalLatency = 2
 )
 
-// recovery returns how many seconds after the disturbance the last second was
-// that was not normal.
+// recovery returns the time from the end of the disturbance to the last second
+// that was not normal, in seconds.
 func (m *measure) recovery() float64 {
 	from, until := m.site.options.DisturbedFrom.Seconds(), m.site.options.DisturbedUntil.Seconds()
 	if until == 0 {
--- a/experiment/errors.go
+++ b/experiment/errors.go
@@ -10,7 +10,7 @@
 // exitUsage is the exit code for wrong arguments, as package cli defines it.
 const exitUsage = 2
 
-// UnknownScenarioError reports a scenario that is neither embedded nor a file.
+// UnknownScenarioError reports a name that is neither an embedded scenario nor a file.
 type UnknownScenarioError struct {
 	Name  string
 	Known []string
@@ -21,7 +21,7 @@
 	return "scenario " + e.Name + ": not known; embedded: " + strings.Join(e.Known, ", ")
 }
 
-// ExitCode makes it an error in the arguments.
+// ExitCode returns the exit code for wrong arguments.
 func (e *UnknownScenarioError) ExitCode() int { return exitUsage }
 
 // UnknownNameError reports a policy, picker or deployment that does not exist.
@@ -36,7 +36,7 @@
 	return e.Kind + " " + e.Name + ": not known; there are " + strings.Join(e.Known, ", ")
 }
 
-// ExitCode makes it an error in the arguments.
+// ExitCode returns the exit code for wrong arguments.
 func (e *UnknownNameError) ExitCode() int { return exitUsage }
 
 // UnknownServiceError reports a service that the deployment does not have.
@@ -71,10 +71,10 @@
 // Unwrap returns the cause.
 func (e *OutputError) Unwrap() error { return e.Cause }
 
-// EntryNodesError reports a number of entry nodes that no run may have.
+// EntryNodesError reports a number of entry nodes outside the allowed range.
 type EntryNodesError struct{ Given int }
 
 // Error implements error.
 func (e *EntryNodesError) Error() string {
-	return "entry nodes in each zone: " + strconv.Itoa(e.Given) + " is not between 0 and " + strconv.Itoa(mostEntryNodes)
+	return "entry nodes in each zone: " + strconv.Itoa(e.Given) + " is not between 0 and " + strconv.Itoa(maxEntryNodes)
 }
--- a/experiment/experiment.go
+++ b/experiment/experiment.go
@@ -1,7 +1,7 @@
 // Package experiment is the load and experiment tool: it runs scenarios against
-// the production decision code on a virtual clock (package engine), one policy
-// after another on the same arrivals, and reports imbalance, churn, unavailable
-// time, goodput and latency. The same seed gives the same figures on every
+// the production decision code on a virtual clock (package engine), all policies
+// with the same arrivals, and reports imbalance, churn, unavailable
+// time, goodput and latency. Equal seeds produce equal figures on every
 // machine.
 package experiment
 
@@ -22,20 +22,20 @@
 	"github.com/burdockspindle/burdockspindle/scenarios"
 )
 
-// Options says what to run. Empty lists mean the defaults.
+// Options selects what to run. Empty lists select the defaults.
 type Options struct {
 	Scenarios  []string // names or files
 	Policies   []string // balance policies
 	Pickers    []string // of services that are not divided by key
 	Deployment string
-	EntryNodes int // in each zone; 0 for the deployment's own
+	EntryNodes int // in each zone; 0 for the deployment's number
 	Seed       uint64
 	JSON       bool
-	Report     string // file for the HTML report; empty for none
+	Report     string // file of the HTML report; empty for none
 }
 
-// mostEntryNodes is the most entry nodes that a zone may have.
-const mostEntryNodes = 1000
+// maxEntryNodes is the maximum number of entry nodes in a zone.
+const maxEntryNodes = 1000
 
 // Defaults of Options.
 const (
@@ -45,22 +45,22 @@
 	DefaultPicker     = "dchoices"
 )
 
-// DefaultPolicies are compared when none is named.
+// DefaultPolicies are the policies that are compared by default.
 var DefaultPolicies = []string{"static", "greedy", "push"}
 
-// Result is one run.
+// Result is the result of one run.
 type Result struct {
 	Scenario    string          `json:"scenario"`
 	Description string          `json:"description"`
 	Deployment  string          `json:"deployment"`
 	Seed        uint64          `json:"seed"`
 	Figures     *engine.Figures `json:"figures"`
-	// Against holds the figures as ratios to those of the static policy in the
-	// same scenario; nil without one.
+	// Against contains the ratios of the figures to those of the static policy in the
+	// same scenario; nil if the static policy was not run.
 	Against *Ratios `json:"againstStatic,omitempty"`
 }
 
-// Ratios compare a run with the baseline of its scenario; 0 where the
+// Ratios compare a run with the baseline of its scenario; a ratio is 0 if the
 // baseline's figure is 0.
 type Ratios struct {
 	CoefficientOfVariation float64 `json:"coefficientOfVariation"`
@@ -72,7 +72,7 @@
 // baseline is the policy that Ratios compare with.
 const baseline = "static"
 
-// withDefaults fills in what is not given.
+// withDefaults replaces empty options by their defaults.
 func (o Options) withDefaults() Options {
 	o.Scenarios = expand(o.Scenarios, []string{DefaultScenario}, scenarios.Names())
 	o.Policies = expand(o.Policies, DefaultPolicies, moduleNames(balancemodules.Namespace))
@@ -83,11 +83,11 @@
 	return o
 }
 
-// all stands for every name that there is.
+// all selects every available name.
 const all = "all"
 
-// expand returns the names, those by default if there are none, and every one
-// there is for "all".
+// expand returns the names, the default names if there are none, and every available
+// name for "all".
 func expand(names, byDefault, every []string) []string {
 	if len(names) == 0 {
 		return byDefault
@@ -106,8 +106,8 @@
 	return names
 }
 
-// Run runs every scenario with every policy and writes the results to stdout, as
-// text or JSON, and to the report's file. Progress goes to stderr if that is a
+// Run runs every scenario with every policy and writes the results to stdout as
+// text or JSON, and to the report file. Progress is written to stderr if it is a
 // terminal.
 func Run(ctx context.Context, options Options, stdout, stderr io.Writer) error {
 	if options.Deployment == Gateway {
@@ -137,7 +137,7 @@
 		known := []string{model.Kavango, model.Urbion}
 		return nil, &UnknownNameError{Kind: "deployment", Name: options.Deployment, Known: known}
 	}
-	if options.EntryNodes < 0 || options.EntryNodes > mostEntryNodes {
+	if options.EntryNodes < 0 || options.EntryNodes > maxEntryNodes {
 		return nil, &EntryNodesError{Given: options.EntryNodes}
 	}
 	if options.EntryNodes > 0 {
@@ -159,7 +159,7 @@
 }
 
 // runScenario runs one scenario with every policy and picker on the same
-// arrivals, several runs at a time.
+// arrivals, several runs concurrently.
 func runScenario(
 	ctx context.Context, options Options, d *model.Deployment, s *Scenario, progress *progress,
 ) ([]Result, error) {
@@ -204,14 +204,14 @@
 	return results, nil
 }
 
-// atOnce is how many runs are made at a time. Each run is a single thread, and
-// its figures do not depend on the others.
-const atOnce = 4
+// maxConcurrentRuns is the number of concurrent runs. Each run is single-threaded, and
+// its figures do not depend on other runs.
+const maxConcurrentRuns = 4
 
 func runAll(ctx context.Context, runs []engine.Options) ([]Result, error) {
 	results := make([]Result, len(runs))
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(min(atOnce, runtime.GOMAXPROCS(0)))
+	group.SetLimit(min(maxConcurrentRuns, runtime.GOMAXPROCS(0)))
 	for i := range runs {
 		group.Go(func() (err error) {
 			results[i].Figures, err = engine.Run(ctx, &runs[i])
@@ -231,7 +231,7 @@
 		return o, unknownModule("pick", picker, pickmodules.Namespace)
 	}
 	o.Picker = func() pick.Picker {
-		made, _ := pickmodules.Named(picker) // the name was checked
+		made, _ := pickmodules.Named(picker) // the name is already checked
 		return made
 	}
 	return o, nil
--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// short writes a scenario file of a few seconds.
+// short writes a scenario file with a duration of a few seconds.
 func short(t *testing.T) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "short.jsonc")
--- a/experiment/gateway.go
+++ b/experiment/gateway.go
@@ -8,11 +8,11 @@
 	"github.com/burdockspindle/burdockspindle/gateway/replay"
 )
 
-// Gateway names the simulated site of package replay where Options name a
-// deployment: its policies are that package's.
+// Gateway is the deployment name in Options that selects the simulated site of
+// package replay with the policies of that package.
 const Gateway = "gateway"
 
-// GatewayResult is one run of a scenario of package replay.
+// GatewayResult is the result of one run of a scenario of package replay.
 type GatewayResult struct {
 	Scenario    string        `json:"scenario"`
 	Description string        `json:"description"`
@@ -29,11 +29,11 @@
 	return "deployment " + Gateway + " has no option --" + e.Option
 }
 
-// ExitCode makes it an error in the arguments.
+// ExitCode returns the exit code for wrong arguments.
 func (e *GatewayOptionError) ExitCode() int { return exitUsage }
 
-// GatewayResults runs every scenario named with every policy named that it has;
-// none named stands for all.
+// GatewayResults runs every selected scenario with every selected policy that it supports;
+// an empty selection means all.
 func GatewayResults(options Options) ([]GatewayResult, error) {
 	if err := checkGatewayOptions(options); err != nil {
 		return nil, err
@@ -119,7 +119,7 @@
 	return writeGatewayText(stdout, results)
 }
 
-// gatewayColumns are the figures of the text, in order.
+// gatewayColumns are the columns of the text output, in order.
 var gatewayColumns = []gatewayColumn{
 	{"asked", "%d", func(r *replay.Result) any { return r.Asked }},
 	{"in time %", "%.1f", func(r *replay.Result) any { return percent(r.InTime, r.Asked) }},
--- a/experiment/plot.go
+++ b/experiment/plot.go
@@ -15,24 +15,24 @@
 	ticks = 4
 )
 
-// colors are those of the lines, in order.
+// colors are the colors of the lines, in order.
 var colors = []string{"#1b6ca8", "#c0392b", "#27874a", "#8e44ad", "#b9770e", "#34495e"}
 
-// plot is one figure over the time of the run, a line for each policy.
+// plot shows one figure over the time of the run, with a line for each run.
 type plot struct {
 	Title string
 	Lines []line
 	X, Y  []tick
 }
 
-// line is one run.
+// line is the line of one run.
 type line struct {
 	Name   string
 	Color  string
 	Points string // of an SVG polyline
 }
 
-// tick is one label of an axis at its place.
+// tick is one label of an axis with its position.
 type tick struct {
 	At    float64
 	Label string
--- a/experiment/progress.go
+++ b/experiment/progress.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// progress shows on a terminal how far the runs of a scenario are. The nil
+// progress shows the progress of a scenario's runs on a terminal. A nil
 // progress shows nothing.
 type progress struct {
 	out io.Writer
@@ -16,11 +16,11 @@
 	mu       sync.Mutex
 	scenario string
 	runs     int
-	elapsed  time.Duration // of all runs together
-	whole    time.Duration
+	elapsed  time.Duration // sum over all runs
+	total    time.Duration
 }
 
-// newProgress returns a progress on a terminal, and nil on anything else.
+// newProgress returns a progress if out is a terminal, otherwise nil.
 func newProgress(out io.Writer) *progress {
 	file, isFile := out.(*os.File)
 	if !isFile {
@@ -33,8 +33,8 @@
 	return &progress{out: out}
 }
 
-// add counts one more run of a scenario and returns the function to tell about
-// it; nil for none.
+// add adds one run of a scenario and returns the function that reports its
+// progress; nil if progress is not shown.
 func (p *progress) add(scenario string, whole time.Duration) func(elapsed, whole time.Duration) {
 	if p == nil {
 		return nil
@@ -43,7 +43,7 @@
 	defer p.mu.Unlock()
 	p.scenario = scenario
 	p.runs++
-	p.whole += whole
+	p.total += whole
 	last := time.Duration(0)
 	return func(elapsed, _ time.Duration) {
 		p.advance(elapsed - last)
@@ -55,7 +55,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.elapsed += step
-	_, _ = fmt.Fprintf(p.out, "\r%-20s %2d runs %3d %%", p.scenario, p.runs, 100*p.elapsed/p.whole)
+	_, _ = fmt.Fprintf(p.out, "\r%-20s %2d runs %3d %%", p.scenario, p.runs, 100*p.elapsed/p.total)
 }
 
 // done clears the line when a scenario's runs have ended.
@@ -64,5 +64,5 @@
 		return
 	}
 	_, _ = fmt.Fprint(p.out, "\r\033[K")
-	p.runs, p.elapsed, p.whole = 0, 0, 0
+	p.runs, p.elapsed, p.total = 0, 0, 0
 }
--- a/experiment/report.go
+++ b/experiment/report.go
@@ -21,7 +21,7 @@
 	Plots       []plot
 }
 
-// reportData is what the template shows.
+// reportData is the data of the template.
 type reportData struct {
 	Columns []column
 	Groups  []group
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// groups puts the results of one scenario together.
+// groups groups adjacent results by scenario.
 func groups(results []Result) []group {
 	var list []group
 	for _, r := range results {
--- a/experiment/scenario.go
+++ b/experiment/scenario.go
@@ -13,7 +13,7 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Services that a scenario may name without knowing the deployment.
+// Service names that a scenario may use for any deployment.
 const (
 	// serviceKeyed is the service that is divided by key.
 	serviceKeyed = "keyed"
@@ -23,7 +23,7 @@
 	serviceAll = "all"
 )
 
-// Scenario is what happens during a run.
+// Scenario describes the traffic and the faults of a run.
 type Scenario struct {
 	Name          string
 	Description   string
@@ -32,23 +32,23 @@
 	Faults        []engine.Fault
 	Cold          bool
 	CallerRetries int
-	// DisturbedFrom and DisturbedUntil bound what the run recovers from.
+	// DisturbedFrom and DisturbedUntil bound the disturbance from which the run recovers.
 	DisturbedFrom  time.Duration
 	DisturbedUntil time.Duration
 }
 
-// Bounds of what a scenario may ask for.
+// Upper bounds of the values in a scenario.
 const (
-	longestRun     = 10 * time.Minute
-	highestFactor  = 1000
-	mostRanks      = 1000
-	mostServers    = 10_000
-	mostCallerRuns = 10
-	mostZones      = 100
+	maxDuration      = 10 * time.Minute
+	maxFactor        = 1000
+	maxRanks         = 1000
+	maxServers       = 10_000
+	maxCallerRetries = 10
+	maxZones         = 100
 )
 
 // LoadScenario returns an embedded scenario by name, or reads a file. Errors
-// are *UnknownScenarioError, *FileError or a jsonc report's.
+// are *UnknownScenarioError, *FileError or the error of a jsonc report.
 func LoadScenario(nameOrFile string) (*Scenario, error) {
 	if text, embedded := scenarios.Text(nameOrFile); embedded {
 		return ParseScenario(nameOrFile, text, nameOrFile+scenarios.Extension)
@@ -70,10 +70,10 @@
 	root, report := jsonc.Parse(text, file)
 	s := &Scenario{Name: name}
 	s.Description = root.Need("description").Text()
-	s.Traffic.Duration = root.Get("duration").Duration(30*time.Second, time.Second, longestRun)
-	s.Warmup = root.Get("warmup").Duration(0, 0, longestRun)
+	s.Traffic.Duration = root.Get("duration").Duration(30*time.Second, time.Second, maxDuration)
+	s.Warmup = root.Get("warmup").Duration(0, 0, maxDuration)
 	s.Cold = root.Get("cold").Bool(false)
-	s.CallerRetries = int(root.Get("callerRetries").Int(0, 0, mostCallerRuns))
+	s.CallerRetries = int(root.Get("callerRetries").Int(0, 0, maxCallerRetries))
 	s.readHotKeys(root.Get("hotKeys"))
 	s.readDisturbed(root.Get("disturbed"))
 	for _, element := range root.Get("phases").Elements() {
@@ -94,10 +94,10 @@
 		return
 	}
 	o := value.Object()
-	s.Traffic.MoveHotKeysEvery = o.Get("moveEvery").Duration(0, 0, longestRun)
-	s.Traffic.MovedRanks = int(o.Get("ranks").Int(0, 0, mostRanks))
+	s.Traffic.MoveHotKeysEvery = o.Get("moveEvery").Duration(0, 0, maxDuration)
+	s.Traffic.MovedRanks = int(o.Get("ranks").Int(0, 0, maxRanks))
 	s.Traffic.HotKeyShare = o.Get("share").Float(0, 0, 1)
-	s.Traffic.HotKeyFrom = o.Get("from").Duration(0, 0, longestRun)
+	s.Traffic.HotKeyFrom = o.Get("from").Duration(0, 0, maxDuration)
 	o.Close()
 }
 
@@ -106,16 +106,16 @@
 		return
 	}
 	o := value.Object()
-	s.DisturbedFrom = o.Need("from").Duration(0, 0, longestRun)
-	s.DisturbedUntil = o.Need("until").Duration(0, 0, longestRun)
+	s.DisturbedFrom = o.Need("from").Duration(0, 0, maxDuration)
+	s.DisturbedUntil = o.Need("until").Duration(0, 0, maxDuration)
 	o.Close()
 }
 
 func readPhase(o *jsonc.Object) model.Phase {
 	phase := model.Phase{
-		From:        o.Need("from").Duration(0, 0, longestRun),
-		Factor:      o.Get("factor").Float(0, 0, highestFactor),
-		Utilization: o.Get("utilization").Float(0, 0, highestFactor),
+		From:        o.Need("from").Duration(0, 0, maxDuration),
+		Factor:      o.Get("factor").Float(0, 0, maxFactor),
+		Utilization: o.Get("utilization").Float(0, 0, maxFactor),
 		Service:     topo.Service(o.Get("service").String("")),
 	}
 	if o.Get("factor").Present() == o.Get("utilization").Present() {
@@ -132,17 +132,17 @@
 	}
 	fault := engine.Fault{
 		Kind:     engine.FaultKind(o.Need("kind").Choice("", kinds...)),
-		At:       o.Need("at").Duration(0, 0, longestRun),
-		Until:    o.Get("until").Duration(0, 0, longestRun),
+		At:       o.Need("at").Duration(0, 0, maxDuration),
+		Until:    o.Get("until").Duration(0, 0, maxDuration),
 		Service:  topo.Service(o.Get("service").String(serviceKeyed)),
-		Factor:   o.Get("factor").Float(1, 0, highestFactor),
+		Factor:   o.Get("factor").Float(1, 0, maxFactor),
 		Share:    o.Get("share").Float(0, 0, 1),
-		Interval: o.Get("interval").Duration(time.Second, time.Millisecond, longestRun),
-		Zone:     int(o.Get("zone").Int(0, 0, mostZones)),
+		Interval: o.Get("interval").Duration(time.Second, time.Millisecond, maxDuration),
+		Zone:     int(o.Get("zone").Int(0, 0, maxZones)),
 		Standby:  o.Get("standby").Bool(false),
 	}
 	for _, element := range o.Get("servers").Elements() {
-		fault.Servers = append(fault.Servers, int(element.Int(0, 0, mostServers)))
+		fault.Servers = append(fault.Servers, int(element.Int(0, 0, maxServers)))
 	}
 	slowing := fault.Kind == engine.FaultSlow || fault.Kind == engine.FaultLie
 	if slowing && fault.Factor <= 0 {
@@ -152,7 +152,7 @@
 	return fault
 }
 
-// resolve replaces the names that stand for services of any deployment.
+// resolve replaces the generic service names by the deployment's services.
 func (s *Scenario) resolve(d *model.Deployment) ([]engine.Fault, model.Traffic, error) {
 	var faults []engine.Fault
 	for _, fault := range s.Faults {
--- a/experiment/text.go
+++ b/experiment/text.go
@@ -16,7 +16,7 @@
 	return nil
 }
 
-// columns are the figures of the text and the report, in order.
+// columns are the columns of the text output and the report, in order.
 var columns = []column{
 	{"CV", "%.3f", func(r *Result) any { return r.Figures.CoefficientOfVariation }},
 	{"max/mean", "%.2f", func(r *Result) any { return r.Figures.MaxOverMean }},
