--- a/proof/relays_test.go
+++ b/proof/relays_test.go
@@ -13,15 +13,15 @@
 	"github.com/burdockspindle/burdockspindle/settings"
 )
 
-// relayCases are rows about relays; behindRelays names further rows of
-// faultCases that are run again with one relay in each zone.
+// relayCases are fault cases for relays; behindRelays names rows of
+// faultCases that are repeated with one relay in each zone.
 var relayCases = []faultCase{
 	{name: "log relay lost", servers: 1, faults: func(_ context.Context, r *run, s []*demo.SiteServer) {
-		r.LoseNode(r.relayOf(r.lessorOf(s[0]).Zone))
+		r.KillNode(r.relayOf(r.lessorOf(s[0]).Zone))
 	}},
 	{name: "log relay and a server lost together", servers: 1, faults: func(_ context.Context, r *run, s []*demo.SiteServer) {
-		r.LoseNode(r.relayOf(r.lessorOf(s[0]).Zone))
-		r.LoseServer(s[0])
+		r.KillNode(r.relayOf(r.lessorOf(s[0]).Zone))
+		r.KillServer(s[0])
 	}},
 	{name: "log away for every relay", servers: 1, faults: func(ctx context.Context, r *run, s []*demo.SiteServer) {
 		for zone := range zonesOfSite {
@@ -30,7 +30,7 @@
 			defer relay.Log.Heal()
 		}
 		pause(ctx, pastLease)
-		r.LoseServer(s[0])
+		r.KillServer(s[0])
 		pause(ctx, pastLease)
 	}},
 }
@@ -45,12 +45,12 @@
 	"open connections go silent twice",
 }
 
-// relayOf returns the zone's node that reads the log for the other.
+// relayOf returns the node of the zone that reads the log directly and serves the other node.
 func (r *run) relayOf(zone int) *demo.SiteNode {
 	var relay *demo.SiteNode
 	gomega.NewWithT(r.t).Eventually(func() int {
 		reading := 0
-		r.eachNode(zone, func(n *demo.SiteNode) {
+		r.eachRunningNode(zone, func(n *demo.SiteNode) {
 			if sourceOf(r.t, n) == "log" {
 				relay = n
 				reading++
@@ -79,7 +79,7 @@
 			ctx, r := startRun(t, options)
 			servers := r.owners(row.servers)
 			for zone := range zonesOfSite {
-				r.relayOf(zone) // one reads, one follows
+				r.relayOf(zone) // one node reads the log, the other reads from the relay
 			}
 			r.exercise(ctx, func(ctx context.Context, r *run) {
 				pause(ctx, settle)
--- a/proof/site_test.go
+++ b/proof/site_test.go
@@ -1,6 +1,6 @@
-// Package proof_test runs whole sites under seeded faults, records what servers
-// and callers did, and hands the histories to the checkers. Nothing here
-// asserts on speed: a run fails when something did not hold, or when keys were
+// Package proof_test runs whole sites under seeded faults, records the actions of servers
+// and callers, and passes the histories to the checkers. No test here
+// asserts on speed: a run fails if an invariant was violated or if keys were
 // never served again.
 package proof_test
 
@@ -26,22 +26,22 @@
 )
 
 const (
-	runLimit    = 90 * time.Second // of one run, on a busy machine
-	searchLimit = 20 * time.Second // of one search for a linearization
-	loadSpan    = 4 * time.Second
-	requests    = 400
-	sitesAtOnce = 5 // more would only slow each other down
+	runLimit           = 90 * time.Second // of one run, on a busy machine
+	searchLimit        = 20 * time.Second // of one search for a linearization
+	loadSpan           = 4 * time.Second
+	requests           = 400
+	maxConcurrentSites = 5 // more sites at once only slow each other down
 
-	serversPerService = 6 // two a zone
+	serversPerService = 6 // two per zone
 )
 
-// seed decides which servers a run hurts, and the load.
+// seed determines which servers the faults of a run affect, and the load.
 var seed uint64
 
 func init() { flag.Uint64Var(&seed, "proof.seed", 7, "seed of each run") }
 
-// smallSiteWith is the site of most runs: as many services, shards and servers
-// as the rules need, so that several sites can run at once. Further fields are
+// smallSiteWith returns the site of most runs: only as many services, shards and servers
+// as the checks need, so that several sites can run at once. The given fields are
 // added to the site configuration, and to each service.
 func smallSiteWith(top, service string) demo.SiteOptions {
 	text := fmt.Sprintf(`{
@@ -64,8 +64,8 @@
 
 func smallSite() demo.SiteOptions { return smallSiteWith("", "") }
 
-// running limits the sites that run at once.
-var running = make(chan struct{}, sitesAtOnce)
+// running is the semaphore that limits the sites running at once.
+var running = make(chan struct{}, maxConcurrentSites)
 
 // run is one site under load.
 type run struct {
@@ -74,10 +74,10 @@
 	random *rand.Rand
 	keys   []demo.OwnedKey
 
-	explained atomic.Bool // the nodes' state was logged
+	stateLogged atomic.Bool // whether the nodes' state was logged
 }
 
-// startRun starts a site beside those of other tests, and waits until it
+// startRun starts a site in parallel with those of other tests, and waits until it
 // serves.
 func startRun(t *testing.T, options demo.SiteOptions) (context.Context, *run) {
 	t.Helper()
@@ -103,19 +103,19 @@
 	return ctx, &run{Site: site, t: t, random: rand.New(rand.NewPCG(seed, 1)), keys: keys}
 }
 
-// logVariable names the environment variable that sets the level at which the
-// sites log; unset, they do not.
-const logVariable = "BURDOCKSPINDLE_TEST_LOG"
+// logLevelVariable names the environment variable that sets the level at which the
+// sites log; if it is unset, they do not log.
+const logLevelVariable = "BURDOCKSPINDLE_TEST_LOG"
 
 func siteLogger() hclog.Logger {
-	level := os.Getenv(logVariable)
+	level := os.Getenv(logLevelVariable)
 	if level == "" {
 		return hclog.NewNullLogger()
 	}
 	return hclog.New(&hclog.LoggerOptions{Level: hclog.LevelFromString(level), Output: os.Stderr})
 }
 
-// owners returns count servers that own keys, drawn by the seed.
+// owners returns count servers that own keys, chosen at random from the seed.
 func (r *run) owners(count int) []*demo.SiteServer {
 	all := r.OwnersOf(r.keys)
 	r.random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
@@ -130,20 +130,20 @@
 	return lessor
 }
 
-// pause waits a part of a second while the load goes on.
+// pause waits for d while the load continues.
 func pause(ctx context.Context, d time.Duration) { clock.Wait(ctx, d) }
 
-// exercise sends a load under faults, probing keys of the given owners first,
+// exercise sends a load under faults, with probes for keys of the given owners first,
 // and stops the site.
 func (r *run) exercise(ctx context.Context, faults func(context.Context, *run), probed ...*demo.SiteServer) {
 	r.t.Helper()
 	r.exerciseWith(ctx, demo.Load{}, faults, probed)
 }
 
-// exercisePatiently is exercise without a deadline that a slow machine misses.
-func (r *run) exercisePatiently(ctx context.Context, faults func(context.Context, *run), probed ...*demo.SiteServer) demo.Summary {
+// exerciseWithLongDeadlines is exercise with request deadlines that a slow machine also meets.
+func (r *run) exerciseWithLongDeadlines(ctx context.Context, faults func(context.Context, *run), probed ...*demo.SiteServer) demo.Summary {
 	r.t.Helper()
-	return r.exerciseWith(ctx, demo.Load{Deadline: patience}, faults, probed)
+	return r.exerciseWith(ctx, demo.Load{Deadline: longTimeout}, faults, probed)
 }
 
 func (r *run) exerciseWith(ctx context.Context, load demo.Load, faults func(context.Context, *run), probed []*demo.SiteServer) demo.Summary {
@@ -151,25 +151,25 @@
 	g := gomega.NewWithT(r.t)
 	load.Requests, load.Seed, load.Span = requests, seed, loadSpan
 	load.Probed = demo.Spread(r.keys, probed...)
-	load.Unserved = r.explain
+	load.OnUnserved = r.logUnserved
 	settled, err := r.Exercise(ctx, load, func(ctx context.Context) { faults(ctx, r) })
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(settled).To(gomega.BeTrue(), "probed keys were not served again")
 	nodes := r.WaitSettled(ctx)
 	r.Stop()
-	summary, found := r.Judge(nodes)
+	summary, found := r.Evaluate(nodes)
 	for _, violation := range found {
 		r.t.Errorf("seed %d: %s", seed, violation)
 	}
-	r.linearizable(r.CheckOptions(nodes))
+	r.checkLinearizable(r.CheckOptions(nodes))
 	g.Expect(summary.Answered).To(gomega.BeNumerically(">", 0))
 	r.t.Logf("%+v", summary)
 	return summary
 }
 
-// explain logs what there is to know of a key that nobody serves: where it
-// belongs, and the state of the nodes that could help.
-func (r *run) explain(key demo.OwnedKey, latest history.CallerAnswered) {
+// logUnserved logs the diagnostics of a key that is not served: its assignment and
+// owner, and the state of the running nodes.
+func (r *run) logUnserved(key demo.OwnedKey, latest history.CallerAnswered) {
 	view, err := r.View()
 	if err != nil {
 		r.t.Logf("%s of %s: %v", key.Key, key.Service, err)
@@ -180,7 +180,7 @@
 	group, _ := view.Group(owner.Group)
 	r.t.Logf("%s of %s: latest %+v\nassignment %+v\nowner %+v, lost %t\ngroup %+v",
 		key.Key, key.Service, latest, assignment, owner, view.ServerLost(assignment.Owner), group)
-	if r.explained.Swap(true) {
+	if r.stateLogged.Swap(true) {
 		return
 	}
 	for _, one := range r.Nodes {
@@ -192,8 +192,8 @@
 	}
 }
 
-// linearizable hands the history to the models.
-func (r *run) linearizable(options histcheck.Options) {
+// checkLinearizable checks the history against the linearizability models.
+func (r *run) checkLinearizable(options histcheck.Options) {
 	r.t.Helper()
 	events := r.Memory.Events()
 	for name, result := range map[string]histcheck.Result{
--- a/proof/planted_test.go
+++ b/proof/violations_test.go
@@ -11,9 +11,9 @@
 	"github.com/burdockspindle/burdockspindle/standin/server"
 )
 
-// plantedCases are sites whose servers break a rule. The run must be found out:
-// otherwise the checks of the other rows prove nothing.
-var plantedCases = []struct {
+// violationCases are sites whose servers violate a rule. The checkers must detect it;
+// otherwise passing checks of the other cases are no evidence.
+var violationCases = []struct {
 	name   string
 	rule   histcheck.Rule
 	faults func(ctx context.Context, r *run, one *demo.SiteServer)
@@ -23,8 +23,8 @@
 		name: "servers serve without owning",
 		rule: histcheck.RuleSoleOwner,
 		faults: func(ctx context.Context, r *run, one *demo.SiteServer) {
-			r.misbehave(server.Faults{IgnoreFences: true})
-			one.Freeze() // what is in flight runs when others have taken over
+			r.injectServerFaults(server.Faults{IgnoreFences: true})
+			one.Freeze() // requests in flight run after other servers have taken over
 			pause(ctx, pastLease)
 			one.Unfreeze()
 		},
@@ -34,23 +34,23 @@
 		name: "servers run repeated tickets again",
 		rule: histcheck.RuleAtMostOnce,
 		faults: func(ctx context.Context, r *run, _ *demo.SiteServer) {
-			r.misbehave(server.Faults{IgnoreTickets: true, LoseRatio: 0.5})
+			r.injectServerFaults(server.Faults{IgnoreTickets: true, LoseRatio: 0.5})
 			pause(ctx, pastLease)
-			r.misbehave(server.Faults{IgnoreTickets: true})
+			r.injectServerFaults(server.Faults{IgnoreTickets: true})
 		},
 		counts: func(s demo.Summary) int { return s.DoubleRun },
 	},
 }
 
-// misbehave gives every server the same faults.
-func (r *run) misbehave(faults server.Faults) {
+// injectServerFaults injects the same faults into every server.
+func (r *run) injectServerFaults(faults server.Faults) {
 	for _, one := range r.Servers {
 		one.SetFaults(faults)
 	}
 }
 
-func TestViolationsOfServersAreFoundOut(t *testing.T) {
-	for _, row := range plantedCases {
+func TestServerViolationsAreDetected(t *testing.T) {
+	for _, row := range violationCases {
 		t.Run(row.name, func(t *testing.T) {
 			ctx, r := startRun(t, smallSite())
 			one := r.owners(1)[0]
@@ -63,10 +63,10 @@
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			nodes := r.WaitSettled(ctx)
 			r.Stop()
-			summary, found := r.Judge(nodes)
+			summary, found := r.Evaluate(nodes)
 			g.Expect(histcheck.Count(found, row.rule)).To(gomega.BeNumerically(">", 0))
 			g.Expect(row.counts(summary)).To(gomega.BeNumerically(">", 0))
-			g.Expect(summary.Holds()).To(gomega.BeFalse())
+			g.Expect(summary.Passed()).To(gomega.BeFalse())
 		})
 	}
 }
