--- a/backend/backend.go
+++ b/backend/backend.go
@@ -1,6 +1,6 @@
-// Package backend is the interface through which entry nodes reach backend
-// servers. Drivers live in modules/server*; the contract that every driver must
-// meet is tested by backend/backendtest.
+// Package backend defines the interface through which entry nodes call backend
+// servers. Drivers are in modules/server*; backend/backendtest tests the
+// contract that every driver must meet.
 package backend
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Target is a server at an address.
+// Target identifies a server and its address.
 type Target struct {
 	ID      topo.ServerID
 	Address string // host:port
@@ -30,22 +30,22 @@
 	Fence          topo.Fence
 	Term           topo.Term // sender's term, for services that do not check fences
 	IdempotencyKey string
-	// RequestID is unique for each attempt, cannot be guessed, and is echoed by
-	// the server; it is what ties an answer to its request.
+	// RequestID is unique for each attempt and cannot be guessed. The server
+	// echoes it, so that the driver can match a response to its request.
 	RequestID string
-	// Idempotent requests may use a connection that has carried others. The
-	// rest each get a new one, so that a connection that went silent or was
-	// closed while idle never makes their outcome unknown.
+	// Idempotent requests may reuse a connection. Any other request gets a new
+	// connection, so that a connection that stalled or was closed while idle
+	// never makes its outcome unknown.
 	Idempotent    bool
-	Hop           int       // services through which the request came, this one included
+	Hop           int       // number of services that the request has passed through, including this one
 	Deadline      time.Time // zero for none
 	Header        http.Header
-	Body          io.Reader // nil for none; may be read for a moment after Do returned
-	ContentLength int64     // -1 when not known
+	Body          io.Reader // nil for none; may still be read briefly after Do returns
+	ContentLength int64     // -1 if unknown
 }
 
-// Response is a server's answer. Body must be closed by the receiver; a read
-// error from Body means that the answer is not whole.
+// Response is a server's response. The receiver must close Body; a read error
+// from Body means that the response is incomplete.
 type Response struct {
 	Status  int
 	Outcome serverapi.Outcome
@@ -54,29 +54,29 @@
 	Body    io.ReadCloser
 }
 
-// Driver speaks to backend servers. Methods may be called concurrently. Lease
-// and Acknowledge use connections of their own, never those of Do. On any doubt
-// about a connection the driver throws it away. Errors are *AttemptError or
+// Driver calls backend servers. Its methods are safe for concurrent use. Lease
+// and Acknowledge use separate connections, never those of Do. The driver
+// closes a connection whose state is uncertain. Errors are *AttemptError or
 // *ControlError.
 type Driver interface {
 	Lease(ctx context.Context, to Target, req serverapi.LeaseRequest) (serverapi.LeaseReply, error)
 	Acknowledge(ctx context.Context, to Target, req serverapi.AcknowledgeRequest) (serverapi.LeaseReply, error)
-	// Do makes one attempt and never resends.
+	// Do makes one attempt and never resends the request.
 	Do(ctx context.Context, to Target, req Request) (*Response, error)
-	// Forget closes the idle connections to a server that is gone.
+	// Forget closes the idle connections to a server that was removed.
 	Forget(id topo.ServerID)
 }
 
-// Dial opens a connection to a server. The process uses the one that was
-// provided to it, if any: a demo or test can cut nodes off from servers.
+// Dial opens a connection to a server. A demo or test can provide its own Dial
+// to the process in order to partition nodes from servers.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// AttemptError reports an attempt without an answer.
+// AttemptError reports an attempt without a response.
 type AttemptError struct {
 	Server topo.ServerID
-	// Sent is false only if it is proven that no byte of the request left.
+	// Sent is false only if it is proven that no byte of the request was sent.
 	Sent bool
-	// Silent is true when the connection made no progress for too long.
+	// Unresponsive is true when the connection made no progress for too long.
 	Silent bool
 	Cause  error
 }
@@ -92,15 +92,15 @@
 // Unwrap returns the cause.
 func (e *AttemptError) Unwrap() error { return e.Cause }
 
-// LocalError is implemented by causes that lie with this process, such as a
-// used-up share of connections: they say nothing of the server.
+// LocalError is implemented by causes within this process, such as an exhausted
+// connection quota. They are no evidence of a fault of the server.
 type LocalError interface {
 	error
-	// LocalLimit marks the error.
+	// LocalLimit marks the error as local; it does nothing.
 	LocalLimit()
 }
 
-// ControlError reports a lease or acknowledge call without an answer.
+// ControlError reports a Lease or Acknowledge call without a response.
 type ControlError struct {
 	Server topo.ServerID
 	Op     string
--- a/backend/backendtest/attempts.go
+++ b/backend/backendtest/attempts.go
@@ -19,114 +19,115 @@
 
 func asAttempt(err error, target **backend.AttemptError) bool { return errors.As(err, target) }
 
-// verdict is what a driver must say of an attempt.
+// verdict is the result that a driver must report for an attempt.
 type verdict int
 
 const (
-	fails      verdict = iota + 1 // no answer, may have run
-	failsMaybe                    // no answer; whether sent depends on the moment
-	silent                        // no answer, may have run, connection silent
-	cut                           // an answer that turns out not to be whole
-	cutSilent                     // the same, connection silent
-	whole                         // a whole answer
+	failedSent       verdict = iota + 1 // no response, may have run
+	failedMaybeSent                     // no response; whether it was sent depends on timing
+	stalled                             // no response, may have run, connection stalled
+	truncated                           // an incomplete response
+	truncatedStalled                    // an incomplete response, connection stalled
+	complete                            // a complete response
 )
 
 // attemptCase is one row of the fault table: what the server does with the
-// first connection, and what the driver must say. The server behaves on all
-// later connections.
+// first connection, and what the driver must report. The server responds
+// correctly on all later connections.
 type attemptCase struct {
 	name string
 	play script
 	want verdict
-	// options are hasty when silence is the fault, else patient.
+	// options has short timeouts when the fault is a stalled connection, and long
+	// ones (the default) otherwise.
 	options func() Options
 	check   func(g *gomega.WithT, got result)
 }
 
 func attemptCases() []attemptCase {
 	return []attemptCase{
-		{name: "reset before any byte", want: failsMaybe, play: func(c *rawConn) { c.reset() }},
-		{name: "closed before any byte", want: failsMaybe, play: func(*rawConn) {}},
-		{name: "reset after the request", want: fails, play: afterRequest(func(c *rawConn, _ received) { c.reset() })},
-		{name: "closed after the request", want: fails, play: afterRequest(func(*rawConn, received) {})},
-		{name: "not HTTP", want: fails, play: afterRequest(func(c *rawConn, _ received) { c.send("hello\r\n\r\n") })},
-		{name: "half a header", want: fails, play: afterRequest(func(c *rawConn, _ received) { c.send("HTTP/1.1 200 OK\r\nContent-Le") })},
-		{name: "header without end", want: fails, play: afterRequest(sendEndlessHeader)},
-		{name: "silent after the request", want: silent, options: hasty, play: afterRequest(func(c *rawConn, _ received) { c.stay() })},
-		{name: "silent after half a header", want: silent, options: hasty, play: afterRequest(func(c *rawConn, _ received) {
+		{name: "reset before any byte", want: failedMaybeSent, play: func(c *rawConn) { c.reset() }},
+		{name: "closed before any byte", want: failedMaybeSent, play: func(*rawConn) {}},
+		{name: "reset after the request", want: failedSent, play: afterRequest(func(c *rawConn, _ received) { c.reset() })},
+		{name: "closed after the request", want: failedSent, play: afterRequest(func(*rawConn, received) {})},
+		{name: "not HTTP", want: failedSent, play: afterRequest(func(c *rawConn, _ received) { c.send("hello\r\n\r\n") })},
+		{name: "half a header", want: failedSent, play: afterRequest(func(c *rawConn, _ received) { c.send("HTTP/1.1 200 OK\r\nContent-Le") })},
+		{name: "header without end", want: failedSent, play: afterRequest(sendEndlessHeader)},
+		{name: "silent after the request", want: stalled, options: shortTimeouts, play: afterRequest(func(c *rawConn, _ received) { c.discardInput() })},
+		{name: "silent after half a header", want: stalled, options: shortTimeouts, play: afterRequest(func(c *rawConn, _ received) {
 			c.send("HTTP/1.1 200 OK\r\nContent-Le")
-			c.stay()
+			c.discardInput()
 		})},
-		{name: "another request's ID", want: fails, play: afterRequest(func(c *rawConn, _ received) {
+		{name: "another request's ID", want: failedSent, play: afterRequest(func(c *rawConn, _ received) {
 			c.send("%s", answerText("request-0", "for somebody else"))
-			c.stay()
+			c.discardInput()
 		})},
-		{name: "no request ID", want: fails, play: afterRequest(func(c *rawConn, _ received) {
+		{name: "no request ID", want: failedSent, play: afterRequest(func(c *rawConn, _ received) {
 			c.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-			c.stay()
+			c.discardInput()
 		})},
-		{name: "neither length nor chunks", want: fails, play: afterRequest(func(c *rawConn, r received) {
+		{name: "neither length nor chunks", want: failedSent, play: afterRequest(func(c *rawConn, r received) {
 			c.send("%swhole or not?", headText(r.id()))
 		})},
-		{name: "body cut short", want: cut, play: afterRequest(func(c *rawConn, r received) {
+		{name: "body cut short", want: truncated, play: afterRequest(func(c *rawConn, r received) {
 			c.send("%shalf", headText(r.id(), "Content-Length: 8"))
 		})},
-		{name: "body reset", want: cut, play: afterRequest(func(c *rawConn, r received) {
+		{name: "body reset", want: truncated, play: afterRequest(func(c *rawConn, r received) {
 			c.send("%shalf", headText(r.id(), "Content-Length: 8"))
 			c.reset()
 		})},
-		{name: "body silent", want: cutSilent, options: hasty, play: afterRequest(func(c *rawConn, r received) {
+		{name: "body silent", want: truncatedStalled, options: shortTimeouts, play: afterRequest(func(c *rawConn, r received) {
 			c.send("%shalf", headText(r.id(), "Content-Length: 8"))
-			c.stay()
+			c.discardInput()
 		})},
-		{name: "chunks cut short", want: cut, play: afterRequest(func(c *rawConn, r received) {
+		{name: "chunks cut short", want: truncated, play: afterRequest(func(c *rawConn, r received) {
 			c.send("%s4\r\nhalf\r\n", headText(r.id(), "Transfer-Encoding: chunked"))
 		})},
-		{name: "chunks cut within one", want: cut, play: afterRequest(func(c *rawConn, r received) {
+		{name: "chunks cut within one", want: truncated, play: afterRequest(func(c *rawConn, r received) {
 			c.send("%s8\r\nhalf", headText(r.id(), "Transfer-Encoding: chunked"))
 		})},
-		{name: "chunks silent", want: cutSilent, options: hasty, play: afterRequest(func(c *rawConn, r received) {
+		{name: "chunks silent", want: truncatedStalled, options: shortTimeouts, play: afterRequest(func(c *rawConn, r received) {
 			c.send("%s4\r\nhalf\r\n", headText(r.id(), "Transfer-Encoding: chunked"))
-			c.stay()
+			c.discardInput()
 		})},
-		{name: "bad chunk length", want: cut, play: afterRequest(func(c *rawConn, r received) {
+		{name: "bad chunk length", want: truncated, play: afterRequest(func(c *rawConn, r received) {
 			c.send("%s4\r\nhalf\r\nzz\r\n", headText(r.id(), "Transfer-Encoding: chunked"))
-			c.stay()
+			c.discardInput()
 		})},
-		{name: "whole with length", want: whole, play: echoAll},
-		{name: "whole with chunks", want: whole, play: afterRequest(func(c *rawConn, r received) {
+		{name: "whole with length", want: complete, play: echoAll},
+		{name: "whole with chunks", want: complete, play: afterRequest(func(c *rawConn, r received) {
 			c.send("%s4\r\nhalf\r\n5\r\n and \r\n4\r\nhalf\r\n0\r\n\r\n", headText(r.id(), "Transfer-Encoding: chunked"))
 			echoAll(c)
 		}), check: bodyIs("half and half")},
-		{name: "late answer", want: whole, play: afterRequest(func(c *rawConn, r received) {
-			time.Sleep(soon)
+		{name: "late answer", want: complete, play: afterRequest(func(c *rawConn, r received) {
+			time.Sleep(shortTimeout)
 			c.answer(r, "late")
 			echoAll(c)
 		}), check: bodyIs("late")},
-		{name: "interim responses while it runs", want: whole, options: interim, play: afterRequest(sendInterim), check: bodyIs("done")},
-		{name: "slow body", want: whole, options: interim, play: afterRequest(sendSlowBody), check: bodyIs(strings.Repeat("x", slowParts))},
-		{name: "not run, by the server's word", want: whole, play: afterRequest(func(c *rawConn, r received) {
+		{name: "interim responses while it runs", want: complete, options: interimOptions, play: afterRequest(sendInterim), check: bodyIs("done")},
+		{name: "slow body", want: complete, options: interimOptions, play: afterRequest(sendSlowBody), check: bodyIs(strings.Repeat("x", slowParts))},
+		{name: "not run, by the server's word", want: complete, play: afterRequest(func(c *rawConn, r received) {
 			c.send("HTTP/1.1 421 No\r\n%s: %s\r\n%s: not-run\r\n%s: not-owner\r\nContent-Length: 0\r\n\r\n",
 				serverapi.HeaderRequestID, r.id(), serverapi.HeaderOutcome, serverapi.HeaderReason)
 			echoAll(c)
 		}), check: outcomeIs(http.StatusMisdirectedRequest, serverapi.OutcomeNotRun, serverapi.ReasonNotOwner)},
-		{name: "unknown, by the server's word", want: whole, play: afterRequest(func(c *rawConn, r received) {
+		{name: "unknown, by the server's word", want: complete, play: afterRequest(func(c *rawConn, r received) {
 			c.send("HTTP/1.1 409 No\r\n%s: %s\r\n%s: unknown\r\n%s: stale-ticket\r\nContent-Length: 0\r\n\r\n",
 				serverapi.HeaderRequestID, r.id(), serverapi.HeaderOutcome, serverapi.HeaderReason)
 			echoAll(c)
 		}), check: outcomeIs(http.StatusConflict, serverapi.OutcomeUnknown, serverapi.ReasonStaleTicket)},
-		{name: "an outcome that is not known", want: whole, play: afterRequest(func(c *rawConn, r received) {
+		{name: "an outcome that is not known", want: complete, play: afterRequest(func(c *rawConn, r received) {
 			c.send("%s", headText(r.id(), serverapi.HeaderOutcome+": fine", "Content-Length: 0"))
 			echoAll(c)
 		}), check: outcomeIs(http.StatusOK, serverapi.OutcomeUnknown, "")},
-		{name: "a failure without an outcome", want: whole, play: afterRequest(func(c *rawConn, r received) {
+		{name: "a failure without an outcome", want: complete, play: afterRequest(func(c *rawConn, r received) {
 			c.send("HTTP/1.1 500 No\r\n%s: %s\r\nContent-Length: 0\r\n\r\n", serverapi.HeaderRequestID, r.id())
 			echoAll(c)
 		}), check: outcomeIs(http.StatusInternalServerError, serverapi.OutcomeAnswered, "")},
 	}
 }
 
-// afterRequest plays a script after one whole request.
+// afterRequest runs play after one complete request.
 func afterRequest(play func(c *rawConn, r received)) script {
 	return func(c *rawConn) {
 		if request, ok := c.read(); ok {
@@ -145,18 +146,18 @@
 	}
 }
 
-// interim are options whose silence limit a case with progress outlasts, with
-// much more room between the limit and the pauses than between the two runs of
-// a slow machine.
-func interim() Options {
-	options := patient()
+// interimOptions returns options whose stall timeout is shorter than a case that
+// makes progress, and so much longer than its pauses that a slow machine does
+// not exceed it.
+func interimOptions() Options {
+	options := longTimeouts()
 	options.SilentAfter = time.Second
 	return options
 }
 
 const (
 	slowParts = 30
-	slowPause = 50 * time.Millisecond // × slowParts is above interim's limit
+	slowPause = 50 * time.Millisecond // × slowParts exceeds the timeout of interimOptions
 )
 
 func sendInterim(c *rawConn, r received) {
@@ -199,7 +200,7 @@
 	}
 	ginkgo.DescribeTable("fault table", entries...)
 	it("refused", open, runRefused)
-	it("server that never reads", open, runDeaf)
+	it("server that never reads", open, runServerNeverReads)
 	it("body without end until the deadline", open, runEndless)
 	it("cancelled", open, runCancelled)
 	it("deadline passed already", open, runPassedDeadline)
@@ -208,7 +209,7 @@
 
 func runAttempt(t testing.TB, open Open, c attemptCase, idempotent bool) {
 	g := gomega.NewWithT(t)
-	options := patient
+	options := longTimeouts
 	if c.options != nil {
 		options = c.options
 	}
@@ -229,19 +230,19 @@
 	var inBody *backend.AttemptError
 	isAttempt := asAttempt(got.bodyErr, &inBody)
 	switch want {
-	case fails, silent, failsMaybe:
+	case failedSent, stalled, failedMaybeSent:
 		g.Expect(got.failure).NotTo(gomega.BeNil())
 		g.Expect(got.failure.Server).To(gomega.BeEquivalentTo("s1"))
-		g.Expect(got.failure.Silent).To(gomega.Equal(want == silent))
-		if want != failsMaybe {
+		g.Expect(got.failure.Silent).To(gomega.Equal(want == stalled))
+		if want != failedMaybeSent {
 			g.Expect(got.failure.Sent).To(gomega.BeTrue())
 		}
-	case cut, cutSilent:
+	case truncated, truncatedStalled:
 		g.Expect(got.failure).To(gomega.BeNil())
 		g.Expect(isAttempt).To(gomega.BeTrue(), "body ended with %v", got.bodyErr)
 		g.Expect(inBody.Sent).To(gomega.BeTrue())
-		g.Expect(inBody.Silent).To(gomega.Equal(want == cutSilent))
-	case whole:
+		g.Expect(inBody.Silent).To(gomega.Equal(want == truncatedStalled))
+	case complete:
 		g.Expect(got.failure).To(gomega.BeNil())
 		g.Expect(got.bodyErr).NotTo(gomega.HaveOccurred())
 	}
@@ -253,22 +254,22 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	target := backend.Target{ID: "s1", Address: listener.Addr().String()}
 	g.Expect(listener.Close()).To(gomega.Succeed())
-	got := do(t, open(t, patient()), target, newRequest(http.MethodPost, false))
+	got := do(t, open(t, longTimeouts()), target, newRequest(http.MethodPost, false))
 	g.Expect(got.failure).NotTo(gomega.BeNil())
 	g.Expect(got.failure.Sent).To(gomega.BeFalse(), "nothing can have been sent")
 }
 
-// runDeaf: a body that is too long for the buffers between the two ends cannot
-// be written to its end.
-func runDeaf(t testing.TB, open Open) {
+// runServerNeverReads sends a body that exceeds the buffers between client and
+// server, so that it cannot be written completely.
+func runServerNeverReads(t testing.TB, open Open) {
 	g := gomega.NewWithT(t)
 	ended := make(chan struct{})
 	defer close(ended)
-	_, target := startFaultServer(t, func(c *rawConn) { c.deaf(ended) })
+	_, target := startFaultServer(t, func(c *rawConn) { c.holdUnread(ended) })
 	req := newRequest(http.MethodPost, false)
 	body := bytes.Repeat([]byte("x"), 64<<20)
 	req.Body, req.ContentLength = bytes.NewReader(body), int64(len(body))
-	got := do(t, open(t, hasty()), target, req)
+	got := do(t, open(t, shortTimeouts()), target, req)
 	g.Expect(got.failure).NotTo(gomega.BeNil())
 	g.Expect(got.failure.Silent).To(gomega.BeTrue())
 	g.Expect(got.failure.Sent).To(gomega.BeTrue())
@@ -285,8 +286,8 @@
 		}
 	}))
 	req := newRequest(http.MethodGet, true)
-	req.Deadline = time.Now().Add(2 * soon)
-	got := do(t, open(t, patient()), target, req)
+	req.Deadline = time.Now().Add(2 * shortTimeout)
+	got := do(t, open(t, longTimeouts()), target, req)
 	if got.failure == nil {
 		g.Expect(got.bodyErr).To(gomega.HaveOccurred())
 	}
@@ -298,9 +299,9 @@
 	arrived := make(chan struct{})
 	server, target := startFaultServer(t, afterRequest(func(c *rawConn, _ received) {
 		close(arrived)
-		c.stay()
+		c.discardInput()
 	}))
-	driver := open(t, patient())
+	driver := open(t, longTimeouts())
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() {
@@ -319,7 +320,7 @@
 	server, target := startFaultServer(t, echoAll)
 	req := newRequest(http.MethodGet, true)
 	req.Deadline = time.Now().Add(-time.Second)
-	got := do(t, open(t, patient()), target, req)
+	got := do(t, open(t, longTimeouts()), target, req)
 	g.Expect(got.failure).NotTo(gomega.BeNil())
 	g.Expect(got.failure.Sent).To(gomega.BeFalse())
 	g.Expect(server.seen()).To(gomega.BeEmpty())
@@ -337,7 +338,7 @@
 		server, target := startFaultServer(t, echoAll)
 		req := newRequest(http.MethodGet, true)
 		change(&req)
-		got := do(t, open(t, patient()), target, req)
+		got := do(t, open(t, longTimeouts()), target, req)
 		g.Expect(got.failure).NotTo(gomega.BeNil())
 		g.Expect(got.failure.Sent).To(gomega.BeFalse())
 		g.Expect(server.seen()).To(gomega.BeEmpty())
--- a/backend/backendtest/backendtest.go
+++ b/backend/backendtest/backendtest.go
@@ -1,6 +1,6 @@
-// Package backendtest is the contract that every backend.Driver must meet, as
-// Ginkgo specs against a raw TCP server that misbehaves in ways no HTTP library
-// would. A driver's own test calls Describe.
+// Package backendtest tests the contract that every backend.Driver must meet, as
+// Ginkgo specs against a raw TCP server that injects faults which no HTTP library
+// produces. A driver's own test calls Describe.
 package backendtest
 
 import (
@@ -21,39 +21,41 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Options of the driver that a test wants.
+// Options configures the driver under test.
 type Options struct {
-	// SilentAfter without progress a connection is given up.
+	// StallTimeout is the time without progress after which the driver gives up a
+	// connection.
 	SilentAfter time.Duration
-	// ControlSilentAfter is the same for a lessor's calls on a connection that
-	// was used before.
+	// ControlStallTimeout is the StallTimeout of a lessor's calls on a reused
+	// connection.
 	ControlSilentAfter time.Duration
-	// Connections for requests to one server.
+	// Connections is the quota of connections for requests to one server.
 	Connections int
-	// ConnectTimeout bounds the wait for a connection.
+	// ConnectTimeout is the longest wait for a connection.
 	ConnectTimeout time.Duration
 }
 
-// Open returns a new driver. It closes the driver when the test ends.
+// Open returns a new driver, which it closes when the test ends.
 type Open func(t testing.TB, options Options) backend.Driver
 
 const (
-	// never is a limit that no healthy case reaches, however slow the machine.
-	never = time.Minute
-	// soon is a limit in cases that wait for it to pass.
-	soon = 150 * time.Millisecond
-	// eventually bounds waits for what needs no exact time.
+	// longTimeout is not reached by a healthy case, even on a slow machine.
+	longTimeout = time.Minute
+	// shortTimeout is for cases that wait until it expires.
+	shortTimeout = 150 * time.Millisecond
+	// eventually is the deadline of conditions without an exact time.
 	eventually = 30 * time.Second
 )
 
-// patient returns options under which nothing is ever found silent.
-func patient() Options {
-	return Options{SilentAfter: never, ControlSilentAfter: never, Connections: 8, ConnectTimeout: never}
+// longTimeouts returns options under which no connection is treated as stalled.
+func longTimeouts() Options {
+	return Options{SilentAfter: longTimeout, ControlSilentAfter: longTimeout, Connections: 8, ConnectTimeout: longTimeout}
 }
 
-// hasty returns options under which silence is found soon.
-func hasty() Options {
-	return Options{SilentAfter: soon, ControlSilentAfter: soon, Connections: 8, ConnectTimeout: never}
+// shortTimeouts returns options under which a stalled connection is detected
+// quickly.
+func shortTimeouts() Options {
+	return Options{SilentAfter: shortTimeout, ControlSilentAfter: shortTimeout, Connections: 8, ConnectTimeout: longTimeout}
 }
 
 // Describe defines the specs of the whole contract for one driver.
@@ -74,7 +76,7 @@
 	ginkgo.It(text, func() { run(ginkgo.GinkgoTB(), open) })
 }
 
-// table defines a spec for each row, in order of the rows' names.
+// table defines a spec for each row, sorted by the rows' names.
 func table[Row any](text string, rows map[string]Row, run func(t testing.TB, row Row)) {
 	entries := []any{func(row Row) { run(ginkgo.GinkgoTB(), row) }}
 	for _, name := range slices.Sorted(maps.Keys(rows)) {
@@ -85,7 +87,7 @@
 
 var requestCounter atomic.Int64
 
-// newRequest returns a request with an ID of its own.
+// newRequest returns a request with a unique ID.
 func newRequest(method string, idempotent bool) backend.Request {
 	return backend.Request{
 		Method:        method,
@@ -100,7 +102,7 @@
 	}
 }
 
-// result is what became of an attempt: exactly one of failure and response is
+// result is the outcome of an attempt: exactly one of failure and response is
 // set.
 type result struct {
 	response *backend.Response
@@ -109,7 +111,7 @@
 	bodyErr  error
 }
 
-// do makes an attempt and reads the whole answer.
+// do makes an attempt and reads the complete response.
 func do(t testing.TB, driver backend.Driver, to backend.Target, req backend.Request) result {
 	t.Helper()
 	return doContext(t, t.Context(), driver, to, req)
@@ -130,8 +132,8 @@
 	return result{response: response, body: string(body), bodyErr: err}
 }
 
-// expectHealthy makes sure that the driver gets the right answer from a server
-// that behaves again.
+// expectHealthy checks that the driver gets the correct response from a server
+// without further faults.
 func expectHealthy(t testing.TB, driver backend.Driver, to backend.Target) {
 	t.Helper()
 	g := gomega.NewWithT(t)
--- a/backend/backendtest/control.go
+++ b/backend/backendtest/control.go
@@ -16,12 +16,12 @@
 	"github.com/burdockspindle/burdockspindle/serverapi"
 )
 
-// controlCase is one row: what the server does with a lessor's call on a new
-// connection (number 1).
+// controlCase is one row of the table: what the server does with a lessor's call
+// on a new connection (number 1).
 type controlCase struct {
 	name string
 	play script
-	// want is the reply's Refused, or failed.
+	// want is the reply's Refused value, or failed.
 	want string
 }
 
@@ -52,7 +52,7 @@
 		{"too long", replyText(`{"boot":"b","highestTerm":"` + strings.Repeat("1", 5<<20) + `"}`), failed},
 		{"closed after the call", afterRequest(func(*rawConn, received) {}), failed},
 		{"reset before any byte", func(c *rawConn) { c.reset() }, failed},
-		{"silent", afterRequest(func(c *rawConn, _ received) { c.stay() }), failed},
+		{"silent", afterRequest(func(c *rawConn, _ received) { c.discardInput() }), failed},
 		{"reply cut short", afterRequest(func(c *rawConn, _ received) {
 			c.send("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{")
 		}), failed},
@@ -98,7 +98,7 @@
 		table(c.name, calls(), func(t testing.TB, call controlCall) {
 			g := gomega.NewWithT(t)
 			_, target := startFaultServer(t, c.play)
-			reply, err := call(t.Context(), open(t, hasty()), target)
+			reply, err := call(t.Context(), open(t, shortTimeouts()), target)
 			if c.want == failed {
 				var failure *backend.ControlError
 				g.Expect(errors.As(err, &failure)).To(gomega.BeTrue(), "%v", err)
@@ -108,14 +108,14 @@
 			g.Expect(reply.Refused).To(gomega.Equal(c.want))
 		})
 	}
-	describeControlAgain(open)
-	it("connections of their own", open, runControlApart)
+	describeControlReconnect(open)
+	it("connections of their own", open, runControlSeparate)
 	it("not held up by requests", open, runControlBusy)
 }
 
-// describeControlAgain: a connection that worked once fails or goes silent; the call
-// is answered over a new one.
-func describeControlAgain(open Open) {
+// describeControlReconnect checks that a call succeeds over a new connection when one
+// that worked once fails or stalls.
+func describeControlReconnect(open Open) {
 	body, _ := json.Marshal(goodReply)
 	once := func(end func(c *rawConn)) script {
 		return firstThen(func(c *rawConn) {
@@ -129,7 +129,7 @@
 		}, replyWith(http.StatusOK, goodReply))
 	}
 	ends := map[string]func(c *rawConn){
-		"silent": (*rawConn).stay,
+		"silent": (*rawConn).discardInput,
 		"closed": func(*rawConn) {},
 		"reset":  (*rawConn).reset,
 		"broken": func(c *rawConn) { c.send("???\r\n\r\n") },
@@ -137,7 +137,7 @@
 	table("new connection in place of a failed one", ends, func(t testing.TB, end func(c *rawConn)) {
 		g := gomega.NewWithT(t)
 		_, target := startFaultServer(t, once(end))
-		driver := open(t, hasty())
+		driver := open(t, shortTimeouts())
 		for range 3 {
 			for _, call := range calls() {
 				_, err := call(t.Context(), driver, target)
@@ -147,8 +147,8 @@
 	})
 }
 
-// runControlApart: requests and control calls never share a connection.
-func runControlApart(t testing.TB, open Open) {
+// runControlSeparate checks that requests and control calls never share a connection.
+func runControlSeparate(t testing.TB, open Open) {
 	g := gomega.NewWithT(t)
 	body, _ := json.Marshal(goodReply)
 	server, target := startFaultServer(t, func(c *rawConn) {
@@ -164,7 +164,7 @@
 			c.send("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		}
 	})
-	driver := open(t, patient())
+	driver := open(t, longTimeouts())
 	for range 4 {
 		expectHealthy(t, driver, target)
 		for _, call := range calls() {
@@ -184,8 +184,8 @@
 	}
 }
 
-// runControlBusy: calls go through while every connection for requests is in
-// use.
+// runControlBusy checks that control calls succeed while every connection for
+// requests is in use.
 func runControlBusy(t testing.TB, open Open) {
 	g := gomega.NewWithT(t)
 	body, _ := json.Marshal(goodReply)
@@ -193,12 +193,12 @@
 	_, target := startFaultServer(t, afterRequest(func(c *rawConn, r received) {
 		if strings.HasPrefix(r.path, serverapi.PathRequest) {
 			close(arrived)
-			c.stay()
+			c.discardInput()
 			return
 		}
 		c.send("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	}))
-	options := patient()
+	options := longTimeouts()
 	options.Connections = 1
 	driver := open(t, options)
 	ctx, cancel := context.WithCancel(t.Context())
--- a/backend/backendtest/faultserver.go
+++ b/backend/backendtest/faultserver.go
@@ -42,7 +42,7 @@
 	requests []received
 }
 
-// startFaultServer serves until the test ends.
+// startFaultServer starts a server that runs until the test ends.
 func startFaultServer(t testing.TB, play script) (*faultServer, backend.Target) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -90,7 +90,7 @@
 	s.wait.Wait()
 }
 
-// seen returns the requests that arrived whole, in order of arrival.
+// seen returns the requests that arrived completely, in order of arrival.
 func (s *faultServer) seen() []received {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,7 +130,7 @@
 	number int
 }
 
-// read reads one whole request and notes it; ok is false at the end of the
+// read reads and records one complete request; ok is false at the end of the
 // connection.
 func (c *rawConn) read() (request received, ok bool) {
 	head, err := http.ReadRequest(c.reader)
@@ -142,22 +142,22 @@
 		return received{}, false
 	}
 	request = received{method: head.Method, path: head.URL.RequestURI(), header: head.Header, body: body, conn: c.number}
-	c.note(request)
+	c.record(request)
 	return request, true
 }
 
-// readHead reads a request's header only, and notes it without a body.
+// readHead reads only a request's header and records the request without a body.
 func (c *rawConn) readHead() (request received, body io.Reader, ok bool) {
 	head, err := http.ReadRequest(c.reader)
 	if err != nil {
 		return received{}, nil, false
 	}
 	request = received{method: head.Method, path: head.URL.RequestURI(), header: head.Header, conn: c.number}
-	c.note(request)
+	c.record(request)
 	return request, head.Body, true
 }
 
-func (c *rawConn) note(request received) {
+func (c *rawConn) record(request received) {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	c.server.requests = append(c.server.requests, request)
@@ -168,17 +168,17 @@
 	_, _ = fmt.Fprintf(c, format, args...)
 }
 
-// answer writes a whole, correct answer.
+// answer writes a complete, correct response.
 func (c *rawConn) answer(request received, body string) {
 	c.send("%s", answerText(request.id(), body))
 }
 
-// answerText is a whole, correct answer as it stands on the wire.
+// answerText returns a complete, correct response in its wire format.
 func answerText(requestID, body string) string {
 	return headText(requestID, fmt.Sprintf("Content-Length: %d", len(body))) + body
 }
 
-// headText is an answer's head with extra header lines.
+// headText returns a response's status line and header with extra header lines.
 func headText(requestID string, lines ...string) string {
 	head := "HTTP/1.1 200 OK\r\n" + serverapi.HeaderRequestID + ": " + requestID + "\r\n"
 	for _, line := range lines {
@@ -187,12 +187,12 @@
 	return head + "\r\n"
 }
 
-// stay keeps the connection open, reading and discarding, until the driver
-// closes it.
-func (c *rawConn) stay() { _, _ = io.Copy(io.Discard, c.reader) }
+// discardInput keeps the connection open, reading and discarding, until the
+// driver closes it.
+func (c *rawConn) discardInput() { _, _ = io.Copy(io.Discard, c.reader) }
 
-// deaf keeps the connection open without reading, until the test ends.
-func (c *rawConn) deaf(until <-chan struct{}) { <-until }
+// holdUnread keeps the connection open without reading until the channel closes.
+func (c *rawConn) holdUnread(until <-chan struct{}) { <-until }
 
 // reset closes the connection with a TCP reset.
 func (c *rawConn) reset() {
@@ -202,7 +202,7 @@
 	_ = c.Close()
 }
 
-// echoAll answers every request with its own ID as the body.
+// echoAll answers every request with a body that contains its ID.
 func echoAll(c *rawConn) {
 	for {
 		request, ok := c.read()
@@ -213,10 +213,10 @@
 	}
 }
 
-// echoOf is the body that a request is answered with when all is well.
+// echoOf returns the body of the correct response to a request.
 func echoOf(requestID string) string { return strings.Repeat("answer to "+requestID+"; ", 20) }
 
-// firstThen plays one script on the first connection and another on the rest.
+// firstThen runs one script on the first connection and another on the rest.
 func firstThen(first, rest script) script {
 	return func(c *rawConn) {
 		if c.number == 1 {
--- a/backend/backendtest/headers.go
+++ b/backend/backendtest/headers.go
@@ -12,8 +12,8 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// describeHeaders: what reaches the server is the protocol's, and the caller's
-// headers without those that concern one connection or forge the protocol's.
+// describeHeaders checks that the server receives the protocol's headers and the
+// caller's, except hop-by-hop headers and forged protocol headers.
 func describeHeaders(open Open) {
 	it("of a full request", open, runFullRequest)
 	it("path without its slash", open, func(t testing.TB, open Open) {
@@ -21,7 +21,7 @@
 		server, target := startFaultServer(t, echoAll)
 		req := newRequest(http.MethodGet, true)
 		req.Path = "records/k"
-		g.Expect(do(t, open(t, patient()), target, req).failure).To(gomega.BeNil())
+		g.Expect(do(t, open(t, longTimeouts()), target, req).failure).To(gomega.BeNil())
 		g.Expect(server.seen()[0].path).To(gomega.Equal("/serve/records/k"))
 	})
 }
@@ -49,7 +49,7 @@
 		"burdockspindle-term":  {"99.9"},
 	}
 	req = withBody(req)
-	got := do(t, open(t, patient()), target, req)
+	got := do(t, open(t, longTimeouts()), target, req)
 	g.Expect(got.failure).To(gomega.BeNil())
 	g.Expect(server.seen()).To(gomega.HaveLen(1))
 	seen := server.seen()[0]
--- a/backend/backendtest/mixing.go
+++ b/backend/backendtest/mixing.go
@@ -10,8 +10,8 @@
 	"github.com/onsi/gomega"
 )
 
-// describeMixing: whatever arrives late, twice or too long on a connection never
-// becomes part of another request's answer.
+// describeMixing checks that data which arrives late, twice or in excess on a
+// connection never becomes part of another request's response.
 func describeMixing(open Open) {
 	surplus := map[string]func(r received) string{
 		"answer sent twice":             func(r received) string { return answerText(r.id(), "again") },
@@ -20,12 +20,12 @@
 		"another answer without its ID": func(received) string { return "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad" },
 	}
 	table("surplus", surplus, func(t testing.TB, extra func(r received) string) { runSurplus(t, open, extra) })
-	it("late answer of a request given up", open, runGivenUp)
-	it("many at once", open, runMany)
+	it("late answer of a request given up", open, runLateResponse)
+	it("many at once", open, runConcurrent)
 }
 
-// runSurplus sends several requests to a server that sends more than it should
-// on every connection: each must get its own answer or a failure.
+// runSurplus sends several requests to a server that sends surplus data on every
+// connection: each request must get its own response or an error.
 func runSurplus(t testing.TB, open Open, extra func(r received) string) {
 	g := gomega.NewWithT(t)
 	_, target := startFaultServer(t, func(c *rawConn) {
@@ -37,7 +37,7 @@
 			c.send("%s%s", answerText(request.id(), echoOf(request.id())), extra(request))
 		}
 	})
-	driver := open(t, patient())
+	driver := open(t, longTimeouts())
 	for range 30 {
 		req := newRequest(http.MethodGet, true)
 		got := do(t, driver, target, req)
@@ -47,9 +47,9 @@
 	}
 }
 
-// runGivenUp cancels a request whose answer the server sends later on the same
+// runLateResponse cancels a request whose response the server later sends on the same
 // connection.
-func runGivenUp(t testing.TB, open Open) {
+func runLateResponse(t testing.TB, open Open) {
 	g := gomega.NewWithT(t)
 	arrived, cancelled := make(chan struct{}), make(chan struct{})
 	goOn := sync.OnceFunc(func() { close(cancelled) })
@@ -61,7 +61,7 @@
 		c.answer(request, "too late")
 		echoAll(c)
 	}, echoAll))
-	driver := open(t, patient())
+	driver := open(t, longTimeouts())
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		<-arrived
@@ -73,11 +73,11 @@
 	expectHealthy(t, driver, target)
 }
 
-// runMany sends many requests at once over few connections.
-func runMany(t testing.TB, open Open) {
+// runConcurrent sends many concurrent requests over few connections.
+func runConcurrent(t testing.TB, open Open) {
 	g := gomega.NewWithT(t)
 	_, target := startFaultServer(t, echoAll)
-	driver := open(t, patient())
+	driver := open(t, longTimeouts())
 	var wait sync.WaitGroup
 	const callers, each = 16, 25
 	results := make(chan bool, callers*each)
--- a/backend/backendtest/resends.go
+++ b/backend/backendtest/resends.go
@@ -12,9 +12,9 @@
 	"github.com/burdockspindle/burdockspindle/backend"
 )
 
-// describeResends: a connection that answered once fails on the second request.
-// net/http's own transport then resends requests without a body that are
-// idempotent by their method or carry an Idempotency-Key.
+// describeResends fails a connection on its second request. In this case the
+// transport of net/http resends requests without a body whose method is
+// idempotent or that carry an Idempotency-Key; a driver must not.
 func describeResends(open Open) {
 	failures := map[string]script{
 		"closed after the second request": answerThen(func(*rawConn) {}),
@@ -28,8 +28,8 @@
 		"POST":              func() backend.Request { return newRequest(http.MethodPost, false) },
 		"POST with key":     func() backend.Request { return withKey(newRequest(http.MethodPost, false)) },
 		"POST key and body": func() backend.Request { return withBody(withKey(newRequest(http.MethodPost, false))) },
-		// The router may call a keyed request idempotent; it is not resent then
-		// either.
+		// The router may mark a request with an idempotency key as idempotent; it
+		// is not resent either.
 		"keyed, pooled": func() backend.Request { return withKey(newRequest(http.MethodPost, true)) },
 	}
 	for _, failureName := range slices.Sorted(maps.Keys(failures)) {
@@ -37,7 +37,7 @@
 		table(failureName, requests, func(t testing.TB, build func() backend.Request) {
 			g := gomega.NewWithT(t)
 			server, target := startFaultServer(t, play)
-			driver := open(t, patient())
+			driver := open(t, longTimeouts())
 			first := do(t, driver, target, newRequest(http.MethodGet, true))
 			g.Expect(first.bodyErr).NotTo(gomega.HaveOccurred())
 
@@ -49,8 +49,8 @@
 	}
 }
 
-// expectCounted: a request that the driver failed arrived once at most, and one
-// that it says was not sent never did.
+// expectCounted checks that a request that the driver failed arrived at most
+// once, and that a request reported as not sent never arrived.
 func expectCounted(g *gomega.WithT, server *faultServer, req backend.Request, got result) {
 	most := 1
 	if got.failure != nil && !got.failure.Sent {
@@ -64,8 +64,8 @@
 }
 
 // answerThen answers the first request of the first connection, reads the
-// second, and then ends the connection in some way. On other connections the
-// first request fails in the same way.
+// second, and then calls end. On other connections the first request fails in
+// the same way.
 func answerThen(end func(c *rawConn)) script {
 	return func(c *rawConn) {
 		request, ok := c.read()
--- a/backend/backendtest/share.go
+++ b/backend/backendtest/share.go
@@ -11,21 +11,21 @@
 	"github.com/onsi/gomega"
 )
 
-// describeShare: a driver opens no more connections for requests than it was given,
-// however requests come.
+// describeShare checks that a driver never opens more connections for requests
+// than its quota.
 func describeShare(open Open) {
-	it("one request too many is not sent", open, runFull)
+	it("one request too many is not sent", open, runQuotaExceeded)
 	it("idle connections make way for new ones", open, runReplace)
-	it("a new connection for what is not idempotent", open, runFresh)
+	it("a new connection for what is not idempotent", open, runNewConnection)
 	it("forgotten server", open, runForget)
 }
 
-func runFull(t testing.TB, open Open) {
+func runQuotaExceeded(t testing.TB, open Open) {
 	g := gomega.NewWithT(t)
-	server, target := startFaultServer(t, afterRequest(func(c *rawConn, _ received) { c.stay() }))
-	options := patient()
+	server, target := startFaultServer(t, afterRequest(func(c *rawConn, _ received) { c.discardInput() }))
+	options := longTimeouts()
 	options.Connections = 3
-	options.ConnectTimeout = soon
+	options.ConnectTimeout = shortTimeout
 	driver := open(t, options)
 	ctx, cancel := context.WithCancel(t.Context())
 	var wait sync.WaitGroup
@@ -46,8 +46,8 @@
 	wait.Wait()
 }
 
-// runReplace: with a share of one connection, each new one must wait until the
-// idle one is closed. The server answers only once it sees that.
+// runReplace sets a quota of one connection, so that each new connection must wait
+// until the idle one is closed. The server responds only once it observes that.
 func runReplace(t testing.TB, open Open) {
 	g := gomega.NewWithT(t)
 	var server *faultServer
@@ -66,7 +66,7 @@
 		}
 	})
 	close(ready)
-	options := patient()
+	options := longTimeouts()
 	options.Connections = 1
 	driver := open(t, options)
 	for range 10 {
@@ -79,7 +79,7 @@
 	}
 }
 
-// waitUntil polls a condition and gives up after a while.
+// waitUntil polls a condition and reports whether it became true within 5000 tries.
 func waitUntil(condition func() bool) bool {
 	const pause, tries = time.Millisecond, 5000
 	for range tries {
@@ -91,12 +91,12 @@
 	return false
 }
 
-// runFresh: a request that must not be repeated never goes out on a connection
-// that carried another, since that may have gone silent or be about to close.
-func runFresh(t testing.TB, open Open) {
+// runNewConnection checks that a request that is not idempotent is never sent on a reused
+// connection, because that may have stalled or be about to close.
+func runNewConnection(t testing.TB, open Open) {
 	g := gomega.NewWithT(t)
 	server, target := startFaultServer(t, echoAll)
-	driver := open(t, patient())
+	driver := open(t, longTimeouts())
 	for i := range 9 {
 		got := do(t, driver, target, newRequest(http.MethodGet, i%3 > 0))
 		g.Expect(got.failure).To(gomega.BeNil())
@@ -115,7 +115,7 @@
 func runForget(t testing.TB, open Open) {
 	g := gomega.NewWithT(t)
 	server, target := startFaultServer(t, echoAll)
-	driver := open(t, patient())
+	driver := open(t, longTimeouts())
 	expectHealthy(t, driver, target)
 	driver.Forget(target.ID)
 	g.Eventually(server.openConns, eventually).Should(gomega.BeZero())
--- a/backend/backendtest/streams.go
+++ b/backend/backendtest/streams.go
@@ -11,8 +11,8 @@
 	"github.com/onsi/gomega"
 )
 
-// describeStreams: bodies pass through in parts, and only the server's own pauses
-// count as silence.
+// describeStreams checks that bodies are streamed, and that only pauses of the
+// server are treated as a stalled connection.
 func describeStreams(open Open) {
 	it("request body arrives in parts", open, runUpload)
 	it("answer body arrives in parts", open, runDownload)
@@ -35,18 +35,18 @@
 		close(firstPart)
 		rest, _ := io.ReadAll(body)
 		c.answer(request, string(part)+string(rest))
-		c.stay()
+		c.discardInput()
 	})
 	reader, writer := io.Pipe()
 	go func() {
 		_, _ = writer.Write([]byte("first"))
-		<-firstPart // the rest is sent only once the first part arrived
+		<-firstPart // send the rest only after the first part arrived
 		_, _ = writer.Write([]byte(" rest"))
 		_ = writer.Close()
 	}()
 	req := newRequest(http.MethodPost, false)
 	req.Body, req.ContentLength = reader, -1
-	got := do(t, open(t, patient()), target, req)
+	got := do(t, open(t, longTimeouts()), target, req)
 	g.Expect(got.body).To(gomega.Equal("first rest"))
 }
 
@@ -57,9 +57,9 @@
 		c.send("%sfirst", headText(r.id(), "Content-Length: 10"))
 		<-goOn
 		c.send(" rest")
-		c.stay()
+		c.discardInput()
 	}))
-	response, err := open(t, patient()).Do(t.Context(), target, newRequest(http.MethodGet, true))
+	response, err := open(t, longTimeouts()).Do(t.Context(), target, newRequest(http.MethodGet, true))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	defer func() { _ = response.Body.Close() }()
 	part := make([]byte, 5)
@@ -72,20 +72,20 @@
 	g.Expect(string(rest)).To(gomega.Equal(" rest"))
 }
 
-// runEarlyAnswer: a server may refuse without reading the body.
+// runEarlyAnswer covers a server that refuses without reading the body.
 func runEarlyAnswer(t testing.TB, open Open) {
 	g := gomega.NewWithT(t)
 	_, target := startFaultServer(t, func(c *rawConn) {
 		if request, _, ok := c.readHead(); ok {
 			c.answer(request, "no need")
-			c.stay()
+			c.discardInput()
 		}
 	})
 	reader, writer := io.Pipe()
 	defer func() { _ = writer.Close() }()
 	req := newRequest(http.MethodPost, false)
 	req.Body, req.ContentLength = reader, -1
-	got := do(t, open(t, patient()), target, req)
+	got := do(t, open(t, longTimeouts()), target, req)
 	g.Expect(got.failure).To(gomega.BeNil())
 	g.Expect(got.body).To(gomega.Equal("no need"))
 }
@@ -96,11 +96,11 @@
 	reader, writer := io.Pipe()
 	go func() {
 		_, _ = writer.Write([]byte("first"))
-		time.Sleep(3 * soon)
+		time.Sleep(3 * shortTimeout)
 		_ = writer.Close()
 	}()
-	options := patient()
-	options.SilentAfter = 2 * soon
+	options := longTimeouts()
+	options.SilentAfter = 2 * shortTimeout
 	req := newRequest(http.MethodPost, false)
 	req.Body, req.ContentLength = reader, -1
 	got := do(t, open(t, options), target, req)
@@ -110,23 +110,24 @@
 
 func runSlowReader(t testing.TB, open Open) {
 	g := gomega.NewWithT(t)
-	const size = 8 << 20 // does not fit into the buffers between the two ends
+	const size = 8 << 20 // exceeds the buffers between client and server
 	_, target := startFaultServer(t, afterRequest(func(c *rawConn, r received) {
 		c.answer(r, strings.Repeat("x", size))
-		c.stay()
+		c.discardInput()
 	}))
-	options := patient()
-	options.SilentAfter = 2 * soon
+	options := longTimeouts()
+	options.SilentAfter = 2 * shortTimeout
 	response, err := open(t, options).Do(t.Context(), target, newRequest(http.MethodGet, true))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	defer func() { _ = response.Body.Close() }()
-	time.Sleep(3 * soon)
+	time.Sleep(3 * shortTimeout)
 	body, err := io.ReadAll(response.Body)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(body).To(gomega.HaveLen(size))
 }
 
-// runBrokenUpload: a body that its caller breaks off is never a whole request.
+// runBrokenUpload checks that a body that its caller aborts never arrives as a
+// complete request.
 func runBrokenUpload(t testing.TB, open Open) {
 	g := gomega.NewWithT(t)
 	server, target := startFaultServer(t, echoAll)
@@ -137,7 +138,7 @@
 	}()
 	req := newRequest(http.MethodPost, false)
 	req.Body, req.ContentLength = reader, -1
-	got := do(t, open(t, patient()), target, req)
+	got := do(t, open(t, longTimeouts()), target, req)
 	g.Expect(got.failure).NotTo(gomega.BeNil())
 	g.Expect(got.failure.Sent).To(gomega.BeTrue())
 	var cause *brokenUpload
@@ -146,7 +147,7 @@
 	g.Expect(server.countOf(req.RequestID)).To(gomega.BeZero())
 }
 
-// brokenUpload is the failure of a caller's body.
+// brokenUpload is the read error of a caller's body.
 type brokenUpload struct{}
 
 // Error implements error.
