--- a/peer/errors.go
+++ b/peer/errors.go
@@ -2,7 +2,7 @@
 
 import "github.com/burdockspindle/burdockspindle/topo"
 
-// CallError reports a call without an answer.
+// CallError reports a call without a response.
 type CallError struct {
 	Node topo.NodeID
 	Op   string // a Kind
@@ -21,7 +21,7 @@
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Cause }
 
-// UnknownNodeError reports a node whose address is not known.
+// UnknownNodeError reports a node whose address is unknown.
 type UnknownNodeError struct{ Node topo.NodeID }
 
 // Error implements error.
@@ -33,10 +33,10 @@
 // Error implements error.
 func (e *UnimplementedError) Error() string { return string(e.Kind) + " is not served there" }
 
-// WrongNodeError reports that another node answers at the address.
+// WrongNodeError reports that a different node responds at the address.
 type WrongNodeError struct {
 	Want topo.NodeID
-	Got  topo.NodeID // empty when the other side only said that it is not Want
+	Got  topo.NodeID // empty if the responder reported only that it is not Want
 }
 
 // Error implements error.
@@ -50,7 +50,7 @@
 // Error implements error.
 func (e *RemoteError) Error() string { return "remote: " + e.Message }
 
-// TooLargeError reports a message above the size limit.
+// TooLargeError reports a message that exceeds the size limit.
 type TooLargeError struct{ Kind Kind }
 
 // Error implements error.
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -1,7 +1,7 @@
-// Package peer is the interface through which entry nodes call each other. The
-// connect-go implementation is modules/peer; package peermem is the in-memory
-// one with faults on each link. The contract that both meet is tested by
-// peer/peertest.
+// Package peer defines the interface through which entry nodes call each other.
+// modules/peer implements it with connect-go; package peermem implements it in
+// memory, with faults on each link. peer/peertest tests the contract that both
+// must meet.
 package peer
 
 import (
@@ -14,10 +14,11 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// Caller calls other nodes. Addresses come from the state's nodes, or from the
-// settings' seeds for a process that has no state yet. Each kind of call has a
-// connection of its own to each node; a call that starts while that connection
-// is silent opens a new one. Calls never resend. Errors are *CallError.
+// Caller calls other nodes. It takes addresses from the nodes in the state, or
+// from the seeds in the settings if the process has no state yet. Each kind of
+// call uses a separate connection to each node; a call that starts while that
+// connection is stalled opens a new one. Calls never resend. Errors are
+// *CallError.
 type Caller interface {
 	Heartbeat(ctx context.Context, to topo.NodeID, req *bspb.HeartbeatRequest) (*bspb.HeartbeatResponse, error)
 	ReadLog(ctx context.Context, to topo.NodeID, req *bspb.ReadLogRequest) (*bspb.ReadLogResponse, error)
@@ -26,21 +27,21 @@
 	ReportLoad(ctx context.Context, to topo.NodeID, req *bspb.ReportLoadRequest) error
 	Move(ctx context.Context, to topo.NodeID, req *bspb.MoveRequest) (*bspb.MoveResponse, error)
 	Status(ctx context.Context, to topo.NodeID) (*bspb.StatusResponse, error)
-	// Known lists the nodes that can be called now, own zone first, without
-	// this node.
+	// Known returns the nodes that can currently be called, those of this node's
+	// zone first, without this node.
 	Known() []topo.NodeID
-	// Sender is what this process says of itself in every message.
+	// Sender identifies this process in every message.
 	Sender() *bspb.Sender
 }
 
-// Dial opens a connection to another node. The process uses the one that was
-// provided to it, if any: a demo or test can cut nodes off from each other.
+// Dial opens a connection to another node. A demo or test can provide its own
+// Dial to the process in order to partition nodes from each other.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Handlers is where modules put what they answer to peers' calls. Modules set
-// their fields during Provision; calls to a nil handler are answered
-// "unimplemented". The listener fills in each answer's Sender. HTTP mounts
-// plain handlers (request forwarding) on the peer listener.
+// Handlers holds the modules' handlers of calls from peers. Modules set their
+// fields during Provision; a call to a nil handler fails as "unimplemented". The
+// listener sets the Sender of each response. HTTP mounts plain HTTP handlers
+// (request forwarding) on the peer listener.
 type Handlers struct {
 	Heartbeat  func(ctx context.Context, req *bspb.HeartbeatRequest) (*bspb.HeartbeatResponse, error)
 	ReadLog    func(ctx context.Context, req *bspb.ReadLogRequest) (*bspb.ReadLogResponse, error)
@@ -52,7 +53,7 @@
 	HTTP       map[string]http.Handler // path prefix → handler
 }
 
-// Kind names one kind of call, as used in metrics, dumps and CallError.Op.
+// Kind is a kind of call, as used in metrics, dumps and CallError.Op.
 type Kind string
 
 // Kinds of calls.
@@ -66,12 +67,12 @@
 	KindStatus     Kind = "status"
 )
 
-// Kinds lists every kind of call.
+// Kinds returns every kind of call.
 func Kinds() []Kind {
 	return []Kind{KindHeartbeat, KindReadLog, KindSnapshot, KindAnnounce, KindReportLoad, KindMove, KindStatus}
 }
 
-// Listener tells where this process's peer listener is. The peer module
+// Listener reports the address of this process's peer listener. The peer module
 // provides it.
 type Listener interface {
 	// Address returns the bound address, host:port, once the module has started.
--- a/peer/peermem/call.go
+++ b/peer/peermem/call.go
@@ -11,13 +11,13 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// answer is what came back of one request.
+// answer is the response to one request.
 type answer[M any] struct {
 	message M
 	err     error
 }
 
-// call sends one request and waits for its answer, as a real caller would.
+// call sends one request and waits for its response.
 func call[M any](ctx context.Context, from *Node, to topo.NodeID, kind peer.Kind, req proto.Message,
 	handle func(ctx context.Context, at *Node) (M, error),
 ) (M, error) {
@@ -37,7 +37,7 @@
 	from.network.countRequest(kind, req)
 	answers := make(chan answer[M], maxDeliveries)
 	wire := connection{direction{from.id, to}, kind}
-	if !from.network.isSilent(wire) {
+	if !from.network.isStalled(wire) {
 		for range from.network.copies(wire.direction) {
 			go deliver(ctx, from, at, kind, handle, answers)
 		}
@@ -56,7 +56,7 @@
 	}
 }
 
-// maxDeliveries is the most copies of one request that may arrive.
+// maxDeliveries is the maximum number of copies of one request that may arrive.
 const maxDeliveries = 2
 
 func bounded(ctx context.Context) (context.Context, context.CancelFunc) {
@@ -66,9 +66,9 @@
 	return context.WithTimeout(ctx, DefaultTimeout)
 }
 
-// deliver takes one copy of a request to the handler and its answer back. A
-// late request is handled all the same, with the time that it was given when
-// it was sent.
+// deliver carries one copy of a request to the handler and returns the response.
+// A late request is still handled, with the timeout that it had when it was
+// sent.
 func deliver[M any](ctx context.Context, from, at *Node, kind peer.Kind,
 	handle func(ctx context.Context, at *Node) (M, error), answers chan<- answer[M],
 ) {
@@ -77,14 +77,14 @@
 	if deadline, has := ctx.Deadline(); has {
 		timeout = time.Until(deadline)
 	}
-	if !n.travel(from, at) {
+	if !n.transmit(from, at) {
 		return
 	}
 	handleCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), timeout)
 	defer cancel()
 	message, err := handle(handleCtx, at)
 	n.countResponse(kind, size(message, err))
-	if !n.travel(at, from) {
+	if !n.transmit(at, from) {
 		return
 	}
 	answers <- answer[M]{message: message, err: remote(err)}
@@ -107,7 +107,7 @@
 	return 0
 }
 
-// remote gives a handler's error the form in which the other side sees it.
+// remote converts a handler's error to the form that the caller receives.
 func remote(err error) error {
 	var unimplemented *peer.UnimplementedError
 	switch {
@@ -119,7 +119,7 @@
 	return &peer.RemoteError{Message: err.Error()}
 }
 
-// connect finds the node to call; an error proves that nothing was sent.
+// connect returns the node to call; an error proves that nothing was sent.
 func (n *Network) connect(from *Node, to topo.NodeID) (*Node, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -133,20 +133,20 @@
 	return at, nil
 }
 
-func (n *Network) isSilent(wire connection) bool {
+func (n *Network) isStalled(wire connection) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.silent[wire]
+	return n.stalled[wire]
 }
 
-// replace opens a new connection after a call without an answer.
+// replace replaces a stalled connection after a call without a response.
 func (n *Network) replace(wire connection) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.silent, wire)
+	delete(n.stalled, wire)
 }
 
-// copies draws how often a request arrives.
+// copies returns a random number of deliveries of a request.
 func (n *Network) copies(d direction) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -156,29 +156,30 @@
 	return 1
 }
 
-// travel takes a message from one node to another and reports whether it
-// arrived. A message is lost when the link is cut at either end of its way, or
-// when either node has left.
-func (n *Network) travel(from, to *Node) bool {
-	if !n.awake(from) {
+// transmit carries a message from one node to another and reports whether it
+// arrived. A message is lost if the link is cut when it is sent or when it
+// arrives, or if either node has left.
+func (n *Network) transmit(from, to *Node) bool {
+	if !n.waitRunning(from) {
 		return false
 	}
-	delay, lost := n.draw(direction{from.id, to.id})
+	delay, lost := n.drawFault(direction{from.id, to.id})
 	if lost {
 		return false
 	}
 	if delay > 0 && !n.sleep(delay, to) {
 		return false
 	}
-	if !n.awake(to) {
+	if !n.waitRunning(to) {
 		return false
 	}
-	_, lost = n.draw(direction{from.id, to.id})
+	_, lost = n.drawFault(direction{from.id, to.id})
 	return !lost
 }
 
-// awake waits until a node is not paused; false when it has left instead.
-func (n *Network) awake(node *Node) bool {
+// waitRunning waits until a node is not paused. It reports false if the node has
+// left or the network is closed.
+func (n *Network) waitRunning(node *Node) bool {
 	n.mu.Lock()
 	running := node.running
 	n.mu.Unlock()
@@ -210,8 +211,8 @@
 	}
 }
 
-// draw returns how long a message takes, and whether the link loses it.
-func (n *Network) draw(d direction) (delay time.Duration, lost bool) {
+// drawFault returns the delay of a message and whether the link loses it.
+func (n *Network) drawFault(d direction) (delay time.Duration, lost bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	fault := n.faults[d]
@@ -228,7 +229,7 @@
 	return delay, false
 }
 
-// LeftError reports a node that left while it owed an answer.
+// LeftError reports a node that left before it responded to a request.
 type LeftError struct{ Node topo.NodeID }
 
 // Error implements error.
--- a/peer/peermem/network.go
+++ b/peer/peermem/network.go
@@ -1,7 +1,7 @@
 // Package peermem is an in-memory implementation of package peer: a Network of
-// nodes that call each other, with faults set on each link. It is meant for
-// tests and for experiments in one process, and works under testing/synctest:
-// it reads no clock but for timers, and its randomness is seeded.
+// nodes that call each other, with configurable faults on each link. It is for
+// tests and experiments in one process. It works under testing/synctest because
+// it uses the clock only for timers, and its random source is seeded.
 package peermem
 
 import (
@@ -19,20 +19,20 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// DefaultTimeout bounds calls whose context has no deadline.
+// DefaultTimeout is the timeout of calls whose context has no deadline.
 const DefaultTimeout = time.Second
 
-// Fault is what happens to the messages that go one way between two nodes: the
-// requests of one and the answers to the other's requests. The zero value is a
-// link that works, without delay.
+// Fault describes the faults of one direction of a link between two nodes. They
+// apply to the requests of the sending node and to its responses to requests of
+// the receiving node. The zero value is a healthy link without delay.
 type Fault struct {
 	Cut       bool          // messages are lost
 	Refuse    bool          // new calls are refused, proven not sent
-	Delay     time.Duration // added to every message
-	Jitter    time.Duration // up to this much more, at random
-	Duplicate float64       // chance that a request arrives twice
-	// Reorder is the chance that a message is held back by HoldBack, so that
-	// later ones overtake it.
+	Delay     time.Duration // delay of every message
+	Jitter    time.Duration // upper bound of the additional random delay
+	Duplicate float64       // probability that a request arrives twice
+	// Reorder is the probability that a message is delayed further by HoldBack,
+	// so that later messages overtake it.
 	Reorder  float64
 	HoldBack time.Duration
 }
@@ -41,16 +41,16 @@
 type Traffic struct {
 	Requests  int
 	Responses int
-	Bytes     int // of the encoded messages, without any transport's framing
+	Bytes     int // size of the encoded messages, without transport framing
 }
 
-// Network joins nodes. Its methods may be called concurrently.
+// Network connects nodes. Its methods are safe for concurrent use.
 type Network struct {
 	mu      sync.Mutex
 	random  *rand.Rand
 	nodes   map[topo.NodeID]*Node
 	faults  map[direction]Fault
-	silent  map[connection]bool
+	stalled map[connection]bool
 	traffic map[peer.Kind]Traffic
 	closed  chan struct{}
 }
@@ -62,19 +62,19 @@
 	kind peer.Kind
 }
 
-// New returns a network without nodes whose faults are drawn from seed.
+// New returns a network without nodes. The seed determines its random faults.
 func New(seed uint64) *Network {
 	return &Network{
 		random:  rand.New(rand.NewPCG(seed, 0)),
 		nodes:   map[topo.NodeID]*Node{},
 		faults:  map[direction]Fault{},
-		silent:  map[connection]bool{},
+		stalled: map[connection]bool{},
 		traffic: map[peer.Kind]Traffic{},
 		closed:  make(chan struct{}),
 	}
 }
 
-// Close ends every message that is still under way.
+// Close drops every message in flight.
 func (n *Network) Close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -85,8 +85,9 @@
 	}
 }
 
-// Join adds a run of a node, in place of an earlier run of the same ID, and
-// returns its Caller. The handlers may still be filled in until the first call.
+// Join adds an incarnation of a node, which replaces an earlier incarnation with
+// the same ID, and returns its Caller. The handlers may be set until the first
+// call.
 func (n *Network) Join(sender *bspb.Sender, handlers *peer.Handlers) *Node {
 	joined := &Node{
 		network:  n,
@@ -105,8 +106,8 @@
 	return joined
 }
 
-// Leave removes a node: calls to it are refused, and answers that it owes are
-// lost.
+// Leave removes a node: calls to it are refused, and its outstanding responses
+// are lost.
 func (n *Network) Leave(id topo.NodeID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -116,20 +117,20 @@
 	}
 }
 
-// Set sets what happens to messages from one node to another.
+// Set sets the faults of messages from one node to another.
 func (n *Network) Set(from, to topo.NodeID, fault Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.faults[direction{from, to}] = fault
 }
 
-// Cut loses every message between two nodes, both ways.
+// Cut drops every message between two nodes, in both directions.
 func (n *Network) Cut(a, b topo.NodeID) {
 	n.Set(a, b, Fault{Cut: true})
 	n.Set(b, a, Fault{Cut: true})
 }
 
-// CutZone loses every message between the nodes of a zone and all others.
+// CutZone drops every message between the nodes of a zone and all other nodes.
 func (n *Network) CutZone(zone topo.Zone) {
 	for _, pair := range n.pairs() {
 		if (pair[0].zone == zone) != (pair[1].zone == zone) {
@@ -138,7 +139,7 @@
 	}
 }
 
-// Isolate loses every message between one node and all others.
+// Isolate drops every message between one node and all other nodes.
 func (n *Network) Isolate(id topo.NodeID) {
 	for _, pair := range n.pairs() {
 		if pair[0].id == id || pair[1].id == id {
@@ -147,27 +148,27 @@
 	}
 }
 
-// Heal removes the faults of every link and every silence.
+// Heal removes the faults of every link and replaces stalled connections.
 func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	clear(n.faults)
-	clear(n.silent)
+	clear(n.stalled)
 }
 
-// Silence makes the open connections from one node to another silent for good.
-// The next call of each kind gets no answer; the one after opens a new
+// Stall stalls the open connections from one node to another permanently. The
+// next call of each kind gets no response; the call after that opens a new
 // connection, which works.
 func (n *Network) Silence(from, to topo.NodeID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, kind := range peer.Kinds() {
-		n.silent[connection{direction{from, to}, kind}] = true
+		n.stalled[connection{direction{from, to}, kind}] = true
 	}
 }
 
-// Pause holds back every message to and from a node until Resume, as when its
-// process is paused: nothing is lost, all of it comes late.
+// Pause delays every message to and from a node until Resume, as if its process
+// were suspended: no message is lost, but all arrive late.
 func (n *Network) Pause(id topo.NodeID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -187,7 +188,7 @@
 	}
 }
 
-// Traffic returns what was counted so far by kind of call.
+// Traffic returns the message counts so far by kind of call.
 func (n *Network) Traffic() map[peer.Kind]Traffic {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -231,7 +232,7 @@
 	return pairs
 }
 
-// others lists the nodes beside one, its own zone first, then by ID.
+// others returns all nodes except self, those of its zone first, then by ID.
 func (n *Network) others(self *Node) []topo.NodeID {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/peer/peermem/node.go
+++ b/peer/peermem/node.go
@@ -11,7 +11,7 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// Node is one run of a node on the network; it implements peer.Caller.
+// Node is one incarnation of a node on the network. It implements peer.Caller.
 type Node struct {
 	network  *Network
 	id       topo.NodeID
@@ -22,7 +22,7 @@
 
 	// Guarded by the network's mutex.
 	paused  bool
-	running chan struct{} // closed while the node is not paused
+	running chan struct{} // closed unless the node is paused
 }
 
 var _ peer.Caller = (*Node)(nil)
@@ -128,7 +128,7 @@
 	return answer.list, nil
 }
 
-// chunks is a snapshot's answer, which is several messages.
+// chunks is the response to a snapshot call, which consists of several messages.
 type chunks struct{ list []*bspb.CheckpointChunk }
 
 func cloneChunks(list []*bspb.CheckpointChunk) *chunks {
@@ -139,7 +139,7 @@
 	return cloned
 }
 
-// signed copies a handler's answer and says who gave it.
+// signed returns a copy of a handler's response with its sender set.
 func signed[M proto.Message](answer M, err error, sign func(M)) (M, error) {
 	if err != nil {
 		return answer, err
--- a/peer/peertest/cases.go
+++ b/peer/peertest/cases.go
@@ -17,26 +17,26 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// generous bounds calls that have to succeed; brief those that have to fail by
-// their deadline.
+// longTimeout is for calls that must succeed; shortTimeout is for calls that must
+// exceed their deadline.
 const (
-	generous = 20 * time.Second
-	brief    = 300 * time.Millisecond
+	longTimeout  = 20 * time.Second
+	shortTimeout = 300 * time.Millisecond
 )
 
 func sender(id string) *bspb.Sender {
 	return &bspb.Sender{Node: id, Boot: id + "-boot-1", Zone: "zone-a"}
 }
 
-// within returns a context for one call.
+// within returns a context for one call with a timeout.
 func within(t testing.TB, limit time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// pair joins nodes "a" and "b" and returns the caller of "a".
-func pair(t testing.TB, h Harness, atB *peer.Handlers) peer.Caller {
+// joinPair joins nodes "a" and "b" and returns the caller of "a".
+func joinPair(t testing.TB, h Harness, atB *peer.Handlers) peer.Caller {
 	caller := h.Join(t, sender("a"), &peer.Handlers{})
 	h.Join(t, sender("b"), atB)
 	eventuallyKnown(t, caller, "b")
@@ -45,10 +45,10 @@
 
 func eventuallyKnown(t testing.TB, caller peer.Caller, ids ...topo.NodeID) {
 	g := gomega.NewWithT(t)
-	g.Eventually(caller.Known).WithTimeout(generous).Should(gomega.ContainElements(ids))
+	g.Eventually(caller.Known).WithTimeout(longTimeout).Should(gomega.ContainElements(ids))
 }
 
-// callError checks the type that every failure has.
+// callError checks that a failure is a *peer.CallError and returns it.
 func callError(t testing.TB, err error) *peer.CallError {
 	t.Helper()
 	var failed *peer.CallError
@@ -58,11 +58,11 @@
 	return failed
 }
 
-func beat(ctx context.Context, c peer.Caller, round uint64) (*bspb.HeartbeatResponse, error) {
+func sendHeartbeat(ctx context.Context, c peer.Caller, round uint64) (*bspb.HeartbeatResponse, error) {
 	return c.Heartbeat(ctx, "b", &bspb.HeartbeatRequest{Group: "g", Round: round})
 }
 
-// echoRound answers a heartbeat with its own round.
+// echoRound responds to a heartbeat with the round of the request.
 func echoRound(_ context.Context, req *bspb.HeartbeatRequest) (*bspb.HeartbeatResponse, error) {
 	return &bspb.HeartbeatResponse{Round: req.Round}, nil
 }
@@ -71,19 +71,19 @@
 	g := gomega.NewWithT(t)
 	var mu sync.Mutex
 	senders := map[peer.Kind]string{}
-	note := func(kind peer.Kind, s *bspb.Sender) {
+	recordSender := func(kind peer.Kind, s *bspb.Sender) {
 		mu.Lock()
 		defer mu.Unlock()
 		senders[kind] = s.GetNode() + "/" + s.GetBoot()
 	}
 	chunk := &bspb.CheckpointChunk{Applied: 9, Data: make([]byte, 1000)}
-	a := pair(t, h, &peer.Handlers{
+	a := joinPair(t, h, &peer.Handlers{
 		Heartbeat: func(ctx context.Context, req *bspb.HeartbeatRequest) (*bspb.HeartbeatResponse, error) {
-			note(peer.KindHeartbeat, req.Sender)
+			recordSender(peer.KindHeartbeat, req.Sender)
 			return echoRound(ctx, req)
 		},
 		ReadLog: func(_ context.Context, req *bspb.ReadLogRequest) (*bspb.ReadLogResponse, error) {
-			note(peer.KindReadLog, req.Sender)
+			recordSender(peer.KindReadLog, req.Sender)
 			return &bspb.ReadLogResponse{Entries: []*bspb.LogEntry{{Offset: req.From, Data: []byte("x")}}}, nil
 		},
 		Snapshot: func(_ context.Context, beyond topo.Offset) ([]*bspb.CheckpointChunk, error) {
@@ -93,24 +93,24 @@
 			return []*bspb.CheckpointChunk{chunk, chunk, chunk}, nil
 		},
 		Announce: func(_ context.Context, req *bspb.AnnounceRequest) error {
-			note(peer.KindAnnounce, req.Sender)
+			recordSender(peer.KindAnnounce, req.Sender)
 			return nil
 		},
 		ReportLoad: func(_ context.Context, req *bspb.ReportLoadRequest) error {
-			note(peer.KindReportLoad, req.Sender)
+			recordSender(peer.KindReportLoad, req.Sender)
 			return nil
 		},
 		Move: func(_ context.Context, req *bspb.MoveRequest) (*bspb.MoveResponse, error) {
-			note(peer.KindMove, req.Sender)
+			recordSender(peer.KindMove, req.Sender)
 			return &bspb.MoveResponse{Accepted: uint32(len(req.Moves))}, nil
 		},
 		Status: func(context.Context) (*bspb.StatusResponse, error) {
 			return &bspb.StatusResponse{Applied: 7}, nil
 		},
 	})
-	ctx := within(t, generous)
+	ctx := within(t, longTimeout)
 
-	heartbeat, err := beat(ctx, a, 3)
+	heartbeat, err := sendHeartbeat(ctx, a, 3)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(heartbeat.Round).To(gomega.BeEquivalentTo(3))
 	g.Expect(proto.Equal(heartbeat.Sender, sender("b"))).To(gomega.BeTrue())
@@ -148,34 +148,34 @@
 
 func requestIsNotChanged(t testing.TB, h Harness) {
 	g := gomega.NewWithT(t)
-	a := pair(t, h, &peer.Handlers{Announce: func(context.Context, *bspb.AnnounceRequest) error { return nil }})
+	a := joinPair(t, h, &peer.Handlers{Announce: func(context.Context, *bspb.AnnounceRequest) error { return nil }})
 	req := &bspb.AnnounceRequest{Group: "g"}
 	before := proto.CloneOf(req)
-	g.Expect(a.Announce(within(t, generous), "b", req)).To(gomega.Succeed())
+	g.Expect(a.Announce(within(t, longTimeout), "b", req)).To(gomega.Succeed())
 	g.Expect(proto.Equal(req, before)).To(gomega.BeTrue())
 }
 
 func nilHandler(t testing.TB, h Harness) {
 	g := gomega.NewWithT(t)
-	a := pair(t, h, &peer.Handlers{})
-	_, err := beat(within(t, generous), a, 1)
+	a := joinPair(t, h, &peer.Handlers{})
+	_, err := sendHeartbeat(within(t, longTimeout), a, 1)
 	failed := callError(t, err)
 	var unimplemented *peer.UnimplementedError
 	g.Expect(errors.As(failed, &unimplemented)).To(gomega.BeTrue(), "%v", err)
-	_, err = a.Status(within(t, generous), "b")
+	_, err = a.Status(within(t, longTimeout), "b")
 	g.Expect(err).NotTo(gomega.HaveOccurred(), "status is answered without a handler")
-	_, err = a.FetchSnapshot(within(t, generous), "b", 0)
+	_, err = a.FetchSnapshot(within(t, longTimeout), "b", 0)
 	g.Expect(errors.As(err, &unimplemented)).To(gomega.BeTrue(), "%v", err)
 }
 
 func handlerError(t testing.TB, h Harness) {
 	g := gomega.NewWithT(t)
-	a := pair(t, h, &peer.Handlers{
+	a := joinPair(t, h, &peer.Handlers{
 		Heartbeat: func(context.Context, *bspb.HeartbeatRequest) (*bspb.HeartbeatResponse, error) {
 			return nil, &peer.UnknownNodeError{Node: "planted"}
 		},
 	})
-	_, err := beat(within(t, generous), a, 1)
+	_, err := sendHeartbeat(within(t, longTimeout), a, 1)
 	failed := callError(t, err)
 	var remote *peer.RemoteError
 	g.Expect(errors.As(failed, &remote)).To(gomega.BeTrue(), "%v", err)
@@ -184,8 +184,8 @@
 
 func unknownNode(t testing.TB, h Harness) {
 	g := gomega.NewWithT(t)
-	a := pair(t, h, &peer.Handlers{})
-	_, err := a.Status(within(t, generous), "nobody")
+	a := joinPair(t, h, &peer.Handlers{})
+	_, err := a.Status(within(t, longTimeout), "nobody")
 	failed := callError(t, err)
 	var unknown *peer.UnknownNodeError
 	g.Expect(errors.As(failed, &unknown)).To(gomega.BeTrue(), "%v", err)
@@ -194,49 +194,49 @@
 
 func nodeLeft(t testing.TB, h Harness) {
 	g := gomega.NewWithT(t)
-	a := pair(t, h, &peer.Handlers{})
-	_, err := a.Status(within(t, generous), "b")
+	a := joinPair(t, h, &peer.Handlers{})
+	_, err := a.Status(within(t, longTimeout), "b")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	h.Leave(t, "b")
 	g.Eventually(func() bool {
-		_, err := a.Status(within(t, generous), "b")
+		_, err := a.Status(within(t, longTimeout), "b")
 		return err != nil && !callError(t, err).Sent
-	}).WithTimeout(generous).Should(gomega.BeTrue())
+	}).WithTimeout(longTimeout).Should(gomega.BeTrue())
 }
 
 func endedContext(t testing.TB, h Harness) {
 	g := gomega.NewWithT(t)
-	a := pair(t, h, &peer.Handlers{Heartbeat: echoRound})
+	a := joinPair(t, h, &peer.Handlers{Heartbeat: echoRound})
 	ended := func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		_, err := beat(ctx, a, 1)
+		_, err := sendHeartbeat(ctx, a, 1)
 		g.Expect(callError(t, err).Sent).To(gomega.BeFalse())
 		g.Expect(errors.Is(err, context.Canceled)).To(gomega.BeTrue(), "%v", err)
 	}
 	ended()
-	_, err := beat(context.Background(), a, 2) // from here on there is a connection
+	_, err := sendHeartbeat(context.Background(), a, 2) // opens a connection
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	ended()
 }
 
 func restartedNode(t testing.TB, h Harness) {
 	g := gomega.NewWithT(t)
-	a := pair(t, h, &peer.Handlers{})
+	a := joinPair(t, h, &peer.Handlers{})
 	h.Leave(t, "b")
 	restarted := sender("b")
 	restarted.Boot = "b-boot-2"
 	h.Join(t, restarted, &peer.Handlers{})
 	g.Eventually(func() string {
-		status, err := a.Status(within(t, generous), "b")
+		status, err := a.Status(within(t, longTimeout), "b")
 		if err != nil {
 			return err.Error()
 		}
 		return status.Sender.Boot
-	}).WithTimeout(generous).Should(gomega.Equal("b-boot-2"))
+	}).WithTimeout(longTimeout).Should(gomega.Equal("b-boot-2"))
 }
 
-// answersMatch lets requests finish in the reverse of their order.
+// answersMatch finishes concurrent requests in reverse order.
 func answersMatch(t testing.TB, h Harness) {
 	const calls = 20
 	g := gomega.NewWithT(t)
@@ -245,7 +245,7 @@
 		done[i] = make(chan struct{})
 	}
 	close(done[calls])
-	a := pair(t, h, &peer.Handlers{
+	a := joinPair(t, h, &peer.Handlers{
 		Heartbeat: func(ctx context.Context, req *bspb.HeartbeatRequest) (*bspb.HeartbeatResponse, error) {
 			select {
 			case <-done[req.Round+1]:
@@ -260,7 +260,7 @@
 	failures := make(chan string, calls)
 	for round := range uint64(calls) {
 		wg.Go(func() {
-			got, err := beat(within(t, generous), a, round)
+			got, err := sendHeartbeat(within(t, longTimeout), a, round)
 			if err != nil || got.Round != round {
 				failures <- fmt.Sprintf("round %d: got %v, %v", round, got, err)
 			}
@@ -278,13 +278,13 @@
 	g := gomega.NewWithT(t)
 	release := make(chan struct{})
 	t.Cleanup(func() { close(release) })
-	a := pair(t, h, &peer.Handlers{
+	a := joinPair(t, h, &peer.Handlers{
 		Heartbeat: func(context.Context, *bspb.HeartbeatRequest) (*bspb.HeartbeatResponse, error) {
 			<-release
 			return &bspb.HeartbeatResponse{}, nil
 		},
 	})
-	_, err := beat(within(t, brief), a, 1)
+	_, err := sendHeartbeat(within(t, shortTimeout), a, 1)
 	g.Expect(callError(t, err).Sent).To(gomega.BeTrue())
 	g.Expect(errors.Is(err, context.DeadlineExceeded)).To(gomega.BeTrue(), "%v", err)
 }
@@ -292,7 +292,7 @@
 func slowHandlerAlone(t testing.TB, h Harness) {
 	g := gomega.NewWithT(t)
 	release := make(chan struct{})
-	a := pair(t, h, &peer.Handlers{
+	a := joinPair(t, h, &peer.Handlers{
 		Heartbeat: func(ctx context.Context, req *bspb.HeartbeatRequest) (*bspb.HeartbeatResponse, error) {
 			if req.Round == 0 {
 				<-release
@@ -303,55 +303,55 @@
 	})
 	slow := make(chan error, 1)
 	go func() {
-		_, err := beat(within(t, generous), a, 0)
+		_, err := sendHeartbeat(within(t, longTimeout), a, 0)
 		slow <- err
 	}()
-	_, err := beat(within(t, generous), a, 1)
+	_, err := sendHeartbeat(within(t, longTimeout), a, 1)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	_, err = a.Move(within(t, generous), "b", &bspb.MoveRequest{})
+	_, err = a.Move(within(t, longTimeout), "b", &bspb.MoveRequest{})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	close(release)
 	g.Expect(<-slow).NotTo(gomega.HaveOccurred())
 }
 
-func silentConnection(t testing.TB, h Harness) {
+func stalledConnection(t testing.TB, h Harness) {
 	g := gomega.NewWithT(t)
-	a := pair(t, h, &peer.Handlers{Heartbeat: echoRound})
-	for round := range uint64(3) { // the second silence strikes the replacement
-		_, err := beat(within(t, generous), a, round)
+	a := joinPair(t, h, &peer.Handlers{Heartbeat: echoRound})
+	for round := range uint64(3) { // from the second round on, the replaced connection stalls
+		_, err := sendHeartbeat(within(t, longTimeout), a, round)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		h.Silence(t, "a", "b")
-		_, err = beat(within(t, brief), a, round)
+		_, err = sendHeartbeat(within(t, shortTimeout), a, round)
 		g.Expect(callError(t, err).Sent).To(gomega.BeTrue())
 	}
-	_, err := beat(within(t, generous), a, 9)
+	_, err := sendHeartbeat(within(t, longTimeout), a, 9)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 }
 
 func cutLink(t testing.TB, h Harness) {
 	g := gomega.NewWithT(t)
-	a := pair(t, h, &peer.Handlers{Heartbeat: echoRound})
-	_, err := beat(within(t, generous), a, 1)
+	a := joinPair(t, h, &peer.Handlers{Heartbeat: echoRound})
+	_, err := sendHeartbeat(within(t, longTimeout), a, 1)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	h.Cut(t, "a", "b")
 	for range 3 {
-		_, err = beat(within(t, brief), a, 2)
+		_, err = sendHeartbeat(within(t, shortTimeout), a, 2)
 		g.Expect(errors.Is(callError(t, err), context.DeadlineExceeded)).To(gomega.BeTrue(), "%v", err)
 	}
 	h.Heal(t)
 	g.Eventually(func() error {
-		_, err := beat(within(t, generous), a, 3)
+		_, err := sendHeartbeat(within(t, longTimeout), a, 3)
 		return err
-	}).WithTimeout(generous).Should(gomega.Succeed())
+	}).WithTimeout(longTimeout).Should(gomega.Succeed())
 }
 
 func knownOrder(t testing.TB, h Harness) {
 	g := gomega.NewWithT(t)
 	a := h.Join(t, sender("a"), &peer.Handlers{})
 	for _, id := range []string{"c", "d"} {
-		far := sender(id)
-		far.Zone = "zone-b"
-		h.Join(t, far, &peer.Handlers{})
+		otherZone := sender(id)
+		otherZone.Zone = "zone-b"
+		h.Join(t, otherZone, &peer.Handlers{})
 	}
 	h.Join(t, sender("b"), &peer.Handlers{})
 	eventuallyKnown(t, a, "b", "c", "d")
--- a/peer/peertest/harness.go
+++ b/peer/peertest/harness.go
@@ -1,5 +1,5 @@
-// Package peertest is the contract that every implementation of package peer
-// meets, as Ginkgo specs to run against it, with the faults of links in tables.
+// Package peertest tests the contract that every implementation of package peer
+// must meet, as a table of Ginkgo specs that includes link faults.
 package peertest
 
 import (
@@ -13,19 +13,19 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// Harness builds nodes of one implementation and breaks the links between
-// them.
+// Harness creates nodes of one implementation and injects faults into the links
+// between them.
 type Harness interface {
-	// Join starts a run of a node and returns its Caller.
+	// Join starts an incarnation of a node and returns its Caller.
 	Join(t testing.TB, sender *bspb.Sender, handlers *peer.Handlers) peer.Caller
-	// Leave ends a node's run, so that calls to it are refused.
+	// Leave stops a node, so that calls to it are refused.
 	Leave(t testing.TB, id topo.NodeID)
-	// Silence makes the open connections from one node to another silent for
-	// good; new ones work.
+	// Stall stalls the open connections from one node to another permanently; new
+	// connections work.
 	Silence(t testing.TB, from, to topo.NodeID)
-	// Cut makes the open connections and new ones silent, both ways.
+	// Cut stalls open and new connections between two nodes, in both directions.
 	Cut(t testing.TB, a, b topo.NodeID)
-	// Heal lets new connections work again.
+	// Heal ends the faults for new connections.
 	Heal(t testing.TB)
 }
 
@@ -42,15 +42,15 @@
 		ginkgo.Entry("every kind of call reaches its handler with the sender and is answered", everyKindIsAnswered),
 		ginkgo.Entry("a request's own sender field is not changed", requestIsNotChanged),
 		ginkgo.Entry("a call to a nil handler is unimplemented", nilHandler),
-		ginkgo.Entry("a handler's error comes back as remote, sent", handlerError),
+		ginkgo.Entry("a handler's error is returned as a remote error, sent", handlerError),
 		ginkgo.Entry("an unknown node is proven not sent", unknownNode),
 		ginkgo.Entry("a node that left is proven not sent", nodeLeft),
 		ginkgo.Entry("an ended context is proven not sent", endedContext),
 		ginkgo.Entry("a restarted node answers with its new boot", restartedNode),
 		ginkgo.Entry("answers match their requests when late ones overtake", answersMatch),
-		ginkgo.Entry("a call ends at its deadline while the handler goes on", handlerTooSlow),
-		ginkgo.Entry("a slow handler does not hold up other calls", slowHandlerAlone),
-		ginkgo.Entry("a silent connection costs one call of each kind at most", silentConnection),
+		ginkgo.Entry("a call ends at its deadline while the handler continues", handlerTooSlow),
+		ginkgo.Entry("a slow handler does not block other calls", slowHandlerAlone),
+		ginkgo.Entry("a stalled connection fails at most one call of each kind", stalledConnection),
 		ginkgo.Entry("a cut link fails calls until it heals", cutLink),
 		ginkgo.Entry("known lists others, own zone first", knownOrder),
 	)
