--- a/platlog/logfault/logfault.go
+++ b/platlog/logfault/logfault.go
@@ -1,6 +1,6 @@
-// Package logfault wraps a log with faults, for tests and the demo. Wrapping
-// the shared log gives faults for everybody; wrapping it again for one process
-// gives faults of that process's connection alone.
+// Package logfault injects faults into a log, for tests and the demo. Wrapping
+// the shared log affects every process; wrapping it again for one process affects
+// only that process's connection.
 package logfault
 
 import (
@@ -18,33 +18,35 @@
 	opRead   = "read"
 )
 
-// InjectedError is the cause of every error that a Log adds.
+// InjectedError is the cause of every injected error.
 type InjectedError struct{ Fault string }
 
 // Error implements error.
 func (e *InjectedError) Error() string { return "injected fault: " + e.Fault }
 
-// Faults says what goes wrong. The zero value is a healthy log.
+// Faults describes the faults of a log. The zero value is a healthy log.
 type Faults struct {
-	// ReadsDown and AppendsDown refuse calls at once; nothing is appended.
+	// ReadsDown and AppendsDown refuse calls immediately; nothing is appended.
 	ReadsDown   bool
 	AppendsDown bool
-	// Silent leaves calls without an answer until they are given up; nothing is
-	// appended. Calls under way when it is set get no answer either.
+	// Unresponsive leaves calls without a response until their context ends;
+	// nothing is appended. Reads in flight when it is set get no response either.
 	Silent bool
-	// Slow delays every call, SlowAppends appends further.
+	// Slow delays every call; SlowAppends further delays appends.
 	Slow        time.Duration
 	SlowAppends time.Duration
-	// LoseAnswers appends, but loses the answers of this many appends.
+	// LoseAnswers is the number of appends that take effect, but whose responses
+	// are lost.
 	LoseAnswers int
-	// LoseRequests loses this many appends; their callers cannot tell that
-	// nothing was appended.
+	// LoseRequests is the number of appends that are lost; their callers cannot
+	// detect that nothing was appended.
 	LoseRequests int
-	// LateAppends loses the answers of this many appends, which take effect
-	// LateBy after their callers were told.
+	// LateAppends is the number of appends whose responses are lost and which take
+	// effect LateBy after the call has returned its error.
 	LateAppends int
 	LateBy      time.Duration
-	// Repeat gives this many entries before the one asked for again.
+	// Repeat is the number of entries before the requested offset that reads
+	// return again.
 	Repeat int
 }
 
@@ -59,7 +61,7 @@
 
 var _ platlog.Log = (*Log)(nil)
 
-// Wrap returns inner with settable faults, healthy at first.
+// Wrap returns a Log over inner, initially without faults.
 func Wrap(inner platlog.Log) *Log {
 	return &Log{inner: inner}
 }
@@ -71,13 +73,13 @@
 	l.faults = faults
 }
 
-// Down refuses every call from now on.
+// Down makes the log refuse every call.
 func (l *Log) Down() { l.Set(Faults{ReadsDown: true, AppendsDown: true}) }
 
-// Heal ends all faults.
+// Heal removes all faults.
 func (l *Log) Heal() { l.Set(Faults{}) }
 
-// Faults returns what still goes wrong; counts fall as they are used up.
+// Faults returns the remaining faults; each injected fault decrements its count.
 func (l *Log) Faults() Faults {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,7 +91,7 @@
 
 // Append implements platlog.Log.
 func (l *Log) Append(ctx context.Context, data []byte) (topo.Offset, error) {
-	if err := l.pass(ctx, opAppend); err != nil {
+	if err := l.delayCall(ctx, opAppend); err != nil {
 		return 0, err
 	}
 	switch l.takeAppendFault() {
@@ -111,7 +113,7 @@
 
 // Read implements platlog.Log.
 func (l *Log) Read(ctx context.Context, req platlog.ReadRequest) (platlog.Batch, error) {
-	if err := l.pass(ctx, opRead); err != nil {
+	if err := l.delayCall(ctx, opRead); err != nil {
 		return platlog.Batch{}, err
 	}
 	if err := l.readsDown(); err != nil {
@@ -125,12 +127,13 @@
 		return platlog.Batch{}, err
 	}
 	if l.Faults().Silent {
-		return platlog.Batch{}, l.pass(ctx, opRead)
+		return platlog.Batch{}, l.delayCall(ctx, opRead)
 	}
 	return l.repeat(ctx, req, batch), nil
 }
 
-// readsDown ends reads while they are refused, also those under way.
+// readsDown returns an error while reads are refused. It is also checked after a
+// read, so that reads in flight fail too.
 func (l *Log) readsDown() error {
 	if !l.Faults().ReadsDown {
 		return nil
@@ -138,7 +141,7 @@
 	return &platlog.UnavailableError{Op: opRead, Cause: &InjectedError{Fault: "down"}}
 }
 
-// appendFault is what happens to one append.
+// appendFault is the fault of one append.
 type appendFault int
 
 const (
@@ -149,7 +152,7 @@
 	faultAnswer
 )
 
-// takeAppendFault returns the next append's fault and uses up its count.
+// takeAppendFault returns the fault of the next append and decrements its count.
 func (l *Log) takeAppendFault() appendFault {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -169,8 +172,9 @@
 	return faultNone
 }
 
-// pass delays a call, or holds it while the log is silent.
-func (l *Log) pass(ctx context.Context, op string) error {
+// delayCall delays a call, or blocks it until its context ends while the log is
+// unresponsive.
+func (l *Log) delayCall(ctx context.Context, op string) error {
 	l.mu.Lock()
 	slow := l.faults.Slow
 	if op == opAppend {
@@ -178,17 +182,17 @@
 	}
 	l.mu.Unlock()
 	if slow > 0 && !clock.Wait(ctx, slow) {
-		return l.givenUp(ctx, op)
+		return l.timeoutError(ctx, op)
 	}
 	if l.Faults().Silent {
 		<-ctx.Done()
-		return l.givenUp(ctx, op)
+		return l.timeoutError(ctx, op)
 	}
 	return nil
 }
 
-// givenUp is the error of a call without an answer.
-func (l *Log) givenUp(ctx context.Context, op string) error {
+// timeoutError returns the error of a call whose context ended without a response.
+func (l *Log) timeoutError(ctx context.Context, op string) error {
 	if op == opAppend {
 		return &platlog.UncertainError{Cause: ctx.Err()}
 	}
@@ -201,11 +205,11 @@
 	l.mu.Unlock()
 	l.late.Go(func() {
 		time.Sleep(delay)
-		_, _ = l.inner.Append(context.Background(), data) // nobody waits for it
+		_, _ = l.inner.Append(context.Background(), data) // the caller has already received an error
 	})
 }
 
-// repeat puts earlier entries before a batch, as far as they are retained.
+// repeat prepends earlier entries to a batch, as far as they are retained.
 func (l *Log) repeat(ctx context.Context, req platlog.ReadRequest, batch platlog.Batch) platlog.Batch {
 	again := topo.Offset(l.Faults().Repeat)
 	if again == 0 || req.From <= 1 {
--- a/platlog/logtest/contract.go
+++ b/platlog/logtest/contract.go
@@ -1,5 +1,5 @@
-// Package logtest holds the contract that every driver of platlog.Log meets, as
-// Ginkgo specs. Drivers call Describe in their tests.
+// Package logtest tests the contract that every driver of platlog.Log must meet,
+// as Ginkgo specs. Drivers call Describe in their tests.
 package logtest
 
 import (
@@ -18,35 +18,35 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// patience bounds every call of the contract that is expected to return.
-const patience = 20 * time.Second
+// callTimeout is the timeout of every call that is expected to return.
+const callTimeout = 20 * time.Second
 
-// Target is a driver under test with a log of its own.
+// Target is a driver under test with its own log.
 type Target struct {
 	Log platlog.Log
-	// Truncate drops the entries below first.
+	// Truncate drops the entries with offsets below first.
 	Truncate func(first topo.Offset)
-	// Faults brings about the faults that the driver can meet; the fault table
-	// leaves out those that are nil.
+	// Faults injects the faults that the driver can encounter; the fault table
+	// omits those that are nil.
 	Faults Faults
 }
 
-// Faults are functions that bring about one fault, and Heal, which ends them.
+// Faults holds functions that each inject one fault, and Heal, which ends them.
 type Faults struct {
 	Down        func() // calls are refused
-	Cut         func() // connections end without an answer
-	Silent      func() // calls get no answer
-	LoseAnswer  func() // the next append takes effect, its answer is lost
-	LoseRequest func() // the next append is lost, the driver cannot tell
-	Repeat      func() // reads give earlier entries again
+	Cut         func() // connections end without a response
+	Silent      func() // calls get no response
+	LoseAnswer  func() // the next append takes effect, but its response is lost
+	LoseRequest func() // the next append is lost without the driver detecting it
+	Repeat      func() // reads return earlier entries again
 	Heal        func()
 }
 
 // Open returns a new target with an empty log.
 type Open func(t testing.TB) Target
 
-// Describe defines the specs of the whole contract for one driver. faults names
-// the faults that the driver's targets can bring about, all of them.
+// Describe defines the specs of the whole contract for one driver. faults lists
+// all faults that the driver's targets can inject.
 func Describe(driver string, open Open, faults ...Fault) bool {
 	return ginkgo.Describe(driver, func() {
 		ginkgo.DescribeTable("contract",
@@ -56,7 +56,7 @@
 			},
 			ginkgo.Entry("offsets ascend from 1", offsetsAscend),
 			ginkgo.Entry("reads are bounded and complete", readsAreBounded),
-			ginkgo.Entry("a read at the end tells the end", readAtEnd),
+			ginkgo.Entry("a read at the end returns the end", readAtEnd),
 			ginkgo.Entry("a waiting read is woken by an append", waitingReadWakes),
 			ginkgo.Entry("a waiting read ends by itself", waitingReadEnds),
 			ginkgo.Entry("a read ends with its context", readEndsWithContext),
@@ -71,7 +71,7 @@
 
 func deadline(t testing.TB) context.Context {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
@@ -150,7 +150,7 @@
 	got := make(chan platlog.Batch, 1)
 	ctx := deadline(t)
 	go func() {
-		batch, _ := target.Log.Read(ctx, platlog.ReadRequest{From: 1, Wait: patience})
+		batch, _ := target.Log.Read(ctx, platlog.ReadRequest{From: 1, Wait: callTimeout})
 		got <- batch
 	}()
 	appendAll(t, target.Log, 1)
@@ -169,7 +169,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() {
-		_, err := target.Log.Read(ctx, platlog.ReadRequest{From: 1, Wait: patience})
+		_, err := target.Log.Read(ctx, platlog.ReadRequest{From: 1, Wait: callTimeout})
 		ended <- err
 	}()
 	cancel()
@@ -213,11 +213,11 @@
 
 func dataIsKept(t testing.TB, target Target) {
 	g := gomega.NewWithT(t)
-	every := make([]byte, 256)
-	for i := range every {
-		every[i] = byte(i)
+	allBytes := make([]byte, 256)
+	for i := range allBytes {
+		allBytes[i] = byte(i)
 	}
-	samples := [][]byte{{}, every, bytes.Repeat(every, 4096)}
+	samples := [][]byte{{}, allBytes, bytes.Repeat(allBytes, 4096)}
 	for _, sample := range samples {
 		offset, err := target.Log.Append(deadline(t), sample)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
--- a/platlog/logtest/faults.go
+++ b/platlog/logtest/faults.go
@@ -15,10 +15,10 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// silence is how long the contract waits for a call that gets no answer.
-const silence = 50 * time.Millisecond
+// stallTimeout is the timeout of a call that gets no response.
+const stallTimeout = 50 * time.Millisecond
 
-// outcome is what an append may be under a fault.
+// outcome is the outcome of an append under a fault.
 type outcome int
 
 const (
@@ -30,7 +30,7 @@
 // Fault names a row of the fault table.
 type Fault string
 
-// The faults that a driver can meet.
+// The faults that a driver can encounter.
 const (
 	Down        Fault = "down"
 	Cut         Fault = "cut"
@@ -45,11 +45,11 @@
 	name     Fault
 	fault    func(Faults) func()
 	append   outcome
-	appended bool // the record is in the log afterwards
-	readFail bool // reads fail too
+	appended bool // whether the record is in the log afterwards
+	readFail bool // whether reads fail too
 }
 
-// faultCases is the fault table that every driver meets.
+// faultCases is the fault table for every driver.
 var faultCases = []faultCase{
 	{Down, func(f Faults) func() { return f.Down }, unavailable, false, true},
 	{Cut, func(f Faults) func() { return f.Cut }, uncertain, false, true},
@@ -59,9 +59,10 @@
 	{ReadAgain, func(f Faults) func() { return f.Repeat }, answered, true, false},
 }
 
-// describeFaults defines the fault table's rows that the driver can meet.
+// describeFaults defines the rows of the fault table that the driver can
+// encounter.
 func describeFaults(open Open, faults []Fault) {
-	ginkgo.It("names the faults that it can meet", func() {
+	ginkgo.It("lists the faults that it can encounter", func() {
 		t := ginkgo.GinkgoTB()
 		gomega.NewWithT(t).Expect(faults).To(gomega.ConsistOf(possible(open(t).Faults)))
 	})
@@ -82,7 +83,7 @@
 	ginkgo.DescribeTable("faults", append([]any{run}, rows...)...)
 }
 
-// possible names the faults that a target can bring about.
+// possible returns the faults that a target can inject.
 func possible(faults Faults) []Fault {
 	names := []Fault{}
 	for _, c := range faultCases {
@@ -93,10 +94,10 @@
 	return names
 }
 
-func (c faultCase) run(t testing.TB, target Target, bring func()) {
+func (c faultCase) run(t testing.TB, target Target, inject func()) {
 	g := gomega.NewWithT(t)
 	appendAll(t, target.Log, 3)
-	bring()
+	inject()
 	limited, cancel := context.WithTimeout(context.Background(), c.limit())
 	defer cancel()
 	_, err := target.Log.Append(limited, []byte("under the fault"))
@@ -116,12 +117,13 @@
 	g.Expect(offset).To(gomega.Equal(want[len(want)-1] + 1))
 }
 
-// limit is short for the silent case, which has to be given up.
+// limit returns the timeout of the case's calls. It is short for the unresponsive
+// log, whose calls always time out.
 func (c faultCase) limit() time.Duration {
 	if c.name == Silent {
-		return silence
+		return stallTimeout
 	}
-	return patience
+	return callTimeout
 }
 
 func outcomeOf(err error) outcome {
@@ -135,8 +137,8 @@
 	return uncertain
 }
 
-// withoutRepeats returns the offsets without those given before the first
-// one asked for.
+// withoutRepeats returns the offsets of a batch without those below 2, the first
+// requested offset.
 func withoutRepeats(batch platlog.Batch) []topo.Offset {
 	offsets := offsetsOf(batch)
 	for len(offsets) > 0 && offsets[0] < 2 {
--- a/platlog/logwire/wire.go
+++ b/platlog/logwire/wire.go
@@ -1,5 +1,5 @@
-// Package logwire is the wire format of the platform's log service: JSON over
-// HTTP, as docs/LOG-PROTOCOL.md describes it. The module log.http and the
+// Package logwire defines the wire format of the platform's log service: JSON
+// over HTTP, as described in docs/LOG-PROTOCOL.md. The module log.http and the
 // stand-in service share it.
 package logwire
 
@@ -11,18 +11,18 @@
 	PathPrefix  = "/v1/streams/"
 	PathRecords = "/records"
 
-	ParamFrom = "from"    // first offset wanted
-	ParamMax  = "max"     // most records to return
-	ParamWait = "wait_ms" // how long to hold the read open at the end
+	ParamFrom = "from"    // first offset to read
+	ParamMax  = "max"     // maximum number of records
+	ParamWait = "wait_ms" // maximum time that a read at the end waits for a record
 )
 
-// Bounds of messages, in bytes.
+// Size limits of messages, in bytes.
 const (
 	MaxRecordBytes = 2 << 20
 	MaxAnswerBytes = 32 << 20
 )
 
-// Code says why a request was refused.
+// Code is the reason why a request was refused.
 type Code string
 
 // Codes.
@@ -34,12 +34,12 @@
 	CodeTooLarge    Code = "too_large"
 )
 
-// AppendRequest asks for a record to be appended.
+// AppendRequest requests that a record be appended.
 type AppendRequest struct {
 	Data []byte `json:"data"` // base64 in JSON
 }
 
-// AppendResponse says where the record was appended.
+// AppendResponse returns the offset of the appended record.
 type AppendResponse struct {
 	Offset topo.Offset `json:"offset"`
 }
@@ -50,15 +50,15 @@
 	Data   []byte      `json:"data"` // base64 in JSON
 }
 
-// ReadResponse is the answer to a read.
+// ReadResponse is the response to a read.
 type ReadResponse struct {
 	Records []Record    `json:"records"`
 	First   topo.Offset `json:"first"` // lowest offset retained
 	End     topo.Offset `json:"end"`   // offset of the next append
 }
 
-// ErrorResponse refuses a request. Only an answer whose Appended is present
-// and false proves that an append had no effect.
+// ErrorResponse refuses a request. Only a response whose Appended is present and
+// false proves that an append had no effect.
 type ErrorResponse struct {
 	Code     Code        `json:"code"`
 	Message  string      `json:"message"`
--- a/platlog/memlog/store.go
+++ b/platlog/memlog/store.go
@@ -1,5 +1,5 @@
-// Package memlog is a log held in memory, with retention by count and by age.
-// The module log.memory and the stand-in log service are built on it.
+// Package memlog implements a log in memory, with retention by count and by age.
+// The module log.memory and the stand-in log service use it.
 package memlog
 
 import (
@@ -11,21 +11,21 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// DefaultMax is how many entries a read returns when it does not say.
+// DefaultMax is the maximum number of entries of a read that sets no maximum.
 const DefaultMax = 512
 
-// Retention says which entries are kept. Zero values keep everything.
+// Retention limits the entries that are kept. Zero values keep everything.
 type Retention struct {
-	Records int           // most entries kept
-	Age     time.Duration // longest time for which an entry is kept
+	Records int           // maximum number of entries
+	Age     time.Duration // maximum age of an entry
 }
 
-// Store is a log in memory. It implements platlog.Log and never fails but with
-// *platlog.TruncatedError or the context's error.
+// Store is a log in memory. It implements platlog.Log; its only errors are
+// *platlog.TruncatedError and the context's error.
 type Store struct {
 	mu        sync.Mutex
 	retention Retention
-	first     topo.Offset // offset of entries[0], or of the next append
+	first     topo.Offset // offset of entries[0], or of the next append if empty
 	entries   []entry
 	grown     chan struct{} // closed by the next append
 }
@@ -75,7 +75,8 @@
 	}
 }
 
-// readNow returns what there is, and a channel that tells of the next append.
+// readNow returns the entries that exist, and a channel that the next append
+// closes.
 func (s *Store) readNow(req platlog.ReadRequest) (platlog.Batch, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,7 +118,7 @@
 
 func (s *Store) end() topo.Offset { return s.first + topo.Offset(len(s.entries)) }
 
-// enforce drops what the retention limits no longer allow.
+// enforce drops the entries that exceed the retention limits.
 func (s *Store) enforce() {
 	for s.retention.Records > 0 && len(s.entries) > s.retention.Records {
 		s.dropOldest()
