--- a/vmlist/codec.go
+++ b/vmlist/codec.go
@@ -12,8 +12,8 @@
 
 // Limits of one list.
 const (
-	MaxBytes   = 16 << 20 // of its JSON form
-	maxIDBytes = 128      // of an ID or another name
+	MaxBytes   = 16 << 20 // size of the JSON form
+	maxIDBytes = 128      // length of an ID or another name
 )
 
 // document is the JSON form of a list.
@@ -31,7 +31,7 @@
 	Phase   Phase  `json:"phase"`
 }
 
-// Encode writes the JSON form of a list.
+// Encode returns the JSON form of a list.
 func Encode(vms []VM) ([]byte, error) {
 	rows := make([]row, len(vms))
 	for i, vm := range vms {
@@ -43,10 +43,10 @@
 	return json.Marshal(document{VMs: &rows})
 }
 
-// Decode reads the JSON form of a list. A row that says nothing usable is left
-// out and counted in skipped, so that one bad row does not hide the others; an
-// answer that is no list at all is a *MalformedError. Rows that contradict each
-// other are joined by the more cautious reading, see join.
+// Decode parses the JSON form of a list. An invalid row is omitted and counted in
+// skipped, so that it does not hide the others; data that is not a list is a
+// *MalformedError. Contradictory rows of one ID are merged conservatively, see
+// mergeRows.
 func Decode(data []byte) (vms []VM, skipped int, err error) {
 	if len(data) > MaxBytes {
 		return nil, 0, &MalformedError{Problem: "longer than " + strconv.Itoa(MaxBytes) + " bytes"}
@@ -66,7 +66,7 @@
 			continue
 		}
 		if earlier, repeated := byID[vm.ID]; repeated {
-			vm = join(earlier, vm)
+			vm = mergeRows(earlier, vm)
 		}
 		byID[vm.ID] = vm
 	}
@@ -80,8 +80,8 @@
 	}
 }
 
-// Valid reports whether a row is usable: known role and phase, named VM and
-// zone, and for a server its service and an address to reach it.
+// Valid reports whether a row is usable: it has a known role and phase, an ID and
+// a zone, and a row of a server also has a service and an address.
 func (vm VM) Valid() bool {
 	if !validName(vm.ID) || !validName(string(vm.Zone)) || len(vm.Region) > maxIDBytes {
 		return false
@@ -100,8 +100,8 @@
 	return false
 }
 
-// validName keeps names to what is safe as part of a group or shard ID and of
-// a log line.
+// validName reports whether a name is safe as part of a group ID, a shard ID or a
+// log line.
 func validName(name string) bool {
 	if name == "" || len(name) > maxIDBytes {
 		return false
@@ -120,10 +120,10 @@
 	return err == nil && number > 0
 }
 
-// join settles two rows of one ID. A VM that one row calls gone or leaving is
-// leaving: it gets nothing new, and nobody treats it as stopped. Rows that
-// disagree on anything else leave the first one's word.
-func join(first, second VM) VM {
+// mergeRows merges two rows of one ID. If their phases differ, the VM is leaving:
+// it gets no new work and is not treated as stopped. All other fields are those of
+// the first row.
+func mergeRows(first, second VM) VM {
 	if first.Phase != second.Phase {
 		first.Phase = PhaseLeaving
 	}
--- a/vmlist/codec_test.go
+++ b/vmlist/codec_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// TestContradictingRowsAreReadCautiously has two rows of one ID.
+// TestContradictingRowsAreReadCautiously decodes two rows with the same ID.
 func TestContradictingRowsAreReadCautiously(t *testing.T) {
 	for _, phases := range [][2]vmlist.Phase{
 		{vmlist.PhaseLive, vmlist.PhaseLeaving},
--- a/vmlist/vmlist.go
+++ b/vmlist/vmlist.go
@@ -1,7 +1,7 @@
-// Package vmlist is the interface to the platform's list of live and leaving
-// VMs. The list lags in both directions and may be wrong: package membership
-// decides what to believe. Drivers live in modules/vms*; the contract that
-// every driver must meet is tested by vmlist/vmlisttest.
+// Package vmlist defines the interface to the platform's list of live and leaving
+// VMs. The list may show or omit VMs late and may be wrong; package membership
+// decides which rows to trust. Drivers are in modules/vms*; vmlist/vmlisttest
+// tests the contract that every driver must meet.
 package vmlist
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/burdockspindle/burdockspindle/topo"
 )
 
-// Role says what runs on a VM.
+// Role is the kind of process that runs on a VM.
 type Role string
 
 // Roles.
@@ -19,33 +19,32 @@
 	RoleServer Role = "server" // a backend server; its ID is its server ID
 )
 
-// Phase is what the platform says of a VM's life cycle.
+// Phase is the phase of a VM's life cycle as reported by the platform.
 type Phase string
 
 // Phases.
 const (
 	PhaseLive    Phase = "live"
-	PhaseLeaving Phase = "leaving" // still runs, will be stopped
-	PhaseGone    Phase = "gone"    // has been stopped
+	PhaseLeaving Phase = "leaving" // still running, will be stopped
+	PhaseGone    Phase = "gone"    // stopped
 )
 
 // VM is one row of the list.
 type VM struct {
 	ID      string
 	Role    Role
-	Service topo.Service // of a server
+	Service topo.Service // set for a server
 	Zone    topo.Zone
 	Region  topo.Region
-	Address string // of a server, host:port; an entry VM tells its own in the log
+	Address string // host:port of a server; an entry VM publishes its own address in the log
 	Phase   Phase
 }
 
 // List reads the platform's list. Errors are *UnavailableError,
-// *MalformedError or the context's error; with an error there are no VMs, and
-// nothing follows from their absence.
+// *MalformedError or the context's error. An error comes without VMs; their
+// absence must not be taken as evidence that they stopped.
 type List interface {
-	// VMs returns the list as the platform has it now, each ID once, in order
-	// of ID.
+	// VMs returns the platform's current list, with each ID once, sorted by ID.
 	VMs(ctx context.Context) ([]VM, error)
 }
 
@@ -58,7 +57,7 @@
 // Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// MalformedError reports an answer that is no VM list.
+// MalformedError reports a response that is not a VM list.
 type MalformedError struct{ Problem string }
 
 // Error implements error.
--- a/vmlist/vmlisttest/vmlisttest.go
+++ b/vmlist/vmlisttest/vmlisttest.go
@@ -1,5 +1,5 @@
-// Package vmlisttest is the contract that every VM-list driver meets, as Ginkgo
-// specs to run against it over the stand-in platform.
+// Package vmlisttest tests the contract that every VM-list driver must meet, as
+// Ginkgo specs that run against the stand-in platform.
 package vmlisttest
 
 import (
@@ -16,13 +16,14 @@
 	"github.com/burdockspindle/burdockspindle/vmlist"
 )
 
-// generous bounds reads that have to succeed; brief those that cannot.
+// longTimeout is for reads that must succeed; shortTimeout is for reads that
+// cannot.
 const (
-	generous = 20 * time.Second
-	brief    = 50 * time.Millisecond
+	longTimeout  = 20 * time.Second
+	shortTimeout = 50 * time.Millisecond
 )
 
-// Open returns a driver that reads a platform.
+// Open returns a driver that reads the list of a platform.
 type Open func(t testing.TB, p *vms.Platform) vmlist.List
 
 // Describe defines the specs of the whole contract for one driver.
@@ -34,14 +35,14 @@
 			run(t, p, open(t, p))
 		},
 		ginkgo.Entry("an empty list is no error", emptyList),
-		ginkgo.Entry("rows come whole and in order of ID", wholeRows),
-		ginkgo.Entry("each read shows what changed since the last", changes),
-		ginkgo.Entry("a reader may change what it got", ownCopy),
+		ginkgo.Entry("rows are complete and sorted by ID", wholeRows),
+		ginkgo.Entry("each read returns the changes since the previous read", changes),
+		ginkgo.Entry("a reader may modify the returned list", ownCopy),
 		ginkgo.Entry("an outage is unavailable, and ends", outage),
 		ginkgo.Entry("a read that hangs ends with its context", hanging),
 		ginkgo.Entry("an ended context is its error", endedContext),
-		ginkgo.Entry("a misleading row is passed on as it is", misleading),
-		ginkgo.Entry("the list lags both ways", lagging),
+		ginkgo.Entry("a misleading row is returned unchanged", misleading),
+		ginkgo.Entry("the list shows and omits VMs late", lagging),
 	)
 }
 
@@ -58,7 +59,7 @@
 
 func read(t testing.TB, list vmlist.List) []vmlist.VM {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), generous)
+	ctx, cancel := context.WithTimeout(context.Background(), longTimeout)
 	defer cancel()
 	rows, err := list.VMs(ctx)
 	gomega.NewWithT(t).Expect(err).NotTo(gomega.HaveOccurred())
@@ -113,7 +114,7 @@
 	p.Put(server("a", vmlist.PhaseLive))
 	read(t, list)
 	p.SetFaults(vms.Faults{Outage: true})
-	unavailable(t, list, generous)
+	unavailable(t, list, longTimeout)
 	p.SetFaults(vms.Faults{})
 	gomega.NewWithT(t).Expect(read(t, list)).To(gomega.HaveLen(1))
 }
@@ -121,7 +122,7 @@
 func hanging(t testing.TB, p *vms.Platform, list vmlist.List) {
 	p.Put(server("a", vmlist.PhaseLive))
 	p.SetFaults(vms.Faults{Hang: true})
-	unavailable(t, list, brief)
+	unavailable(t, list, shortTimeout)
 	p.SetFaults(vms.Faults{})
 	gomega.NewWithT(t).Expect(read(t, list)).To(gomega.HaveLen(1))
 }
@@ -147,7 +148,7 @@
 	g.Expect(read(t, list)).To(gomega.HaveLen(2))
 }
 
-// lagging uses lags that are far longer than the test.
+// lagging uses lags that are much longer than the test.
 func lagging(t testing.TB, p *vms.Platform, list vmlist.List) {
 	g := gomega.NewWithT(t)
 	p.Put(server("a", vmlist.PhaseLive))
