--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,8 +1,8 @@
-// Package clock waits, and reads a steady time that goes on while the machine is
-// suspended. The runtime's monotonic clock stands still then, so what was seen
-// before would look younger than it is: a lessor would believe that its right
-// to renew still holds, and a relay would give away its contact with the log as
-// fresh.
+// Package clock provides timers and a monotonic time that advances while the
+// machine is suspended. The runtime's monotonic clock stops during a suspension,
+// so that earlier observations would appear more recent than they are: a lessor
+// would renew leases after its right to do so has expired, and a relay would
+// report stale contact with the log as fresh.
 package clock
 
 import (
@@ -11,13 +11,12 @@
 	"time"
 )
 
-// Now returns the present time for comparing with other values of Now in this
-// process, and for nothing else: its differences count the time for which the
-// machine was suspended. It costs two readings of the system's clocks more than
-// time.Now.
-func Now() time.Time { return time.Now().Add(asleep.sinceStart(suspension())) }
+// Now returns the current time, which may only be compared with other values of
+// Now in this process. Differences include the time for which the machine was
+// suspended. It reads the system's clocks twice more than time.Now.
+func Now() time.Time { return time.Now().Add(suspensions.sinceStart(suspension())) }
 
-// Since returns the time passed since a value of Now.
+// Since returns the time elapsed since at, a value of Now.
 func Since(at time.Time) time.Duration { return Now().Sub(at) }
 
 // Later returns the later of two times.
@@ -28,8 +27,8 @@
 	return b
 }
 
-// Wait waits for a while, by the runtime's clock, or until ctx ends. It reports
-// whether the while has passed; not if ctx had ended before.
+// Wait waits for duration d by the runtime's clock, or until ctx ends. It reports
+// whether d has elapsed. If ctx has already ended, it returns false.
 func Wait(ctx context.Context, d time.Duration) bool {
 	if ctx.Err() != nil {
 		return false
@@ -44,31 +43,33 @@
 	}
 }
 
-// asleep is this process's record of suspensions.
-var asleep = newSleep(suspension())
+// suspensions tracks the suspensions since the start of this process.
+var suspensions = newSuspensionTracker(suspension())
 
-// leastSuspension is what a reading must have grown by to count, so that the
-// moment between two readings of the system's clocks does not. It is far below
-// the margin of a lease.
-const leastSuspension = 5 * time.Millisecond
+// minSuspension is the smallest increase of a reading that is treated as a
+// suspension, so that the pause between the readings of the two system clocks is
+// ignored. It is far below the margin of a lease.
+const minSuspension = 5 * time.Millisecond
 
-// sleep turns readings of the total time that the machine was suspended, which
-// may be a little too low, into one that never falls.
-type sleep struct {
-	start time.Duration
-	most  atomic.Int64
+// suspensionTracker converts readings of the total time for which the machine was
+// suspended, which may be slightly too low, to a value that never decreases.
+type suspensionTracker struct {
+	start   time.Duration
+	highest atomic.Int64
 }
 
-func newSleep(start time.Duration) *sleep { return &sleep{start: start} }
+func newSuspensionTracker(start time.Duration) *suspensionTracker {
+	return &suspensionTracker{start: start}
+}
 
-func (s *sleep) sinceStart(reading time.Duration) time.Duration {
+func (s *suspensionTracker) sinceStart(reading time.Duration) time.Duration {
 	now := int64(reading - s.start)
 	for {
-		most := s.most.Load()
-		if now < most+int64(leastSuspension) {
-			return time.Duration(most)
+		highest := s.highest.Load()
+		if now < highest+int64(minSuspension) {
+			return time.Duration(highest)
 		}
-		if s.most.CompareAndSwap(most, now) {
+		if s.highest.CompareAndSwap(highest, now) {
 			return time.Duration(now)
 		}
 	}
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -11,11 +11,11 @@
 
 func TestSuspensionsAddUpAndNeverFall(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := newSleep(time.Hour)
+	s := newSuspensionTracker(time.Hour)
 	rows := []struct{ reading, want time.Duration }{
 		{time.Hour, 0},
-		{time.Hour - time.Millisecond, 0}, // read with a pause in between
-		{time.Hour + leastSuspension - 1, 0},
+		{time.Hour - time.Millisecond, 0}, // pause between the readings of the two clocks
+		{time.Hour + minSuspension - 1, 0},
 		{time.Hour + 3*time.Second, 3 * time.Second},
 		{time.Hour + 2*time.Second, 3 * time.Second},
 		{time.Hour + 5*time.Second, 5 * time.Second},
@@ -28,9 +28,9 @@
 func TestNowFollowsTheRuntimeOtherwise(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		began, suspended := Now(), asleep.sinceStart(0)
+		began, suspended := Now(), suspensions.sinceStart(0)
 		time.Sleep(7 * time.Second)
-		further := asleep.sinceStart(0) - suspended
+		further := suspensions.sinceStart(0) - suspended
 		g.Expect(Since(began)).To(gomega.BeNumerically("~", 7*time.Second+further, time.Second))
 	})
 }
--- a/clock/suspension_linux.go
+++ b/clock/suspension_linux.go
@@ -6,10 +6,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// suspension returns for how long the machine was suspended since it booted:
-// what CLOCK_BOOTTIME is ahead of CLOCK_MONOTONIC. The clock that is ahead is
-// read first, so a pause between the two readings makes the result too low and
-// never too high; it is 0 where the clocks cannot be read.
+// suspension returns the total time for which the machine was suspended since it
+// booted: the difference between CLOCK_BOOTTIME and CLOCK_MONOTONIC. It reads
+// CLOCK_BOOTTIME first, so that a pause between the two readings makes the result
+// too low and never too high. It returns 0 if the clocks cannot be read.
 func suspension() time.Duration {
 	var boot, monotonic unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil || unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic) != nil {
--- a/clock/suspension_other.go
+++ b/clock/suspension_other.go
@@ -4,5 +4,5 @@
 
 import "time"
 
-// suspension is unknown on this system.
+// suspension returns 0 because this system does not report suspensions.
 func suspension() time.Duration { return 0 }
--- a/events/catalogue_test.go
+++ b/events/catalogue_test.go
@@ -23,14 +23,14 @@
 	eventsPage     = "../docs/EVENTS.md"
 )
 
-// entry is an event as the code or the page gives it.
+// entry is an event as defined in the code or on the page.
 type entry struct {
 	Level string
 	Text  string
 }
 
-// definedInSource reads every events.Define of the repository, test files
-// apart. Those in packages that the test does not link are among them.
+// definedInSource parses every call of events.Define in the repository except in
+// test files. It includes packages that the test does not link.
 func definedInSource(t *testing.T) map[events.Number]entry {
 	t.Helper()
 	defined := map[events.Number]entry{}
@@ -101,7 +101,7 @@
 
 var row = regexp.MustCompile(`(?m)^\| (\d+) \| (\w+) \| (.*?) \| (.*?) \|$`)
 
-// onPage reads the rows of docs/EVENTS.md.
+// onPage parses the rows of docs/EVENTS.md.
 func onPage(t *testing.T) map[events.Number]entry {
 	t.Helper()
 	g := gomega.NewWithT(t)
--- a/events/events.go
+++ b/events/events.go
@@ -1,6 +1,6 @@
 // Package events is the catalogue of numbered log events. Every line that a
-// process logs has a Number, and docs/EVENTS.md explains each; a test keeps the
-// two the same. Each range belongs to one part of the system:
+// process logs has a Number. docs/EVENTS.md explains each number; a test checks
+// that the page and the code agree. Each range belongs to one part of the system:
 //
 //	1000 process and kernel      1100 settings and site configuration
 //	1200 log, follower           1300 peers and membership
@@ -13,10 +13,10 @@
 
 import "github.com/hashicorp/go-hclog"
 
-// Number identifies an event for good; numbers are never reused.
+// Number identifies an event permanently; numbers are never reused.
 type Number int
 
-// Event is one entry of the catalogue.
+// Event is an entry of the catalogue.
 type Event struct {
 	Number Number
 	Level  hclog.Level
@@ -25,8 +25,8 @@
 
 var catalogue = map[Number]Event{}
 
-// Define adds an event to the catalogue. It is called by package-level variable
-// declarations and panics on a repeated number.
+// Define adds an event to the catalogue. Package-level variable declarations call
+// it; it panics on a duplicate number.
 func Define(number Number, level hclog.Level, text string) Event {
 	if _, exists := catalogue[number]; exists {
 		panic(&DuplicateError{Number: number})
@@ -36,7 +36,7 @@
 	return event
 }
 
-// Catalogue returns every defined event by number.
+// Catalogue returns every defined event, sorted by number.
 func Catalogue() map[Number]Event {
 	all := make(map[Number]Event, len(catalogue))
 	for number, event := range catalogue {
@@ -45,7 +45,7 @@
 	return all
 }
 
-// Log writes the event with alternating names and values.
+// Log writes the event with alternating field names and values.
 func (e Event) Log(logger hclog.Logger, fields ...any) {
 	if logger == nil {
 		return
--- a/topo/topo.go
+++ b/topo/topo.go
@@ -1,7 +1,7 @@
-// Package topo holds the vocabulary shared by every other package: the names
-// of nodes, servers, zones, services and shards, and the two ordered numbers
-// that carry ownership, Term and Fence. It contains no I/O and imports nothing
-// else of this project.
+// Package topo defines the types shared by every other package: the names of
+// nodes, servers, zones, services and shards, and Term and Fence, the two ordered
+// numbers that identify ownership. It performs no I/O and imports no other package
+// of this project.
 package topo
 
 import (
@@ -10,11 +10,12 @@
 	"strings"
 )
 
-// NodeID names one entry VM's process, as given by its settings.
+// NodeID names the process of one entry VM, as configured in its settings.
 type NodeID string
 
-// BootID names one run of a process. A restarted process has a new BootID, so
-// nothing said to the earlier run is mistaken for something said to this one.
+// BootID names one incarnation of a process. A restarted process has a new BootID,
+// so that a message to an earlier incarnation is never taken for a message to the
+// current one.
 type BootID string
 
 // ServerID names one backend server.
@@ -33,7 +34,7 @@
 // renewed by one lessor, for example "zone-a/0".
 type GroupID string
 
-// MakeGroupID builds the GroupID of the index-th group of a zone.
+// MakeGroupID returns the GroupID of the index-th group of a zone.
 func MakeGroupID(z Zone, index int) GroupID {
 	return GroupID(string(z) + "/" + strconv.Itoa(index))
 }
@@ -48,8 +49,8 @@
 // 0 means "before everything".
 type Offset uint64
 
-// ShardID names a hash range of a service's keys, or, when Key is not empty,
-// one hot key that was split out of its shard and is owned separately.
+// ShardID names a hash range of a service's keys, or, if Key is not empty, one
+// hot key that was split out of its shard and is owned separately.
 type ShardID struct {
 	Service Service
 	Index   uint32
@@ -65,7 +66,7 @@
 	return base + "/" + s.Key
 }
 
-// ParseShardID reads the form written by ShardID.String.
+// ParseShardID parses the form returned by ShardID.String.
 func ParseShardID(text string) (ShardID, error) {
 	parts := strings.SplitN(text, "/", 3)
 	if len(parts) < 2 || parts[0] == "" {
@@ -83,8 +84,8 @@
 }
 
 // Ordinal is the common form of Term and Fence: the offset of the record that
-// created it, and a rank that orders what the same record allocated ahead of
-// time. Rank 0 belongs to the lessor or owner that the record names, rank 1 to
+// created it, and a rank that orders the ordinals which one record allocates in
+// advance. Rank 0 belongs to the lessor or owner that the record names, rank 1 to
 // its standby.
 type Ordinal struct {
 	Offset Offset
@@ -94,7 +95,7 @@
 // IsZero reports whether the ordinal was never assigned.
 func (o Ordinal) IsZero() bool { return o == Ordinal{} }
 
-// Compare returns -1, 0 or 1 as o is lower than, equal to or higher than other.
+// Compare returns -1, 0 or 1 if o is lower than, equal to or higher than other.
 func (o Ordinal) Compare(other Ordinal) int {
 	switch {
 	case o.Offset < other.Offset:
@@ -142,7 +143,7 @@
 	return Term{Ordinal{Offset: offset, Rank: rank}}
 }
 
-// ParseTerm reads the form written by Term.String.
+// ParseTerm parses the form returned by Term.String.
 func ParseTerm(text string) (Term, error) {
 	o, err := parseOrdinal("term", text)
 	return Term{o}, err
@@ -164,7 +165,7 @@
 	return Fence{Ordinal{Offset: offset, Rank: rank}}
 }
 
-// ParseFence reads the form written by Fence.String.
+// ParseFence parses the form returned by Fence.String.
 func ParseFence(text string) (Fence, error) {
 	o, err := parseOrdinal("fence", text)
 	return Fence{o}, err
@@ -177,10 +178,10 @@
 // server.
 func (f Fence) Standby() Fence { return MakeFence(f.Offset, f.Rank+1) }
 
-// ParseError reports text that is not a shard, term or fence.
+// ParseError reports a text that is not a valid shard, term or fence.
 type ParseError struct {
 	Kind string // "shard", "term" or "fence"
-	Text string // the text as received
+	Text string // received text
 }
 
 // Error implements error.
--- a/topo/topo_test.go
+++ b/topo/topo_test.go
@@ -87,8 +87,8 @@
 
 func second[T any](_ T, err error) error { return err }
 
-// The shard of a key is part of the protocol: a release that changed it would
-// send a key to another owner than its neighbours do.
+// The shard of a key is part of the protocol: nodes of a release that changes it
+// would send a key to a different owner than nodes of other releases.
 func TestShardIndexIsFixedForGood(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(topo.ShardIndex("well-7", 64)).To(Equal(topo.ShardIndex("well-7", 64)))
--- a/vmlist/vmlisttest/vmlisttest.go
+++ b/vmlist/vmlisttest/vmlisttest.go
@@ -36,7 +36,7 @@
 		},
 		ginkgo.Entry("an empty list is no error", emptyList),
 		ginkgo.Entry("rows are complete and sorted by ID", wholeRows),
-		ginkgo.Entry("each read returns the changes since the previous read", changes),
+		ginkgo.Entry("each read reflects the changes since the previous read", changes),
 		ginkgo.Entry("a reader may modify the returned list", ownCopy),
 		ginkgo.Entry("an outage is unavailable, and ends", outage),
 		ginkgo.Entry("a read that hangs ends with its context", hanging),
