--- a/dutytest/cluster.go
+++ b/dutytest/cluster.go
@@ -1,7 +1,7 @@
-// Package dutytest runs the duties of several nodes in one process, for tests:
-// each node's modules are those that run in production, over an in-memory
-// network with faults, a VM list that lags and misleads, and a log in memory. It
-// works under testing/synctest.
+// Package dutytest runs the duties of several nodes in one process, for tests.
+// Each node runs the production modules over an in-memory network with faults, a
+// VM list that can lag and be wrong, and a log in memory. It works under
+// testing/synctest.
 package dutytest
 
 import (
@@ -26,10 +26,10 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// networkSeed seeds the network's faults.
+// networkSeed is the seed of the network's random faults.
 const networkSeed = 1
 
-// Cluster is what the nodes share.
+// Cluster is a simulated cluster: its nodes and the services that they share.
 type Cluster struct {
 	t       *testing.T
 	modules []kernel.ModuleID
@@ -39,7 +39,7 @@
 	nodes   map[topo.NodeID]*Node
 }
 
-// Node is one run of a node.
+// Node is one incarnation of a node.
 type Node struct {
 	ID       topo.NodeID
 	Contact  *sitefake.Node
@@ -47,15 +47,15 @@
 	Handlers *peer.Handlers
 	Context  *kernel.Context
 	// Recorder measures the load that a test lets the node observe.
-	Recorder *load.Recorder
-	runtime  *kernel.Runtime
-	cluster  *Cluster
-	stopped  bool
-	end      context.CancelFunc // of the recorder
+	Recorder     *load.Recorder
+	runtime      *kernel.Runtime
+	cluster      *Cluster
+	stopped      bool
+	stopRecorder context.CancelFunc // stops the recorder
 }
 
-// New returns a cluster whose nodes run the named modules, which must be
-// registered. Everything ends with the test.
+// New returns a cluster whose nodes run the given modules, which must be
+// registered. The test must call Close.
 func New(t *testing.T, modules ...kernel.ModuleID) *Cluster {
 	c := &Cluster{
 		t: t, modules: modules, Site: sitefake.New(), Network: peermem.New(networkSeed),
@@ -64,8 +64,8 @@
 	return c
 }
 
-// Close ends every node and message. Under testing/synctest it is called before
-// the bubble ends.
+// Close stops every node and drops every message. Under testing/synctest it must
+// be called before the bubble ends.
 func (c *Cluster) Close() {
 	c.Network.Close()
 	for _, node := range c.nodes {
@@ -73,7 +73,7 @@
 	}
 }
 
-// Start starts a run of a node and shows its VM as live.
+// Start starts an incarnation of a node and lists its VM as live.
 func (c *Cluster) Start(id, zone, boot string) *Node {
 	c.t.Helper()
 	n := &Node{
@@ -81,7 +81,7 @@
 		Recorder: load.NewRecorder(load.DefaultConfig()),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	n.end = cancel
+	n.stopRecorder = cancel
 	go n.Recorder.Run(ctx)
 	c.VMs.Put(vmlist.VM{ID: id, Role: vmlist.RoleEntry, Zone: topo.Zone(zone), Phase: vmlist.PhaseLive})
 	n.Caller = c.Network.Join(&bspb.Sender{Node: id, Boot: boot, Zone: zone}, n.Handlers)
@@ -118,7 +118,7 @@
 	}
 }
 
-// Drain begins a graceful shutdown: the node gives up its duties and runs on.
+// Drain begins a graceful shutdown: the node resigns its duties and keeps running.
 func (n *Node) Drain() {
 	n.cluster.t.Helper()
 	if err := n.runtime.Drain(context.Background()); err != nil {
@@ -134,17 +134,17 @@
 		n.cluster.t.Error(err)
 	}
 	n.stopped = true
-	n.end()
+	n.stopRecorder()
 	n.cluster.Network.Leave(n.ID)
 }
 
-// Kill ends a node at once: it tells nobody and is heard no more.
+// Kill stops a node immediately: it sends no further message to any node.
 func (n *Node) Kill() {
 	if n.stopped {
 		return
 	}
 	n.stopped = true
-	n.end()
+	n.stopRecorder()
 	n.cluster.Network.Leave(n.ID)
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/sitefake/records.go
+++ b/sitefake/records.go
@@ -9,10 +9,10 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// operator is the writer of records that no node writes.
+// operator is the writer of records that do not come from a node.
 const operator = "operator@1"
 
-// Keyed returns the configuration of a service divided by key.
+// Keyed returns the configuration of a service sharded by key.
 func Keyed(name string, shards uint32, dependsOn ...string) *bspb.ServiceConfig {
 	return &bspb.ServiceConfig{
 		Name: name, Keyed: true, Shards: shards, DependsOn: dependsOn, ChecksFencing: true,
@@ -22,15 +22,15 @@
 	}
 }
 
-// Unkeyed returns the configuration of a service not divided by key.
+// Unkeyed returns the configuration of a service that is not sharded by key.
 func Unkeyed(name string, dependsOn ...string) *bspb.ServiceConfig {
 	service := Keyed(name, 0, dependsOn...)
 	service.Keyed = false
 	return service
 }
 
-// Publish replaces the site configuration by one that trusts the VM list and
-// has one group a zone.
+// Publish replaces the site configuration with one that trusts the VM list and has
+// one group per zone.
 func (s *Site) Publish(services ...*bspb.ServiceConfig) state.Result {
 	return s.PublishSite(&bspb.SiteConfig{Services: services, GroupsPerZone: 1, TrustVmList: true})
 }
@@ -42,7 +42,7 @@
 	}}})
 }
 
-// Join adds a node in its first run, named "1".
+// Join adds a node in its first incarnation, whose boot is "1".
 func (s *Site) Join(id, zone string) state.Result {
 	return s.Apply(operator, &bspb.Record{Body: &bspb.Record_JoinNode{JoinNode: &bspb.JoinNode{
 		Node: id, Boot: "1", Zone: zone, Region: "region", PeerAddress: "127.0.0.1:1",
@@ -76,7 +76,7 @@
 	}}})
 }
 
-// Make carries out one move as the lessor of the owner's group would.
+// Make performs one move as the lessor of the owner's group would.
 func (s *Site) Make(move *bspb.ShardMove) state.Result {
 	view := s.View()
 	id := topo.ShardID{Service: topo.Service(move.Shard.Service), Index: move.Shard.Index, Key: move.Shard.Key}
--- a/sitefake/site.go
+++ b/sitefake/site.go
@@ -1,7 +1,6 @@
-// Package sitefake is a site's state in memory for tests of the duties that
-// read and write it: records are applied by the code that runs in production,
-// at once and in one order, unless the log is planted to be down or a node to
-// be stale.
+// Package sitefake holds a site's state in memory, for tests of the duties that
+// read and write it. The production code applies the records immediately and in
+// one order, unless a test injects an outage of the log or a stale node.
 package sitefake
 
 import (
@@ -21,8 +20,8 @@
 // recordFormat is the envelope's format version.
 const recordFormat = 1
 
-// Site is the log and the state that all nodes share. Its methods may be called
-// concurrently.
+// Site is the log and the state that all nodes share. Its methods are safe for
+// concurrent use.
 type Site struct {
 	mu        sync.Mutex
 	state     *state.State
@@ -32,7 +31,7 @@
 	records   []Applied
 }
 
-// Applied is one record in the log with what it did.
+// Applied is one record in the log with the result of applying it.
 type Applied struct {
 	At     time.Time
 	Writer string
@@ -52,7 +51,7 @@
 	return s
 }
 
-// SetDown plants an outage of the log, or ends it.
+// SetDown starts or ends an injected outage of the log.
 func (s *Site) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,7 +73,7 @@
 	}
 }
 
-// Apply adds a record at once, whether or not the log is down.
+// Apply appends and applies a record immediately, even while the log is down.
 func (s *Site) Apply(writer string, record *bspb.Record) state.Result {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,7 +123,7 @@
 	}
 }
 
-// Node is one node's contact with the site: it implements state.Source and
+// Node is one node's access to the site. It implements state.Source and
 // follower.Appender.
 type Node struct {
 	*Site
@@ -135,16 +134,16 @@
 	thawed chan struct{} // closed while the node is up to date
 }
 
-// Node returns the contact of one run of a node.
+// Node returns the access of one incarnation of a node.
 func (s *Site) Node(id, boot string) *Node {
 	n := &Node{Site: s, writer: id + "@" + boot, thawed: make(chan struct{})}
 	close(n.thawed)
 	return n
 }
 
-// Freeze leaves the node with the view that it has now, as if it could append
-// to the log but read it no longer: what it submits takes effect, and it does
-// not learn so until Thaw.
+// Freeze keeps the node at the current view, as if it could append to the log but
+// no longer read it: its submitted records take effect, but it does not receive
+// their outcome until Thaw.
 func (n *Node) Freeze() {
 	view := n.Site.View()
 	n.mu.Lock()
@@ -155,7 +154,7 @@
 	n.frozen = view
 }
 
-// Thaw brings a frozen node up to date.
+// Thaw ends Freeze and brings the node up to date.
 func (n *Node) Thaw() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -176,19 +175,19 @@
 	return n.Site.View()
 }
 
-// Submit implements follower.Appender. While the log is down it waits.
+// Submit implements follower.Appender. It waits while the log is down.
 func (n *Node) Submit(ctx context.Context, record *bspb.Record) (follower.Fate, error) {
 	n.Site.mu.Lock()
 	up := n.up
 	n.Site.mu.Unlock()
-	if err := await(ctx, up); err != nil {
+	if err := waitClosed(ctx, up); err != nil {
 		return follower.Fate{}, err
 	}
 	result := n.Apply(n.writer, record)
 	n.mu.Lock()
 	thawed := n.thawed
 	n.mu.Unlock()
-	if err := await(ctx, thawed); err != nil {
+	if err := waitClosed(ctx, thawed); err != nil {
 		return follower.Fate{}, err
 	}
 	fate := follower.Fate{Offset: result.Offset, Accepted: result.Accepted, RejectedShards: result.RejectedIndexes()}
@@ -198,7 +197,7 @@
 	return fate, nil
 }
 
-func await(ctx context.Context, event <-chan struct{}) error {
+func waitClosed(ctx context.Context, event <-chan struct{}) error {
 	select {
 	case <-ctx.Done():
 		return &follower.UnknownFateError{Cause: ctx.Err()}
--- a/spectest/spectest.go
+++ b/spectest/spectest.go
@@ -9,18 +9,19 @@
 	"github.com/onsi/gomega"
 )
 
-// seed orders the containers of every suite, so that each run has one order.
+// seed determines the order of the containers of every suite, so that every run
+// has the same order.
 const seed = 1
 
-// Flags of go test that Ginkgo judges.
+// Flags of go test that Ginkgo checks.
 const (
 	flagParallel = "test.parallel"
 	flagCount    = "test.count"
 )
 
-// Run runs the package's specs, one after the other. Each package with specs has
-// one test function, TestSpecs, that calls it. Ginkgo refuses a second run in
-// one process, as -count=2 would make.
+// Run runs the package's specs sequentially. Each package with specs has one test
+// function, TestSpecs, that calls it. Ginkgo refuses a second run in one process,
+// as with -count=2.
 func Run(t *testing.T, name string) {
 	t.Helper()
 	defer hideParallel()()
@@ -30,24 +31,24 @@
 	ginkgo.RunSpecs(t, name, suite, reporter)
 }
 
-// hideParallel keeps go test's -parallel from Ginkgo until the returned function
-// is called. Ginkgo ends the process when the flag is set, since it does not run
-// specs side by side on that account; here it is meant for the plain tests beside
-// the specs. -count is left for Ginkgo to refuse.
+// hideParallel hides go test's -parallel flag from Ginkgo until the returned
+// function is called. Ginkgo exits the process if the flag is set, because the flag
+// does not make specs run in parallel; here it applies to the plain tests of the
+// package. -count stays visible, so that Ginkgo refuses it.
 func hideParallel() (restore func()) {
-	given := *flag.CommandLine
-	shown := flag.NewFlagSet(given.Name(), flag.ExitOnError)
-	given.VisitAll(func(f *flag.Flag) {
+	original := *flag.CommandLine
+	visible := flag.NewFlagSet(original.Name(), flag.ExitOnError)
+	original.VisitAll(func(f *flag.Flag) {
 		if f.Name != flagParallel {
-			shown.Var(f.Value, f.Name, f.Usage)
+			visible.Var(f.Value, f.Name, f.Usage)
 		}
 	})
-	given.Visit(func(f *flag.Flag) {
+	original.Visit(func(f *flag.Flag) {
 		if f.Name == flagCount {
-			_ = shown.Set(f.Name, f.Value.String()) // its own value, which is valid
+			_ = visible.Set(f.Name, f.Value.String()) // cannot fail: it is the flag's current value
 		}
 	})
-	_ = shown.Parse(nil) // marks it as parsed
-	*flag.CommandLine = *shown
-	return func() { *flag.CommandLine = given }
+	_ = visible.Parse(nil) // marks the set as parsed
+	*flag.CommandLine = *visible
+	return func() { *flag.CommandLine = original }
 }
--- a/spectest/spectest_test.go
+++ b/spectest/spectest_test.go
@@ -8,15 +8,15 @@
 	"github.com/onsi/gomega"
 )
 
-// isSet reports whether a flag was given on the command line, as Ginkgo asks.
+// isSet reports whether a flag was set on the command line, as Ginkgo checks it.
 func isSet(name string) bool {
 	found := false
 	flag.CommandLine.Visit(func(f *flag.Flag) { found = found || f.Name == name })
 	return found
 }
 
-// TestOnlyParallelIsHidden sets both flags to the values that they have, and
-// leaves them set: this package has no tests that run side by side.
+// TestOnlyParallelIsHidden sets both flags to their current values and leaves them
+// set, because this package has no parallel tests.
 func TestOnlyParallelIsHidden(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, name := range []string{flagParallel, flagCount} {
--- a/tlsfiles/errors.go
+++ b/tlsfiles/errors.go
@@ -1,6 +1,6 @@
 package tlsfiles
 
-// ReadError reports a file that cannot be read or used.
+// ReadError reports a file that cannot be read or is invalid.
 type ReadError struct {
 	File  string
 	Cause error
@@ -12,14 +12,15 @@
 // Unwrap returns the cause.
 func (e *ReadError) Unwrap() error { return e.Cause }
 
-// NoCertificateError reports that no certificate was found or shown.
+// NoCertificateError reports that a file contains no certificate or that a peer
+// presented none.
 type NoCertificateError struct{}
 
 // Error implements error.
 func (e *NoCertificateError) Error() string { return "no certificate" }
 
-// UntrustedError reports a certificate that the current authorities did not
-// sign, or that has expired.
+// UntrustedError reports a certificate that is not signed by a current authority
+// or has expired.
 type UntrustedError struct {
 	Subject string
 	Cause   error
--- a/tlsfiles/peer_test.go
+++ b/tlsfiles/peer_test.go
@@ -22,8 +22,8 @@
 	return loader
 }
 
-// meet connects two nodes over loopback and returns each side's error, and
-// what the client showed.
+// connect connects two nodes over loopback. It returns the server's connection
+// state with the certificates that the client presented, and each side's error.
 func meet(t *testing.T, server, client *tlsfiles.Loader) (shown tls.ConnectionState, serverErr, clientErr error) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -52,7 +52,7 @@
 	conn := tls.Client(b, client.Peer("192.0.2.1"))
 	clientErr = conn.Handshake()
 	if clientErr == nil {
-		_, clientErr = conn.Read(make([]byte, 1)) // a refusal may come after the handshake
+		_, clientErr = conn.Read(make([]byte, 1)) // the server may reject the client after the handshake
 	}
 	_ = b.Close()
 	serverErr = <-done
--- a/tlsfiles/tlsfiles.go
+++ b/tlsfiles/tlsfiles.go
@@ -1,6 +1,6 @@
-// Package tlsfiles keeps the TLS configuration of a listener or dialer in step
-// with its PEM files: they are read again when they change, and the last good
-// ones stay in use when the new ones cannot be read.
+// Package tlsfiles keeps the TLS configuration of a listener or dialer in sync
+// with its PEM files. It reloads the files when they change, and keeps the last
+// valid configuration if the new files cannot be loaded.
 package tlsfiles
 
 import (
@@ -15,12 +15,12 @@
 	"github.com/burdockspindle/burdockspindle/settings"
 )
 
-// checkEvery is how often the files are looked at, at most.
-const checkEvery = time.Second
+// checkInterval is the minimum interval between checks of the files.
+const checkInterval = time.Second
 
-// Loader holds the current certificate and authorities of one set of files. It
-// is safe for concurrent use and needs no goroutine: the files are looked at
-// when a connection is made.
+// Loader holds the current certificate and authorities of one set of files. It is
+// safe for concurrent use. It needs no goroutine because it checks the files when
+// a connection is made.
 type Loader struct {
 	files  settings.TLS
 	logger hclog.Logger
@@ -30,23 +30,23 @@
 	checked time.Time
 	stamps  [3]stamp
 	current material
-	// generation counts the times that changed files were taken into use.
+	// generation is the number of reloads of changed files.
 	generation uint64
 }
 
-// material is what the files hold.
+// material is the content of the files.
 type material struct {
 	certificate tls.Certificate
 	authorities *x509.CertPool // nil without a CA file
 }
 
-// stamp tells whether a file has changed.
+// stamp identifies a version of a file, to detect changes.
 type stamp struct {
 	modified time.Time
 	size     int64
 }
 
-// New reads the files. The error is a *ReadError.
+// New loads the files. The error is a *ReadError.
 func New(files settings.TLS, logger hclog.Logger) (*Loader, error) {
 	return newAt(files, logger, time.Now)
 }
@@ -54,7 +54,7 @@
 func newAt(files settings.TLS, logger hclog.Logger, now func() time.Time) (*Loader, error) {
 	l := &Loader{files: files, logger: logger, now: now}
 	l.checked = now()
-	l.stamps = l.look()
+	l.stamps = l.readStamps()
 	current, err := read(files)
 	if err != nil {
 		return nil, err
@@ -64,61 +64,61 @@
 }
 
 // Server returns a listener's configuration. Each handshake uses the current
-// files. With a CA file, clients must show a certificate that it signed.
+// files. With a CA file, clients must present a certificate signed by that
+// authority.
 func (l *Loader) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			return l.serverNow(), nil
+			return l.currentServerConfig(), nil
 		},
 	}
 }
 
-func (l *Loader) serverNow() *tls.Config {
-	now := l.refreshed()
+func (l *Loader) currentServerConfig() *tls.Config {
+	current := l.currentMaterial()
 	config := &tls.Config{
 		MinVersion:   tls.VersionTLS12,
-		Certificates: []tls.Certificate{now.certificate},
+		Certificates: []tls.Certificate{current.certificate},
 		NextProtos:   []string{"h2", "http/1.1"},
 	}
-	if now.authorities != nil {
+	if current.authorities != nil {
 		config.ClientAuth = tls.RequireAndVerifyClientCert
-		config.ClientCAs = now.authorities
+		config.ClientCAs = current.authorities
 	}
 	return config
 }
 
-// Client returns the configuration for one new connection to a server that
-// must show a certificate for serverName. It is asked for anew for each
-// connection.
+// Client returns the configuration for one new connection to a server that must
+// present a certificate for serverName. Callers call it for each connection.
 func (l *Loader) Client(serverName string) *tls.Config {
-	now := l.refreshed()
+	current := l.currentMaterial()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS12,
 		ServerName:   serverName,
-		Certificates: []tls.Certificate{now.certificate},
-		RootCAs:      now.authorities,
+		Certificates: []tls.Certificate{current.certificate},
+		RootCAs:      current.authorities,
 	}
 }
 
-// refreshed returns the current material, after a look at the files if the last
-// one is long enough ago.
-func (l *Loader) refreshed() material {
+// currentMaterial returns the current material. It first checks the files if the
+// last check is at least checkInterval ago.
+func (l *Loader) currentMaterial() material {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	if now.Sub(l.checked) < checkEvery {
+	if now.Sub(l.checked) < checkInterval {
 		return l.current
 	}
 	l.checked = now
-	stamps := l.look()
+	stamps := l.readStamps()
 	if stamps == l.stamps {
 		return l.current
 	}
 	fresh, err := read(l.files)
 	if err != nil {
 		eventNotRead.Log(l.logger, "error", err)
-		return l.current // the stamps stay old, so the next look tries again
+		return l.current // the stamps are unchanged, so that the next check retries
 	}
 	l.stamps = stamps
 	l.current = fresh
@@ -127,8 +127,8 @@
 	return l.current
 }
 
-// look returns the files' stamps; a missing file has the zero stamp.
-func (l *Loader) look() [3]stamp {
+// readStamps returns the files' stamps; a missing file has the zero stamp.
+func (l *Loader) readStamps() [3]stamp {
 	var stamps [3]stamp
 	for i, path := range []string{l.files.CertFile, l.files.KeyFile, l.files.CAFile} {
 		if path == "" {
--- a/tlsfiles/tlsfiles_test.go
+++ b/tlsfiles/tlsfiles_test.go
@@ -54,8 +54,8 @@
 	return certificate, key
 }
 
-// write puts a leaf certificate with the serial number, its key and the
-// authority's certificate into dir.
+// write writes a leaf certificate with the serial number, its key and the
+// authority's certificate to dir.
 func (a *authority) write(dir string, serial int64) settings.TLS {
 	g := gomega.NewWithT(a.t)
 	leaf, key := a.sign(&x509.Certificate{
@@ -80,8 +80,8 @@
 	}
 }
 
-// handshake connects over loopback and returns the serial number that the
-// server showed.
+// handshake connects over loopback and returns the serial number of the server's
+// certificate.
 func handshake(server, client *tls.Config) (int64, error) {
 	listener, err := tls.Listen("tcp", "127.0.0.1:0", server)
 	if err != nil {
@@ -147,15 +147,15 @@
 
 	signer.write(dir, 5)
 	g.Expect(serial()).To(gomega.Equal(int64(2)), "looked at again only after a while")
-	now = now.Add(checkEvery)
+	now = now.Add(checkInterval)
 	g.Expect(serial()).To(gomega.Equal(int64(5)))
 
 	g.Expect(os.WriteFile(filepath.Join(dir, "key.pem"), []byte("half a file"), 0o600)).To(gomega.Succeed())
-	now = now.Add(checkEvery)
+	now = now.Add(checkInterval)
 	g.Expect(serial()).To(gomega.Equal(int64(5)), "the last good files stay in use")
 
 	signer.write(dir, 7)
-	now = now.Add(checkEvery)
+	now = now.Add(checkInterval)
 	g.Expect(serial()).To(gomega.Equal(int64(7)))
 }
 
--- a/tlsfiles/tlstest/tlstest.go
+++ b/tlsfiles/tlstest/tlstest.go
@@ -1,4 +1,4 @@
-// Package tlstest makes certificate authorities and certificate files for
+// Package tlstest creates certificate authorities and certificate files for
 // tests.
 package tlstest
 
@@ -26,7 +26,7 @@
 	serial      int64
 }
 
-// NewAuthority makes an authority.
+// NewAuthority creates an authority.
 func NewAuthority(t testing.TB, name string) *Authority {
 	t.Helper()
 	key := newKey(t)
@@ -42,8 +42,8 @@
 	return &Authority{certificate: certificate, key: key, serial: 1}
 }
 
-// Write writes a new certificate for a node, its key and the authorities that
-// it trusts into a directory, in place of earlier ones.
+// Write writes a new certificate for a node, its key and the authorities that it
+// trusts to a directory, replacing earlier files.
 func (a *Authority) Write(t testing.TB, dir, node string, trusted ...*Authority) settings.TLS {
 	t.Helper()
 	key := newKey(t)
@@ -78,7 +78,7 @@
 	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
 }
 
-// replace puts a new file in place of the old one, as careful operators do.
+// replace replaces a file by renaming a new one over it, as an operator should.
 func replace(t testing.TB, path string, data []byte) {
 	t.Helper()
 	must(t, os.WriteFile(path+".new", data, 0o600))
