--- a/adminapi/adminapi.go
+++ b/adminapi/adminapi.go
@@ -1,6 +1,6 @@
-// Package adminapi is the administration API between operators and entry nodes:
-// its paths, headers, JSON bodies and failure codes, and a client. The server
-// is modules/admin; docs/ADMIN.md explains it.
+// Package adminapi defines the administration API between operators and entry
+// nodes: its paths, headers, JSON bodies and failure codes, and a client.
+// modules/admin implements the server; docs/ADMIN.md describes the API.
 package adminapi
 
 import (
@@ -29,24 +29,24 @@
 // Query parameters.
 const (
 	QueryBase    = "base"    // site: version that the text replaces
-	QueryRetry   = "retry"   // site: "1" when the same text was sent before
+	QueryRetry   = "retry"   // site: "1" if the same text was sent before
 	QueryService = "service" // shards
-	QueryKey     = "key"     // shards: the one that covers this key
-	QueryFrom    = "from"    // shards: position to list from
-	QueryMax     = "max"     // shards: most entries
+	QueryKey     = "key"     // shards: selects the shard of this key
+	QueryFrom    = "from"    // shards: position of the first entry
+	QueryMax     = "max"     // shards: maximum number of entries
 )
 
-// HeaderOperator names who asks, for the log of changes.
+// HeaderOperator names the operator who sends a request, for the log of changes.
 const HeaderOperator = "Burdockspindle-Operator"
 
 // Limits of requests.
 const (
-	MaxBodyBytes     = jsonc.MaxTextBytes + 1 // so that a text one byte too long is told apart
+	MaxBodyBytes     = jsonc.MaxTextBytes + 1 // one byte more, to detect a text that is too long
 	MaxOperatorBytes = 64
 	MaxShardsListed  = 1000
 )
 
-// Code says what kind of failure an answer reports.
+// Code is the kind of failure that a response reports.
 type Code string
 
 // Codes.
@@ -58,50 +58,50 @@
 	CodeMalformed    Code = "malformed"      // 400: parameter or body
 	CodeInvalid      Code = "invalid"        // 422: see Problems
 	CodeConflict     Code = "conflict"       // 409: the base is not the version in force
-	CodeRejected     Code = "rejected"       // 409: the record had no effect for another reason
-	CodeNotAppended  Code = "not-appended"   // 503: nothing changed and nothing will; ask again
-	CodeFateUnknown  Code = "fate-unknown"   // 503: may have taken effect; ask again as a retry
+	CodeRejected     Code = "rejected"       // 409: the record had no effect for a different reason
+	CodeNotAppended  Code = "not-appended"   // 503: nothing has changed or will change; send the request again
+	CodeFateUnknown  Code = "fate-unknown"   // 503: may have taken effect; send the request again as a retry
 	CodeNotReady     Code = "not-ready"      // 503: this node has not caught up
-	CodeNoLessor     Code = "no-lessor"      // 503: the group's lessor could not be asked; nothing moved
-	CodeMoveUnknown  Code = "move-unknown"   // 503: the lessor was asked and its answer was lost
+	CodeNoLessor     Code = "no-lessor"      // 503: the group's lessor could not be called; nothing moved
+	CodeMoveUnknown  Code = "move-unknown"   // 503: the lessor was called and its response was lost
 	CodeInternal     Code = "internal-error" // 500
 )
 
-// Failure is the body of every answer that is not 2xx.
+// Failure is the body of every response that is not 2xx.
 type Failure struct {
 	Code    Code   `json:"code"`
 	Message string `json:"message"`
-	// RetryAfterMs is when to ask again; the Retry-After header has it in
-	// seconds.
+	// RetryAfterMs is the delay before a retry, in milliseconds; the Retry-After
+	// header has it in seconds.
 	RetryAfterMs int64           `json:"retryAfterMs,omitempty"`
 	Problems     []jsonc.Problem `json:"problems,omitempty"`
 	Conflict     *Conflict       `json:"conflict,omitempty"`
 }
 
-// Conflict tells a publisher what came first.
+// Conflict describes the version that precedes a conflicting publication.
 type Conflict struct {
 	Base    uint64 `json:"base"`    // version that the publisher replaces
 	InForce uint64 `json:"inForce"` // version in force
-	// Known is false when this node did not see version base+1, so that it
-	// cannot tell whether a retried text was that version.
+	// Known is false if this node has not observed version base+1, so that it
+	// cannot determine whether a retried text was that version.
 	Known bool `json:"known"`
 }
 
-// Published is the answer to an accepted publication.
+// Published is the response to an accepted publication.
 type Published struct {
-	Version uint64 `json:"version"` // of the published text
-	InForce uint64 `json:"inForce"` // higher when others published since
-	// Repeated is true when the text had been accepted before this request.
+	Version uint64 `json:"version"` // version of the published text
+	InForce uint64 `json:"inForce"` // higher if another text was published since
+	// Repeated is true if the text was already accepted before this request.
 	Repeated bool `json:"repeated,omitempty"`
 }
 
 // Site is the site configuration in force.
 type Site struct {
-	Version uint64 `json:"version"` // 0 before the first
+	Version uint64 `json:"version"` // 0 before the first publication
 	Text    string `json:"text"`
 }
 
-// Status is a short account of one node.
+// Status is a summary of one node.
 type Status struct {
 	Node     topo.NodeID `json:"node"`
 	Boot     topo.BootID `json:"boot"`
@@ -109,17 +109,17 @@
 	Region   topo.Region `json:"region,omitempty"`
 	UptimeMs int64       `json:"uptimeMs"`
 	Applied  topo.Offset `json:"applied"` // last record applied
-	// LogContactAgeMs is how long ago the node last read the log to its end;
-	// -1 when it never did.
+	// LogContactAgeMs is the time since the node last read the log to its end, in
+	// milliseconds; -1 if it never has.
 	LogContactAgeMs int64          `json:"logContactAgeMs"`
 	SiteVersion     uint64         `json:"siteVersion"`
 	Services        []topo.Service `json:"services"` // in start order
 	Nodes           int            `json:"nodes"`
 	Servers         ServerCounts   `json:"servers"`
 	Groups          int            `json:"groups"`
-	Leads           []topo.GroupID `json:"leads"`    // groups whose lessor is this run
-	StandsBy        []topo.GroupID `json:"standsBy"` // groups whose standby lessor is this run
-	Unowned         map[string]int `json:"unowned"`  // hash ranges without an owner by service
+	Leads           []topo.GroupID `json:"leads"`    // groups whose lessor is this incarnation
+	StandsBy        []topo.GroupID `json:"standsBy"` // groups whose standby lessor is this incarnation
+	Unowned         map[string]int `json:"unowned"`  // number of hash ranges without an owner, by service
 	Draining        bool           `json:"draining"`
 	Lineage         topo.Offset    `json:"lineage,omitempty"`
 	Retiring        []topo.Service `json:"retiring,omitempty"`
@@ -142,8 +142,8 @@
 	Group   topo.GroupID  `json:"group"`
 	Phase   string        `json:"phase"` // live, draining or gone
 	Lost    bool          `json:"lost,omitempty"`
-	Owns    int           `json:"owns"`    // shards
-	Standby int           `json:"standby"` // shards for which it is the standby
+	Owns    int           `json:"owns"`    // number of shards
+	Standby int           `json:"standby"` // number of shards for which it is the standby
 }
 
 // Shard is the assignment of one shard.
@@ -183,15 +183,16 @@
 	Lost        bool        `json:"lost,omitempty"`
 }
 
-// Loss is an operator's word that machines have stopped for good. Stopped must
-// be true: if one of them still runs, a shard may get two owners.
+// Loss is an operator's confirmation that machines have stopped permanently.
+// Stopped must be true, because a shard may get two owners if one of the machines
+// still runs.
 type Loss struct {
 	Servers []topo.ServerID `json:"servers,omitempty"`
 	Nodes   []topo.NodeID   `json:"nodes,omitempty"`
 	Stopped bool            `json:"stopped"`
 }
 
-// Moves asks for planned moves of shards.
+// Moves requests planned moves of shards.
 type Moves struct {
 	Moves  []Move `json:"moves"`
 	Reason string `json:"reason,omitempty"`
@@ -205,14 +206,14 @@
 	Standby topo.ServerID `json:"standby,omitempty"`
 }
 
-// Accepted answers a request whose work goes on after the answer.
+// Accepted is the response to a request whose work continues after the response.
 type Accepted struct {
 	Accepted int `json:"accepted"`
-	// Offset of the record, where there is one.
+	// Offset is the offset of the record, if the request appended one.
 	Offset topo.Offset `json:"offset,omitempty"`
 }
 
-// RetryAfter returns the failure's wait; 0 for none.
+// RetryAfter returns the delay before a retry; 0 if there is none.
 func (f *Failure) RetryAfter() time.Duration {
 	return time.Duration(f.RetryAfterMs) * time.Millisecond
 }
--- a/adminapi/client.go
+++ b/adminapi/client.go
@@ -13,11 +13,12 @@
 	"sync/atomic"
 )
 
-// maxAnswerBytes bounds an answer that a client reads.
-const maxAnswerBytes = 256 << 20
+// maxResponseBytes is the maximum number of bytes that a client reads of a
+// response.
+const maxResponseBytes = 256 << 20
 
-// Client calls one node's administration API. Its methods return *Failure for
-// an answer that is not 2xx, and *CallError when there was no whole answer.
+// Client calls one node's administration API. Its methods return *Failure for a
+// response that is not 2xx, and *CallError if there was no complete response.
 type Client struct {
 	base     string
 	token    string
@@ -26,7 +27,7 @@
 }
 
 // NewClient returns a client for a base URL such as "http://10.0.0.7:7070". The
-// operator's name may be empty. A nil http.Client means the default one.
+// operator's name may be empty. If client is nil, it uses http.DefaultClient.
 func NewClient(base, token, operator string, client *http.Client) (*Client, error) {
 	parsed, err := url.Parse(base)
 	if err != nil || (parsed.Scheme != "http" && parsed.Scheme != "https") || parsed.Host == "" {
@@ -38,7 +39,7 @@
 	return &Client{base: strings.TrimRight(base, "/"), token: token, operator: operator, http: client}, nil
 }
 
-// Status returns a short account of the node.
+// Status returns a summary of the node.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	var status Status
 	err := c.callJSON(ctx, http.MethodGet, PathStatus, nil, &status)
@@ -57,18 +58,18 @@
 	return site, err
 }
 
-// Drain asks the node to drain and stop.
+// Drain requests that the node drain and stop.
 func (c *Client) Drain(ctx context.Context) error {
 	_, err := c.call(ctx, http.MethodPost, PathDrain, nil)
 	return err
 }
 
-// ConfirmLoss states that machines have stopped for good.
+// ConfirmLoss confirms that machines have stopped permanently.
 func (c *Client) ConfirmLoss(ctx context.Context, loss Loss) (Accepted, error) {
 	return c.post(ctx, PathLoss, loss)
 }
 
-// Move asks for planned moves.
+// Move requests planned moves.
 func (c *Client) Move(ctx context.Context, moves Moves) (Accepted, error) {
 	return c.post(ctx, PathMoves, moves)
 }
@@ -83,8 +84,8 @@
 	return accepted, err
 }
 
-// PublishOnce sends a text that replaces the base version. Retry says that the
-// same text was sent before and its fate is not known.
+// PublishOnce sends a text that replaces the base version. Retry states that the
+// same text was sent before and that its outcome is unknown.
 func (c *Client) PublishOnce(ctx context.Context, base uint64, text []byte, retry bool) (Published, error) {
 	query := url.Values{QueryBase: {strconv.FormatUint(base, 10)}}
 	if retry {
@@ -124,7 +125,7 @@
 		return nil, &CallError{Path: path, Sent: connected.Load(), Cause: err}
 	}
 	defer func() { _ = response.Body.Close() }()
-	text, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return nil, &CallError{Path: path, Sent: true, Cause: err}
 	}
@@ -134,8 +135,8 @@
 	return nil, decodeFailure(path, response.Status, text)
 }
 
-// decodeFailure returns a *Failure, or a *CallError when something else than
-// the API answered.
+// decodeFailure returns a *Failure, or a *CallError if the response is not from
+// the API.
 func decodeFailure(path, status string, text []byte) error {
 	var failure Failure
 	if err := json.Unmarshal(text, &failure); err != nil || failure.Code == "" {
--- a/adminapi/errors.go
+++ b/adminapi/errors.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// AddressError reports a base URL that is none.
+// AddressError reports an invalid base URL.
 type AddressError struct{ URL string }
 
 // Error implements error.
@@ -10,7 +10,7 @@
 	return "administration address must be http://HOST:PORT or https://HOST:PORT, not " + strconv.Quote(e.URL)
 }
 
-// CallError reports a call without a whole answer.
+// CallError reports a call without a complete response.
 type CallError struct {
 	Path string
 	// Sent is false only if it is proven that nothing was sent.
@@ -24,7 +24,7 @@
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Cause }
 
-// StatusError reports an answer that is not the API's.
+// StatusError reports a response that is not from the API.
 type StatusError struct{ Status string }
 
 // Error implements error.
--- a/adminapi/publish.go
+++ b/adminapi/publish.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// publishAttempts bounds how often a text is sent while its fate is not
-	// known or the log is away.
+	// publishAttempts is the maximum number of attempts while the outcome of a
+	// text is unknown or the log is unavailable.
 	publishAttempts = 5
-	// publishRetryAfter is the wait when the node named none.
+	// publishRetryAfter is the minimum delay before a retry.
 	publishRetryAfter = time.Second
 )
 
-// Publish sends a text until its fate is known. The second and later attempts
-// say that they are retries, so that a text which was accepted, but whose
-// answer was lost, is not mistaken for a conflict. Wait sleeps; nil means
-// real time.
+// Publish sends a text until its outcome is known, at most publishAttempts times.
+// Attempts after one that may have been accepted are marked as retries, so that a
+// text which was accepted, but whose response was lost, is not reported as a
+// conflict. Wait sleeps before a retry; nil means real time.
 func (c *Client) Publish(ctx context.Context, base uint64, text []byte, wait func(context.Context, time.Duration) error) (Published, error) {
 	if wait == nil {
 		wait = sleep
@@ -27,18 +27,18 @@
 	retry := false
 	for attempt := 1; ; attempt++ {
 		published, err := c.PublishOnce(ctx, base, text, retry)
-		pause, again := retryAfter(err)
-		if !again || attempt == publishAttempts {
-			return published, unknownIf(err, retry)
+		pause, shouldRetry := retryAfter(err)
+		if !shouldRetry || attempt == publishAttempts {
+			return published, wrapUnknown(err, retry)
 		}
 		retry = retry || mayHaveRun(err)
 		if wait(ctx, pause) != nil {
-			return published, unknownIf(err, retry)
+			return published, wrapUnknown(err, retry)
 		}
 	}
 }
 
-// retryAfter reports whether an attempt is to be repeated, and when.
+// retryAfter reports whether to retry a failed attempt, and after which delay.
 func retryAfter(err error) (time.Duration, bool) {
 	var failure *Failure
 	if errors.As(err, &failure) {
@@ -59,13 +59,14 @@
 	return errors.As(err, &call) && call.Sent
 }
 
-// unknownIf tells a caller who gave up that an attempt may have been accepted.
-func unknownIf(err error, retried bool) error {
+// wrapUnknown wraps the error of the last attempt in *UnknownError if an attempt
+// may have been accepted.
+func wrapUnknown(err error, retried bool) error {
 	if err == nil {
 		return nil
 	}
-	_, again := retryAfter(err)
-	if again && (retried || mayHaveRun(err)) {
+	_, shouldRetry := retryAfter(err)
+	if shouldRetry && (retried || mayHaveRun(err)) {
 		return &UnknownError{Cause: err}
 	}
 	return err
--- a/adminapi/publish_test.go
+++ b/adminapi/publish_test.go
@@ -22,7 +22,7 @@
 			g := gomega.NewWithT(ginkgo.GinkgoTB())
 			var retries attempts
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				now := c.steps[retries.add(r)]
+				now := c.steps[retries.record(r)]
 				if now.cut {
 					panic(http.ErrAbortHandler)
 				}
@@ -30,7 +30,7 @@
 				_, _ = w.Write([]byte(now.body))
 			}))
 			defer server.Close()
-			// Without kept connections net/http never repeats a request itself.
+			// Without keep-alive connections net/http never resends a request itself.
 			client, err := adminapi.NewClient(server.URL, "t", "", &http.Client{Transport: &http.Transport{DisableKeepAlives: true}})
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			var waits []time.Duration
@@ -89,18 +89,18 @@
 
 func TestSpecs(t *testing.T) { spectest.Run(t, "adminapi") }
 
-// publishCase is a publication of which each attempt is treated in some way.
+// publishCase is a publication with the server's behaviour for each attempt.
 type publishCase struct {
 	steps   []step
-	retries string // for each attempt 0 or 1: does it say that it is a retry
-	unknown bool   // the error says that the text may have been accepted
+	retries string // for each attempt "1" if it is marked as a retry, else "0"
+	unknown bool   // whether the error reports that the text may have been accepted
 	code    adminapi.Code
 	waits   []time.Duration
 }
 
-// step is how the server treats one attempt.
+// step is the server's behaviour for one attempt.
 type step struct {
-	cut    bool // the connection ends without an answer
+	cut    bool // the connection ends without a response
 	status int
 	body   string
 }
@@ -114,14 +114,14 @@
 	notTheAPI   = step{status: 502, body: `<html>bad gateway</html>`}
 )
 
-// attempts notes of each request whether it said that it is a retry.
+// attempts records for each request whether it is marked as a retry.
 type attempts struct {
 	mu   sync.Mutex
 	seen string
 }
 
-// add returns how many requests came before this one.
-func (a *attempts) add(r *http.Request) int {
+// record records a request and returns the number of requests before it.
+func (a *attempts) record(r *http.Request) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	mark := "0"
--- a/callerapi/callerapi.go
+++ b/callerapi/callerapi.go
@@ -1,6 +1,6 @@
-// Package callerapi is the published HTTP interface between callers and entry
-// nodes: its paths, headers and JSON bodies, with builders for callers written
-// in Go and the parsers that the front end uses. docs/CALLERS.md explains it.
+// Package callerapi defines the published HTTP interface between callers and entry
+// nodes: its paths, headers and JSON bodies, with builders for callers written in
+// Go and the parsers of the front end. docs/CALLERS.md describes the interface.
 package callerapi
 
 import (
@@ -15,23 +15,25 @@
 	PathServices = "/v1/services/"
 )
 
-// Headers on callers' requests. Every other header whose name starts with
-// HeaderPrefix is removed before a request is passed on.
+// Headers of callers' requests. Every other header whose name starts with
+// HeaderPrefix is removed before a request is forwarded.
 const (
 	HeaderPrefix = "Burdockspindle-"
-	// HeaderDeadlineMs is how many milliseconds the caller waits, counted from
-	// the arrival of the request.
+	// HeaderDeadlineMs is the caller's timeout in milliseconds, measured from the
+	// arrival of the request.
 	HeaderDeadlineMs = serverapi.HeaderDeadlineMs
 	// HeaderIdempotencyKey carries a ticket.
 	HeaderIdempotencyKey = serverapi.HeaderIdempotencyKey
-	// HeaderCaller names the caller for fair shares of a busy server.
+	// HeaderCaller names the caller, so that a busy server's capacity is shared
+	// fairly among callers.
 	HeaderCaller = "Burdockspindle-Caller"
-	// HeaderHop counts the services through which a request came. A backend
-	// server that calls another service copies it from the request it serves.
+	// HeaderHop is the number of services that the request has passed through. A
+	// backend server that calls another service copies it from the request that it
+	// serves.
 	HeaderHop = serverapi.HeaderHop
 )
 
-// Headers on answers.
+// Headers of responses.
 const (
 	HeaderOutcome    = serverapi.HeaderOutcome
 	HeaderReason     = serverapi.HeaderReason
@@ -40,7 +42,7 @@
 	HeaderRetryAfter = "Retry-After" // whole seconds, at least 1
 )
 
-// Limits on what callers send.
+// Limits of callers' requests.
 const (
 	MaxKeyBytes    = 1024
 	MaxCallerBytes = 128
@@ -49,20 +51,20 @@
 	MaxDeadline    = 24 * time.Hour
 )
 
-// Ticket is the body of the answer to a request for an idempotency ticket.
+// Ticket is the body of the response to a request for an idempotency ticket.
 type Ticket struct {
 	// Ticket is the value for the Idempotency-Key header.
 	Ticket string `json:"ticket"`
-	// ExpiresWith is the fence or term in force; when it is replaced, a ticket
-	// that was never used is answered "unknown" and not run.
+	// ExpiresWith is the fence or term in force. Once it is replaced, a request
+	// with a ticket that was never used is answered "unknown" and not run.
 	ExpiresWith string `json:"expiresWith"`
 }
 
-// Failure is the body of every answer that an entry node gives itself.
+// Failure is the body of every response that an entry node generates itself.
 type Failure struct {
 	Outcome   serverapi.Outcome `json:"outcome"`
 	Reason    serverapi.Reason  `json:"reason"`
 	RequestID string            `json:"requestId"`
-	// RetryAfterMs is when to come back; 0 when coming back does not help.
+	// RetryAfterMs is the delay before a retry; 0 if a retry does not help.
 	RetryAfterMs int64 `json:"retryAfterMs,omitempty"`
 }
--- a/callerapi/callerapi_test.go
+++ b/callerapi/callerapi_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestBuiltPathsParse builds paths for any service, key and rest, and reads them
-// back as net/http would.
+// TestBuiltPathsParse builds paths for arbitrary services, keys and rests, and
+// parses them as net/http would.
 func TestBuiltPathsParse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		service := topo.Service(rapid.StringN(1, -1, 40).Draw(t, "service"))
@@ -109,7 +109,7 @@
 	g.Expect(callerapi.RetryAfterSeconds(1001 * time.Millisecond)).To(gomega.Equal("2"))
 }
 
-// TestForgedHeadersAreRemoved: a caller must not be able to claim a fence.
+// TestForgedHeadersAreRemoved checks that a caller cannot forge a fence.
 func TestForgedHeadersAreRemoved(t *testing.T) {
 	g := gomega.NewWithT(t)
 	header := http.Header{}
--- a/callerapi/header.go
+++ b/callerapi/header.go
@@ -9,7 +9,7 @@
 	"github.com/burdockspindle/burdockspindle/serverapi"
 )
 
-// ParseDeadline reads HeaderDeadlineMs; an absent header yields 0. Errors are
+// ParseDeadline parses HeaderDeadlineMs; an absent header yields 0. Errors are
 // *HeaderError.
 func ParseDeadline(text string) (time.Duration, error) {
 	if text == "" {
@@ -25,7 +25,7 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// ParseHop reads HeaderHop; an absent header yields 0. Errors are *HeaderError.
+// ParseHop parses HeaderHop; an absent header yields 0. Errors are *HeaderError.
 func ParseHop(text string) (int, error) {
 	if text == "" {
 		return 0, nil
@@ -40,8 +40,8 @@
 	return int(hop), nil
 }
 
-// ParseCaller reads HeaderCaller; callers without one share the empty name.
-// Errors are *HeaderError.
+// ParseCaller parses HeaderCaller; all callers without the header have the empty
+// name. Errors are *HeaderError.
 func ParseCaller(text string) (string, error) {
 	if len(text) > MaxCallerBytes {
 		return "", &HeaderError{Header: HeaderCaller, Reason: ReasonBadCaller}
@@ -49,15 +49,15 @@
 	return text, nil
 }
 
-// hopByHop are the headers that belong to one connection.
+// hopByHop lists the headers that apply to a single connection.
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Expect": true,
 }
 
-// PassedOn returns a copy of a message's headers without those that belong to
-// one connection and without this project's own.
+// Forwardable returns a copy of a message's headers without hop-by-hop headers and
+// without this project's own headers.
 func PassedOn(header http.Header) http.Header {
 	named := connectionNamed(header)
 	passed := make(http.Header, len(header))
@@ -70,7 +70,7 @@
 	return passed
 }
 
-// connectionNamed lists the headers that the Connection header names.
+// connectionNamed returns the headers that the Connection header lists.
 func connectionNamed(header http.Header) map[string]bool {
 	var named map[string]bool
 	for _, value := range header["Connection"] {
@@ -84,14 +84,14 @@
 	return named
 }
 
-// RetryAfterSeconds renders a duration for the Retry-After header: whole
-// seconds, rounded up, at least 1.
+// RetryAfterSeconds formats a duration for the Retry-After header: whole seconds,
+// rounded up, at least 1.
 func RetryAfterSeconds(wait time.Duration) string {
 	seconds := int64((wait + time.Second - 1) / time.Second)
 	return strconv.FormatInt(max(seconds, 1), 10)
 }
 
-// HeaderError reports a header that cannot be used.
+// HeaderError reports an invalid header.
 type HeaderError struct {
 	Header string
 	Reason serverapi.Reason
--- a/callerapi/path.go
+++ b/callerapi/path.go
@@ -15,18 +15,18 @@
 	segmentTickets  = "tickets"
 )
 
-// Target is what a request path names.
+// Target is a parsed request path.
 type Target struct {
 	Service topo.Service
-	Keyed   bool   // the path has a key
-	Key     string // any bytes, not empty when Keyed
-	Ticket  bool   // a ticket is asked for
-	// Rest is the path at the server, still escaped, without a leading slash
-	// and without the query.
+	Keyed   bool   // whether the path has a key
+	Key     string // any bytes; not empty if Keyed
+	Ticket  bool   // whether the request is for a ticket
+	// Rest is the path at the server, still escaped, without a leading slash and
+	// without the query.
 	Rest string
 }
 
-// KeyedPath returns the escaped path of a request to a key's owner. Rest is an
+// KeyedPath returns the escaped path of a request to a key's owner. Rest is the
 // escaped path at the server, with or without a leading slash.
 func KeyedPath(service topo.Service, key, rest string) string {
 	return servicePath(service) + "/" + segmentKeys + "/" + url.PathEscape(key) +
@@ -44,7 +44,7 @@
 }
 
 // UnkeyedTicketPath returns the escaped path that issues a ticket for a service
-// that is not divided by key.
+// that is not sharded by key.
 func UnkeyedTicketPath(service topo.Service) string {
 	return servicePath(service) + "/" + segmentTickets
 }
@@ -53,7 +53,7 @@
 	return PathServices + url.PathEscape(string(service))
 }
 
-// ParsePath reads an escaped request path. Errors are *PathError.
+// ParsePath parses an escaped request path. Errors are *PathError.
 func ParsePath(escaped string) (Target, error) {
 	tail, found := strings.CutPrefix(escaped, PathServices)
 	if !found {
@@ -74,7 +74,7 @@
 	return target.parseVerb(tail)
 }
 
-// parseKey reads the key's segment and returns what follows it.
+// parseKey parses the key's segment and returns the rest of the path.
 func (t *Target) parseKey(tail string) (string, error) {
 	segment, rest, _ := strings.Cut(tail, "/")
 	key, err := url.PathUnescape(segment)
@@ -107,9 +107,9 @@
 	return *t, nil
 }
 
-// safeRest refuses dot segments, by which a caller could leave the tree that a
-// backend server serves to callers and reach its ownership paths, and escapes
-// that cannot be decoded.
+// safeRest rejects escapes that cannot be decoded, and dot segments, with which a
+// caller could escape from the subtree that a backend server serves to callers and
+// reach its ownership paths.
 func safeRest(rest string) bool {
 	decoded, err := url.PathUnescape(rest)
 	if err != nil {
@@ -125,7 +125,7 @@
 
 func isSeparator(r rune) bool { return r == '/' || r == '\\' }
 
-// PathError reports a path that names nothing.
+// PathError reports an invalid request path.
 type PathError struct{ Reason serverapi.Reason }
 
 // Error implements error.
--- a/callerapi/reasons.go
+++ b/callerapi/reasons.go
@@ -21,42 +21,42 @@
 	ReasonMethodNotAllowed serverapi.Reason = "method-not-allowed"
 )
 
-// Reasons that lie with the site.
+// Reasons within the site.
 const (
-	// ReasonNoOwner: the key's shard has no owner that can be reached.
+	// ReasonNoOwner: the key's shard has no reachable owner.
 	ReasonNoOwner serverapi.Reason = "no-owner"
-	// ReasonNoServer: no server of an unkeyed service can be reached.
+	// ReasonNoServer: no server of an unkeyed service is reachable.
 	ReasonNoServer serverapi.Reason = "no-server"
 	// ReasonQueueFull: too many requests wait for the server.
 	ReasonQueueFull serverapi.Reason = "queue-full"
 	// ReasonBufferFull: too many requests wait for the shard's next owner.
 	ReasonBufferFull serverapi.Reason = "buffer-full"
-	// ReasonTooLate: the request would not have been served by its deadline.
+	// ReasonTooLate: the request would not have been served before its deadline.
 	ReasonTooLate serverapi.Reason = "too-late"
-	// ReasonBusy: the entry node holds as many requests as it may.
+	// ReasonBusy: the entry node has reached its limit of concurrent requests.
 	ReasonBusy serverapi.Reason = "busy"
 	// ReasonDependency: a service that this one depends on is overloaded.
 	ReasonDependency serverapi.Reason = "dependency-overloaded"
-	// ReasonNotSent: the server could not be reached; nothing was sent.
+	// ReasonNotSent: the server was unreachable; nothing was sent.
 	ReasonNotSent serverapi.Reason = "not-sent"
-	// ReasonNoAnswer: the request was sent and no answer came.
+	// ReasonNoAnswer: the request was sent, but there was no response.
 	ReasonNoAnswer serverapi.Reason = "no-answer"
-	// ReasonSilent: the connection made no progress for too long.
+	// ReasonUnresponsive: the connection made no progress for too long.
 	ReasonSilent serverapi.Reason = "silent"
-	// ReasonBrokenAnswer: the answer ended before it was whole.
+	// ReasonBrokenAnswer: the response ended before it was complete.
 	ReasonBrokenAnswer serverapi.Reason = "broken-answer"
-	// ReasonForeignAnswer: the answer was not to this request.
+	// ReasonForeignAnswer: the response belongs to another request.
 	ReasonForeignAnswer serverapi.Reason = "foreign-answer"
-	// ReasonNotLessor: the node asked is not the lessor of the server's group.
+	// ReasonNotLessor: the called node is not the lessor of the server's group.
 	ReasonNotLessor serverapi.Reason = "not-lessor"
-	// ReasonLoop: the request had already been forwarded.
+	// ReasonLoop: the request was already forwarded.
 	ReasonLoop serverapi.Reason = "forwarding-loop"
 	// ReasonNoLease: the lessor may not send to a server that does not check
-	// fencing tokens, because its own right has lapsed.
+	// fencing tokens, because its own right has expired.
 	ReasonNoLease serverapi.Reason = "lessor-lapsed"
-	// ReasonNoConnection: this node's share of the server's connections is in
-	// use; nothing was sent.
+	// ReasonNoConnection: this node's quota of connections to the server is
+	// exhausted; nothing was sent.
 	ReasonNoConnection serverapi.Reason = "no-connection"
-	// ReasonCanceled: the caller went away.
+	// ReasonCanceled: the caller cancelled the request.
 	ReasonCanceled serverapi.Reason = "canceled"
 )
--- a/tlsfiles/peer_test.go
+++ b/tlsfiles/peer_test.go
@@ -24,7 +24,7 @@
 
 // connect connects two nodes over loopback. It returns the server's connection
 // state with the certificates that the client presented, and each side's error.
-func meet(t *testing.T, server, client *tlsfiles.Loader) (shown tls.ConnectionState, serverErr, clientErr error) {
+func connect(t *testing.T, server, client *tlsfiles.Loader) (shown tls.ConnectionState, serverErr, clientErr error) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -73,7 +73,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			_, serverErr, clientErr := meet(t, open(t, c.serverBy, "server", site), open(t, c.clientBy, "client", site))
+			_, serverErr, clientErr := connect(t, open(t, c.serverBy, "server", site), open(t, c.clientBy, "client", site))
 			g.Expect(serverErr != nil).To(gomega.Equal(c.refused), "server: %v", serverErr)
 			g.Expect(clientErr != nil).To(gomega.Equal(c.refused), "client: %v", clientErr)
 		})
@@ -83,7 +83,7 @@
 func TestAnUntrustedPeerHasATypedError(t *testing.T) {
 	g := gomega.NewWithT(t)
 	site, other := tlstest.NewAuthority(t, "site"), tlstest.NewAuthority(t, "other")
-	_, _, err := meet(t, open(t, other, "server", site), open(t, site, "client", site))
+	_, _, err := connect(t, open(t, other, "server", site), open(t, site, "client", site))
 	var untrusted *tlsfiles.UntrustedError
 	g.Expect(errors.As(err, &untrusted)).To(gomega.BeTrue(), "%v", err)
 }
@@ -91,7 +91,7 @@
 func TestAnEarlierClientIsCheckedAgainstTheCurrentAuthorities(t *testing.T) {
 	g := gomega.NewWithT(t)
 	site, next := tlstest.NewAuthority(t, "site"), tlstest.NewAuthority(t, "next")
-	state, _, _ := meet(t, open(t, site, "server", site), open(t, site, "client", site))
+	state, _, _ := connect(t, open(t, site, "server", site), open(t, site, "client", site))
 	g.Expect(open(t, site, "server", site).VerifyClient(state.PeerCertificates)).To(gomega.Succeed())
 	g.Expect(open(t, next, "server", next).VerifyClient(state.PeerCertificates)).NotTo(gomega.Succeed())
 	g.Expect(open(t, site, "server", site).VerifyClient(nil)).NotTo(gomega.Succeed())
