--- a/build/docblocks/docblocks.go
+++ b/build/docblocks/docblocks.go
@@ -1,8 +1,8 @@
-// Package docblocks reads the fenced code blocks of the project's pages, so that
-// tests can run their commands and check their examples. A block's first line
-// is its kind and a tag:
+// Package docblocks parses the fenced code blocks of the project's pages, so that
+// tests can run their commands and check their examples. The first line of a block
+// contains its kind and a tag:
 //
-//	sh ci            commands that .ci/run runs, word for word
+//	sh ci            commands that .ci/run runs verbatim
 //	sh site          commands that the multi-process test runs
 //	jsonc settings   an example of a settings file
 //	jsonc site       an example of a site configuration
@@ -23,14 +23,14 @@
 // Block is one fenced block.
 type Block struct {
 	File string
-	Line int    // of the opening fence, from 1
+	Line int    // line number of the opening fence, from 1
 	Kind string // "sh", "jsonc", ...
 	Tag  string // may be empty
 	Text string
 }
 
-// Commands returns the block's lines without blank ones and comments. A line
-// that ends in a backslash is joined with the next.
+// Commands returns the lines of the block without blank lines and comments. A line
+// that ends in a backslash is joined with the next line.
 func (b Block) Commands() []string {
 	var commands []string
 	joined := strings.ReplaceAll(b.Text, "\\\n", " ")
@@ -43,7 +43,7 @@
 	return commands
 }
 
-// Pages lists the Markdown files of a repository, README.md first.
+// Pages returns the Markdown files of a repository, README.md first.
 func Pages(root string) ([]string, error) {
 	pages := []string{filepath.Join(root, "README.md")}
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
--- a/build/knownred/judge.go
+++ b/build/knownred/judge.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// suiteTest is the test function that runs a package's Ginkgo specs. Its specs
-// are listed one by one: its own name excuses none of them.
+// suiteTest is the test function that runs a package's Ginkgo specs. Each failed
+// spec must be listed separately; an entry for suiteTest itself excuses none.
 const suiteTest = "TestSpecs"
 
-// Verdict is the decision and what to print of it.
+// Verdict is the decision and the lines to print.
 type Verdict struct {
 	Pass  bool
 	Lines []string
@@ -25,7 +25,7 @@
 	ansiColour = regexp.MustCompile("\x1b\\[[0-9;]*m")
 )
 
-// packageOutput is what go test printed of one failed package.
+// packageOutput is the parsed go test output of one failed package.
 type packageOutput struct {
 	name  string
 	tests []string
@@ -33,7 +33,7 @@
 	fatal bool
 }
 
-// judge passes a run that failed nowhere but in the listed tests.
+// judge passes a run whose only failures are in listed tests.
 func judge(output string, status int, known []Entry) Verdict {
 	verdict := Verdict{Pass: true}
 	used := map[string]bool{}
@@ -58,8 +58,8 @@
 	return verdict
 }
 
-// failedPackages splits the output by the result line that ends each package's
-// part, and keeps the failed ones.
+// failedPackages splits the output at the result line that ends the output of each
+// package, and returns the failed packages.
 func failedPackages(output string) []packageOutput {
 	var failures []packageOutput
 	var current packageOutput
@@ -88,7 +88,7 @@
 }
 
 // excused reports whether every failure of the package is listed, and marks the
-// entries that were needed.
+// entries that match a failure as used.
 func (p packageOutput) excused(known []Entry, used map[string]bool) bool {
 	if p.fatal || len(p.tests) == 0 {
 		return false
@@ -117,7 +117,7 @@
 	return false
 }
 
-// specsListed excuses a Ginkgo suite when each of its failed specs is listed.
+// specsListed reports whether each failed spec of a Ginkgo suite is listed.
 func (p packageOutput) specsListed(suite string, known []Entry, used map[string]bool) bool {
 	if len(p.specs) == 0 {
 		return false
--- a/build/knownred/judge_test.go
+++ b/build/knownred/judge_test.go
@@ -13,7 +13,7 @@
 const ginkgoPackage = "Summarizing 1 Failure:\n  [FAIL] log when away keeps serving\n  a_test.go:9\n" +
 	"--- FAIL: TestSuite (0.03s)\nFAIL\nFAIL\texample/suite\t0.2s\nFAIL\n"
 
-// ginkgoColoured is what Ginkgo 2.34 printed of two planted specs that fail.
+// ginkgoColoured is the output of Ginkgo 2.34 for two specs that fail on purpose.
 const ginkgoColoured = "\x1b[38;5;9m\x1b[1mSummarizing 2 Failures:\x1b[0m\n" +
 	"  \x1b[38;5;9m[FAIL]\x1b[0m \x1b[0mplanted \x1b[38;5;9m\x1b[1m[It] fails on purpose\x1b[0m\n" +
 	"  \x1b[38;5;243mplanted_test.go:9\x1b[0m\n" +
@@ -21,7 +21,8 @@
 	"  \x1b[38;5;243mplanted_test.go:10\x1b[0m\n" +
 	"--- FAIL: TestSpecs (0.10s)\nFAIL\nFAIL\texample/suite\t0.138s\nFAIL\n"
 
-// ginkgoPanicked is a suite with a listed failure and a spec that panicked.
+// ginkgoPanicked is the output of a suite with a listed failure and a spec that
+// panicked.
 const ginkgoPanicked = "Summarizing 2 Failures:\n  [FAIL] planted [It] one\n  a_test.go:9\n" +
 	"  [PANICKED!] planted [It] two\n  a_test.go:10\n--- FAIL: TestSpecs (0.1s)\nFAIL\nFAIL\texample/suite\t0.1s\nFAIL\n"
 
--- a/build/knownred/known.go
+++ b/build/knownred/known.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// maxKnown is the most failures that may be listed at once.
-const maxKnown = 3
+// maxKnownFailures is the maximum number of listed failures.
+const maxKnownFailures = 3
 
 // Entry is one line of KNOWN-RED.txt.
 type Entry struct {
@@ -18,7 +18,7 @@
 	Issue string
 }
 
-// ListError reports a KNOWN-RED.txt that breaks its form.
+// ListError reports a KNOWN-RED.txt with an invalid format.
 type ListError struct {
 	Line    int
 	Problem string
@@ -29,7 +29,7 @@
 	return fmt.Sprintf("known failures, line %d: %s", e.Line, e.Problem)
 }
 
-// readKnown reads the list; a file that does not exist lists nothing.
+// readKnown reads the list. A missing file is an empty list.
 func readKnown(path string) ([]Entry, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -61,7 +61,7 @@
 			return nil, &ListError{Line: i + 1, Problem: "empty field"}
 		}
 		entries = append(entries, entry)
-		if len(entries) > maxKnown {
+		if len(entries) > maxKnownFailures {
 			return nil, &ListError{Line: i + 1, Problem: "more than three entries"}
 		}
 	}
--- a/build/knownred/main.go
+++ b/build/knownred/main.go
@@ -1,13 +1,13 @@
-// Command knownred decides whether a run of "go test" may land. It reads the
-// run's output and KNOWN-RED.txt, a file of at most three lines of the form
+// Command knownred decides whether a run of "go test" passes. It reads the
+// output of the run and KNOWN-RED.txt, a file of at most three lines of the form
 //
 //	package.Test | cause | issue
 //
-// where Test is a test, a subtest (TestA/b) or a Ginkgo spec (TestSpecs: text, the
-// text being the spec's with its containers', or the end of it).
-// The run passes when it failed nowhere but in the listed tests. A package that
-// did not build, panicked, timed out or reported a data race never passes, nor does
-// one with a spec that did.
+// where Test is a test, a subtest (TestA/b) or a Ginkgo spec (TestSpecs: text, where
+// text is the text of the spec with its containers, or the end of that text).
+// The run passes if its only failures are in listed tests. A package that failed to
+// build, panicked, timed out or reported a data race never passes. Neither does a
+// package with a spec that panicked, timed out or was interrupted.
 package main
 
 import (
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -8,7 +8,7 @@
 	"github.com/onsi/gomega"
 
 	"github.com/burdockspindle/burdockspindle/jsonc"
-	_ "github.com/burdockspindle/burdockspindle/modules/standard" // so that drivers' names are checked
+	_ "github.com/burdockspindle/burdockspindle/modules/standard" // registers the drivers, so that their names are checked
 	"github.com/burdockspindle/burdockspindle/settings"
 	"github.com/burdockspindle/burdockspindle/siteconfig"
 )
--- a/serverapi/digest.go
+++ b/serverapi/digest.go
@@ -14,9 +14,9 @@
 	grantSeparator = "\x01"
 )
 
-// GrantsDigest returns a digest of a list of grants that does not depend on the
-// order of the grants or of their excepted keys, so that a lessor can compare
-// what it granted with what the server holds without the whole list.
+// GrantsDigest returns a digest of a list of grants that is independent of the
+// order of the grants and of their excepted keys. It lets a lessor compare its
+// grants with those that the server holds without transferring the whole list.
 func GrantsDigest(grants []Grant) string {
 	lines := make([]string, 0, len(grants))
 	for _, grant := range grants {
--- a/serverapi/header.go
+++ b/serverapi/header.go
@@ -7,8 +7,8 @@
 
 const upperHex = "0123456789ABCDEF"
 
-// EncodeValue writes a key or shard so that it can stand in a header:
-// everything but printable ASCII, and the percent sign, is percent-encoded.
+// EncodeValue encodes a key or shard as a header value: every byte that is not
+// printable ASCII, the space and the percent sign are percent-encoded.
 func EncodeValue(value string) string {
 	var b strings.Builder
 	for _, char := range []byte(value) {
@@ -23,7 +23,7 @@
 	return b.String()
 }
 
-// DecodeValue reads what EncodeValue wrote. The error is a *ValueError.
+// DecodeValue decodes a value that EncodeValue encoded. The error is a *ValueError.
 func DecodeValue(text string) (string, error) {
 	value, err := url.PathUnescape(text)
 	if err != nil {
@@ -32,8 +32,7 @@
 	return value, nil
 }
 
-// ValueError reports a header value that is not percent-encoded as it should
-// be.
+// ValueError reports a header value whose percent-encoding is invalid.
 type ValueError struct{ Text string }
 
 // Error implements error.
