--- a/backend/backendtest/attempts.go
+++ b/backend/backendtest/attempts.go
@@ -53,8 +53,8 @@
 		{name: "not HTTP", want: failedSent, play: afterRequest(func(c *rawConn, _ received) { c.send("hello\r\n\r\n") })},
 		{name: "half a header", want: failedSent, play: afterRequest(func(c *rawConn, _ received) { c.send("HTTP/1.1 200 OK\r\nContent-Le") })},
 		{name: "header without end", want: failedSent, play: afterRequest(sendEndlessHeader)},
-		{name: "silent after the request", want: stalled, options: shortTimeouts, play: afterRequest(func(c *rawConn, _ received) { c.discardInput() })},
-		{name: "silent after half a header", want: stalled, options: shortTimeouts, play: afterRequest(func(c *rawConn, _ received) {
+		{name: "stalled after the request", want: stalled, options: shortTimeouts, play: afterRequest(func(c *rawConn, _ received) { c.discardInput() })},
+		{name: "stalled after half a header", want: stalled, options: shortTimeouts, play: afterRequest(func(c *rawConn, _ received) {
 			c.send("HTTP/1.1 200 OK\r\nContent-Le")
 			c.discardInput()
 		})},
@@ -76,7 +76,7 @@
 			c.send("%shalf", headText(r.id(), "Content-Length: 8"))
 			c.reset()
 		})},
-		{name: "body silent", want: truncatedStalled, options: shortTimeouts, play: afterRequest(func(c *rawConn, r received) {
+		{name: "body stalled", want: truncatedStalled, options: shortTimeouts, play: afterRequest(func(c *rawConn, r received) {
 			c.send("%shalf", headText(r.id(), "Content-Length: 8"))
 			c.discardInput()
 		})},
@@ -86,7 +86,7 @@
 		{name: "chunks cut within one", want: truncated, play: afterRequest(func(c *rawConn, r received) {
 			c.send("%s8\r\nhalf", headText(r.id(), "Transfer-Encoding: chunked"))
 		})},
-		{name: "chunks silent", want: truncatedStalled, options: shortTimeouts, play: afterRequest(func(c *rawConn, r received) {
+		{name: "chunks stalled", want: truncatedStalled, options: shortTimeouts, play: afterRequest(func(c *rawConn, r received) {
 			c.send("%s4\r\nhalf\r\n", headText(r.id(), "Transfer-Encoding: chunked"))
 			c.discardInput()
 		})},
@@ -106,17 +106,17 @@
 		}), check: bodyIs("late")},
 		{name: "interim responses while it runs", want: complete, options: interimOptions, play: afterRequest(sendInterim), check: bodyIs("done")},
 		{name: "slow body", want: complete, options: interimOptions, play: afterRequest(sendSlowBody), check: bodyIs(strings.Repeat("x", slowParts))},
-		{name: "not run, by the server's word", want: complete, play: afterRequest(func(c *rawConn, r received) {
+		{name: "not run, as reported by the server", want: complete, play: afterRequest(func(c *rawConn, r received) {
 			c.send("HTTP/1.1 421 No\r\n%s: %s\r\n%s: not-run\r\n%s: not-owner\r\nContent-Length: 0\r\n\r\n",
 				serverapi.HeaderRequestID, r.id(), serverapi.HeaderOutcome, serverapi.HeaderReason)
 			echoAll(c)
 		}), check: outcomeIs(http.StatusMisdirectedRequest, serverapi.OutcomeNotRun, serverapi.ReasonNotOwner)},
-		{name: "unknown, by the server's word", want: complete, play: afterRequest(func(c *rawConn, r received) {
+		{name: "unknown, as reported by the server", want: complete, play: afterRequest(func(c *rawConn, r received) {
 			c.send("HTTP/1.1 409 No\r\n%s: %s\r\n%s: unknown\r\n%s: stale-ticket\r\nContent-Length: 0\r\n\r\n",
 				serverapi.HeaderRequestID, r.id(), serverapi.HeaderOutcome, serverapi.HeaderReason)
 			echoAll(c)
 		}), check: outcomeIs(http.StatusConflict, serverapi.OutcomeUnknown, serverapi.ReasonStaleTicket)},
-		{name: "an outcome that is not known", want: complete, play: afterRequest(func(c *rawConn, r received) {
+		{name: "an outcome value that is not defined", want: complete, play: afterRequest(func(c *rawConn, r received) {
 			c.send("%s", headText(r.id(), serverapi.HeaderOutcome+": fine", "Content-Length: 0"))
 			echoAll(c)
 		}), check: outcomeIs(http.StatusOK, serverapi.OutcomeUnknown, "")},
@@ -291,7 +291,7 @@
 	if got.failure == nil {
 		g.Expect(got.bodyErr).To(gomega.HaveOccurred())
 	}
-	g.Eventually(server.openConns, eventually).Should(gomega.BeZero(), "the connection is thrown away")
+	g.Eventually(server.openConns, eventually).Should(gomega.BeZero(), "the connection is closed")
 }
 
 func runCancelled(t testing.TB, open Open) {
--- a/backend/backendtest/backendtest.go
+++ b/backend/backendtest/backendtest.go
@@ -66,7 +66,7 @@
 		ginkgo.Describe("answers are never mixed", func() { describeMixing(open) })
 		ginkgo.Describe("bodies stream", func() { describeStreams(open) })
 		ginkgo.Describe("headers", func() { describeHeaders(open) })
-		ginkgo.Describe("connections stay within the share", func() { describeShare(open) })
+		ginkgo.Describe("connections stay within the quota", func() { describeShare(open) })
 		ginkgo.Describe("control calls", func() { describeControl(open) })
 	})
 }
--- a/backend/backendtest/share.go
+++ b/backend/backendtest/share.go
@@ -15,8 +15,8 @@
 // than its quota.
 func describeShare(open Open) {
 	it("one request too many is not sent", open, runQuotaExceeded)
-	it("idle connections make way for new ones", open, runReplace)
-	it("a new connection for what is not idempotent", open, runNewConnection)
+	it("idle connections are closed for new ones", open, runReplace)
+	it("a new connection for a request that is not idempotent", open, runNewConnection)
 	it("forgotten server", open, runForget)
 }
 
--- a/backend/backendtest/streams.go
+++ b/backend/backendtest/streams.go
@@ -17,8 +17,8 @@
 	it("request body arrives in parts", open, runUpload)
 	it("answer body arrives in parts", open, runDownload)
 	it("answer before the body is sent", open, runEarlyAnswer)
-	it("slow caller is not a silent server", open, runSlowCaller)
-	it("slow reader is not a silent server", open, runSlowReader)
+	it("slow caller is not an unresponsive server", open, runSlowCaller)
+	it("slow reader is not an unresponsive server", open, runSlowReader)
 	it("caller's body fails", open, runBrokenUpload)
 }
 
@@ -151,4 +151,4 @@
 type brokenUpload struct{}
 
 // Error implements error.
-func (*brokenUpload) Error() string { return "caller broke off" }
+func (*brokenUpload) Error() string { return "caller aborted the body" }
--- a/metrics/metrics_test.go
+++ b/metrics/metrics_test.go
@@ -9,7 +9,7 @@
 	"github.com/burdockspindle/burdockspindle/metrics"
 )
 
-func TestVariablesStandUnderTheirGroup(t *testing.T) {
+func TestVariablesAreInTheirGroup(t *testing.T) {
 	g := gomega.NewWithT(t)
 	group := metrics.New("metrics_test")
 	group.Counter("requests").Add(2)
--- a/platlog/logfault/logfault.go
+++ b/platlog/logfault/logfault.go
@@ -30,7 +30,8 @@
 	ReadsDown   bool
 	AppendsDown bool
 	// Unresponsive leaves calls without a response until their context ends;
-	// nothing is appended. Reads in flight when it is set get no response either.
+	// nothing is appended. Reads in flight and calls still delayed by Slow when it
+	// is set get no response either.
 	Silent bool
 	// Slow delays every call; SlowAppends further delays appends.
 	Slow        time.Duration
--- a/serverapi/header_test.go
+++ b/serverapi/header_test.go
@@ -44,7 +44,7 @@
 	})
 }
 
-func TestDigestTellsListsApart(t *testing.T) {
+func TestDigestDistinguishesLists(t *testing.T) {
 	g := gomega.NewWithT(t)
 	lists := [][]Grant{
 		nil,
--- a/tlsfiles/tlsfiles_test.go
+++ b/tlsfiles/tlsfiles_test.go
@@ -107,7 +107,7 @@
 	return conn.ConnectionState().PeerCertificates[0].SerialNumber.Int64(), nil
 }
 
-func TestBothSidesShowCertificates(t *testing.T) {
+func TestBothSidesPresentCertificates(t *testing.T) {
 	g := gomega.NewWithT(t)
 	good := newAuthority(t)
 	node, err := New(good.write(t.TempDir(), 2), hclog.NewNullLogger())
@@ -131,7 +131,7 @@
 	g.Expect(err).To(gomega.HaveOccurred(), "the certificate is for another address")
 }
 
-func TestChangedFilesAreUsedAndBrokenOnesAreNot(t *testing.T) {
+func TestChangedFilesAreLoadedAndInvalidOnesAreNot(t *testing.T) {
 	g := gomega.NewWithT(t)
 	dir := t.TempDir()
 	signer := newAuthority(t)
--- a/vmlist/codec_test.go
+++ b/vmlist/codec_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestContradictingRowsAreReadCautiously decodes two rows with the same ID.
-func TestContradictingRowsAreReadCautiously(t *testing.T) {
+// TestContradictingRowsAreMergedConservatively decodes two rows with the same ID.
+func TestContradictingRowsAreMergedConservatively(t *testing.T) {
 	for _, phases := range [][2]vmlist.Phase{
 		{vmlist.PhaseLive, vmlist.PhaseLeaving},
 		{vmlist.PhaseLive, vmlist.PhaseGone},
