--- a/lease/holder_errors.go
+++ b/lease/holder_errors.go
@@ -7,7 +7,7 @@
 
 // Problems.
 const (
-	ProblemExpired    Problem = "lease expired"
+	ProblemExpired    Problem = "lease lapsed"
 	ProblemNotGranted Problem = "shard not granted"
 	ProblemOtherFence Problem = "granted under another fence"
 	ProblemExcepted   Problem = "key split out of the shard"
--- a/modules/lessor/errors.go
+++ b/modules/lessor/errors.go
@@ -8,7 +8,7 @@
 
 // Error implements error.
 func (e *UnknownGroupError) Error() string {
-	return "group " + string(e.Group) + " is not known to this node"
+	return "group " + string(e.Group) + " is not known here"
 }
 
 // StoppingError reports a message to a node whose lessor module is stopping or has
@@ -16,4 +16,4 @@
 type StoppingError struct{}
 
 // Error implements error.
-func (e *StoppingError) Error() string { return "lessor module is stopping" }
+func (e *StoppingError) Error() string { return "lessor duty is stopping" }
