--- a/adminapi/adminapi.go
+++ b/adminapi/adminapi.go
@@ -51,20 +51,20 @@
 
 // Codes.
 const (
-	CodeUnauthorized Code = "unauthorized"   // 401: no token or a wrong one
-	CodeNotFound     Code = "not-found"      // 404: no such path, service, key
-	CodeMethod       Code = "method"         // 405
-	CodeTooLarge     Code = "too-large"      // 413
-	CodeMalformed    Code = "malformed"      // 400: parameter or body
-	CodeInvalid      Code = "invalid"        // 422: see Problems
-	CodeConflict     Code = "conflict"       // 409: the base is not the version in force
-	CodeRejected     Code = "rejected"       // 409: the record had no effect for a different reason
-	CodeNotAppended  Code = "not-appended"   // 503: nothing has changed or will change; send the request again
-	CodeFateUnknown  Code = "fate-unknown"   // 503: may have taken effect; send the request again as a retry
-	CodeNotReady     Code = "not-ready"      // 503: this node has not caught up
-	CodeNoLessor     Code = "no-lessor"      // 503: the group's lessor could not be called; nothing moved
-	CodeMoveUnknown  Code = "move-unknown"   // 503: the lessor was called and its response was lost
-	CodeInternal     Code = "internal-error" // 500
+	CodeUnauthorized   Code = "unauthorized"   // 401: no token or a wrong one
+	CodeNotFound       Code = "not-found"      // 404: no such path, service, key
+	CodeMethod         Code = "method"         // 405
+	CodeTooLarge       Code = "too-large"      // 413
+	CodeMalformed      Code = "malformed"      // 400: parameter or body
+	CodeInvalid        Code = "invalid"        // 422: see Problems
+	CodeConflict       Code = "conflict"       // 409: the base is not the version in force
+	CodeRejected       Code = "rejected"       // 409: the record had no effect for a different reason
+	CodeNotAppended    Code = "not-appended"   // 503: nothing has changed or will change; send the request again
+	CodeOutcomeUnknown Code = "fate-unknown"   // 503: may have taken effect; send the request again as a retry
+	CodeNotReady       Code = "not-ready"      // 503: this node has not caught up
+	CodeNoLessor       Code = "no-lessor"      // 503: the group's lessor could not be called; nothing moved
+	CodeMoveUnknown    Code = "move-unknown"   // 503: the lessor was called and its response was lost
+	CodeInternal       Code = "internal-error" // 500
 )
 
 // Failure is the body of every response that is not 2xx.
@@ -118,7 +118,7 @@
 	Servers         ServerCounts   `json:"servers"`
 	Groups          int            `json:"groups"`
 	Leads           []topo.GroupID `json:"leads"`    // groups whose lessor is this incarnation
-	StandsBy        []topo.GroupID `json:"standsBy"` // groups whose standby lessor is this incarnation
+	StandbyFor      []topo.GroupID `json:"standsBy"` // groups whose standby lessor is this incarnation
 	Unowned         map[string]int `json:"unowned"`  // number of hash ranges without an owner, by service
 	Draining        bool           `json:"draining"`
 	Lineage         topo.Offset    `json:"lineage,omitempty"`
--- a/adminapi/publish.go
+++ b/adminapi/publish.go
@@ -42,7 +42,7 @@
 func retryAfter(err error) (time.Duration, bool) {
 	var failure *Failure
 	if errors.As(err, &failure) {
-		again := failure.Code == CodeNotAppended || failure.Code == CodeFateUnknown
+		again := failure.Code == CodeNotAppended || failure.Code == CodeOutcomeUnknown
 		return max(failure.RetryAfter(), publishRetryAfter), again
 	}
 	var call *CallError
@@ -53,7 +53,7 @@
 func mayHaveRun(err error) bool {
 	var failure *Failure
 	if errors.As(err, &failure) {
-		return failure.Code == CodeFateUnknown
+		return failure.Code == CodeOutcomeUnknown
 	}
 	var call *CallError
 	return errors.As(err, &call) && call.Sent
--- a/backend/backend.go
+++ b/backend/backend.go
@@ -77,8 +77,8 @@
 	// Sent is false only if it is proven that no byte of the request was sent.
 	Sent bool
 	// Unresponsive is true when the connection made no progress for too long.
-	Silent bool
-	Cause  error
+	Unresponsive bool
+	Cause        error
 }
 
 // Error implements error.
--- a/backend/backendtest/attempts.go
+++ b/backend/backendtest/attempts.go
@@ -151,7 +151,7 @@
 // not exceed it.
 func interimOptions() Options {
 	options := longTimeouts()
-	options.SilentAfter = time.Second
+	options.StallTimeout = time.Second
 	return options
 }
 
@@ -233,7 +233,7 @@
 	case failedSent, stalled, failedMaybeSent:
 		g.Expect(got.failure).NotTo(gomega.BeNil())
 		g.Expect(got.failure.Server).To(gomega.BeEquivalentTo("s1"))
-		g.Expect(got.failure.Silent).To(gomega.Equal(want == stalled))
+		g.Expect(got.failure.Unresponsive).To(gomega.Equal(want == stalled))
 		if want != failedMaybeSent {
 			g.Expect(got.failure.Sent).To(gomega.BeTrue())
 		}
@@ -241,7 +241,7 @@
 		g.Expect(got.failure).To(gomega.BeNil())
 		g.Expect(isAttempt).To(gomega.BeTrue(), "body ended with %v", got.bodyErr)
 		g.Expect(inBody.Sent).To(gomega.BeTrue())
-		g.Expect(inBody.Silent).To(gomega.Equal(want == truncatedStalled))
+		g.Expect(inBody.Unresponsive).To(gomega.Equal(want == truncatedStalled))
 	case complete:
 		g.Expect(got.failure).To(gomega.BeNil())
 		g.Expect(got.bodyErr).NotTo(gomega.HaveOccurred())
@@ -271,7 +271,7 @@
 	req.Body, req.ContentLength = bytes.NewReader(body), int64(len(body))
 	got := do(t, open(t, shortTimeouts()), target, req)
 	g.Expect(got.failure).NotTo(gomega.BeNil())
-	g.Expect(got.failure.Silent).To(gomega.BeTrue())
+	g.Expect(got.failure.Unresponsive).To(gomega.BeTrue())
 	g.Expect(got.failure.Sent).To(gomega.BeTrue())
 }
 
@@ -311,7 +311,7 @@
 	got := doContext(t, ctx, driver, target, newRequest(http.MethodGet, true))
 	g.Expect(got.failure).NotTo(gomega.BeNil())
 	g.Expect(got.failure.Sent).To(gomega.BeTrue())
-	g.Expect(got.failure.Silent).To(gomega.BeFalse())
+	g.Expect(got.failure.Unresponsive).To(gomega.BeFalse())
 	g.Eventually(server.openConns, eventually).Should(gomega.BeZero(), "the server sees the cancellation")
 }
 
--- a/backend/backendtest/backendtest.go
+++ b/backend/backendtest/backendtest.go
@@ -25,10 +25,10 @@
 type Options struct {
 	// StallTimeout is the time without progress after which the driver gives up a
 	// connection.
-	SilentAfter time.Duration
+	StallTimeout time.Duration
 	// ControlStallTimeout is the StallTimeout of a lessor's calls on a reused
 	// connection.
-	ControlSilentAfter time.Duration
+	ControlStallTimeout time.Duration
 	// Connections is the quota of connections for requests to one server.
 	Connections int
 	// ConnectTimeout is the longest wait for a connection.
@@ -49,13 +49,13 @@
 
 // longTimeouts returns options under which no connection is treated as stalled.
 func longTimeouts() Options {
-	return Options{SilentAfter: longTimeout, ControlSilentAfter: longTimeout, Connections: 8, ConnectTimeout: longTimeout}
+	return Options{StallTimeout: longTimeout, ControlStallTimeout: longTimeout, Connections: 8, ConnectTimeout: longTimeout}
 }
 
 // shortTimeouts returns options under which a stalled connection is detected
 // quickly.
 func shortTimeouts() Options {
-	return Options{SilentAfter: shortTimeout, ControlSilentAfter: shortTimeout, Connections: 8, ConnectTimeout: longTimeout}
+	return Options{StallTimeout: shortTimeout, ControlStallTimeout: shortTimeout, Connections: 8, ConnectTimeout: longTimeout}
 }
 
 // Describe defines the specs of the whole contract for one driver.
--- a/backend/backendtest/streams.go
+++ b/backend/backendtest/streams.go
@@ -100,7 +100,7 @@
 		_ = writer.Close()
 	}()
 	options := longTimeouts()
-	options.SilentAfter = 2 * shortTimeout
+	options.StallTimeout = 2 * shortTimeout
 	req := newRequest(http.MethodPost, false)
 	req.Body, req.ContentLength = reader, -1
 	got := do(t, open(t, options), target, req)
@@ -116,7 +116,7 @@
 		c.discardInput()
 	}))
 	options := longTimeouts()
-	options.SilentAfter = 2 * shortTimeout
+	options.StallTimeout = 2 * shortTimeout
 	response, err := open(t, options).Do(t.Context(), target, newRequest(http.MethodGet, true))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	defer func() { _ = response.Body.Close() }()
--- a/buffer/buffer.go
+++ b/buffer/buffer.go
@@ -16,7 +16,7 @@
 	outages atomic.Int64 // checked before taking the lock; updated under mu
 
 	mu      sync.Mutex
-	tracker *Book
+	tracker *OutageTracker
 	wakes   map[uint64]chan Wake
 	lastID  uint64
 	joined  uint64
@@ -34,7 +34,7 @@
 // New returns an empty buffer in which at most maxWaiters requests of each
 // service wait.
 func New(maxWaiters int) *Buffer {
-	return &Buffer{tracker: NewBook(maxWaiters), wakes: map[uint64]chan Wake{}}
+	return &Buffer{tracker: NewOutageTracker(maxWaiters), wakes: map[uint64]chan Wake{}}
 }
 
 // Plan decides on the action of a request on keys. The first key with an outage
@@ -86,14 +86,14 @@
 
 // ServedElsewhere reports that the shards or groups of keys are served by
 // another owner or lessor.
-func (b *Buffer) Passed(now time.Time, keys ...Key) {
+func (b *Buffer) ServedElsewhere(now time.Time, keys ...Key) {
 	if len(keys) == 0 || b.outages.Load() == 0 {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, key := range keys {
-		b.tracker.Passed(now, key)
+		b.tracker.ServedElsewhere(now, key)
 	}
 }
 
@@ -210,7 +210,7 @@
 
 // HasOutage reports whether any of the keys has an outage, so that a request that
 // has a choice of servers can use another one.
-func (b *Buffer) Out(keys ...Key) bool {
+func (b *Buffer) HasOutage(keys ...Key) bool {
 	if b.outages.Load() == 0 {
 		return false
 	}
--- a/buffer/buffer_test.go
+++ b/buffer/buffer_test.go
@@ -45,7 +45,7 @@
 		wait.Wait()
 		g.Expect(woken).To(gomega.HaveLen(20))
 		g.Expect(b.Stats().Waiting).To(gomega.BeZero())
-		g.Expect(b.Out(key)).To(gomega.BeFalse())
+		g.Expect(b.HasOutage(key)).To(gomega.BeFalse())
 	})
 }
 
--- a/buffer/key.go
+++ b/buffer/key.go
@@ -21,7 +21,7 @@
 	Unowned
 	// NoLessor: the lessor, which is the only node that may send, is not known
 	// or cannot be reached.
-	Unled
+	NoLessor
 
 	causeCount
 )
@@ -30,7 +30,7 @@
 	Moving:      300 * time.Millisecond,
 	Unreachable: 2500 * time.Millisecond,
 	Unowned:     1 * time.Second,
-	Unled:       1500 * time.Millisecond,
+	NoLessor:    1500 * time.Millisecond,
 }
 
 // String returns the cause's name for dumps and logs.
--- a/buffer/tracker.go
+++ b/buffer/tracker.go
@@ -54,9 +54,9 @@
 	waiters     []Waiter
 }
 
-// Book tracks outages and the requests that wait for them to end. It is not safe
+// OutageTracker tracks outages and the requests that wait for them to end. It is not safe
 // for concurrent use.
-type Book struct {
+type OutageTracker struct {
 	maxWaiters   int // limit of waiting requests for each service
 	estimates    [causeCount]time.Duration
 	outages      map[Key]*outage
@@ -64,10 +64,10 @@
 	totalWaiting int
 }
 
-// NewBook returns an empty tracker in which at most maxWaiters requests of each
+// NewOutageTracker returns an empty tracker in which at most maxWaiters requests of each
 // service wait.
-func NewBook(maxWaiters int) *Book {
-	return &Book{
+func NewOutageTracker(maxWaiters int) *OutageTracker {
+	return &OutageTracker{
 		maxWaiters: maxWaiters,
 		estimates:  initialEstimates,
 		outages:    map[Key]*outage{},
@@ -90,7 +90,7 @@
 )
 
 // Plan decides on the action of a request on a key.
-func (t *Book) Plan(now time.Time, key Key) Plan {
+func (t *OutageTracker) Plan(now time.Time, key Key) Plan {
 	out, exists := t.outages[key]
 	switch {
 	case !exists:
@@ -105,7 +105,7 @@
 
 // Failed reports that a key cannot be served. uniform is a random number in
 // [0,1) for the jitter of the next probe.
-func (t *Book) Failed(now time.Time, key Key, cause Cause, uniform float64) {
+func (t *OutageTracker) Failed(now time.Time, key Key, cause Cause, uniform float64) {
 	out, exists := t.outages[key]
 	if !exists {
 		out = &outage{cause: cause, startedAt: now}
@@ -119,7 +119,7 @@
 }
 
 // Abandoned reports that a probe ended without a result.
-func (t *Book) Abandoned(key Key) {
+func (t *OutageTracker) Abandoned(key Key) {
 	if out, exists := t.outages[key]; exists {
 		out.probing = false
 	}
@@ -127,7 +127,7 @@
 
 // Recovered reports that a key is served again, and returns the requests that
 // waited for it.
-func (t *Book) Recovered(now time.Time, key Key) []Waiter {
+func (t *OutageTracker) Recovered(now time.Time, key Key) []Waiter {
 	out, exists := t.outages[key]
 	if !exists {
 		return nil
@@ -141,7 +141,7 @@
 // ServedElsewhere reports that the key's shard or group is served by another
 // owner or lessor. The outage remains for requests that still depend on the key,
 // but its duration is now known and is added to the estimate.
-func (t *Book) Passed(now time.Time, key Key) {
+func (t *OutageTracker) ServedElsewhere(now time.Time, key Key) {
 	out, exists := t.outages[key]
 	if !exists || out.measured {
 		return
@@ -151,12 +151,12 @@
 }
 
 // updateEstimate adds the duration of an outage to the estimate for its cause.
-func (t *Book) updateEstimate(cause Cause, duration time.Duration) {
+func (t *OutageTracker) updateEstimate(cause Cause, duration time.Duration) {
 	t.estimates[cause] += (duration - t.estimates[cause]) / estimateDivisor
 	t.estimates[cause] = max(t.estimates[cause], minRemaining)
 }
 
-func (t *Book) drop(key Key, out *outage) []Waiter {
+func (t *OutageTracker) drop(key Key, out *outage) []Waiter {
 	delete(t.outages, key)
 	for _, waiter := range out.waiters {
 		t.countRemoved(waiter)
@@ -166,7 +166,7 @@
 
 // remaining returns the expected remaining duration of an outage. An outage that
 // exceeds the estimate is expected to last for half of its elapsed time more.
-func (t *Book) remaining(now time.Time, out *outage) time.Duration {
+func (t *OutageTracker) remaining(now time.Time, out *outage) time.Duration {
 	elapsed := now.Sub(out.startedAt)
 	if elapsed < t.estimates[out.cause] {
 		return max(t.estimates[out.cause]-elapsed, minRemaining)
@@ -176,7 +176,7 @@
 
 // Join adds a request to the waiters of a key that has an outage. The second
 // result is true when the request must be refused at once instead.
-func (t *Book) Join(now time.Time, key Key, waiter Waiter) (Refusal, bool) {
+func (t *OutageTracker) Join(now time.Time, key Key, waiter Waiter) (Refusal, bool) {
 	out, exists := t.outages[key]
 	if !exists {
 		return Refusal{}, false
@@ -196,7 +196,7 @@
 }
 
 // Leave ends a request's wait and reports whether the request was waiting.
-func (t *Book) Leave(key Key, id uint64) bool {
+func (t *OutageTracker) Leave(key Key, id uint64) bool {
 	out, exists := t.outages[key]
 	if !exists {
 		return false
@@ -212,7 +212,7 @@
 }
 
 // countRemoved updates the counts of waiting requests after w was removed.
-func (t *Book) countRemoved(w Waiter) {
+func (t *OutageTracker) countRemoved(w Waiter) {
 	t.totalWaiting--
 	t.waiting[w.Service]--
 	if t.waiting[w.Service] == 0 {
@@ -231,7 +231,7 @@
 // Sweep refuses requests that are not expected to be served by their deadlines
 // and selects the requests that probe. It must be called every few milliseconds
 // while requests wait.
-func (t *Book) Sweep(now time.Time) []Swept {
+func (t *OutageTracker) Sweep(now time.Time) []Swept {
 	var swept []Swept
 	for key, out := range t.outages {
 		swept = t.sweepOutage(now, key, out, swept)
@@ -242,7 +242,7 @@
 	return swept
 }
 
-func (t *Book) sweepOutage(now time.Time, key Key, out *outage, swept []Swept) []Swept {
+func (t *OutageTracker) sweepOutage(now time.Time, key Key, out *outage, swept []Swept) []Swept {
 	remaining := t.remaining(now, out)
 	kept := out.waiters[:0]
 	for _, waiter := range out.waiters {
@@ -267,7 +267,7 @@
 }
 
 // Waiting returns the number of waiting requests.
-func (t *Book) Waiting() int { return t.totalWaiting }
+func (t *OutageTracker) Waiting() int { return t.totalWaiting }
 
 // Outages returns the number of keys with an outage.
-func (t *Book) Outages() int { return len(t.outages) }
+func (t *OutageTracker) Outages() int { return len(t.outages) }
--- a/buffer/tracker_test.go
+++ b/buffer/tracker_test.go
@@ -24,7 +24,7 @@
 
 func TestWaitsOnlyIfExpectedRecoveryIsBeforeDeadline(t *testing.T) {
 	g := gomega.NewWithT(t)
-	tracker := buffer.NewBook(10)
+	tracker := buffer.NewOutageTracker(10)
 	tracker.Failed(epoch, key, buffer.Unreachable, 0.5)
 	refusal, refused := tracker.Join(epoch, key, waiter(1, time.Second))
 	g.Expect(refused).To(gomega.BeTrue(), "a lost server takes longer than a second to replace")
@@ -38,7 +38,7 @@
 // exceeds the estimate is expected to continue in proportion to its duration.
 func TestLateWaitersAreRefusedLongBeforeTheirDeadline(t *testing.T) {
 	g := gomega.NewWithT(t)
-	tracker := buffer.NewBook(10)
+	tracker := buffer.NewOutageTracker(10)
 	tracker.Failed(epoch, key, buffer.Unreachable, 0.5)
 	_, refused := tracker.Join(epoch, key, waiter(1, 10*time.Second))
 	g.Expect(refused).To(gomega.BeFalse())
@@ -59,7 +59,7 @@
 
 func TestFullBufferRefusesAtOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
-	tracker := buffer.NewBook(2)
+	tracker := buffer.NewOutageTracker(2)
 	tracker.Failed(epoch, key, buffer.Moving, 0.5)
 	for id := range uint64(2) {
 		_, refused := tracker.Join(epoch, key, waiter(id, time.Minute))
@@ -76,7 +76,7 @@
 
 func TestOneProbeAtATime(t *testing.T) {
 	g := gomega.NewWithT(t)
-	tracker := buffer.NewBook(10)
+	tracker := buffer.NewOutageTracker(10)
 	g.Expect(tracker.Plan(epoch, key)).To(gomega.Equal(buffer.Proceed))
 	tracker.Failed(epoch, key, buffer.Moving, 0.5)
 	g.Expect(tracker.Plan(epoch, key)).To(gomega.Equal(buffer.Wait))
@@ -91,7 +91,7 @@
 
 func TestEstimatesOutageDuration(t *testing.T) {
 	g := gomega.NewWithT(t)
-	tracker := buffer.NewBook(10)
+	tracker := buffer.NewOutageTracker(10)
 	now := epoch
 	for range 40 {
 		tracker.Failed(now, key, buffer.Unreachable, 0.5)
@@ -109,11 +109,11 @@
 // duration is added to the estimate once.
 func TestAnotherOwnerDoesNotEndAnOutage(t *testing.T) {
 	g := gomega.NewWithT(t)
-	tracker := buffer.NewBook(10)
+	tracker := buffer.NewOutageTracker(10)
 	tracker.Failed(epoch, key, buffer.Unreachable, 0.5)
 	now := epoch.Add(100 * time.Millisecond)
 	for range 3 { // the duration is added only once
-		tracker.Passed(now, key)
+		tracker.ServedElsewhere(now, key)
 	}
 	g.Expect(tracker.Plan(epoch.Add(time.Millisecond), key)).To(gomega.Equal(buffer.Wait))
 	refusal, refused := tracker.Join(now, key, buffer.Waiter{ID: 1, Service: "logs", Deadline: now})
@@ -127,7 +127,7 @@
 func TestEveryWaiterIsNotifiedOnce(t *testing.T) {
 	keys := []buffer.Key{{Server: "s1"}, {Server: "s2"}, {Group: "g", Term: topo.MakeTerm(1, 0)}}
 	rapid.Check(t, func(t *rapid.T) {
-		tracker := buffer.NewBook(5)
+		tracker := buffer.NewOutageTracker(5)
 		now := epoch
 		next := uint64(0)
 		waiting := map[uint64]buffer.Key{}
--- a/callerapi/callerapi_test.go
+++ b/callerapi/callerapi_test.go
@@ -119,7 +119,7 @@
 	header.Set("X-Mine", "1")
 	header.Set("Transfer-Encoding", "chunked")
 	header.Set("Accept", "text/plain")
-	g.Expect(callerapi.PassedOn(header)).To(gomega.Equal(http.Header{"Accept": {"text/plain"}}))
+	g.Expect(callerapi.Forwardable(header)).To(gomega.Equal(http.Header{"Accept": {"text/plain"}}))
 }
 
 func FuzzParsePath(f *testing.F) {
--- a/callerapi/header.go
+++ b/callerapi/header.go
@@ -58,7 +58,7 @@
 
 // Forwardable returns a copy of a message's headers without hop-by-hop headers and
 // without this project's own headers.
-func PassedOn(header http.Header) http.Header {
+func Forwardable(header http.Header) http.Header {
 	named := connectionNamed(header)
 	passed := make(http.Header, len(header))
 	for name, values := range header {
--- a/callerapi/reasons.go
+++ b/callerapi/reasons.go
@@ -42,7 +42,7 @@
 	// ReasonNoAnswer: the request was sent, but there was no response.
 	ReasonNoAnswer serverapi.Reason = "no-answer"
 	// ReasonUnresponsive: the connection made no progress for too long.
-	ReasonSilent serverapi.Reason = "silent"
+	ReasonUnresponsive serverapi.Reason = "silent"
 	// ReasonBrokenAnswer: the response ended before it was complete.
 	ReasonBrokenAnswer serverapi.Reason = "broken-answer"
 	// ReasonForeignAnswer: the response belongs to another request.
--- a/capacity/plan.go
+++ b/capacity/plan.go
@@ -93,7 +93,7 @@
 // limits.
 func Predict(s Size, m Measurement) []Prediction {
 	timing := settings.DefaultTiming()
-	expiry := lease.Timing{TTL: timing.LeaseTTL, Margin: timing.Margin, DriftPPM: timing.DriftPPM}.LapseWait()
+	expiry := lease.Timing{TTL: timing.LeaseTTL, Margin: timing.Margin, DriftPPM: timing.DriftPPM}.ExpiryWait()
 	shards, servers := float64(s.Shards), float64(s.Servers)
 	return []Prediction{
 		logProcessor(s, m),
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -30,16 +30,16 @@
 	Hop      int    // number of services that the request passed through
 	// ForwardedBy is the entry node that forwarded the request; empty when it
 	// came from the caller.
-	From topo.NodeID
+	ForwardedBy topo.NodeID
 	// MinApplied is the offset up to which the forwarding node had applied the
 	// log when it chose this node.
 	MinApplied topo.Offset
 	// PreferredServer is the server that the forwarding node preferred. It is
 	// only a hint.
-	Chosen topo.ServerID
+	PreferredServer topo.ServerID
 	// UnreachableLessor is the lessor that the forwarding node could not reach,
 	// so that this node serves the request as a deputy; empty for none.
-	Past topo.NodeID
+	UnreachableLessor topo.NodeID
 }
 
 // Answer is the answer to the caller. Body is nil in answers that an entry node
--- a/experiment/engine/call.go
+++ b/experiment/engine/call.go
@@ -101,7 +101,7 @@
 
 // pastLessor converts a forward into a route that bypasses the lessor.
 func (c *call) pastLessor(d route.Decision) route.Decision {
-	return d.PastLessor(c.node.view, c.node.self(), c.isUnreachable, c.node.random.Float64)
+	return d.BypassLessor(c.node.view, c.node.self(), c.isUnreachable, c.node.random.Float64)
 }
 
 // destination determines the route from the node's own view.
@@ -119,7 +119,7 @@
 	if d.Path == route.PathWait {
 		key, cause := buffer.ShardKey(d), buffer.Unowned
 		if d.Reason == callerapi.ReasonNotLessor {
-			key, cause = buffer.LessorKey(d), buffer.Unled
+			key, cause = buffer.LessorKey(d), buffer.NoLessor
 		}
 		c.node.failed(key, cause)
 		c.wait(key)
@@ -200,7 +200,7 @@
 			c.node.failed(keysOf(d)[0], buffer.Moving)
 		}
 		c.next()
-	case retry.Again:
+	case retry.Retry:
 		c.node.site.measure.retries++
 		c.tried = append(c.tried, d.Server)
 		c.node.site.clock.after(decided.Wait, c.next)
--- a/experiment/engine/lessors.go
+++ b/experiment/engine/lessors.go
@@ -63,9 +63,9 @@
 	if !exists {
 		return false
 	}
-	self := lessor.Run{Node: m.node.id, Boot: m.node.boot}
-	return self == lessor.Run{Node: group.Lessor, Boot: group.LessorBoot} ||
-		self == lessor.Run{Node: group.Standby, Boot: group.StandbyBoot}
+	self := lessor.Incarnation{Node: m.node.id, Boot: m.node.boot}
+	return self == lessor.Incarnation{Node: group.Lessor, Boot: group.LessorBoot} ||
+		self == lessor.Incarnation{Node: group.Standby, Boot: group.StandbyBoot}
 }
 
 func (m *groupMember) act() {
@@ -88,8 +88,8 @@
 		m.claim()
 	case lessor.Submit:
 		m.submit()
-	case lessor.GoOn:
-		m.member.BeginGoOn(m.now())
+	case lessor.TakeOverOffLog:
+		m.member.BeginTakeOverOffLog(m.now())
 	case lessor.Activate:
 		m.member.BeginActivate(m.now(), a.Shard)
 	case lessor.Announce:
@@ -167,7 +167,7 @@
 func (m *groupMember) probe(id topo.NodeID) {
 	m.member.BeginProbe(m.now(), id)
 	m.callPeer(id, func(peer *groupMember) func() {
-		run := lessor.Run{Node: peer.node.id, Boot: peer.node.boot}
+		run := lessor.Incarnation{Node: peer.node.id, Boot: peer.node.boot}
 		return func() { m.member.ProbeAnswered(m.now(), run) }
 	}, func() { m.member.ProbeFailed(id) })
 }
--- a/experiment/engine/node.go
+++ b/experiment/engine/node.go
@@ -37,7 +37,7 @@
 	seenAt  time.Time // start of the latest read of the log that confirmed the view as current
 	members []*groupMember
 
-	book     *buffer.Book
+	book     *buffer.OutageTracker
 	outages  map[buffer.Key]bool // keys reported to the book as failed and not yet as recovered
 	waits    map[uint64]*waiter
 	sequence uint64
@@ -73,7 +73,7 @@
 		zone:     zone,
 		up:       true,
 		random:   random,
-		book:     buffer.NewBook(maxBuffered),
+		book:     buffer.NewOutageTracker(maxBuffered),
 		outages:  map[buffer.Key]bool{},
 		waits:    map[uint64]*waiter{},
 		gates:    map[topo.ServerID]*gate{},
@@ -110,11 +110,11 @@
 	}
 	share := n.shed.Share(now, n.view.Site(), c.service.Name)
 	if share > 0 && n.random.Float64() < share {
-		c.done(outcome.NotRun(callerapi.ReasonDependency).Later(time.Second))
+		c.done(outcome.NotRun(callerapi.ReasonDependency).WithRetryAfter(time.Second))
 		return
 	}
-	if !n.inFlight.Enter(c.service.Name, c.hop) {
-		c.done(outcome.NotRun(callerapi.ReasonBusy).Later(defaultRetryAfter))
+	if !n.inFlight.Acquire(c.service.Name, c.hop) {
+		c.done(outcome.NotRun(callerapi.ReasonBusy).WithRetryAfter(defaultRetryAfter))
 		return
 	}
 	n.budget(c.service.Name).First(now)
@@ -126,7 +126,7 @@
 	if c.from != nil {
 		return
 	}
-	n.inFlight.Leave(c.service.Name)
+	n.inFlight.Release(c.service.Name)
 	refused := v.Outcome != serverapi.OutcomeAnswered && v.Status() >= 429
 	n.shed.Add(n.site.clock.now, n.view.Site(), c.service.Name, c.hop > 0, refused)
 }
@@ -205,8 +205,8 @@
 		seen = health.Unreachable
 	case f.Deadline && lasted < minUnresponsiveTime:
 		return n.serverHealth(id).Ejected(n.site.clock.now)
-	case f.Silent, f.Deadline:
-		seen = health.Silent
+	case f.Stalled, f.Deadline:
+		seen = health.Unresponsive
 	}
 	n.observe(id, seen)
 	return n.serverHealth(id).Ejected(n.site.clock.now)
@@ -237,7 +237,7 @@
 		ID: id, Service: c.service.Name, Deadline: c.deadline,
 	})
 	if refused {
-		c.finish(outcome.NotRun(refusal.Reason).Later(refusal.RetryAfter))
+		c.finish(outcome.NotRun(refusal.Reason).WithRetryAfter(refusal.RetryAfter))
 		return
 	}
 	n.waits[id] = &waiter{call: c, key: key}
@@ -292,7 +292,7 @@
 				c.next()
 				return
 			}
-			c.finish(outcome.NotRun(found.Refusal.Reason).Later(found.Refusal.RetryAfter))
+			c.finish(outcome.NotRun(found.Refusal.Reason).WithRetryAfter(found.Refusal.RetryAfter))
 		})
 	}
 }
--- a/experiment/engine/options.go
+++ b/experiment/engine/options.go
@@ -53,7 +53,7 @@
 	coldTime        = 5 * time.Second // from cold to full speed
 	coldSpeed       = 0.4             // relative speed of a server that has just started
 	connectTimeout  = settings.DefaultConnectTimeout
-	silentAfter     = settings.DefaultSilentAfter
+	silentAfter     = settings.DefaultStallTimeout
 	maxQueued       = settings.DefaultMaxQueued
 	maxBuffered     = settings.DefaultMaxBuffered
 	renewEvery      = settings.DefaultRenewEvery
--- a/experiment/engine/planning.go
+++ b/experiment/engine/planning.go
@@ -82,7 +82,7 @@
 		}
 		n.countShed()
 		n.table.Expire(clock.now)
-		report := n.table.Report(clock.now, p.reporting.Bytes)
+		report := n.table.Report(clock.now, p.reporting.MaxBytes)
 		p.site.measure.reported += proto.Size(report)
 		report.Sender = &bspb.Sender{Node: string(n.id), Boot: string(n.boot), Zone: string(n.zone)}
 		clock.after(p.site.delay(n.zone, to.zone), func() { p.collector.Add(clock.now, report) })
@@ -107,12 +107,12 @@
 	now := p.site.clock.now
 	probed := &countingPolicy{Policy: p.site.options.Policy}
 	plan := planner.Decide(&planner.Input{
-		Now:     now,
-		View:    n.view,
-		Policy:  probed,
-		Tracker: p.tracker,
-		Picture: func(service topo.Service) load.Picture { return p.collector.Picture(now, service) },
-		Rand:    p.random,
+		Now:      now,
+		View:     n.view,
+		Policy:   probed,
+		Tracker:  p.tracker,
+		Snapshot: func(service topo.Service) load.Snapshot { return p.collector.Snapshot(now, service) },
+		Rand:     p.random,
 	})
 	p.site.measure.planned(probed)
 	for _, rec := range planner.Records(plan.Assign, "unowned") {
--- a/experiment/engine/run.go
+++ b/experiment/engine/run.go
@@ -65,7 +65,7 @@
 			n.tickMembers()
 		}
 	})
-	s.clock.every(s.planning.reporting.Every, s.planning.report)
+	s.clock.every(s.planning.reporting.Interval, s.planning.report)
 	s.clock.every(planEvery, s.planning.decide)
 }
 
--- a/experiment/engine/send.go
+++ b/experiment/engine/send.go
@@ -18,12 +18,12 @@
 	n := c.node
 	gates, spec := n.gates, limit.Spec{Limit: d.Service.ConcurrencyPerServer, MaxQueued: maxQueued, Ramp: gateRamp}
 	if d.Path == route.PathDirect {
-		gates, spec = n.directs, limit.Spec{Limit: d.Places, MaxQueued: maxQueued}
+		gates, spec = n.directs, limit.Spec{Limit: d.Slots, MaxQueued: maxQueued}
 	}
 	g := n.gate(gates, c.service.Name, d.Server, spec)
 	g.acquire(c, func(id uint64, refused *limit.Refusal) {
 		if refused != nil {
-			c.handleResult(d, unsent(outcome.NotRun(refused.Reason).Later(refused.RetryAfter)))
+			c.handleResult(d, unsent(outcome.NotRun(refused.Reason).WithRetryAfter(refused.RetryAfter)))
 			return
 		}
 		if c.changed(d) {
@@ -100,7 +100,7 @@
 		})
 	})
 	clock.after(timeout, func() {
-		s.unanswered(outcome.Failure{Sent: true, Silent: timeout == silentAfter, Deadline: s.call.expired()})
+		s.unanswered(outcome.Failure{Sent: true, Stalled: timeout == silentAfter, Deadline: s.call.expired()})
 	})
 }
 
@@ -164,7 +164,7 @@
 func (c *call) forward(d route.Decision) {
 	n := c.node
 	to, exists := n.site.nodes[d.Next()]
-	lost := unsent(outcome.NotRun(callerapi.ReasonNotLessor)).outage(buffer.LessorKey(d), buffer.Unled)
+	lost := unsent(outcome.NotRun(callerapi.ReasonNotLessor)).outage(buffer.LessorKey(d), buffer.NoLessor)
 	if !exists {
 		c.handleResult(d, lost)
 		return
@@ -232,10 +232,10 @@
 func (c *call) forwardAnswered(d route.Decision, v outcome.Verdict) {
 	if v.Reason == callerapi.ReasonNotLessor && v.NotRunProven() {
 		if d.Path == route.PathDeputy {
-			c.notForwarded(d, unsent(v).outage(buffer.LessorKey(d), buffer.Unled))
+			c.notForwarded(d, unsent(v).outage(buffer.LessorKey(d), buffer.NoLessor))
 			return
 		}
-		c.handleResult(d, unsent(v).outage(buffer.LessorKey(d), buffer.Unled))
+		c.handleResult(d, unsent(v).outage(buffer.LessorKey(d), buffer.NoLessor))
 		return
 	}
 	c.handleResult(d, result{verdict: v, contacted: true})
--- a/experiment/scenario.go
+++ b/experiment/scenario.go
@@ -69,7 +69,7 @@
 func ParseScenario(name string, text []byte, file string) (*Scenario, error) {
 	root, report := jsonc.Parse(text, file)
 	s := &Scenario{Name: name}
-	s.Description = root.Need("description").Text()
+	s.Description = root.Required("description").Text()
 	s.Traffic.Duration = root.Get("duration").Duration(30*time.Second, time.Second, maxDuration)
 	s.Warmup = root.Get("warmup").Duration(0, 0, maxDuration)
 	s.Cold = root.Get("cold").Bool(false)
@@ -106,20 +106,20 @@
 		return
 	}
 	o := value.Object()
-	s.DisturbedFrom = o.Need("from").Duration(0, 0, maxDuration)
-	s.DisturbedUntil = o.Need("until").Duration(0, 0, maxDuration)
+	s.DisturbedFrom = o.Required("from").Duration(0, 0, maxDuration)
+	s.DisturbedUntil = o.Required("until").Duration(0, 0, maxDuration)
 	o.Close()
 }
 
 func readPhase(o *jsonc.Object) model.Phase {
 	phase := model.Phase{
-		From:        o.Need("from").Duration(0, 0, maxDuration),
+		From:        o.Required("from").Duration(0, 0, maxDuration),
 		Factor:      o.Get("factor").Float(0, 0, maxFactor),
 		Utilization: o.Get("utilization").Float(0, 0, maxFactor),
 		Service:     topo.Service(o.Get("service").String("")),
 	}
 	if o.Get("factor").Present() == o.Get("utilization").Present() {
-		o.Blame("factor", "utilization").Problem("give either factor or utilization")
+		o.FirstPresent("factor", "utilization").Problem("give either factor or utilization")
 	}
 	o.Close()
 	return phase
@@ -131,8 +131,8 @@
 		string(engine.FaultLose), string(engine.FaultLoseZone), string(engine.FaultLoseLessor), string(engine.FaultReplace), string(engine.FaultRestartCold),
 	}
 	fault := engine.Fault{
-		Kind:     engine.FaultKind(o.Need("kind").Choice("", kinds...)),
-		At:       o.Need("at").Duration(0, 0, maxDuration),
+		Kind:     engine.FaultKind(o.Required("kind").Choice("", kinds...)),
+		At:       o.Required("at").Duration(0, 0, maxDuration),
 		Until:    o.Get("until").Duration(0, 0, maxDuration),
 		Service:  topo.Service(o.Get("service").String(serviceKeyed)),
 		Factor:   o.Get("factor").Float(1, 0, maxFactor),
--- a/follower/append.go
+++ b/follower/append.go
@@ -112,7 +112,7 @@
 			eventAppendUncertain.Log(a.f.config.Logger, "sequence", a.sequence, "error", err)
 		}
 		if !retry.wait(ctx) || g.ended() {
-			return 0, &UnknownFateError{Cause: err}
+			return 0, &UnknownOutcomeError{Cause: err}
 		}
 		if !a.f.outcomes.awaited(a.sequence) {
 			return 0, nil
--- a/follower/apply.go
+++ b/follower/apply.go
@@ -255,7 +255,7 @@
 	a.f.ring.clear()
 	count(metricRestores, 1)
 	a.publish()
-	a.f.outcomes.failThrough(a.state.LastSequence(a.f.writer), &UnknownFateError{Cause: &SkippedError{Applied: a.state.Applied()}})
+	a.f.outcomes.failThrough(a.state.LastSequence(a.f.writer), &UnknownOutcomeError{Cause: &SkippedError{Applied: a.state.Applied()}})
 	m.outcome <- nil
 }
 
--- a/follower/errors.go
+++ b/follower/errors.go
@@ -15,16 +15,16 @@
 // Unwrap returns the cause.
 func (e *NotAppendedError) Unwrap() error { return e.Cause }
 
-// UnknownFateError reports a submitted record that may or may not take effect.
-type UnknownFateError struct{ Cause error }
+// UnknownOutcomeError reports a submitted record that may or may not take effect.
+type UnknownOutcomeError struct{ Cause error }
 
 // Error implements error.
-func (e *UnknownFateError) Error() string {
+func (e *UnknownOutcomeError) Error() string {
 	return fmt.Sprintf("record may or may not have been appended: %v", e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *UnknownFateError) Unwrap() error { return e.Cause }
+func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
 // QueueFullError reports that too many records wait to be appended.
 type QueueFullError struct{ Length int }
--- a/follower/follow_test.go
+++ b/follower/follow_test.go
@@ -63,7 +63,7 @@
 		contact bool // contact with the log is kept; otherwise only peers are read
 	}{
 		{"log down for this node", logfault.Faults{ReadsDown: true, AppendsDown: true}, false},
-		{"log unresponsive for this node", logfault.Faults{Silent: true}, false},
+		{"log unresponsive for this node", logfault.Faults{Unresponsive: true}, false},
 		{"log slow", logfault.Faults{Slow: 2 * time.Second}, true},
 		{"entries read again", logfault.Faults{Repeat: 7}, true},
 	}
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -13,7 +13,7 @@
 )
 
 // Outcome is the result of a submitted record, determined by applying it.
-type Fate struct {
+type Outcome struct {
 	Offset topo.Offset
 	// Accepted is false when the record's expectation failed and it changed
 	// nothing. For AssignShards it is true when any assignment took effect; see
@@ -30,7 +30,7 @@
 // when ctx ends (then the error is an *UnknownOutcomeError). Submit sets the
 // record's writer and sequence.
 type Appender interface {
-	Submit(ctx context.Context, record *bspb.Record) (Fate, error)
+	Submit(ctx context.Context, record *bspb.Record) (Outcome, error)
 }
 
 // Contact reports how recent this process's contact with the log is.
--- a/follower/group.go
+++ b/follower/group.go
@@ -100,8 +100,8 @@
 	}
 }
 
-func fullOutcome(result state.Result) Fate {
-	outcome := Fate{
+func fullOutcome(result state.Result) Outcome {
+	outcome := Outcome{
 		Offset:         result.Offset,
 		Accepted:       result.Accepted,
 		RejectedShards: result.RejectedIndexes(),
@@ -113,8 +113,8 @@
 }
 
 // partialOutcome returns the outcome of the assignments in [first, next).
-func partialOutcome(result state.Result, first, next int) Fate {
-	outcome := Fate{Offset: result.Offset}
+func partialOutcome(result state.Result, first, next int) Outcome {
+	outcome := Outcome{Offset: result.Offset}
 	for _, rejection := range result.Rejected {
 		if rejection.Index < first || rejection.Index >= next {
 			continue
--- a/follower/helpers_test.go
+++ b/follower/helpers_test.go
@@ -85,7 +85,7 @@
 }
 
 // submit submits a record that must be accepted.
-func (s *site) submit(m *member, rec *bspb.Record) follower.Fate {
+func (s *site) submit(m *member, rec *bspb.Record) follower.Outcome {
 	s.t.Helper()
 	outcome, err := m.Submit(s.within(settle), rec)
 	s.g.Expect(err).NotTo(gomega.HaveOccurred())
--- a/follower/recover_test.go
+++ b/follower/recover_test.go
@@ -155,7 +155,7 @@
 		s.g.Expect(first).To(gomega.BeNumerically(">", paused+1))
 		s.g.Expect(b.View().Applied()).To(gomega.Equal(paused))
 		b.log.Heal()
-		var unknown *follower.UnknownFateError
+		var unknown *follower.UnknownOutcomeError
 		s.g.Expect(errors.As(<-unread, &unknown)).To(gomega.BeTrue())
 		s.sameState(a, b)
 		s.submit(b, join("again"))
--- a/follower/relay_test.go
+++ b/follower/relay_test.go
@@ -131,7 +131,7 @@
 		{"cut off from its zone", func(s *site, id topo.NodeID, _ *member) { s.network.Isolate(id) }},
 		{"paused", func(s *site, id topo.NodeID, relay *member) { s.network.Pause(id); relay.log.Down() }},
 		{"cut off from the log", func(_ *site, _ topo.NodeID, relay *member) { relay.log.Down() }},
-		{"log unresponsive for it", func(_ *site, _ topo.NodeID, relay *member) { relay.log.Set(logfault.Faults{Silent: true}) }},
+		{"log unresponsive for it", func(_ *site, _ topo.NodeID, relay *member) { relay.log.Set(logfault.Faults{Unresponsive: true}) }},
 		{"log slow for it", func(_ *site, _ topo.NodeID, relay *member) { relay.log.Set(logfault.Faults{Slow: 2 * time.Second}) }},
 		{"slow", func(s *site, id topo.NodeID, _ *member) {
 			for _, other := range []topo.NodeID{"a", "b", "c", "d", "e"} {
--- a/follower/submit.go
+++ b/follower/submit.go
@@ -23,7 +23,7 @@
 
 // submitResponse is the result of a Submit call.
 type submitResponse struct {
-	outcome Fate
+	outcome Outcome
 	err     error
 }
 
@@ -31,7 +31,7 @@
 // *QueueFullError, the log's or the context's error as cause, and
 // *UnknownOutcomeError. Submit does not change the record, and the caller must
 // not change it afterwards.
-func (f *Follower) Submit(ctx context.Context, rec *bspb.Record) (Fate, error) {
+func (f *Follower) Submit(ctx context.Context, rec *bspb.Record) (Outcome, error) {
 	return f.await(&submission{ctx: ctx, record: rec, response: make(chan submitResponse, 1)})
 }
 
@@ -45,17 +45,17 @@
 }
 
 // await queues a submission and waits for its response.
-func (f *Follower) await(s *submission) (Fate, error) {
+func (f *Follower) await(s *submission) (Outcome, error) {
 	select {
 	case <-f.done:
-		return Fate{}, &NotAppendedError{Cause: &StoppedError{}}
+		return Outcome{}, &NotAppendedError{Cause: &StoppedError{}}
 	default:
 	}
 	select {
 	case f.queue <- s:
 	default:
 		count(metricQueueFull, 1)
-		return Fate{}, &NotAppendedError{Cause: &QueueFullError{Length: cap(f.queue)}}
+		return Outcome{}, &NotAppendedError{Cause: &QueueFullError{Length: cap(f.queue)}}
 	}
 	select {
 	case response := <-s.response:
@@ -69,16 +69,16 @@
 
 // abandon ends a Submit call at once. A record that is still queued will never be
 // appended. A response that has just arrived is returned.
-func (s *submission) abandon(cause error) (Fate, error) {
+func (s *submission) abandon(cause error) (Outcome, error) {
 	if s.claimed.CompareAndSwap(false, true) {
 		count(metricNotAppended, 1)
-		return Fate{}, &NotAppendedError{Cause: cause}
+		return Outcome{}, &NotAppendedError{Cause: cause}
 	}
 	select {
 	case response := <-s.response:
 		return response.outcome, response.err
 	default:
 		count(metricUnknownOutcome, 1)
-		return Fate{}, &UnknownFateError{Cause: cause}
+		return Outcome{}, &UnknownOutcomeError{Cause: cause}
 	}
 }
--- a/follower/submit_test.go
+++ b/follower/submit_test.go
@@ -24,7 +24,7 @@
 		s := newSite(t, memlog.Retention{})
 		a, b := s.start("a"), s.start("b")
 		outcome := s.submit(a, join("a"))
-		s.g.Expect(outcome).To(gomega.Equal(follower.Fate{Offset: 1, Accepted: true}))
+		s.g.Expect(outcome).To(gomega.Equal(follower.Outcome{Offset: 1, Accepted: true}))
 		s.g.Expect(hasNode(a, "a")).To(gomega.BeTrue())
 		s.g.Expect(b.WaitApplied(s.within(settle), outcome.Offset)).To(gomega.Succeed())
 		s.g.Expect(hasNode(b, "a")).To(gomega.BeTrue())
@@ -35,7 +35,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
 		var running sync.WaitGroup
-		outcomes := make([]follower.Fate, 2)
+		outcomes := make([]follower.Outcome, 2)
 		for i, m := range []*member{s.start("a"), s.start("b")} {
 			running.Go(func() { outcomes[i], _ = m.Submit(s.within(settle), publish(0)) })
 		}
@@ -111,7 +111,7 @@
 		a.log.Set(logfault.Faults{LateAppends: 1, LateBy: 10 * time.Second, LoseRequests: 1000})
 		begun := time.Now()
 		_, err := a.Submit(s.within(200*time.Millisecond), join("late"))
-		var unknown *follower.UnknownFateError
+		var unknown *follower.UnknownOutcomeError
 		s.g.Expect(errors.As(err, &unknown)).To(gomega.BeTrue())
 		s.g.Expect(time.Since(begun)).To(gomega.Equal(200*time.Millisecond), "returned when its context ended")
 		a.log.Heal()
@@ -137,7 +137,7 @@
 		}()
 		synctest.Wait()
 		a.log.Down()
-		var unknown *follower.UnknownFateError
+		var unknown *follower.UnknownOutcomeError
 		s.g.Expect(errors.As(<-ended, &unknown)).To(gomega.BeTrue())
 		a.log.Heal()
 		time.Sleep(settle)
@@ -149,7 +149,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
 		a := s.start("a")
-		a.log.Set(logfault.Faults{Silent: true})
+		a.log.Set(logfault.Faults{Unresponsive: true})
 		go func() { _, _ = a.Submit(s.within(time.Second), join("first")) }()
 		synctest.Wait()
 		_, err := a.Submit(s.within(100*time.Millisecond), join("second"))
@@ -166,7 +166,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
 		a := s.start("a")
-		a.log.Set(logfault.Faults{Silent: true})
+		a.log.Set(logfault.Faults{Unresponsive: true})
 		refused := make(chan bool, 400)
 		for range cap(refused) {
 			go func() {
@@ -189,7 +189,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, memlog.Retention{})
 		a := s.start("a")
-		a.log.Set(logfault.Faults{Silent: true})
+		a.log.Set(logfault.Faults{Unresponsive: true})
 		ended := make(chan error, 1)
 		go func() {
 			_, err := a.Submit(context.Background(), join("x"))
@@ -197,7 +197,7 @@
 		}()
 		synctest.Wait()
 		a.Stop()
-		var unknown *follower.UnknownFateError
+		var unknown *follower.UnknownOutcomeError
 		s.g.Expect(errors.As(<-ended, &unknown)).To(gomega.BeTrue())
 		_, err := a.Submit(context.Background(), join("x"))
 		var notAppended *follower.NotAppendedError
@@ -217,7 +217,7 @@
 		}}})
 		a.log.Set(logfault.Faults{Slow: 500 * time.Millisecond})
 		var running sync.WaitGroup
-		outcomes := make([]follower.Fate, 5)
+		outcomes := make([]follower.Outcome, 5)
 		for i := range outcomes {
 			running.Go(func() { outcomes[i], _ = a.Submit(s.within(settle), assignTwo(i)) })
 			synctest.Wait()
--- a/gateway/config/config.go
+++ b/gateway/config/config.go
@@ -14,15 +14,15 @@
 
 // Settings are the settings of a gateway node, as read from its settings file.
 type Settings struct {
-	Node    string
-	Zone    string
-	Region  string
-	Listen  Listen
-	Seeds   []string // peer addresses of nodes to get the site's state from at start
-	Driver  settings.Driver
-	Retries Retries
-	Timing  Timing
-	Place   Placement
+	Node      string
+	Zone      string
+	Region    string
+	Listen    Listen
+	Seeds     []string // peer addresses of nodes to get the site's state from at start
+	Driver    settings.Driver
+	Retries   Retries
+	Timing    Timing
+	Placement Placement
 	// Resources are the resources that the VM provides to the process.
 	Resources Resources
 	// MemoryMB is the memory that the process may use, in units of 2^20 bytes; 0: the
@@ -74,9 +74,9 @@
 // hundreds of servers.
 const fullCapacityLinkMbps = 100
 
-// Strength returns the capacity of the node for duties for other nodes, in CPU cores. A link below
+// Capacity returns the capacity of the node for duties for other nodes, in CPU cores. A link below
 // fullCapacityLinkMbps reduces it in proportion.
-func (r Resources) Strength() float64 {
+func (r Resources) Capacity() float64 {
 	if r.LinkMbps <= 0 {
 		return r.Processor
 	}
@@ -121,14 +121,14 @@
 func Parse(text []byte, file string) (*Settings, []jsonc.Problem) {
 	root, report := jsonc.Parse(text, file)
 	s := &Settings{
-		Node:      root.Need("node").Text(),
-		Zone:      root.Need("zone").Text(),
+		Node:      root.Required("node").Text(),
+		Zone:      root.Required("zone").Text(),
 		Region:    root.Get("region").String(""),
-		Listen:    readListen(root.Need("listen").Object()),
-		Driver:    readDriver(root.Need("driver").Object()),
+		Listen:    readListen(root.Required("listen").Object()),
+		Driver:    readDriver(root.Required("driver").Object()),
 		Retries:   readRetries(root.Get("retries").Object()),
 		Timing:    readTiming(root.Get("timing").Object()),
-		Place:     readPlacement(root.Get("placement").Object()),
+		Placement: readPlacement(root.Get("placement").Object()),
 		Resources: readResources(root.Get("resources").Object()),
 		MemoryMB:  root.Get("memoryMB").Int(0, 0, maxMemoryMB),
 		LogLevel:  root.Get("logLevel").Choice("info", "trace", "debug", "info", "warn", "error"),
@@ -142,9 +142,9 @@
 
 func readListen(o *jsonc.Object) Listen {
 	listen := Listen{
-		Front: readAddress(o.Need("front")),
-		Ready: readAddress(o.Need("ready")),
-		Peer:  readAddress(o.Need("peer")),
+		Front: readAddress(o.Required("front")),
+		Ready: readAddress(o.Required("ready")),
+		Peer:  readAddress(o.Required("peer")),
 	}
 	if metrics := o.Get("metrics"); metrics.Present() {
 		listen.Metrics = readAddress(metrics)
@@ -162,7 +162,7 @@
 }
 
 func readDriver(o *jsonc.Object) settings.Driver {
-	driver := settings.Driver{Name: o.Need("name").Text(), Options: settings.ReadOptions(o.Get("options"))}
+	driver := settings.Driver{Name: o.Required("name").Text(), Options: settings.ReadOptions(o.Get("options"))}
 	o.Close()
 	return driver
 }
--- a/gateway/config/live.go
+++ b/gateway/config/live.go
@@ -101,7 +101,7 @@
 	applied.Retries = next.Retries
 	applied.Timing.Grace = next.Timing.Grace
 	applied.Timing.Notice = next.Timing.Notice
-	applied.Place = next.Place
+	applied.Placement = next.Placement
 	applied.LogLevel = next.LogLevel
 	if !reflect.DeepEqual(&applied, next) {
 		eventNeedRestart.Log(l.logger, "file", l.file)
--- a/gateway/duty/append.go
+++ b/gateway/duty/append.go
@@ -54,7 +54,7 @@
 	if p.claim != nil {
 		return p.previousHold
 	}
-	return d.allocator.FormerHeld(now)
+	return d.allocator.PreviousHeldFor(now)
 }
 
 func (p *pendingAppend) encode(self ranges.Lessor, serial uint64, previousHold time.Duration) (store.Record, error) {
@@ -65,14 +65,14 @@
 	}
 	if table != nil {
 		table.Serial = serial
-		table.FormerMs = &previousMs
+		table.PreviousMs = &previousMs
 		text, err := json.Marshal(table)
 		return store.Record{Key: follow.TableKey, Value: text}, err
 	}
-	heartbeat := follow.Heartbeat{Boot: self.Boot, Serial: serial, FormerMs: &previousMs, Resigned: p.resigns, HeldMs: follow.RoundUp(p.outstandingHold)}
+	heartbeat := follow.Heartbeat{Boot: self.Boot, Serial: serial, PreviousMs: &previousMs, Resigned: p.resigns, HeldMs: follow.RoundUp(p.outstandingHold)}
 	if p.resigns {
 		uncertainMs := follow.RoundUp(p.uncertainHold)
-		heartbeat.DoubtMs = &uncertainMs
+		heartbeat.UncertainMs = &uncertainMs
 	}
 	text, err := json.Marshal(heartbeat)
 	return store.Record{Key: follow.HeartbeatKey, Value: text}, err
--- a/gateway/duty/calls.go
+++ b/gateway/duty/calls.go
@@ -46,9 +46,9 @@
 	}
 	switch {
 	case err != nil:
-		err = &ranges.CallError{Fate: ranges.NotSent, Cause: err}
+		err = &ranges.CallError{Outcome: ranges.NotSent, Cause: err}
 	case clock.Since(call.SentAt) >= timeout:
-		err = &ranges.CallError{Fate: ranges.NotSent, Cause: context.DeadlineExceeded}
+		err = &ranges.CallError{Outcome: ranges.NotSent, Cause: context.DeadlineExceeded}
 	case call.Release:
 		result.Handover, err = d.Granter.Release(ctx, server, call.Grant.Span, call.Grant.Fence)
 	default:
@@ -59,10 +59,10 @@
 	result.Failed = err != nil && !result.Fenced
 	var callErr *ranges.CallError
 	if errors.As(err, &callErr) {
-		result.Fate, result.ArrivedBy = callErr.Fate, callErr.ArrivedBy
+		result.Outcome, result.ArrivedBy = callErr.Outcome, callErr.ArrivedBy
 	}
 	if err != nil {
-		eventCallFailed.Log(d.Logger, "server", server.ID, "release", call.Release, "from", call.Grant.From, "to", call.Grant.To, "fence", call.Grant.Fence, "hold", call.Grant.Hold, "fenced", result.Fenced, "fate", result.Fate, "arrivedAgo", arrivedAgo(result, clock.Now()), "since", clock.Since(call.SentAt), "cause", err)
+		eventCallFailed.Log(d.Logger, "server", server.ID, "release", call.Release, "from", call.Grant.From, "to", call.Grant.To, "fence", call.Grant.Fence, "hold", call.Grant.Hold, "fenced", result.Fenced, "fate", result.Outcome, "arrivedAgo", arrivedAgo(result, clock.Now()), "since", clock.Since(call.SentAt), "cause", err)
 	}
 	countCall(call, result)
 	d.callResults <- callResult{call, result}
--- a/gateway/duty/duty.go
+++ b/gateway/duty/duty.go
@@ -69,15 +69,15 @@
 
 // Duty is the lessor's duty of one node.
 type Duty struct {
-	Self    ranges.Lessor
-	Member  view.Member // this node
-	Timing  ranges.Timing
-	Store   store.Store
-	Granter ranges.Granter
-	State   *view.State
-	Reader  *follow.Reader
-	Feed    *follow.Feed
-	Former  Former
+	Self           ranges.Lessor
+	Member         view.Member // this node
+	Timing         ranges.Timing
+	Store          store.Store
+	Granter        ranges.Granter
+	State          *view.State
+	Reader         *follow.Reader
+	Feed           *follow.Feed
+	PreviousLessor PreviousLessor
 	// StartedAt is when this process started. Earlier incarnations of the node had ended by
 	// then.
 	StartedAt time.Time
@@ -203,7 +203,7 @@
 	d.considerYielding(now)
 	if d.resignationSent || (d.resigning != nil || d.yielding) && d.isStoreWritable(now) {
 		// The next lessor defers moves while grants have an uncertain outcome.
-		if !d.allocator.Calling() {
+		if !d.allocator.GrantInFlight() {
 			d.appendResignation(ctx)
 		}
 		return
@@ -223,7 +223,7 @@
 		d.resigning = nil
 	}
 	ownership := d.Reader.Ownership()
-	if d.shuttingDown || d.appending != nil || !isFresh(ownership, now) || now.Before(d.noClaimBefore) || !d.State.Now().Complete() {
+	if d.shuttingDown || d.appending != nil || !isFresh(ownership, now) || now.Before(d.noClaimBefore) || !d.State.Now().IsComplete() {
 		d.claimAt = time.Time{}
 		return
 	}
@@ -253,7 +253,7 @@
 	if table == nil || ownership.Resigned {
 		return true
 	}
-	return isEarlierIncarnation(ownership, self) || now.Sub(ownership.MovedAt) > suspectTimeout
+	return isEarlierIncarnation(ownership, self) || now.Sub(ownership.EndObservedAt) > suspectTimeout
 }
 
 // isEarlierIncarnation reports whether the lessor is an earlier incarnation of the node of
@@ -270,7 +270,7 @@
 	if rank, known := follow.Rank(self, v); known {
 		return min(time.Duration(rank)*claimRankDelay+jitter, maxClaimDelay)
 	}
-	missingCapacity := 1 - min(self.Strength, 1)
+	missingCapacity := 1 - min(self.Capacity, 1)
 	jitter = time.Duration((0.5 + 5*missingCapacity) * float64(jitter))
 	return min(time.Duration(missingCapacity*float64(maxClaimDelay)/2)+jitter, maxClaimDelay)
 }
@@ -283,18 +283,18 @@
 		table = &ranges.Table{}
 	}
 	next := table.Refenced(d.Self, ranges.Fence(d.topicEnd))
-	eventClaiming.Log(d.Logger, "offset", d.topicEnd, "formerLessor", table.Lessor.Node, "resigned", ownership.Resigned, "quietFor", clock.Since(ownership.MovedAt))
-	previousHold := d.Timing.FormerHoldAfter(clock.Since(ownership.MovedAt))
-	p := &pendingAppend{claim: next, previousHold: previousHold, uncertainHold: previousHold, previousLessor: table.Lessor, earlierHold: d.Timing.FormerHold()}
-	if ownership.KnowsFormer {
-		p.earlierHold = ownership.FormerHeld
+	eventClaiming.Log(d.Logger, "offset", d.topicEnd, "formerLessor", table.Lessor.Node, "resigned", ownership.Resigned, "quietFor", clock.Since(ownership.EndObservedAt))
+	previousHold := d.Timing.PreviousHoldAfterIdle(clock.Since(ownership.EndObservedAt))
+	p := &pendingAppend{claim: next, previousHold: previousHold, uncertainHold: previousHold, previousLessor: table.Lessor, earlierHold: d.Timing.PreviousHold()}
+	if ownership.KnowsPrevious {
+		p.earlierHold = ownership.PreviousHeld
 	}
 	if isEarlierIncarnation(ownership, d.Self) {
-		endedHold := max(d.Timing.EndedHold()-clock.Since(d.StartedAt), p.earlierHold)
+		endedHold := max(d.Timing.HoldAfterExit()-clock.Since(d.StartedAt), p.earlierHold)
 		p.previousHold, p.uncertainHold = min(p.previousHold, endedHold), min(p.uncertainHold, endedHold)
 	}
 	if ownership.Resigned {
-		p.previousHold, p.uncertainHold = ownership.Held, ownership.Doubt
+		p.previousHold, p.uncertainHold = ownership.Held, ownership.Uncertain
 		p.previousLessor = ranges.Lessor{}
 	}
 	d.append(ctx, p)
@@ -329,8 +329,8 @@
 		}
 	}
 	for _, p := range report.Paces {
-		d.loads.Pace(site.ServerID(p.Server), time.Duration(p.MeanUs)*time.Microsecond)
-		d.loads.Present(site.ServerID(p.Server), int(p.Answers), int(p.Present))
+		d.loads.ReportServiceTime(site.ServerID(p.Server), time.Duration(p.MeanUs)*time.Microsecond)
+		d.loads.ReportOccupancy(site.ServerID(p.Server), int(p.Answers), int(p.Present))
 	}
 }
 
@@ -364,7 +364,7 @@
 func (d *Duty) changeTable(ctx context.Context, now time.Time) bool {
 	change := d.allocator.Plan(d.site(now), ranges.Fence(d.topicEnd), now)
 	for _, r := range d.allocator.Restarts() {
-		eventRestart.Log(d.Logger, "server", r.To, "earlier", r.From, "losesKeys", r.Loops)
+		eventRestart.Log(d.Logger, "server", r.To, "earlier", r.From, "losesKeys", r.CrashLooping)
 	}
 	for _, move := range d.allocator.Moves() {
 		eventMove.Log(d.Logger, "service", move.Service, "server", move.From, "to", move.To, "from", int(move.Span.From), "keys", move.Span.Keys(), "rate", move.Rate, "used", move.Used, "usedTo", move.UsedTo)
--- a/gateway/duty/duty_test.go
+++ b/gateway/duty/duty_test.go
@@ -19,7 +19,7 @@
 	self := ranges.Lessor{Node: "n1", Boot: "second"}
 	owned := func(node, boot string, quiet time.Duration) follow.Ownership {
 		table := &ranges.Table{Lessor: ranges.Lessor{Node: node, Boot: boot}}
-		return follow.Ownership{Known: true, Table: view.Table{Table: table}, MovedAt: now.Add(-quiet)}
+		return follow.Ownership{Known: true, Table: view.Table{Table: table}, EndObservedAt: now.Add(-quiet)}
 	}
 	resigned := owned("n2", "x", 0)
 	resigned.Resigned = true
--- a/gateway/duty/handoff.go
+++ b/gateway/duty/handoff.go
@@ -11,15 +11,15 @@
 	"github.com/burdockspindle/burdockspindle/gateway/store"
 )
 
-// Former queries the previous lessor for its outstanding grants.
-type Former interface {
-	AskFormer(ctx context.Context, former ranges.Lessor, claim store.Offset) (follow.FormerGrants, error)
+// PreviousLessor queries the previous lessor for its outstanding grants.
+type PreviousLessor interface {
+	RequestGrants(ctx context.Context, former ranges.Lessor, claim store.Offset) (follow.PreviousGrants, error)
 }
 
 // previousReport holds the outstanding grants of the lessor that preceded a claim.
 type previousReport struct {
 	claim      store.Offset
-	grants     follow.FormerGrants
+	grants     follow.PreviousGrants
 	receivedAt time.Time
 }
 
@@ -31,7 +31,7 @@
 // queryPreviousLessor queries the lessor before this node's claim, unless that lessor has
 // resigned and its record states the remaining holds.
 func (d *Duty) queryPreviousLessor(ctx context.Context, p *pendingAppend) {
-	if p.previousLessor.Boot == "" || p.previousLessor.Node == d.Self.Node || d.Former == nil {
+	if p.previousLessor.Boot == "" || p.previousLessor.Node == d.Self.Node || d.PreviousLessor == nil {
 		return
 	}
 	go func() {
@@ -48,19 +48,19 @@
 
 // awaitPreviousGrants queries the previous lessor until it responds or its grants have
 // expired.
-func (d *Duty) awaitPreviousGrants(ctx context.Context, p *pendingAppend) (grants follow.FormerGrants, isKnown bool) {
+func (d *Duty) awaitPreviousGrants(ctx context.Context, p *pendingAppend) (grants follow.PreviousGrants, isKnown bool) {
 	end := clock.Now().Add(p.previousHold)
 	for tries := 0; ; tries++ {
-		grants, err := d.Former.AskFormer(ctx, p.previousLessor, p.offset)
+		grants, err := d.PreviousLessor.RequestGrants(ctx, p.previousLessor, p.offset)
 		if err == nil {
 			return grants, true
 		}
 		if tries == 0 {
 			eventPreviousUnresponsive.Log(d.Logger, "former", p.previousLessor.Node, "offset", p.offset, "cause", err)
 		}
-		var unknown *follow.NotFormerLessorError
+		var unknown *follow.UnknownLessorError
 		if errors.As(err, &unknown) || clock.Now().After(end) || !clock.Wait(ctx, queryRetryDelay) {
-			return follow.FormerGrants{}, false
+			return follow.PreviousGrants{}, false
 		}
 	}
 }
@@ -71,22 +71,22 @@
 		return
 	}
 	if r.grants.HasEnded {
-		d.allocator.FormerEnded(r.receivedAt.Add(-r.grants.EndedFor), d.earlierHoldEnd)
+		d.allocator.PreviousEnded(r.receivedAt.Add(-r.grants.EndedFor), d.earlierHoldEnd)
 	} else {
-		d.allocator.LimitFormer(r.grants.Ranges, r.receivedAt)
+		d.allocator.LimitPrevious(r.grants.Ranges, r.receivedAt)
 	}
-	eventPreviousReported.Log(d.Logger, "offset", r.claim, "ranges", len(r.grants.Ranges), "hasEnded", r.grants.HasEnded, "endedFor", r.grants.EndedFor, "held", d.allocator.Held(r.receivedAt))
+	eventPreviousReported.Log(d.Logger, "offset", r.claim, "ranges", len(r.grants.Ranges), "hasEnded", r.grants.HasEnded, "endedFor", r.grants.EndedFor, "held", d.allocator.HeldFor(r.receivedAt))
 }
 
 // beginHandOff handles the request of a node that has claimed the lease. Because the claim
 // is in the store, no append of this node succeeds any more, and owners that have accepted
 // a grant of the next lessor refuse the grants of this one.
 func (d *Duty) beginHandOff(request *follow.HandOff) {
-	if request.Former.Node == d.Self.Node && request.Former.Boot != d.Self.Boot {
-		request.Reply <- follow.FormerGrants{HasEnded: true, EndedFor: clock.Since(d.StartedAt)}
+	if request.Previous.Node == d.Self.Node && request.Previous.Boot != d.Self.Boot {
+		request.Reply <- follow.PreviousGrants{HasEnded: true, EndedFor: clock.Since(d.StartedAt)}
 		return
 	}
-	if request.Former.Boot != d.Self.Boot || d.allocator == nil || request.Claim < d.topicEnd {
+	if request.Previous.Boot != d.Self.Boot || d.allocator == nil || request.Claim < d.topicEnd {
 		close(request.Reply)
 		return
 	}
@@ -99,8 +99,8 @@
 // finishHandOff reports the outstanding grants to the next lessor once no call is in
 // flight, and ends the duty once the outcome of this node's own append is known.
 func (d *Duty) finishHandOff(now time.Time) {
-	if d.pendingHandOff != nil && !d.allocator.Calling() {
-		d.pendingHandOff.Reply <- follow.FormerGrants{Ranges: d.allocator.Remaining(now)}
+	if d.pendingHandOff != nil && !d.allocator.GrantInFlight() {
+		d.pendingHandOff.Reply <- follow.PreviousGrants{Ranges: d.allocator.Remaining(now)}
 		d.pendingHandOff = nil
 		d.handedOff = true
 	}
--- a/gateway/duty/handoff_test.go
+++ b/gateway/duty/handoff_test.go
@@ -33,7 +33,7 @@
 }
 
 func handOffRequest(node, boot string, claim store.Offset) *follow.HandOff {
-	return &follow.HandOff{Former: ranges.Lessor{Node: node, Boot: boot}, Claim: claim, Reply: make(chan follow.FormerGrants, 1)}
+	return &follow.HandOff{Previous: ranges.Lessor{Node: node, Boot: boot}, Claim: claim, Reply: make(chan follow.PreviousGrants, 1)}
 }
 
 // The store refuses the requests of the lessor's node, and another node claims the lease.
@@ -56,7 +56,7 @@
 	remaining := (<-request.Reply).Ranges
 	g.Expect(remaining).To(gomega.HaveLen(1))
 	g.Expect(remaining[0].Held).To(gomega.BeNumerically(">", d.Timing.Hold))
-	g.Expect(remaining[0].Doubt).To(gomega.BeZero())
+	g.Expect(remaining[0].Uncertain).To(gomega.BeZero())
 	g.Expect(d.allocator).To(gomega.BeNil())
 }
 
@@ -94,35 +94,35 @@
 }
 
 // previousNode is a previous lessor that responds.
-type previousNode struct{ grants follow.FormerGrants }
+type previousNode struct{ grants follow.PreviousGrants }
 
-// AskFormer implements PreviousLessor.
-func (f previousNode) AskFormer(context.Context, ranges.Lessor, store.Offset) (follow.FormerGrants, error) {
+// RequestGrants implements PreviousLessor.
+func (f previousNode) RequestGrants(context.Context, ranges.Lessor, store.Offset) (follow.PreviousGrants, error) {
 	return f.grants, nil
 }
 
 func TestNewLessorWaitsNoLongerThanThePreviousOneReports(t *testing.T) {
 	reported := ranges.Remaining{Service: "s", Span: ranges.Span{To: ranges.LastKey}, Held: time.Second}
-	ended := follow.FormerGrants{HasEnded: true, EndedFor: 4 * time.Second}
+	ended := follow.PreviousGrants{HasEnded: true, EndedFor: 4 * time.Second}
 	for name, row := range map[string]struct {
-		grants      follow.FormerGrants
+		grants      follow.PreviousGrants
 		earlierHold time.Duration // how long grants of lessors before the previous one may be in force
 		want        time.Duration
 	}{
-		"it reports its grants":                       {follow.FormerGrants{Ranges: []ranges.Remaining{reported}}, 0, time.Second},
-		"its process has ended":                       {ended, 0, ranges.DefaultTiming().EndedHold() - 4*time.Second},
+		"it reports its grants":                       {follow.PreviousGrants{Ranges: []ranges.Remaining{reported}}, 0, time.Second},
+		"its process has ended":                       {ended, 0, ranges.DefaultTiming().HoldAfterExit() - 4*time.Second},
 		"grants of an earlier lessor may be in force": {ended, 9 * time.Second, 9 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			d := lessorOf(clock.Now(), ranges.DefaultTiming().FormerHold())
+			d := lessorOf(clock.Now(), ranges.DefaultTiming().PreviousHold())
 			d.leaseOffset = 7
-			d.Former = previousNode{row.grants}
+			d.PreviousLessor = previousNode{row.grants}
 			d.queryPreviousLessor(t.Context(), &pendingAppend{offset: 7, previousLessor: ranges.Lessor{Node: "n2", Boot: "b2"}})
 			report := <-d.previousReports
 			d.earlierHoldEnd = report.receivedAt.Add(row.earlierHold)
 			d.handlePreviousGrants(report)
-			g.Expect(d.allocator.Held(report.receivedAt)).To(gomega.Equal(row.want))
+			g.Expect(d.allocator.HeldFor(report.receivedAt)).To(gomega.Equal(row.want))
 		})
 	}
 }
@@ -149,13 +149,13 @@
 	asked    int
 }
 
-// AskFormer implements PreviousLessor.
-func (s *startingNode) AskFormer(context.Context, ranges.Lessor, store.Offset) (follow.FormerGrants, error) {
+// RequestGrants implements PreviousLessor.
+func (s *startingNode) RequestGrants(context.Context, ranges.Lessor, store.Offset) (follow.PreviousGrants, error) {
 	s.asked++
 	if s.asked <= s.refusals {
-		return follow.FormerGrants{}, s.err
+		return follow.PreviousGrants{}, s.err
 	}
-	return follow.FormerGrants{HasEnded: true}, nil
+	return follow.PreviousGrants{HasEnded: true}, nil
 }
 
 func TestPreviousLessorIsQueriedUntilItsNodeRestarts(t *testing.T) {
@@ -165,7 +165,7 @@
 		asked   int
 	}{
 		"it restarts":             {startingNode{refusals: 3, err: syscall.ECONNREFUSED}, true, 4},
-		"not the previous lessor": {startingNode{refusals: 3, err: &follow.NotFormerLessorError{}}, false, 1},
+		"not the previous lessor": {startingNode{refusals: 3, err: &follow.UnknownLessorError{}}, false, 1},
 		"it does not restart":     {startingNode{refusals: 100, err: syscall.ECONNREFUSED}, false, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -174,7 +174,7 @@
 				d := New()
 				d.Logger = hclog.NewNullLogger()
 				former := row.former
-				d.Former = &former
+				d.PreviousLessor = &former
 				_, isKnown := d.awaitPreviousGrants(t.Context(), &pendingAppend{previousHold: 3*queryRetryDelay - time.Millisecond})
 				g.Expect(isKnown).To(gomega.Equal(row.isKnown))
 				g.Expect(former.asked).To(gomega.Equal(row.asked))
--- a/gateway/duty/outcome.go
+++ b/gateway/duty/outcome.go
@@ -44,7 +44,7 @@
 // hadNoEffect reports whether a failed claim is known to have had no effect.
 func (d *Duty) hadNoEffect(err error) bool {
 	var unavailable *store.UnavailableError
-	return errors.As(err, &unavailable) && unavailable.NotDone
+	return errors.As(err, &unavailable) && unavailable.NotApplied
 }
 
 func (d *Duty) completeAppend(ctx context.Context, p *pendingAppend, startedAt time.Time) {
@@ -77,7 +77,7 @@
 func (d *Duty) beginLease(p *pendingAppend, now time.Time) {
 	eventLessor.Log(d.Logger, "offset", p.offset, "formerHold", p.previousHold)
 	d.allocator = ranges.NewAllocator(p.claim, d.Timing, p.previousHold, now)
-	d.allocator.LimitDoubt(p.uncertainHold, now)
+	d.allocator.LimitUncertain(p.uncertainHold, now)
 	d.earlierHoldEnd = now.Add(p.earlierHold)
 	d.loads = ranges.NewLoads()
 	d.quota = quota.New()
--- a/gateway/duty/resign.go
+++ b/gateway/duty/resign.go
@@ -47,7 +47,7 @@
 // mustResign reports whether most owners are unresponsive to this node and it has held the
 // lease for more than minLeaseBeforeResign, so that another node should be the lessor.
 func (d *Duty) mustResign(now time.Time) bool {
-	unresponsive, owners := d.allocator.Silent(d.State.Now().Servers.Servers)
+	unresponsive, owners := d.allocator.Unresponsive(d.State.Now().Servers.Servers)
 	return owners > 2 && 2*unresponsive > owners && now.Sub(d.lessorSince) > minLeaseBeforeResign && len(d.State.Now().Members) > 1
 }
 
@@ -57,11 +57,11 @@
 		return
 	}
 	for _, m := range d.State.Now().Members {
-		if m.Strength > 0 && m.Strength >= yieldFactor*d.Member.Strength && m.Node != d.Self.Node {
+		if m.Capacity > 0 && m.Capacity >= yieldFactor*d.Member.Capacity && m.Node != d.Self.Node {
 			d.yielding = true
 			d.yieldedAt = now
 			d.noClaimBefore = now.Add(resignedClaimPause)
-			eventYielding.Log(d.Logger, "strength", d.Member.Strength, "stronger", m.Node, "itsStrength", m.Strength)
+			eventYielding.Log(d.Logger, "strength", d.Member.Capacity, "stronger", m.Node, "itsStrength", m.Capacity)
 			return
 		}
 	}
@@ -76,5 +76,5 @@
 	d.resignationSent = true
 	eventResigning.Log(d.Logger, "offset", d.topicEnd)
 	now := clock.Now()
-	d.append(ctx, &pendingAppend{resigns: true, outstandingHold: d.allocator.Held(now), uncertainHold: d.allocator.Doubt(now)})
+	d.append(ctx, &pendingAppend{resigns: true, outstandingHold: d.allocator.HeldFor(now), uncertainHold: d.allocator.UncertainFor(now)})
 }
--- a/gateway/duty/resign_test.go
+++ b/gateway/duty/resign_test.go
@@ -70,6 +70,6 @@
 	var heartbeat follow.Heartbeat
 	g.Expect(json.Unmarshal(d.appending.record.Value, &heartbeat)).To(gomega.Succeed())
 	g.Expect(heartbeat.Resigned).To(gomega.BeTrue())
-	g.Expect(*heartbeat.DoubtMs).To(gomega.BeZero())
+	g.Expect(*heartbeat.UncertainMs).To(gomega.BeZero())
 	g.Expect(time.Duration(heartbeat.HeldMs) * time.Millisecond).To(gomega.BeNumerically(">", d.Timing.Hold))
 }
--- a/gateway/duty/shares.go
+++ b/gateway/duty/shares.go
@@ -19,7 +19,7 @@
 	if d.allocator == nil || now.Before(d.nextShares) {
 		return
 	}
-	d.nextShares = now.Add(quota.Round)
+	d.nextShares = now.Add(quota.UpdateInterval)
 	nodes := len(d.State.Now().Members)
 	shares, changed := d.quota.Update(d.allocator.Demands(d.site(now), now), nodes)
 	if changed {
@@ -46,5 +46,5 @@
 func (d *Duty) sendShares(shares quota.Shares, now time.Time) {
 	d.sharesSentAt = now
 	d.sharesSerial++
-	d.State.MergeShares(view.Shares{Offset: d.leaseOffset, Serial: d.sharesSerial, Of: shares})
+	d.State.MergeShares(view.Shares{Offset: d.leaseOffset, Serial: d.sharesSerial, ByServer: shares})
 }
--- a/gateway/duty/yield_test.go
+++ b/gateway/duty/yield_test.go
@@ -21,12 +21,12 @@
 		d := New()
 		d.Logger = hclog.NewNullLogger()
 		d.Self = ranges.Lessor{Node: "self"}
-		d.Member = view.Member{Node: "self", Strength: strength}
+		d.Member = view.Member{Node: "self", Capacity: strength}
 		d.State = view.NewState()
 		d.Reader = new(follow.Reader)
 		members := []view.Member{d.Member}
 		for _, other := range others {
-			members = append(members, view.Member{Node: "other", Strength: other})
+			members = append(members, view.Member{Node: "other", Capacity: other})
 		}
 		d.State.SetMembers(members)
 		d.lessorSince = start
--- a/gateway/follow/contact.go
+++ b/gateway/follow/contact.go
@@ -36,7 +36,7 @@
 
 // NotePeerReport records that another node knew all topics up to a time, and the servers'
 // topic up to an offset.
-func (c *Contact) NoteTold(at time.Time, next store.Offset) {
+func (c *Contact) NotePeerReport(at time.Time, next store.Offset) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.servers = clock.Later(c.servers, at)
--- a/gateway/follow/entries.go
+++ b/gateway/follow/entries.go
@@ -69,7 +69,7 @@
 	before := r.State.Now().Servers
 	after := r.registry.Servers(before.Servers, now)
 	isNewer := after.Offset > before.Offset && r.State.MergeServers(after)
-	if r.State.SettleServers() || isNewer {
+	if r.State.AcceptDeferred() || isNewer {
 		r.logServerChanges(before.Servers)
 	}
 }
--- a/gateway/follow/feed.go
+++ b/gateway/follow/feed.go
@@ -210,7 +210,7 @@
 	if newerShares(v, msg) {
 		reply.Shares = sharesMessage(v.Shares)
 	}
-	if v.MembersSum() != msg.MembersHash {
+	if v.MembersHash() != msg.MembersHash {
 		reply.Members = memberMessages(v.Members)
 	}
 	return reply, err
--- a/gateway/follow/feed_test.go
+++ b/gateway/follow/feed_test.go
@@ -37,7 +37,7 @@
 	g := gomega.NewWithT(t)
 	feed := newFeedOf("lessor", true)
 	followers := []view.Member{member("x"), member("y")}
-	msg := &bspb.FollowRequest{Member: memberMessage(member("relay")), FollowersHash: view.SumMembers(followers)}
+	msg := &bspb.FollowRequest{Member: memberMessage(member("relay")), FollowersHash: view.HashMembers(followers)}
 	g.Expect(feed.noteFollower(msg)).NotTo(gomega.Equal(msg.FollowersHash), "the relay must send its followers")
 	msg.Followers = memberMessages(followers)
 	g.Expect(feed.noteFollower(msg)).To(gomega.Equal(msg.FollowersHash))
@@ -57,7 +57,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		feed := newFeedOf("relay", false)
-		feed.Contact.NoteTold(clock.Now().Add(-maxRelayContactAge+100*time.Millisecond), 0)
+		feed.Contact.NotePeerReport(clock.Now().Add(-maxRelayContactAge+100*time.Millisecond), 0)
 		startedAt := time.Now()
 		ask := func() *bspb.FollowReply {
 			reply, err := feed.Follow(context.Background(), connect.NewRequest(&bspb.FollowRequest{WaitMs: 500}))
@@ -75,8 +75,8 @@
 func TestRelayForwardsReports(t *testing.T) {
 	g := gomega.NewWithT(t)
 	reports := NewReports()
-	reports.Key("s", 7)
-	reports.Answer("i", 100*time.Millisecond, &site.Load{Running: 2, Waiting: 1})
+	reports.CountKey("s", 7)
+	reports.NoteResponse("i", 100*time.Millisecond, &site.Load{Running: 2, Waiting: 1})
 	reports.Merge(Report{
 		KeyCounts: []*bspb.KeyCounts{{Service: "s", Keys: []uint32{7, 8}, Requests: []uint32{2, 5}}},
 		Paces:     []*bspb.ServerPace{{Server: "i", MeanUs: 300_000, Answers: 2, Present: 7}},
--- a/gateway/follow/follower.go
+++ b/gateway/follow/follower.go
@@ -228,7 +228,7 @@
 		return nil, err
 	}
 	if isWhole && response.Msg.ContactAgeMs >= 0 {
-		f.Reader.Contact.NoteTold(at, store.Offset(response.Msg.ServersNext))
+		f.Reader.Contact.NotePeerReport(at, store.Offset(response.Msg.ServersNext))
 	}
 	if response.Msg.Resigned {
 		f.Reader.WatchForLessor()
@@ -243,7 +243,7 @@
 	if len(followers) == 0 {
 		return
 	}
-	request.FollowersHash = view.SumMembers(followers)
+	request.FollowersHash = view.HashMembers(followers)
 	if f.knownFollowers[address] != request.FollowersHash {
 		request.Followers = memberMessages(followers)
 	}
@@ -271,7 +271,7 @@
 	}
 	request.RoutesSerial = v.Routes.Serial
 	request.SharesOffset, request.SharesSerial = int64(v.Shares.Offset), v.Shares.Serial
-	request.MembersHash = v.MembersSum()
+	request.MembersHash = v.MembersHash()
 }
 
 // merge applies the parts of a response that are newer than the view. isWhole is false if
--- a/gateway/follow/incarnations.go
+++ b/gateway/follow/incarnations.go
@@ -45,7 +45,7 @@
 }
 
 // confirm records a write and reports whether the incarnation must be running.
-func (c *candidate) confirm(entry site.Entry, now time.Time) bool {
+func (c *candidate) confirm(entry site.RegistryEntry, now time.Time) bool {
 	switch {
 	case c.id != entry.ID:
 		*c = candidate{id: entry.ID, sequence: entry.Sequence, writes: 1, firstAt: now}
@@ -76,7 +76,7 @@
 )
 
 // classify records a write and returns the order of its incarnation.
-func (i *incarnations) classify(entry site.Entry, now time.Time) entryOrder {
+func (i *incarnations) classify(entry site.RegistryEntry, now time.Time) entryOrder {
 	start := entry.ID.Start()
 	switch {
 	case start.IsZero() && !i.start.IsZero():
--- a/gateway/follow/incarnations_test.go
+++ b/gateway/follow/incarnations_test.go
@@ -27,9 +27,9 @@
 }
 
 // Entry implements view.Codec.
-func (jsonCodec) Entry(_ string, value []byte) (entry site.Entry, err error) {
+func (jsonCodec) Entry(_ string, value []byte) (entry site.RegistryEntry, err error) {
 	if err := json.Unmarshal(value, &entry); err != nil {
-		return site.Entry{}, err
+		return site.RegistryEntry{}, err
 	}
 	return entry, nil
 }
@@ -55,14 +55,14 @@
 // seconds; 0 means that the ID has no start time.
 func incarnationID(started int) site.ServerID {
 	if started == 0 {
-		return site.RunID("s", time.Time{})
+		return site.IncarnationID("s", time.Time{})
 	}
-	return site.RunID("s", start.Add(time.Duration(started)*time.Second))
+	return site.IncarnationID("s", start.Add(time.Duration(started)*time.Second))
 }
 
 func (r *registryFixture) text(started int, sequence int64) []byte {
 	r.t.Helper()
-	text, err := json.Marshal(site.Entry{Server: site.Server{ID: incarnationID(started), Address: "10.0.0.1:1", Service: "x"}, Sequence: sequence})
+	text, err := json.Marshal(site.RegistryEntry{Server: site.Server{ID: incarnationID(started), Address: "10.0.0.1:1", Service: "x"}, Sequence: sequence})
 	gomega.NewWithT(r.t).Expect(err).NotTo(gomega.HaveOccurred())
 	return text
 }
@@ -276,7 +276,7 @@
 func TestInvalidEntryDoesNotAffectOtherEntries(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := newRegistryFixture(t)
-	valid, err := json.Marshal(site.Entry{Server: site.Server{ID: "other"}})
+	valid, err := json.Marshal(site.RegistryEntry{Server: site.Server{ID: "other"}})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	batch := store.Batch{Records: []store.Record{{Offset: 11, Key: "s", Value: []byte("x")}, {Offset: 12, Key: "other", Value: valid}}, Next: 13, End: 13}
 	r.reader.applyServers(batch, true)
--- a/gateway/follow/message.go
+++ b/gateway/follow/message.go
@@ -12,11 +12,11 @@
 )
 
 func memberMessage(m view.Member) *bspb.GatewayMember {
-	return &bspb.GatewayMember{Node: m.Node, Boot: m.Boot, Zone: m.Zone, Address: m.Address, Strength: m.Strength}
+	return &bspb.GatewayMember{Node: m.Node, Boot: m.Boot, Zone: m.Zone, Address: m.Address, Strength: m.Capacity}
 }
 
 func memberOf(m *bspb.GatewayMember) view.Member {
-	return view.Member{Node: m.GetNode(), Boot: m.GetBoot(), Zone: m.GetZone(), Address: m.GetAddress(), Strength: m.GetStrength()}
+	return view.Member{Node: m.GetNode(), Boot: m.GetBoot(), Zone: m.GetZone(), Address: m.GetAddress(), Capacity: m.GetStrength()}
 }
 
 func memberMessages(list []view.Member) []*bspb.GatewayMember {
@@ -44,7 +44,7 @@
 
 func sharesMessage(shares view.Shares) *bspb.ServerShares {
 	message := &bspb.ServerShares{TableOffset: int64(shares.Offset), Serial: shares.Serial}
-	for id, share := range shares.Of {
+	for id, share := range shares.ByServer {
 		message.Servers = append(message.Servers, string(id))
 		message.Shares = append(message.Shares, uint32(max(share*shareUnit, 1)))
 	}
@@ -52,10 +52,10 @@
 }
 
 func sharesOf(message *bspb.ServerShares) view.Shares {
-	shares := view.Shares{Offset: store.Offset(message.TableOffset), Serial: message.Serial, Of: quota.Shares{}}
+	shares := view.Shares{Offset: store.Offset(message.TableOffset), Serial: message.Serial, ByServer: quota.Shares{}}
 	for i, id := range message.Servers {
 		if i < len(message.Shares) {
-			shares.Of[site.ServerID(id)] = float64(message.Shares[i]) / shareUnit
+			shares.ByServer[site.ServerID(id)] = float64(message.Shares[i]) / shareUnit
 		}
 	}
 	return shares
--- a/gateway/follow/metrics.go
+++ b/gateway/follow/metrics.go
@@ -12,24 +12,24 @@
 var storeCalls = metrics.New("gateway_store").Map("calls")
 
 // CountingStore is a store that counts its calls by kind and result.
-type Counted struct{ Store store.Store }
+type CountingStore struct{ Store store.Store }
 
 // Newest implements store.Store.
-func (c Counted) Newest(ctx context.Context, topic store.Topic) (store.Batch, error) {
+func (c CountingStore) Newest(ctx context.Context, topic store.Topic) (store.Batch, error) {
 	batch, err := c.Store.Newest(ctx, topic)
 	countCall("newest", topic, err)
 	return batch, err
 }
 
 // Read implements store.Store.
-func (c Counted) Read(ctx context.Context, topic store.Topic, from store.Offset, wait time.Duration) (store.Batch, error) {
+func (c CountingStore) Read(ctx context.Context, topic store.Topic, from store.Offset, wait time.Duration) (store.Batch, error) {
 	batch, err := c.Store.Read(ctx, topic, from, wait)
 	countCall("read", topic, err)
 	return batch, err
 }
 
 // AppendAt implements store.Store.
-func (c Counted) AppendAt(ctx context.Context, topic store.Topic, at store.Offset, record store.Record) error {
+func (c CountingStore) AppendAt(ctx context.Context, topic store.Topic, at store.Offset, record store.Record) error {
 	err := c.Store.AppendAt(ctx, topic, at, record)
 	countCall("append", topic, err)
 	return err
--- a/gateway/follow/ownership.go
+++ b/gateway/follow/ownership.go
@@ -24,10 +24,10 @@
 	// milliseconds.
 	HeldMs int64 `json:"heldMs,omitempty"`
 	// UncertainMs is the same for grants without a response; nil if not reported.
-	DoubtMs *int64 `json:"doubtMs,omitempty"`
+	UncertainMs *int64 `json:"doubtMs,omitempty"`
 	// PreviousMs is how long grants of previous lessors may be in force, in milliseconds;
 	// nil if not reported.
-	FormerMs *int64 `json:"formerMs,omitempty"`
+	PreviousMs *int64 `json:"formerMs,omitempty"`
 }
 
 // Ownership is the state of the ownership topic as of an offset. Its fields are consistent
@@ -40,15 +40,15 @@
 	Resigned bool         // the lessor has resigned
 	// Held is how long the lessor's outstanding grants may be in force after the record of
 	// its resignation.
-	Held  time.Duration
-	Doubt time.Duration // the same for grants without a response
+	Held      time.Duration
+	Uncertain time.Duration // the same for grants without a response
 	// PreviousHeld is how long after the newest record the grants of previous lessors may
 	// be in force. KnowsPrevious reports whether that record contains it.
-	FormerHeld  time.Duration
-	KnowsFormer bool
-	previousAt  store.Offset // offset of that record
-	ReadAt      time.Time    // time of the latest read of the topic
-	MovedAt     time.Time    // when End was first observed
+	PreviousHeld  time.Duration
+	KnowsPrevious bool
+	previousAt    store.Offset // offset of that record
+	ReadAt        time.Time    // time of the latest read of the topic
+	EndObservedAt time.Time    // when End was first observed
 
 	unreadable bool // the newest table is invalid
 }
@@ -77,8 +77,8 @@
 			problems = append(problems, &RecordError{Key: record.Key, Offset: record.Offset, Cause: err})
 		}
 	}
-	if o.MovedAt.IsZero() || batch.End != o.End {
-		o.MovedAt = now
+	if o.EndObservedAt.IsZero() || batch.End != o.End {
+		o.EndObservedAt = now
 	}
 	o.End = batch.End
 	o.ReadAt = now
@@ -100,7 +100,7 @@
 		}
 		o.Table = view.Table{Offset: record.Offset, Table: &table}
 		o.Resigned = false
-		o.applyPrevious(record.Offset, table.FormerMs)
+		o.applyPrevious(record.Offset, table.PreviousMs)
 	case HeartbeatKey:
 		var heartbeat Heartbeat
 		if err := json.Unmarshal(record.Value, &heartbeat); err != nil {
@@ -108,10 +108,10 @@
 		}
 		o.Resigned = heartbeat.Resigned
 		o.Held = time.Duration(heartbeat.HeldMs) * time.Millisecond
-		o.Doubt = o.Held
-		o.applyPrevious(record.Offset, heartbeat.FormerMs)
-		if heartbeat.DoubtMs != nil {
-			o.Doubt = time.Duration(*heartbeat.DoubtMs) * time.Millisecond
+		o.Uncertain = o.Held
+		o.applyPrevious(record.Offset, heartbeat.PreviousMs)
+		if heartbeat.UncertainMs != nil {
+			o.Uncertain = time.Duration(*heartbeat.UncertainMs) * time.Millisecond
 		}
 	}
 	return nil
@@ -124,8 +124,8 @@
 		return
 	}
 	o.previousAt = at
-	o.KnowsFormer = previousMs != nil
+	o.KnowsPrevious = previousMs != nil
 	if previousMs != nil {
-		o.FormerHeld = time.Duration(*previousMs) * time.Millisecond
+		o.PreviousHeld = time.Duration(*previousMs) * time.Millisecond
 	}
 }
--- a/gateway/follow/ownership_test.go
+++ b/gateway/follow/ownership_test.go
@@ -36,7 +36,7 @@
 	g.Expect(o.Known).To(gomega.BeTrue())
 	g.Expect(o.Table.Table.Lessor.Boot).To(gomega.Equal("two"))
 	g.Expect(o.Table.Offset).To(gomega.Equal(store.Offset(1)))
-	g.Expect(o.MovedAt).To(gomega.Equal(after(0)), "the end was first observed then")
+	g.Expect(o.EndObservedAt).To(gomega.Equal(after(0)), "the end was first observed then")
 }
 
 func TestClaimEndsResignation(t *testing.T) {
@@ -64,7 +64,7 @@
 	g := gomega.NewWithT(t)
 	var o Ownership
 	g.Expect(o.apply(store.Record{Key: HeartbeatKey, Value: []byte(`{"resigned":true,"heldMs":3000}`)})).To(gomega.Succeed())
-	g.Expect(o.Doubt).To(gomega.Equal(3 * time.Second))
+	g.Expect(o.Uncertain).To(gomega.Equal(3 * time.Second))
 	g.Expect(o.apply(store.Record{Key: HeartbeatKey, Value: []byte(`{"resigned":true,"heldMs":3000,"doubtMs":0}`)})).To(gomega.Succeed())
-	g.Expect(o.Doubt).To(gomega.BeZero())
+	g.Expect(o.Uncertain).To(gomega.BeZero())
 }
--- a/gateway/follow/previous_lessor_test.go
+++ b/gateway/follow/previous_lessor_test.go
@@ -21,8 +21,8 @@
 		return store.Record{Key: key, Offset: at, Value: text}
 	}
 	long, short := int64(8000), int64(500)
-	heartbeat := record(HeartbeatKey, 7, Heartbeat{FormerMs: &short})
-	table := record(TableKey, 5, ranges.Table{FormerMs: &long})
+	heartbeat := record(HeartbeatKey, 7, Heartbeat{PreviousMs: &short})
+	table := record(TableKey, 5, ranges.Table{PreviousMs: &long})
 	for name, row := range map[string]struct {
 		records []store.Record
 		want    time.Duration
@@ -38,8 +38,8 @@
 			for _, r := range row.records {
 				g.Expect(o.apply(r)).To(gomega.Succeed())
 			}
-			g.Expect(o.KnowsFormer).To(gomega.Equal(row.known))
-			g.Expect(o.FormerHeld).To(gomega.Equal(row.want))
+			g.Expect(o.KnowsPrevious).To(gomega.Equal(row.known))
+			g.Expect(o.PreviousHeld).To(gomega.Equal(row.want))
 		})
 	}
 }
--- a/gateway/follow/reader_lag_test.go
+++ b/gateway/follow/reader_lag_test.go
@@ -48,8 +48,8 @@
 // namesOnly decodes entries that consist only of their key.
 type namesOnly struct{ view.Codec }
 
-func (namesOnly) Entry(key string, _ []byte) (site.Entry, error) {
-	return site.Entry{Server: site.Server{ID: site.ServerID(key), Service: "s"}}, nil
+func (namesOnly) Entry(key string, _ []byte) (site.RegistryEntry, error) {
+	return site.RegistryEntry{Server: site.Server{ID: site.ServerID(key), Service: "s"}}, nil
 }
 
 // A node that is behind must not report to its followers that it knows the registry, and
--- a/gateway/follow/reader_test.go
+++ b/gateway/follow/reader_test.go
@@ -74,7 +74,7 @@
 		}()
 		t.Cleanup(func() { cancel(); <-done })
 		await(t, reader, 1, time.Second)
-		reader.Contact.NoteTold(clock.Now(), 0)
+		reader.Contact.NotePeerReport(clock.Now(), 0)
 		time.Sleep(readEvery + minReadPause)
 		growing.tables.Store(460)
 		time.Sleep(firstReadAge - readEvery - minReadPause)
--- a/gateway/follow/registry.go
+++ b/gateway/follow/registry.go
@@ -111,7 +111,7 @@
 
 // Put applies a server's record before the offset end. An entry without a start time is
 // invalid if an earlier entry of the name has one; the error is then a *StartMissingError.
-func (r *Registry) Put(entry site.Entry, end store.Offset, now time.Time) (applied bool, err error) {
+func (r *Registry) Put(entry site.RegistryEntry, end store.Offset, now time.Time) (applied bool, err error) {
 	name := entry.ID.Name()
 	state := r.byName[name]
 	if state == nil {
--- a/gateway/follow/registry_test.go
+++ b/gateway/follow/registry_test.go
@@ -20,7 +20,7 @@
 var both = map[site.ServerID]site.Server{"a": {ID: "a"}, "b": {ID: "b"}}
 
 func put(r *Registry, server site.Server, end store.Offset, now time.Time) {
-	_, _ = r.Put(site.Entry{Server: server}, end, now) // only entries with a start time can be refused
+	_, _ = r.Put(site.RegistryEntry{Server: server}, end, now) // only entries with a start time can be refused
 }
 
 // filled returns a registry that has read servers a and b before offset 10.
--- a/gateway/follow/reports.go
+++ b/gateway/follow/reports.go
@@ -37,7 +37,7 @@
 }
 
 // CountKey counts a request for a key, whether or not it can be served.
-func (r *Reports) Key(service site.ServiceName, key ranges.Key) {
+func (r *Reports) CountKey(service site.ServiceName, key ranges.Key) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.count(serviceKey{service, key}, 1)
@@ -52,7 +52,7 @@
 
 // NoteResponse records how long a server of a keyed service worked on a request, and the load in
 // its response; nil if there was none.
-func (r *Reports) Answer(server site.ServerID, took time.Duration, load *site.Load) {
+func (r *Reports) NoteResponse(server site.ServerID, took time.Duration, load *site.Load) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := serverStats{count: 1, total: took}
--- a/gateway/follow/routes.go
+++ b/gateway/follow/routes.go
@@ -102,7 +102,7 @@
 	}
 	message.Keys = append(message.Keys, uint32(route.Keys()))
 	message.Owners = append(message.Owners, stateFactor*index+uint32(route.State))
-	if route.State == ranges.Silent {
+	if route.State == ranges.Unresponsive {
 		left := max(route.Until.Sub(clock.Now()), 0)
 		message.SilentMs = append(message.SilentMs, uint32(left.Milliseconds()))
 	}
@@ -185,14 +185,14 @@
 
 func (r *routeReader) read(span ranges.Span, owner uint32) (route ranges.Route, ok bool) {
 	index, state := int(owner/stateFactor), ranges.RouteState(owner%stateFactor)
-	if index > len(r.servers) || state > ranges.Silent {
+	if index > len(r.servers) || state > ranges.Unresponsive {
 		return ranges.Route{}, false
 	}
 	route = ranges.Route{Span: span, State: state}
 	if index > 0 {
 		route.Server = site.ServerID(r.servers[index-1])
 	}
-	if state != ranges.Silent {
+	if state != ranges.Unresponsive {
 		return route, true
 	}
 	if len(r.remaining) == 0 {
--- a/gateway/follow/routes_test.go
+++ b/gateway/follow/routes_test.go
@@ -132,7 +132,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		var encoder routesEncoder
-		routes := routesOfMany(7, 1, 4, map[int]ranges.RouteState{2: ranges.Silent})
+		routes := routesOfMany(7, 1, 4, map[int]ranges.RouteState{2: ranges.Unresponsive})
 		routes.Services["archive"][2].Until = clock.Now().Add(3 * time.Second)
 		msg := &bspb.FollowRequest{TableOffset: -1}
 		g.Expect(encoder.encode(msg, routes).Services[0].SilentMs).To(gomega.Equal([]uint32{3000}))
@@ -150,7 +150,7 @@
 		"no owner":               {Service: "archive", Keys: []uint32{65536}},
 		"empty range":            {Service: "archive", Keys: []uint32{0, 65536}, Owners: []uint32{1, 1}},
 		"unknown server":         {Service: "archive", Keys: []uint32{65536}, Owners: []uint32{stateFactor}},
-		"remaining time missing": {Service: "archive", Keys: []uint32{65536}, Owners: []uint32{uint32(ranges.Silent)}},
+		"remaining time missing": {Service: "archive", Keys: []uint32{65536}, Owners: []uint32{uint32(ranges.Unresponsive)}},
 		"unknown base range":     {Service: "archive", Keys: []uint32{100, 65436}, Owners: []uint32{sameAsBase, 0}},
 		"no such service":        {Service: "other", Keys: []uint32{65536}, Owners: []uint32{sameAsBase}},
 	} {
--- a/gateway/follow/source.go
+++ b/gateway/follow/source.go
@@ -133,7 +133,7 @@
 func sortByCapacity(list []view.Member) { slices.SortFunc(list, compareCapacity) }
 
 func compareCapacity(a, b view.Member) int {
-	return cmp.Or(cmp.Compare(b.Strength, a.Strength), strings.Compare(a.Node, b.Node))
+	return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), strings.Compare(a.Node, b.Node))
 }
 
 // Rank returns how many nodes, not counting the lessor, have a higher capacity than a node.
--- a/gateway/follow/source_test.go
+++ b/gateway/follow/source_test.go
@@ -17,9 +17,9 @@
 	for zone, count := range nodes {
 		for i := range count {
 			name := fmt.Sprintf("%s-%d", zone, i)
-			m := view.Member{Node: name, Boot: "boot-" + name, Zone: zone, Address: name + ":1", Strength: 0.1}
+			m := view.Member{Node: name, Boot: "boot-" + name, Zone: zone, Address: name + ":1", Capacity: 0.1}
 			if i < 2 {
-				m.Strength = 0.8
+				m.Capacity = 0.8
 			}
 			v.Members = append(v.Members, m)
 			if name == lessor {
--- a/gateway/isolation/isolation.go
+++ b/gateway/isolation/isolation.go
@@ -11,27 +11,27 @@
 import "time"
 
 const (
-	// LookAfter is the age of a node's contact with the store, direct or through another
+	// MaxContactAge is the age of a node's contact with the store, direct or through another
 	// node, above which the node checks whether it reaches other zones.
-	LookAfter = time.Second
-	// LookEvery is the interval of the checks.
-	LookEvery = 250 * time.Millisecond
-	// Tries is how many nodes of other zones are probed in a check. One node may be down,
+	MaxContactAge = time.Second
+	// SampleInterval is the interval of the checks.
+	SampleInterval = 250 * time.Millisecond
+	// MaxProbes is how many nodes of other zones are probed in a check. One node may be down,
 	// and a link that loses packets may lose more than one probe.
-	Tries = 3
+	MaxProbes = 3
 )
 
-// Look is the result of a check.
-type Look struct {
-	Contact time.Duration // age of the contact with the store
-	Known   bool          // the node has had contact with the store
-	Tried   int           // number of probed nodes of other zones
-	Reached int           // number of probed nodes that responded
+// Sample is the result of a check.
+type Sample struct {
+	Contact    time.Duration // age of the contact with the store
+	HasContact bool          // the node has had contact with the store
+	Probed     int           // number of probed nodes of other zones
+	Reached    int           // number of probed nodes that responded
 }
 
-// MustTry reports whether the age of the contact alone requires probes of other zones.
-func (s Look) MustTry() bool { return s.Known && s.Contact > LookAfter }
+// MustProbe reports whether the age of the contact alone requires probes of other zones.
+func (s Sample) MustProbe() bool { return s.HasContact && s.Contact > MaxContactAge }
 
-// CutOff reports whether the node's zone is cut off. It is not if only the store does not
+// IsIsolated reports whether the node's zone is cut off. It is not if only the store does not
 // respond, or if the node knows no other zone.
-func (s Look) CutOff() bool { return s.MustTry() && s.Tried > 0 && s.Reached == 0 }
+func (s Sample) IsIsolated() bool { return s.MustProbe() && s.Probed > 0 && s.Reached == 0 }
--- a/gateway/isolation/isolation_test.go
+++ b/gateway/isolation/isolation_test.go
@@ -10,21 +10,21 @@
 )
 
 func TestZoneIsIsolatedIfNeitherTheStoreNorAnotherZoneIsReached(t *testing.T) {
-	const old = isolation.LookAfter + time.Millisecond
+	const old = isolation.MaxContactAge + time.Millisecond
 	for name, row := range map[string]struct {
-		sample isolation.Look
+		sample isolation.Sample
 		want   bool
 	}{
-		"recent contact":             {isolation.Look{Contact: 0, Known: true}, false},
-		"the store is down":          {isolation.Look{Contact: old, Known: true, Tried: 3, Reached: 3}, false},
-		"one of three is reached":    {isolation.Look{Contact: old, Known: true, Tried: 3, Reached: 1}, false},
-		"neither":                    {isolation.Look{Contact: old, Known: true, Tried: 3}, true},
-		"there is no other zone":     {isolation.Look{Contact: old, Known: true}, false},
-		"no contact since startup":   {isolation.Look{Tried: 3}, false},
-		"the contact is not too old": {isolation.Look{Contact: isolation.LookAfter, Known: true, Tried: 3}, false},
+		"recent contact":             {isolation.Sample{Contact: 0, HasContact: true}, false},
+		"the store is down":          {isolation.Sample{Contact: old, HasContact: true, Probed: 3, Reached: 3}, false},
+		"one of three is reached":    {isolation.Sample{Contact: old, HasContact: true, Probed: 3, Reached: 1}, false},
+		"neither":                    {isolation.Sample{Contact: old, HasContact: true, Probed: 3}, true},
+		"there is no other zone":     {isolation.Sample{Contact: old, HasContact: true}, false},
+		"no contact since startup":   {isolation.Sample{Probed: 3}, false},
+		"the contact is not too old": {isolation.Sample{Contact: isolation.MaxContactAge, HasContact: true, Probed: 3}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			gomega.NewWithT(t).Expect(row.sample.CutOff()).To(gomega.Equal(row.want))
+			gomega.NewWithT(t).Expect(row.sample.IsIsolated()).To(gomega.Equal(row.want))
 		})
 	}
 }
@@ -35,14 +35,14 @@
 // equally.
 func TestCallersOfAnIsolatedZoneAreServedByOtherZones(t *testing.T) {
 	g := gomega.NewWithT(t)
-	stay := servedDuringCut(func(isolation.Look) bool { return false })
-	leave := servedDuringCut(isolation.Look.CutOff)
+	stay := servedDuringCut(func(isolation.Sample) bool { return false })
+	leave := servedDuringCut(isolation.Sample.IsIsolated)
 	g.Expect(leave).To(gomega.BeNumerically(">", stay+0.05), "share served: %v, with nodes always ready: %v", leave, stay)
 }
 
 // servedDuringCut returns the share of the requests that is served from the beginning of a
 // cut until two seconds after its end, by nodes whose readiness depends on cutOff.
-func servedDuringCut(cutOff func(isolation.Look) bool) float64 {
+func servedDuringCut(cutOff func(isolation.Sample) bool) float64 {
 	const (
 		step          = 50 * time.Millisecond
 		length        = 6 * time.Second
@@ -55,8 +55,8 @@
 	isReady, failedChecks := true, 0
 	for at := time.Duration(0); at < length+after; at += step {
 		isCut := at < length
-		if at%isolation.LookEvery == 0 {
-			sample := isolation.Look{Known: true, Tried: isolation.Tries, Reached: isolation.Tries}
+		if at%isolation.SampleInterval == 0 {
+			sample := isolation.Sample{HasContact: true, Probed: isolation.MaxProbes, Reached: isolation.MaxProbes}
 			if isCut {
 				sample.Contact, sample.Reached = at, 0
 			}
--- a/gateway/pool/crash_test.go
+++ b/gateway/pool/crash_test.go
@@ -21,7 +21,7 @@
 		servers[i].Work = 90 * time.Millisecond
 	}
 	servers[0].CrashEvery = 2 * time.Second
-	servers[0].Down = 300 * time.Millisecond
+	servers[0].DownTime = 300 * time.Millisecond
 	return servers
 }
 
@@ -31,9 +31,9 @@
 	for _, rate := range []float64{100, 200, 260} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			l := replay.Load{Nodes: 8, Servers: crashLoopServers(), Rate: steady(rate), Length: 30 * time.Second, Target: 300 * time.Millisecond, Patient: 2 * time.Second}
+			l := replay.Load{Nodes: 8, Servers: crashLoopServers(), Rate: steady(rate), Length: 30 * time.Second, Target: 300 * time.Millisecond, CallerTimeout: 2 * time.Second}
 			remembered := run(l)
-			l.Renamed = true
+			l.NewIDPerIncarnation = true
 			renamed := run(l)
 			t.Logf("known by name: %v, %d lost, %d not reached; each incarnation under a new name: %v, %d lost, %d not reached",
 				remembered, remembered.Lost, remembered.NotReached, renamed, renamed.Lost, renamed.NotReached)
@@ -51,7 +51,7 @@
 	var id site.ServerID
 	for range restarts + 1 {
 		now = now.Add(time.Second)
-		id = site.RunID("again", now)
+		id = site.IncarnationID("again", now)
 		p.Update([]site.Server{{ID: id, Zone: "a", Slots: 4}, {ID: "steady", Zone: "a", Slots: 4}, {ID: "slow", Zone: "b", Slots: 4}}, 1, now)
 	}
 	return p, id, now
@@ -61,9 +61,9 @@
 func countSlots(p *pool.Pool, id site.ServerID, now time.Time) int {
 	count := 0
 	for ; count < 100; count++ {
-		w := &pool.Waiter{Only: id, Since: now, Target: now.Add(time.Second), Deadline: now.Add(time.Minute)}
-		if admission, _ := p.Ask(w, now); admission == nil {
-			p.Leave(w)
+		w := &pool.Waiter{Only: id, ArrivedAt: now, Target: now.Add(time.Second), Deadline: now.Add(time.Minute)}
+		if admission, _ := p.Submit(w, now); admission == nil {
+			p.Remove(w)
 			return count
 		}
 	}
@@ -80,7 +80,7 @@
 	p.Done(id, good, now)
 	for range 40 {
 		now = now.Add(500 * time.Millisecond)
-		if admission, _ := p.Ask(&pool.Waiter{Only: id, Since: now, Target: now, Deadline: now.Add(time.Second)}, now); admission != nil {
+		if admission, _ := p.Submit(&pool.Waiter{Only: id, ArrivedAt: now, Target: now, Deadline: now.Add(time.Second)}, now); admission != nil {
 			p.Done(id, good, now.Add(50*time.Millisecond))
 		}
 	}
@@ -100,7 +100,7 @@
 		count := 0
 		for range 40 {
 			now = now.Add(20 * time.Millisecond)
-			admission, _ := p.Ask(&pool.Waiter{Since: now, Target: now.Add(time.Second), Deadline: now.Add(time.Minute)}, now)
+			admission, _ := p.Submit(&pool.Waiter{ArrivedAt: now, Target: now.Add(time.Second), Deadline: now.Add(time.Minute)}, now)
 			g.Expect(admission).NotTo(gomega.BeNil())
 			if admission.Server.ID == id {
 				count++
@@ -122,12 +122,12 @@
 	p, id, now := newRestartedPool(0)
 	countSlots(p, id, now)
 	p.Done(id, pool.Outcome{Failed: true, NotReached: true}, now)
-	_, refusal := p.Ask(&pool.Waiter{Only: id, Deadline: now.Add(time.Minute)}, now)
+	_, refusal := p.Submit(&pool.Waiter{Only: id, Deadline: now.Add(time.Minute)}, now)
 	g.Expect(refusal).NotTo(gomega.BeNil())
-	next := site.RunID("again", now.Add(time.Hour))
+	next := site.IncarnationID("again", now.Add(time.Hour))
 	p.Update([]site.Server{{ID: next, Zone: "a", Slots: 4}, {ID: "steady", Zone: "a", Slots: 4}}, 1, now)
 	g.Expect(countSlots(p, next, now)).To(gomega.Equal(1))
-	_, refusal = p.Ask(&pool.Waiter{Only: id, Deadline: now.Add(time.Minute)}, now)
+	_, refusal = p.Submit(&pool.Waiter{Only: id, Deadline: now.Add(time.Minute)}, now)
 	g.Expect(refusal.Reason).To(gomega.Equal(pool.NoServer))
 	p.Done(id, pool.Outcome{Failed: true}, now) // late outcome of the previous incarnation
 	g.Expect(countSlots(p, next, now)).To(gomega.BeZero(), "it frees no slot at the new incarnation")
@@ -142,7 +142,7 @@
 		ids = nil
 		var list []site.Server
 		for i := range 8 {
-			id := site.RunID(site.ServerName(serverID(i)), start.Add(time.Duration(at)*time.Second))
+			id := site.IncarnationID(site.ServerName(serverID(i)), start.Add(time.Duration(at)*time.Second))
 			ids = append(ids, id)
 			list = append(list, site.Server{ID: id, Zone: "a", Slots: 4})
 		}
--- a/gateway/pool/evict_test.go
+++ b/gateway/pool/evict_test.go
@@ -18,8 +18,8 @@
 	p := pool.New("a", 0, rand.New(rand.NewPCG(1, 1)))
 	p.Update([]site.Server{{ID: "s", Service: "s", Zone: "a", Slots: 1}}, 12, start)
 	ask := func(priority int, deadline time.Duration) *pool.Waiter {
-		w := &pool.Waiter{Priority: priority, Since: start, Target: start.Add(time.Second), Deadline: start.Add(deadline), Only: "s"}
-		_, refusal := p.Ask(w, start)
+		w := &pool.Waiter{Priority: priority, ArrivedAt: start, Target: start.Add(time.Second), Deadline: start.Add(deadline), Only: "s"}
+		_, refusal := p.Submit(w, start)
 		g.Expect(refusal).To(gomega.BeNil())
 		return w
 	}
@@ -41,15 +41,15 @@
 	p := pool.New("a", 0, rand.New(rand.NewPCG(1, 1)))
 	p.Update([]site.Server{{ID: "s", Service: "s", Zone: "a", Slots: 1}}, 12, start)
 	ask := func() *pool.Admission {
-		w := &pool.Waiter{Since: start, Target: start.Add(time.Minute), Deadline: start.Add(time.Minute), Only: "s"}
-		admission, refusal := p.Ask(w, start)
+		w := &pool.Waiter{ArrivedAt: start, Target: start.Add(time.Minute), Deadline: start.Add(time.Minute), Only: "s"}
+		admission, refusal := p.Submit(w, start)
 		g.Expect(refusal).To(gomega.BeNil())
 		return admission
 	}
 	g.Expect(ask()).NotTo(gomega.BeNil())
 	g.Expect(ask()).To(gomega.BeNil(), "the request is queued")
 	g.Expect(p.Done("s", pool.Outcome{Failed: true, NotReached: true}, start)).To(gomega.BeEmpty())
-	at, waits := p.NextRoom(start)
+	at, waits := p.NextAdmitTime(start)
 	g.Expect(waits).To(gomega.BeTrue())
 	g.Expect(p.Admit(at)).To(gomega.HaveLen(1))
 }
--- a/gateway/pool/limit.go
+++ b/gateway/pool/limit.go
@@ -72,10 +72,10 @@
 	return min(time.Duration(seconds*(1/m.limit-1)*float64(time.Second)), maxPause)
 }
 
-// NextRoom returns the earliest time at which Admit may send a waiting request because a
+// NextAdmitTime returns the earliest time at which Admit may send a waiting request because a
 // pause ends or a server is retried after a failed connection. found is false if there is no
 // such time.
-func (p *Pool) NextRoom(now time.Time) (at time.Time, found bool) {
+func (p *Pool) NextAdmitTime(now time.Time) (at time.Time, found bool) {
 	if len(p.queue) == 0 {
 		return time.Time{}, false
 	}
@@ -100,7 +100,7 @@
 	switch {
 	case outcome.Reset:
 		m.lowerLimit(refusalDecrease)
-	case !outcome.NoRoom:
+	case !outcome.NoCapacity:
 	case outcome.Load == nil && m.hadFreeSlots:
 		m.limit = min(m.limit, max(m.limit*refusalDecrease, p.fairLimit(m)))
 	case outcome.Load == nil || outcome.Load.Running >= outcome.Load.Slots:
--- a/gateway/pool/pool.go
+++ b/gateway/pool/pool.go
@@ -224,7 +224,7 @@
 
 // canSend reports whether a request may be sent to a server now.
 func (p *Pool) canSend(m *member, w *Waiter, now time.Time) bool {
-	isOverShare := w.Only != "" && m.hasShare(now) && !w.Passed
+	isOverShare := w.Only != "" && m.hasShare(now) && !w.ChargedToShare
 	return !isOverShare && !m.Draining && !m.blocked(now) && w.accepts(m.ID) && p.hasCapacity(m, now)
 }
 
@@ -266,7 +266,7 @@
 	Took       time.Duration
 	Load       *site.Load // nil: not reported
 	Failed     bool       // no response, or a failure of the server
-	NoRoom     bool       // the server refused for lack of capacity
+	NoCapacity bool       // the server refused for lack of capacity
 	Reset      bool       // the server reset the connection, as some do when they are full
 	NotReached bool       // the server accepted no connection
 	// Abandoned reports that the node gave up on the request. This says little about the
@@ -287,7 +287,7 @@
 			m.recordEmptyQueue(outcome.Took, now)
 		}
 	}
-	if !outcome.Failed && !outcome.NoRoom && !outcome.Abandoned {
+	if !outcome.Failed && !outcome.NoCapacity && !outcome.Abandoned {
 		if m.meanSeconds == 0 {
 			m.meanSeconds = outcome.Took.Seconds()
 		}
@@ -298,7 +298,7 @@
 	}
 	hung := outcome.Abandoned && p.isOverdue(m, outcome.Took, now)
 	if !outcome.Abandoned || hung {
-		p.recordFailure(m, outcome.Failed || outcome.NoRoom || hung, now)
+		p.recordFailure(m, outcome.Failed || outcome.NoCapacity || hung, now)
 	}
 	if !outcome.Abandoned {
 		m.unansweredSince = now
@@ -329,9 +329,9 @@
 	m.blockedUntil = now.Add(pause)
 }
 
-// Probe reports whether a connection to a slow server should be tried, and whether one
+// ShouldProbe reports whether a connection to a slow server should be tried, and whether one
 // has recently failed.
-func (p *Pool) Probe(id site.ServerID, now time.Time) (mustProbe, isBlocked bool) {
+func (p *Pool) ShouldProbe(id site.ServerID, now time.Time) (mustProbe, isBlocked bool) {
 	m := p.members[id]
 	if m == nil || m.blocked(now) {
 		return false, m != nil
@@ -343,8 +343,8 @@
 	return true, false
 }
 
-// Probed records whether a probe connection was accepted.
-func (p *Pool) Probed(id site.ServerID, reached bool, now time.Time) {
+// RecordProbe records whether a probe connection was accepted.
+func (p *Pool) RecordProbe(id site.ServerID, reached bool, now time.Time) {
 	if m := p.members[id]; m != nil && !reached {
 		m.block(now)
 	}
--- a/gateway/pool/pool_test.go
+++ b/gateway/pool/pool_test.go
@@ -15,7 +15,7 @@
 // High load on servers of different speed: random selection overloads the slow half.
 func TestServersOfDifferentSpeedUnderHighLoad(t *testing.T) {
 	g := gomega.NewWithT(t)
-	pooled, blind := compare(t, replay.Load{Nodes: 8, Servers: eight(), Rate: steady(320), Length: 20 * time.Second, Target: 300 * time.Millisecond, Patient: 2 * time.Second})
+	pooled, blind := compare(t, replay.Load{Nodes: 8, Servers: eight(), Rate: steady(320), Length: 20 * time.Second, Target: 300 * time.Millisecond, CallerTimeout: 2 * time.Second})
 	g.Expect(pooled.InTime).To(gomega.BeNumerically(">", pooled.Asked*97/100))
 	g.Expect(pooled.InTime).To(gomega.BeNumerically(">", blind.InTime*11/10))
 	g.Expect(pooled.Overflow).To(gomega.BeZero())
@@ -31,7 +31,7 @@
 		}
 		return 250
 	}
-	pooled, blind := compare(t, replay.Load{Nodes: 8, Servers: eight(), Rate: burst, Length: 15 * time.Second, Target: 300 * time.Millisecond, Patient: 2 * time.Second})
+	pooled, blind := compare(t, replay.Load{Nodes: 8, Servers: eight(), Rate: burst, Length: 15 * time.Second, Target: 300 * time.Millisecond, CallerTimeout: 2 * time.Second})
 	g.Expect(pooled.InTime).To(gomega.BeNumerically(">", blind.InTime))
 	g.Expect(pooled.Overflow).To(gomega.BeNumerically("<", blind.Overflow/4))
 }
@@ -41,9 +41,9 @@
 	g := gomega.NewWithT(t)
 	servers := eight()
 	for i := range 3 {
-		servers[i].Sheds = 0.5
+		servers[i].ShedShare = 0.5
 	}
-	l := replay.Load{Nodes: 8, Servers: servers, Rate: steady(150), Length: 15 * time.Second, Target: 300 * time.Millisecond, Patient: 2 * time.Second}
+	l := replay.Load{Nodes: 8, Servers: servers, Rate: steady(150), Length: 15 * time.Second, Target: 300 * time.Millisecond, CallerTimeout: 2 * time.Second}
 	pooled, blind := compare(t, l)
 	g.Expect(pooled.InTime).To(gomega.BeNumerically(">", blind.InTime*115/100))
 }
@@ -54,9 +54,9 @@
 	g := gomega.NewWithT(t)
 	servers := eight()
 	for i := range 3 {
-		servers[i].Hangs = 0.5
+		servers[i].HangShare = 0.5
 	}
-	l := replay.Load{Nodes: 8, Servers: servers, Rate: steady(120), Length: 15 * time.Second, Target: 300 * time.Millisecond, Patient: 1500 * time.Millisecond}
+	l := replay.Load{Nodes: 8, Servers: servers, Rate: steady(120), Length: 15 * time.Second, Target: 300 * time.Millisecond, CallerTimeout: 1500 * time.Millisecond}
 	pooled, blind := compare(t, l)
 	t.Logf("never answered: %d with the pool, %d at random", pooled.Hung, blind.Hung)
 	g.Expect(pooled.Hung).To(gomega.BeNumerically("<", pooled.Asked*3/100))
@@ -73,8 +73,8 @@
 		p.Update([]site.Server{{ID: "near", Slots: 8, Zone: "a"}, {ID: "far1", Slots: 8, Zone: "b"}, {ID: "far2", Slots: 8, Zone: "b"}}, 1, start)
 		failed := 0
 		for now := start; now.Before(start.Add(20 * time.Second)); now = now.Add(50 * time.Millisecond) {
-			w := &pool.Waiter{Since: now, Target: now.Add(600 * time.Millisecond), Deadline: now.Add(1500 * time.Millisecond), Once: once}
-			admission, _ := p.Ask(w, now)
+			w := &pool.Waiter{ArrivedAt: now, Target: now.Add(600 * time.Millisecond), Deadline: now.Add(1500 * time.Millisecond), AtMostOnce: once}
+			admission, _ := p.Submit(w, now)
 			fails := admission.Server.ID == "near" && random.Float64() < 0.3
 			if fails {
 				failed++
@@ -93,7 +93,7 @@
 func TestHotKeyExceedsOwnerCapacity(t *testing.T) {
 	g := gomega.NewWithT(t)
 	servers := eight()[:1]
-	pooled := run(replay.Load{Nodes: 8, Servers: servers, Rate: steady(100), Length: 15 * time.Second, Target: 300 * time.Millisecond, Patient: 1200 * time.Millisecond, Only: true})
+	pooled := run(replay.Load{Nodes: 8, Servers: servers, Rate: steady(100), Length: 15 * time.Second, Target: 300 * time.Millisecond, CallerTimeout: 1200 * time.Millisecond, OnlyFirst: true})
 	t.Log(pooled)
 	capacity := int(15 / 0.060 * 4)
 	g.Expect(pooled.InTime).To(gomega.BeNumerically(">", capacity*60/100))
@@ -105,7 +105,7 @@
 func TestHotKeyRequestedByManyNodes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	servers := []replay.Server{{Zone: "a", Slots: 6, Queue: 16, Work: 400 * time.Millisecond}}
-	l := replay.Load{Nodes: 71, Servers: servers, Rate: steady(200), Length: 15 * time.Second, Target: 1200 * time.Millisecond, Patient: 3 * time.Second, Only: true}
+	l := replay.Load{Nodes: 71, Servers: servers, Rate: steady(200), Length: 15 * time.Second, Target: 1200 * time.Millisecond, CallerTimeout: 3 * time.Second, OnlyFirst: true}
 	pooled, blind := compare(t, l)
 	capacity := int(15 / 0.4 * 6)
 	g.Expect(pooled.InTime + pooled.Late).To(gomega.BeNumerically(">", capacity*90/100))
@@ -131,8 +131,8 @@
 	counts := map[site.ServerID]int{}
 	ask := func(now time.Time) {
 		for _, p := range pools {
-			w := &pool.Waiter{Since: now, Target: now.Add(800 * time.Millisecond), Deadline: now.Add(5 * time.Second)}
-			admission, _ := p.Ask(w, now)
+			w := &pool.Waiter{ArrivedAt: now, Target: now.Add(800 * time.Millisecond), Deadline: now.Add(5 * time.Second)}
+			admission, _ := p.Submit(w, now)
 			counts[admission.Server.ID]++
 			p.Done(admission.Server.ID, pool.Outcome{Took: 100 * time.Millisecond, Load: &site.Load{Running: 1, Slots: 4}}, now.Add(100*time.Millisecond))
 		}
@@ -164,8 +164,8 @@
 	p.Update([]site.Server{{ID: "s1", Slots: 4, Zone: "a"}, {ID: "s2", Slots: 4, Zone: "a"}, {ID: "s3", Slots: 4, Zone: "a"}}, 8, start)
 	got := 0
 	for now := start; now.Before(start.Add(60 * time.Second)); now = now.Add(100 * time.Millisecond) {
-		w := &pool.Waiter{Since: now, Target: now.Add(800 * time.Millisecond), Deadline: now.Add(5 * time.Second)}
-		admission, _ := p.Ask(w, now)
+		w := &pool.Waiter{ArrivedAt: now, Target: now.Add(800 * time.Millisecond), Deadline: now.Add(5 * time.Second)}
+		admission, _ := p.Submit(w, now)
 		took := 100 * time.Millisecond
 		if admission.Server.ID == "s1" {
 			got++
@@ -180,7 +180,7 @@
 
 func TestOwnZoneIsPreferredWithinObjective(t *testing.T) {
 	g := gomega.NewWithT(t)
-	pooled := run(replay.Load{Nodes: 9, Servers: append(eight(), eight()[2]), Rate: steady(150), Length: 10 * time.Second, Target: 400 * time.Millisecond, Patient: 2 * time.Second})
+	pooled := run(replay.Load{Nodes: 9, Servers: append(eight(), eight()[2]), Rate: steady(150), Length: 10 * time.Second, Target: 400 * time.Millisecond, CallerTimeout: 2 * time.Second})
 	t.Log(pooled)
 	g.Expect(pooled.CrossZone).To(gomega.BeNumerically("<", pooled.Asked/10))
 	g.Expect(pooled.InTime).To(gomega.BeNumerically(">", pooled.Asked*97/100))
@@ -192,7 +192,7 @@
 	servers := []site.Server{{ID: "s1", Slots: 4, Draining: true}, {ID: "s2", Slots: 4}}
 	p.Update(servers, 1, start)
 	ask := func(now time.Time) (*pool.Admission, *pool.Refusal) {
-		return p.Ask(&pool.Waiter{Since: now, Target: now.Add(time.Second), Deadline: now.Add(time.Second)}, now)
+		return p.Submit(&pool.Waiter{ArrivedAt: now, Target: now.Add(time.Second), Deadline: now.Add(time.Second)}, now)
 	}
 	admission, _ := ask(start)
 	g.Expect(admission.Server.ID).To(gomega.Equal(site.ServerID("s2")))
@@ -209,13 +209,13 @@
 	p := pool.New("a", 0, rand.New(rand.NewPCG(1, 1)))
 	p.Update([]site.Server{{ID: "s1", Slots: 1}}, 8, start)
 	waiter := func(priority int) *pool.Waiter {
-		return &pool.Waiter{Priority: priority, Since: start, Target: start.Add(time.Second), Deadline: start.Add(3 * time.Second)}
+		return &pool.Waiter{Priority: priority, ArrivedAt: start, Target: start.Add(time.Second), Deadline: start.Add(3 * time.Second)}
 	}
-	admission, _ := p.Ask(waiter(2), start)
+	admission, _ := p.Submit(waiter(2), start)
 	g.Expect(admission).NotTo(gomega.BeNil())
 	usual, urgent := waiter(2), waiter(1)
 	for _, w := range []*pool.Waiter{usual, urgent} {
-		admission, refusal := p.Ask(w, start)
+		admission, refusal := p.Submit(w, start)
 		g.Expect(admission).To(gomega.BeNil())
 		g.Expect(refusal).To(gomega.BeNil())
 	}
--- a/gateway/pool/queue.go
+++ b/gateway/pool/queue.go
@@ -21,14 +21,14 @@
 
 // Waiter is a request that needs a server.
 type Waiter struct {
-	Priority int             // 0 is the most urgent
-	Since    time.Time       // arrival time
-	Target   time.Time       // time by which a response has its full value
-	Deadline time.Time       // time after which a response has no value
-	Only     site.ServerID   // the only server that may run it; empty: any
-	Not      []site.ServerID // incarnations of servers that have been tried
-	Once     bool            // it must not run twice, so that a failure of its server loses it
-	Passed   bool            // it has been charged to the share of its server
+	Priority       int             // 0 is the most urgent
+	ArrivedAt      time.Time       // arrival time
+	Target         time.Time       // time by which a response has its full value
+	Deadline       time.Time       // time after which a response has no value
+	Only           site.ServerID   // the only server that may run it; empty: any
+	Tried          []site.ServerID // incarnations of servers that have been tried
+	AtMostOnce     bool            // it must not run twice, so that a failure of its server loses it
+	ChargedToShare bool            // it has been charged to the share of its server
 }
 
 // accepts reports whether an incarnation of a server may get the request. A new incarnation
@@ -38,11 +38,11 @@
 	if w.Only != "" {
 		return w.Only == id
 	}
-	return !slices.ContainsFunc(w.Not, func(tried site.ServerID) bool { return tried.Name() == id.Name() })
+	return !slices.ContainsFunc(w.Tried, func(tried site.ServerID) bool { return tried.Name() == id.Name() })
 }
 
 func (w *Waiter) failureCost() time.Duration {
-	if w.Once {
+	if w.AtMostOnce {
 		return atMostOnceFailureCost
 	}
 	return failureCost
@@ -66,14 +66,14 @@
 
 // Reasons of a refusal.
 const (
-	NoServer  Reason = "no server"                 // no server may run it
-	TooLong   Reason = "wait longer than its time" // it would miss its deadline
-	QueueFull Reason = "queue full"
-	OverShare Reason = "wanted beyond what its server runs" // other requests for its keys are sent
+	NoServer    Reason = "no server"                 // no server may run it
+	WaitTooLong Reason = "wait longer than its time" // it would miss its deadline
+	QueueFull   Reason = "queue full"
+	OverShare   Reason = "wanted beyond what its server runs" // other requests for its keys are sent
 )
 
-// Ask assigns a request a slot at once, queues it, or refuses it.
-func (p *Pool) Ask(w *Waiter, now time.Time) (admission *Admission, refusal *Refusal) {
+// Submit assigns a request a slot at once, queues it, or refuses it.
+func (p *Pool) Submit(w *Waiter, now time.Time) (admission *Admission, refusal *Refusal) {
 	if !p.hasServer(w, now) {
 		return nil, &Refusal{Reason: NoServer, RetryAfter: p.retryAfter(0)}
 	}
@@ -87,7 +87,7 @@
 	}
 	wait := p.expectedWait(w, p.countAhead(w, now), now)
 	if now.Add(wait).After(w.Deadline) {
-		return nil, &Refusal{Reason: TooLong, RetryAfter: p.retryAfter(wait)}
+		return nil, &Refusal{Reason: WaitTooLong, RetryAfter: p.retryAfter(wait)}
 	}
 	if len(p.queue) >= maxWaiting {
 		return nil, &Refusal{Reason: QueueFull, RetryAfter: p.retryAfter(wait)}
@@ -96,8 +96,8 @@
 	return nil, nil
 }
 
-// Leave removes a request from the queue.
-func (p *Pool) Leave(w *Waiter) {
+// Remove removes a request from the queue.
+func (p *Pool) Remove(w *Waiter) {
 	p.queue = slices.DeleteFunc(p.queue, func(other *Waiter) bool { return other == w })
 }
 
@@ -204,7 +204,7 @@
 			ahead[w.Only]++
 			continue
 		}
-		evictions = append(evictions, Eviction{Waiter: w, Refusal: Refusal{Reason: TooLong, RetryAfter: p.retryAfter(wait)}})
+		evictions = append(evictions, Eviction{Waiter: w, Refusal: Refusal{Reason: WaitTooLong, RetryAfter: p.retryAfter(wait)}})
 	}
 	p.removeAll(evictions)
 	return evictions
@@ -231,7 +231,7 @@
 // cachedThroughput returns the throughput of a waiter's servers, which is the same for all
 // waiters that may go to the same servers.
 func (p *Pool) cachedThroughput(cache map[site.ServerID]throughput, w *Waiter, now time.Time) throughput {
-	if w.Only == "" && len(w.Not) > 0 {
+	if w.Only == "" && len(w.Tried) > 0 {
 		return p.throughputFor(w, now)
 	}
 	t, exists := cache[w.Only]
@@ -281,7 +281,7 @@
 		if w == nil {
 			return admissions
 		}
-		p.Leave(w)
+		p.Remove(w)
 		admissions = append(admissions, *p.admit(w, m, now))
 	}
 }
@@ -315,7 +315,7 @@
 	case aInTime != bInTime:
 		return 1
 	}
-	return a.Since.Compare(b.Since)
+	return a.ArrivedAt.Compare(b.ArrivedAt)
 }
 
 // inTimeFactor is the number of mean service times that must be left for a request to be
@@ -331,8 +331,8 @@
 	return now.Add(time.Duration(inTimeFactor * mean * float64(time.Second))).Before(w.Target)
 }
 
-// Try assigns a request a slot only if one is free at once and no request waits for it.
-func (p *Pool) Try(w *Waiter, now time.Time) (site.Server, bool) {
+// TryAdmit assigns a request a slot only if one is free at once and no request waits for it.
+func (p *Pool) TryAdmit(w *Waiter, now time.Time) (site.Server, bool) {
 	if slices.ContainsFunc(p.queue, func(other *Waiter) bool { return other.Only == w.Only }) {
 		return site.Server{}, false
 	}
--- a/gateway/pool/replay_test.go
+++ b/gateway/pool/replay_test.go
@@ -17,7 +17,7 @@
 
 func run(l replay.Load) replay.Result { return replay.Run(l, seed) }
 
-func eight() []replay.Server { return replay.Eight() }
+func eight() []replay.Server { return replay.EightServers() }
 
 func steady(rate float64) func(time.Duration) float64 { return replay.Steady(rate) }
 
@@ -25,7 +25,7 @@
 func compare(t *testing.T, l replay.Load) (pooled, blind replay.Result) {
 	t.Helper()
 	pooled = run(l)
-	l.Policy = replay.Blind
+	l.Policy = replay.RandomServer
 	blind = run(l)
 	t.Logf("with the pool: %v; sent at random: %v", pooled, blind)
 	return pooled, blind
--- a/gateway/pool/share.go
+++ b/gateway/pool/share.go
@@ -37,13 +37,13 @@
 // queued before the share arrived are charged to it like new ones.
 func (p *Pool) refuseOverShare(w *Waiter, now time.Time) *Refusal {
 	m := p.members[w.Only]
-	if m == nil || w.Passed || !m.hasShare(now) {
+	if m == nil || w.ChargedToShare || !m.hasShare(now) {
 		return nil
 	}
 	if !m.spendCredit(p.inTime(w, now)) {
 		return &Refusal{Reason: OverShare, RetryAfter: p.shareRetryAfter(m, now), Share: m.share}
 	}
-	w.Passed = true
+	w.ChargedToShare = true
 	return nil
 }
 
--- a/gateway/quota/quota.go
+++ b/gateway/quota/quota.go
@@ -32,8 +32,8 @@
 	idleUtilization    = 0.6
 	minIdleRounds      = 4
 	idleCorrectionStep = 1.25
-	// Round is the time between two updates.
-	Round = 500 * time.Millisecond
+	// UpdateInterval is the time between two updates.
+	UpdateInterval = 500 * time.Millisecond
 	// queueDrainTime is the time in which a queue beyond the target should be worked off.
 	// Reports of the queue and the resulting shares are in flight for more than a second,
 	// so a shorter time would make the queue oscillate. Without draining, a queue that came
@@ -56,14 +56,14 @@
 
 // Server describes a server by the reports of all nodes.
 type Server struct {
-	ID    site.ServerID
-	Slots int
-	Asked float64 // requests per second for its keys
-	Runs  float64 // requests per second that the server can run
-	// Present is the mean number of requests, running or waiting, at the server at its
+	ID       site.ServerID
+	Slots    int
+	Demand   float64 // requests per second for its keys
+	Capacity float64 // requests per second that the server can run
+	// MeanLoad is the mean number of requests, running or waiting, at the server at its
 	// latest answers. Answers is the number of these answers.
-	Present float64
-	Answers int
+	MeanLoad float64
+	Answers  int
 }
 
 // Shares holds the share, from 0 to 1, of the requests for each server's keys that nodes
@@ -93,16 +93,16 @@
 	next := Shares{}
 	known := map[site.ServerID]estimate{}
 	for _, s := range servers {
-		if s.Runs > maxResponsesPerNode*float64(nodes) {
+		if s.Capacity > maxResponsesPerNode*float64(nodes) {
 			continue
 		}
 		e := q.updateEstimate(s)
-		if s.Asked < minDemandRatio*s.Runs {
+		if s.Demand < minDemandRatio*s.Capacity {
 			continue
 		}
 		known[s.ID] = e
-		if capacity := e.correction * s.Runs; s.Asked > capacity {
-			next[s.ID] = max(capacity-s.excessLoad()/queueDrainTime.Seconds(), minDrainUtilization*capacity) / s.Asked
+		if capacity := e.correction * s.Capacity; s.Demand > capacity {
+			next[s.ID] = max(capacity-s.excessLoad()/queueDrainTime.Seconds(), minDrainUtilization*capacity) / s.Demand
 		}
 	}
 	q.estimates = known
@@ -123,14 +123,14 @@
 		return e
 	}
 	e.idleRounds++
-	if s.Present >= idleUtilization*float64(s.Slots) {
+	if s.MeanLoad >= idleUtilization*float64(s.Slots) {
 		e.idleRounds = 0
 	}
 	most := maxCorrectionStep
 	if e.idleRounds >= minIdleRounds {
 		most = idleCorrectionStep
 	}
-	step := math.Sqrt(s.targetLoad() / max(s.Present, 1))
+	step := math.Sqrt(s.targetLoad() / max(s.MeanLoad, 1))
 	e.correction *= min(max(step, 1/maxCorrectionStep), most)
 	e.correction = min(max(e.correction, 1/maxCorrection), maxCorrection)
 	return e
@@ -144,7 +144,7 @@
 	if s.Answers == 0 {
 		return 0
 	}
-	return max(0, s.Present-s.targetLoad())
+	return max(0, s.MeanLoad-s.targetLoad())
 }
 
 // hasChanged reports whether shares differ enough to be announced.
--- a/gateway/quota/quota_test.go
+++ b/gateway/quota/quota_test.go
@@ -11,7 +11,7 @@
 
 func TestServerWithEnoughCapacityHasNoShare(t *testing.T) {
 	g := gomega.NewWithT(t)
-	shares, changed := New().Update([]Server{{ID: "a", Slots: 6, Asked: 10, Runs: 15}, {ID: "b", Slots: 6, Runs: 15}}, nodes)
+	shares, changed := New().Update([]Server{{ID: "a", Slots: 6, Demand: 10, Capacity: 15}, {ID: "b", Slots: 6, Capacity: 15}}, nodes)
 	g.Expect(changed).To(gomega.BeFalse())
 	g.Expect(shares).To(gomega.BeEmpty())
 }
@@ -19,13 +19,13 @@
 func TestShareMatchesTheCapacityOfTheServer(t *testing.T) {
 	g := gomega.NewWithT(t)
 	q := New()
-	busy := Server{ID: "a", Slots: 6, Asked: 150, Runs: 15, Present: 10, Answers: 10}
+	busy := Server{ID: "a", Slots: 6, Demand: 150, Capacity: 15, MeanLoad: 10, Answers: 10}
 	shares, changed := q.Update([]Server{busy}, nodes)
 	g.Expect(changed).To(gomega.BeTrue())
 	g.Expect(shares["a"]).To(gomega.BeNumerically("~", 0.1, 0.001))
 	_, changed = q.Update([]Server{busy}, nodes)
 	g.Expect(changed).To(gomega.BeFalse(), "unchanged shares are announced once")
-	busy.Asked = 5
+	busy.Demand = 5
 	shares, changed = q.Update([]Server{busy}, nodes)
 	g.Expect(changed).To(gomega.BeTrue())
 	g.Expect(shares).To(gomega.BeEmpty())
@@ -35,7 +35,7 @@
 // without a lower share would stay there as long as the keys are busy.
 func TestShareIsReducedUntilTheQueueIsWorkedOff(t *testing.T) {
 	g := gomega.NewWithT(t)
-	full := Server{ID: "a", Slots: 6, Asked: 150, Runs: 15, Present: 30, Answers: 10}
+	full := Server{ID: "a", Slots: 6, Demand: 150, Capacity: 15, MeanLoad: 30, Answers: 10}
 	shares, _ := New().Update([]Server{full}, nodes)
 	g.Expect(shares["a"]).To(gomega.BeNumerically("<", 0.03))
 	g.Expect(shares["a"]).To(gomega.BeNumerically(">", 0.01), "the server keeps working meanwhile")
@@ -46,7 +46,7 @@
 func TestShareOfAServerWithIdleSlotsGrowsQuickly(t *testing.T) {
 	g := gomega.NewWithT(t)
 	q := New()
-	idle := Server{ID: "a", Slots: 6, Asked: 30, Runs: 15, Present: 3, Answers: 10}
+	idle := Server{ID: "a", Slots: 6, Demand: 30, Capacity: 15, MeanLoad: 3, Answers: 10}
 	for range 8 {
 		q.Update([]Server{idle}, nodes)
 	}
@@ -56,7 +56,7 @@
 
 func TestNoShareIfNodesObserveTheServerOften(t *testing.T) {
 	g := gomega.NewWithT(t)
-	busy := Server{ID: "a", Slots: 6, Asked: 150, Runs: 15}
+	busy := Server{ID: "a", Slots: 6, Demand: 150, Capacity: 15}
 	shares, _ := New().Update([]Server{busy}, 8)
 	g.Expect(shares).To(gomega.BeEmpty())
 	shares, _ = New().Update([]Server{busy}, 17)
--- a/gateway/ranges/allocator.go
+++ b/gateway/ranges/allocator.go
@@ -73,7 +73,7 @@
 // awaitsAccept records the result of a failed call and reports whether the owner may still
 // accept the connection within acceptTimeout.
 func (l *lease) awaitsAccept(result Result, now time.Time) bool {
-	if result.Fate != Unaccepted {
+	if result.Outcome != Unaccepted {
 		l.unacceptedSince = time.Time{}
 		return false
 	}
@@ -107,22 +107,22 @@
 	excludedUntil map[site.ServerID]time.Time
 }
 
-// FormerHold returns how long after a claim grants of a previous lessor may be in force:
+// PreviousHold returns how long after a claim grants of a previous lessor may be in force:
 // its grant period plus a hold.
-func (t Timing) FormerHold() time.Duration { return t.GrantPeriod + t.EndedHold() }
+func (t Timing) PreviousHold() time.Duration { return t.GrantPeriod + t.HoldAfterExit() }
 
-// EndedHold returns how long after the end of a lessor's process its grants may be in
+// HoldAfterExit returns how long after the end of a lessor's process its grants may be in
 // force.
-func (t Timing) EndedHold() time.Duration { return t.maxTimeInForce(t.Hold) }
+func (t Timing) HoldAfterExit() time.Duration { return t.maxTimeInForce(t.Hold) }
 
 // idleMargin is subtracted from the time that PreviousHoldAfterIdle saves, because timers
 // may fire late.
 const idleMargin = 200 * time.Millisecond
 
-// FormerHoldAfter returns the same for a claim on an ownership topic without new records
+// PreviousHoldAfterIdle returns the same for a claim on an ownership topic without new records
 // for the given duration: the grant period of the previous lessor began before that.
-func (t Timing) FormerHoldAfter(idle time.Duration) time.Duration {
-	return max(t.FormerHold()-max(idle-idleMargin, 0), 0)
+func (t Timing) PreviousHoldAfterIdle(idle time.Duration) time.Duration {
+	return max(t.PreviousHold()-max(idle-idleMargin, 0), 0)
 }
 
 // NewAllocator returns the state of a new lessor that has appended table at time now.
@@ -161,9 +161,9 @@
 	Moving RouteState = iota
 	// Ready ranges are served by their owner.
 	Ready
-	// Silent ranges have an owner that does not respond. They get another owner when its
+	// Unresponsive ranges have an owner that does not respond. They get another owner when its
 	// holds have expired, which takes up to a hold.
-	Silent
+	Unresponsive
 )
 
 // Routes returns the current routes of every service.
@@ -172,7 +172,7 @@
 	for service, leases := range alloc.leases {
 		for _, l := range leases {
 			route := Route{Span: l.Span, Server: l.Server, State: l.routeState()}
-			if route.State == Silent {
+			if route.State == Unresponsive {
 				route.Until = l.likelyInForceUntil(alloc.timing)
 			}
 			routes[service] = append(routes[service], route)
@@ -184,7 +184,7 @@
 func (l *lease) routeState() RouteState {
 	switch {
 	case l.phase == expiring:
-		return Silent
+		return Unresponsive
 	case l.phase == granting && l.Server != "" && (l.confirmed || l.ownerKept):
 		return Ready
 	}
@@ -237,7 +237,7 @@
 	if l.Server == "" || l.callInFlight || l.raiseFence || l.appendPending || l.phase == released {
 		return Call{}, false
 	}
-	if _, isEarlier := LaterRun(servers, l.Server); isEarlier {
+	if _, isEarlier := LaterIncarnation(servers, l.Server); isEarlier {
 		return Call{}, false // the range moves to the later incarnation
 	}
 	call := Call{Service: l.service, Server: l.Server, SentAt: now, lease: l}
@@ -264,7 +264,7 @@
 		return Call{}, false
 	}
 	call.Grant = Grant{Assignment: l.Assignment, Hold: hold}
-	if _, hasEnded := LaterRun(servers, l.handoverFrom); hasEnded {
+	if _, hasEnded := LaterIncarnation(servers, l.handoverFrom); hasEnded {
 		call.Grant.Handover = ""
 	}
 	l.callInFlight = true
@@ -290,9 +290,9 @@
 // Result is the result of a call.
 type Result struct {
 	Handover string
-	Fenced   bool // the server has seen a higher fence
-	Failed   bool // no response, or an invalid one
-	Fate     Fate // set if Failed
+	Fenced   bool    // the server has seen a higher fence
+	Failed   bool    // no response, or an invalid one
+	Outcome  Outcome // set if Failed
 	// ArrivedBy is the time by which an Arrived call had reached the server's machine;
 	// zero: the end of the call.
 	ArrivedBy time.Time
@@ -323,7 +323,7 @@
 	case result.Failed && l.awaitsAccept(result, now):
 		l.sentAt = time.Time{} // retry at once, the connection may be accepted at any moment
 	case result.Failed:
-		l.hasUncertainGrant = l.hasUncertainGrant || result.Fate.mayExecute()
+		l.hasUncertainGrant = l.hasUncertainGrant || result.Outcome.mayExecute()
 		l.failures++
 		if l.failures >= failuresToExpire {
 			alloc.setPhase(l, expiring)
--- a/gateway/ranges/allocator_test.go
+++ b/gateway/ranges/allocator_test.go
@@ -61,7 +61,7 @@
 // ownedRange returns a lessor that has just claimed. Server a owns all keys.
 func ownedRange(t *testing.T) (*Allocator, Site) {
 	t.Helper()
-	return ownedRangeAfter(DefaultTiming().FormerHold())
+	return ownedRangeAfter(DefaultTiming().PreviousHold())
 }
 
 // ownedRangeAfter is like ownedRange with the given time for which grants of the previous
@@ -77,14 +77,14 @@
 	t.Helper()
 	table := &Table{Services: map[site.ServiceName][]Assignment{worldService: {{Span: Span{To: LastKey}, Server: incarnation("a", 1), Fence: 1}}}}
 	s := keyedSite(site.Server{ID: incarnation("a", 1), Slots: 4, Address: "x"}, site.Server{ID: incarnation("b", 1), Slots: 4, Address: "y"})
-	return NewAllocator(table, DefaultTiming(), DefaultTiming().FormerHold(), allocatorStart), s
+	return NewAllocator(table, DefaultTiming(), DefaultTiming().PreviousHold(), allocatorStart), s
 }
 
 func TestAnUnregisteredOwnerKeepsItsRangesUntilItsHoldsExpire(t *testing.T) {
 	g := gomega.NewWithT(t)
 	alloc, s := ownedRange(t)
 	delete(s.Servers, "a")
-	end := allocatorStart.Add(DefaultTiming().FormerHold())
+	end := allocatorStart.Add(DefaultTiming().PreviousHold())
 	g.Expect(alloc.Plan(s, 2, end.Add(-time.Millisecond))).To(gomega.BeNil())
 	change := alloc.Plan(s, 2, end)
 	g.Expect(change).NotTo(gomega.BeNil())
@@ -159,7 +159,7 @@
 	alloc.Done(call, Result{}, allocatorStart)
 	g.Expect(alloc.Plan(s, 3, allocatorStart)).To(gomega.BeNil())
 	g.Expect(alloc.Calls(s.Servers, lease, allocatorStart)).To(gomega.BeEmpty(), "uncertain grants, also of the previous lessor, may reach the owner's next incarnation")
-	end := allocatorStart.Add(DefaultTiming().FormerHold())
+	end := allocatorStart.Add(DefaultTiming().PreviousHold())
 	g.Expect(alloc.Plan(s, 3, end)).To(gomega.BeNil())
 	call = alloc.Calls(s.Servers, Lease{ConfirmedAt: end}, end.Add(releaseNotice))[0]
 	g.Expect(call.Release).To(gomega.BeTrue())
@@ -174,10 +174,10 @@
 func TestAClaimDeductsTheTimeWithoutRecords(t *testing.T) {
 	g := gomega.NewWithT(t)
 	timing := DefaultTiming()
-	g.Expect(timing.FormerHoldAfter(0)).To(gomega.Equal(timing.FormerHold()))
-	g.Expect(timing.FormerHoldAfter(idleMargin)).To(gomega.Equal(timing.FormerHold()))
-	g.Expect(timing.FormerHoldAfter(idleMargin + time.Second)).To(gomega.Equal(timing.FormerHold() - time.Second))
-	g.Expect(timing.FormerHoldAfter(time.Minute)).To(gomega.BeZero())
+	g.Expect(timing.PreviousHoldAfterIdle(0)).To(gomega.Equal(timing.PreviousHold()))
+	g.Expect(timing.PreviousHoldAfterIdle(idleMargin)).To(gomega.Equal(timing.PreviousHold()))
+	g.Expect(timing.PreviousHoldAfterIdle(idleMargin + time.Second)).To(gomega.Equal(timing.PreviousHold() - time.Second))
+	g.Expect(timing.PreviousHoldAfterIdle(time.Minute)).To(gomega.BeZero())
 }
 
 // All grants that the previous lessor sent after its last observed confirmation must have
@@ -188,7 +188,7 @@
 	for sent := time.Duration(0); sent < timing.GrantPeriod; sent += 50 * time.Millisecond {
 		hold := alloc.hold(Lease{ConfirmedAt: allocatorStart}, allocatorStart.Add(sent))
 		for _, idle := range []time.Duration{0, time.Second, 3 * time.Second} {
-			end := idle + timing.FormerHoldAfter(idle)
+			end := idle + timing.PreviousHoldAfterIdle(idle)
 			if idle == 0 {
 				end += idleMargin // only a node that has just started claims without observing an idle topic
 			}
--- a/gateway/ranges/balance_test.go
+++ b/gateway/ranges/balance_test.go
@@ -50,7 +50,7 @@
 		}
 		r.loads.Decay(r.now)
 		for id, serviceTime := range r.serviceTimes {
-			r.loads.Pace(id, serviceTime)
+			r.loads.ReportServiceTime(id, serviceTime)
 		}
 		r.step(balanced)
 	}
--- a/gateway/ranges/busy_cluster_test.go
+++ b/gateway/ranges/busy_cluster_test.go
@@ -86,7 +86,7 @@
 	r.delayed = r.delayed[counted:]
 	r.loads.Decay(r.now)
 	for id, serviceTime := range r.serviceTimes {
-		r.loads.Pace(id, serviceTime)
+		r.loads.ReportServiceTime(id, serviceTime)
 	}
 }
 
--- a/gateway/ranges/claims_test.go
+++ b/gateway/ranges/claims_test.go
@@ -15,24 +15,24 @@
 	g := gomega.NewWithT(t)
 	timing := DefaultTiming()
 	alloc, s := ownedRange(t)
-	end, now := allocatorStart.Add(timing.FormerHold()), allocatorStart
+	end, now := allocatorStart.Add(timing.PreviousHold()), allocatorStart
 	claims := 0
 	for ; now.Before(end); claims++ {
 		g.Expect(alloc.Plan(s, 2, now)).To(gomega.BeNil(), "grants of the first lessor may be in force")
 		for range failuresToExpire {
 			for _, call := range alloc.Calls(s.Servers, Lease{ConfirmedAt: now}, now) {
-				alloc.Done(call, Result{Failed: true, Fate: NotSent}, now.Add(timing.CallTimeout))
+				alloc.Done(call, Result{Failed: true, Outcome: NotSent}, now.Add(timing.CallTimeout))
 			}
 			now = now.Add(timing.Renew)
 		}
-		next := NewAllocator(alloc.Table(), timing, timing.FormerHold(), now)
-		next.LimitFormer(alloc.Remaining(now), now)
+		next := NewAllocator(alloc.Table(), timing, timing.PreviousHold(), now)
+		next.LimitPrevious(alloc.Remaining(now), now)
 		alloc = next
 	}
 	g.Expect(claims).To(gomega.BeNumerically(">", 3))
 	for range failuresToExpire {
 		for _, call := range alloc.Calls(s.Servers, Lease{ConfirmedAt: now}, now) {
-			alloc.Done(call, Result{Failed: true, Fate: NotSent}, now)
+			alloc.Done(call, Result{Failed: true, Outcome: NotSent}, now)
 		}
 		now = now.Add(timing.Renew)
 	}
--- a/gateway/ranges/demand.go
+++ b/gateway/ranges/demand.go
@@ -21,9 +21,9 @@
 		r := &round{allocator: alloc, service: name, loads: s.Load, now: now}
 		for _, u := range r.measure(alloc.eligibleServers(s, name, now)) {
 			occupancy := s.Load.occupancies[u.server.ID]
-			demand := quota.Server{ID: u.server.ID, Slots: u.server.Slots, Asked: r.offeredRate(u), Runs: 1 / u.cost, Answers: occupancy.answers}
+			demand := quota.Server{ID: u.server.ID, Slots: u.server.Slots, Demand: r.offeredRate(u), Capacity: 1 / u.cost, Answers: occupancy.answers}
 			if occupancy.answers > 0 {
-				demand.Present = float64(occupancy.requests) / float64(occupancy.answers)
+				demand.MeanLoad = float64(occupancy.requests) / float64(occupancy.answers)
 			}
 			demands = append(demands, demand)
 		}
--- a/gateway/ranges/handoff.go
+++ b/gateway/ranges/handoff.go
@@ -17,8 +17,8 @@
 type Remaining struct {
 	Service site.ServiceName
 	Span
-	Held  time.Duration
-	Doubt time.Duration // the same for uncertain grants
+	Held      time.Duration
+	Uncertain time.Duration // the same for uncertain grants
 }
 
 // Remaining returns for the next lessor how long grants of each range may be in force.
@@ -27,9 +27,9 @@
 	var list []Remaining
 	for service, leases := range alloc.leases {
 		for _, l := range leases {
-			r := Remaining{Service: service, Span: l.Span, Held: max(l.inForceUntil().Sub(now), 0), Doubt: max(l.uncertainInForceUntil().Sub(now), 0)}
+			r := Remaining{Service: service, Span: l.Span, Held: max(l.inForceUntil().Sub(now), 0), Uncertain: max(l.uncertainInForceUntil().Sub(now), 0)}
 			if l.callInFlight {
-				r.Doubt = r.Held
+				r.Uncertain = r.Held
 			}
 			list = append(list, r)
 		}
@@ -37,16 +37,16 @@
 	return list
 }
 
-// LimitFormer applies the report that the previous lessor made after its last grant. Ranges
+// LimitPrevious applies the report that the previous lessor made after its last grant. Ranges
 // that are missing from it were never granted by that lessor.
-func (alloc *Allocator) LimitFormer(list []Remaining, now time.Time) {
+func (alloc *Allocator) LimitPrevious(list []Remaining, now time.Time) {
 	for service, leases := range alloc.leases {
 		for _, l := range leases {
 			held, uncertain := now, now
 			for _, r := range list {
 				if r.Service == service && r.From <= l.To && l.From <= r.To {
 					held = clock.Later(held, now.Add(r.Held))
-					uncertain = clock.Later(uncertain, now.Add(r.Doubt))
+					uncertain = clock.Later(uncertain, now.Add(r.Uncertain))
 				}
 			}
 			l.limitPrevious(held, uncertain)
@@ -55,10 +55,10 @@
 	alloc.serial++ // unresponsive ranges are reassigned earlier
 }
 
-// FormerHeld returns how long grants of previous lessors may be in force. Each record of a
+// PreviousHeldFor returns how long grants of previous lessors may be in force. Each record of a
 // lessor carries it, because a lessor whose process has ended can no longer report what its
 // predecessors granted, and these may continue to grant for their grant period.
-func (alloc *Allocator) FormerHeld(now time.Time) time.Duration {
+func (alloc *Allocator) PreviousHeldFor(now time.Time) time.Duration {
 	held := time.Duration(0)
 	for _, leases := range alloc.leases {
 		for _, l := range leases {
@@ -68,10 +68,10 @@
 	return held
 }
 
-// FormerEnded records that the previous lessor's process had ended by endedBy, and that
+// PreviousEnded records that the previous lessor's process had ended by endedBy, and that
 // grants of lessors before it may be in force until earlierUntil.
-func (alloc *Allocator) FormerEnded(endedBy, earlierUntil time.Time) {
-	until := clock.Later(endedBy.Add(alloc.timing.EndedHold()), earlierUntil)
+func (alloc *Allocator) PreviousEnded(endedBy, earlierUntil time.Time) {
+	until := clock.Later(endedBy.Add(alloc.timing.HoldAfterExit()), earlierUntil)
 	for _, leases := range alloc.leases {
 		for _, l := range leases {
 			l.limitPrevious(until, until)
--- a/gateway/ranges/handoff_test.go
+++ b/gateway/ranges/handoff_test.go
@@ -19,17 +19,17 @@
 	lastConfirmed := allocatorStart // by the first lessor
 	lastHold := lastConfirmed.Add(timing.GrantPeriod + timing.maxTimeInForce(timing.Hold))
 	claimedAt := lastConfirmed.Add(1500 * time.Millisecond)
-	second := NewAllocator(table, timing, timing.FormerHold(), claimedAt)
+	second := NewAllocator(table, timing, timing.PreviousHold(), claimedAt)
 	recordedAt := claimedAt.Add(500 * time.Millisecond)
-	before := second.FormerHeld(recordedAt)
+	before := second.PreviousHeldFor(recordedAt)
 	endedAt := recordedAt.Add(100 * time.Millisecond)
 
 	now := endedAt.Add(2 * time.Second)
-	third := NewAllocator(table, timing, timing.FormerHold(), now)
-	third.FormerEnded(endedAt, now.Add(before))
-	g.Expect(now.Add(third.Held(now))).To(gomega.BeTemporally(">=", lastHold))
+	third := NewAllocator(table, timing, timing.PreviousHold(), now)
+	third.PreviousEnded(endedAt, now.Add(before))
+	g.Expect(now.Add(third.HeldFor(now))).To(gomega.BeTemporally(">=", lastHold))
 
-	alone := NewAllocator(table, timing, timing.FormerHold(), now)
-	alone.FormerEnded(endedAt, time.Time{})
-	g.Expect(now.Add(alone.Held(now))).To(gomega.BeTemporally("<", lastHold), "the end of the second lessor alone gives too early a time")
+	alone := NewAllocator(table, timing, timing.PreviousHold(), now)
+	alone.PreviousEnded(endedAt, time.Time{})
+	g.Expect(now.Add(alone.HeldFor(now))).To(gomega.BeTemporally("<", lastHold), "the end of the second lessor alone gives too early a time")
 }
--- a/gateway/ranges/holds.go
+++ b/gateway/ranges/holds.go
@@ -6,9 +6,9 @@
 	"github.com/burdockspindle/burdockspindle/gateway/site"
 )
 
-// Held returns how long granted ranges may still be in force. After an outage of the store
+// HeldFor returns how long granted ranges may still be in force. After an outage of the store
 // that can be longer than a hold.
-func (alloc *Allocator) Held(now time.Time) time.Duration {
+func (alloc *Allocator) HeldFor(now time.Time) time.Duration {
 	held := time.Duration(0)
 	for _, leases := range alloc.leases {
 		for _, l := range leases {
@@ -18,8 +18,8 @@
 	return held
 }
 
-// Doubt returns how long a grant without a response may still be in force.
-func (alloc *Allocator) Doubt(now time.Time) time.Duration {
+// UncertainFor returns how long a grant without a response may still be in force.
+func (alloc *Allocator) UncertainFor(now time.Time) time.Duration {
 	uncertain := time.Duration(0)
 	for _, leases := range alloc.leases {
 		for _, l := range leases {
@@ -32,8 +32,8 @@
 	return uncertain
 }
 
-// Calling reports whether a grant is in flight.
-func (alloc *Allocator) Calling() bool {
+// GrantInFlight reports whether a grant is in flight.
+func (alloc *Allocator) GrantInFlight() bool {
 	for _, leases := range alloc.leases {
 		for _, l := range leases {
 			if l.callInFlight && l.phase != releasing {
@@ -44,8 +44,8 @@
 	return false
 }
 
-// LimitDoubt limits how long uncertain grants of the previous lessor may be in force.
-func (alloc *Allocator) LimitDoubt(uncertain time.Duration, now time.Time) {
+// LimitUncertain limits how long uncertain grants of the previous lessor may be in force.
+func (alloc *Allocator) LimitUncertain(uncertain time.Duration, now time.Time) {
 	for _, leases := range alloc.leases {
 		for _, l := range leases {
 			l.limitPrevious(l.previousUntil, now.Add(uncertain))
@@ -53,12 +53,12 @@
 	}
 }
 
-// Silent returns the number of registered servers that own ranges and do not respond, and
+// Unresponsive returns the number of registered servers that own ranges and do not respond, and
 // the number of registered servers that own any. Servers that have left the registry are
 // excluded, because they say nothing about this node: when they were included, after the
 // loss of most owners each new lessor resigned before their holds had expired, and the next
 // lessor waited for these holds from the start.
-func (alloc *Allocator) Silent(registered map[site.ServerID]site.Server) (unresponsive, owners int) {
+func (alloc *Allocator) Unresponsive(registered map[site.ServerID]site.Server) (unresponsive, owners int) {
 	state := map[site.ServerID]bool{}
 	for _, leases := range alloc.leases {
 		for _, l := range leases {
--- a/gateway/ranges/incarnations.go
+++ b/gateway/ranges/incarnations.go
@@ -38,8 +38,8 @@
 
 // Restart describes a restart of a server under its name, for the log.
 type Restart struct {
-	From, To site.ServerID
-	Loops    bool // the server loses its keys
+	From, To     site.ServerID
+	CrashLooping bool // the server loses its keys
 }
 
 func newIncarnations() incarnations {
@@ -60,7 +60,7 @@
 			continue
 		}
 		inc.recordRestart(name, now)
-		restarts = append(restarts, Restart{From: before, To: id, Loops: inc.isCrashLooping(name, now)})
+		restarts = append(restarts, Restart{From: before, To: id, CrashLooping: inc.isCrashLooping(name, now)})
 	}
 	inc.unreported = append(inc.unreported, restarts...)
 	return restarts
@@ -80,9 +80,9 @@
 	return len(times) >= crashLoopRestarts && now.Sub(times[0]) < crashLoopWindow
 }
 
-// LaterRun returns the incarnation that is registered in place of an earlier one with the
+// LaterIncarnation returns the incarnation that is registered in place of an earlier one with the
 // same name.
-func LaterRun(registered map[site.ServerID]site.Server, id site.ServerID) (site.Server, bool) {
+func LaterIncarnation(registered map[site.ServerID]site.Server, id site.ServerID) (site.Server, bool) {
 	if id == "" {
 		return site.Server{}, false
 	}
@@ -101,7 +101,7 @@
 // replaced its owner. A server that is crash looping gets nothing while others can serve
 // the keys.
 func (alloc *Allocator) movesToSuccessor(l *lease, s Site, eligible []site.Server, now time.Time) bool {
-	successor, exists := LaterRun(s.Servers, l.Server)
+	successor, exists := LaterIncarnation(s.Servers, l.Server)
 	if !exists || successor.Service != l.service {
 		return false
 	}
--- a/gateway/ranges/inflight.go
+++ b/gateway/ranges/inflight.go
@@ -7,14 +7,14 @@
 	"github.com/burdockspindle/burdockspindle/clock"
 )
 
-// Fate describes what happened to the bytes of a call that had no response.
-type Fate uint8
+// Outcome describes what happened to the bytes of a call that had no response.
+type Outcome uint8
 
 // Outcomes of a call without a response.
 const (
-	// Underway calls had bytes that the server's machine had not acknowledged when their
+	// InFlight calls had bytes that the server's machine had not acknowledged when their
 	// connection was reset. These bytes may wait in the node's own link and arrive later.
-	Underway Fate = iota
+	InFlight Outcome = iota
 	// NotSent calls sent no byte.
 	NotSent
 	// Arrived calls were acknowledged completely on a connection that the server's process
@@ -27,7 +27,7 @@
 )
 
 // String returns the outcome for the log.
-func (outcome Fate) String() string {
+func (outcome Outcome) String() string {
 	switch outcome {
 	case NotSent:
 		return "not sent"
@@ -40,7 +40,7 @@
 }
 
 // mayExecute reports whether the server may still execute the call.
-func (outcome Fate) mayExecute() bool { return outcome == Underway || outcome == Arrived }
+func (outcome Outcome) mayExecute() bool { return outcome == InFlight || outcome == Arrived }
 
 const (
 	// serverReadDelay is the longest time until a server's process reads bytes that its
@@ -66,7 +66,7 @@
 
 // maxArrivalDelay returns how long after the end of its call a grant may arrive: its bytes
 // may wait in the node's own link, or until the server's process reads them.
-func (t Timing) maxArrivalDelay() time.Duration { return max(t.Underway, serverReadDelay) }
+func (t Timing) maxArrivalDelay() time.Duration { return max(t.MaxLinkDelay, serverReadDelay) }
 
 // maxTimeInForce returns how long after it was sent a grant may be in force.
 func (t Timing) maxTimeInForce(hold time.Duration) time.Duration {
@@ -126,8 +126,8 @@
 	f := l.inFlight[i]
 	l.inFlight = slices.Delete(l.inFlight, i, i+1)
 	switch {
-	case result.Fenced, result.Failed && !result.Fate.mayExecute():
-	case result.Failed && result.Fate == Underway:
+	case result.Fenced, result.Failed && !result.Outcome.mayExecute():
+	case result.Failed && result.Outcome == InFlight:
 		f.endedAt = now
 		f.until = now.Add(timing.maxArrivalDelay() + timing.holdAfterArrival(f.hold))
 		l.inFlight = append(l.inFlight, f)
--- a/gateway/ranges/inflight_test.go
+++ b/gateway/ranges/inflight_test.go
@@ -20,12 +20,12 @@
 		want   time.Time
 	}{
 		"answered":                    {Result{}, time.Time{}, ended.Add(hold)},
-		"not sent":                    {Result{Failed: true, Fate: NotSent}, time.Time{}, allocatorStart},
-		"acknowledged by the end":     {Result{Failed: true, Fate: Arrived}, time.Time{}, ended.Add(serverReadDelay + hold)},
-		"acknowledged at once":        {Result{Failed: true, Fate: Arrived, ArrivedBy: allocatorStart}, time.Time{}, allocatorStart.Add(serverReadDelay + hold)},
-		"connection not accepted":     {Result{Failed: true, Fate: Unaccepted}, time.Time{}, allocatorStart},
-		"in flight":                   {Result{Failed: true}, time.Time{}, ended.Add(timing.Underway + hold)},
-		"an earlier call is answered": {Result{Failed: true}, ended.Add(-time.Millisecond), ended.Add(timing.Underway + hold)},
+		"not sent":                    {Result{Failed: true, Outcome: NotSent}, time.Time{}, allocatorStart},
+		"acknowledged by the end":     {Result{Failed: true, Outcome: Arrived}, time.Time{}, ended.Add(serverReadDelay + hold)},
+		"acknowledged at once":        {Result{Failed: true, Outcome: Arrived, ArrivedBy: allocatorStart}, time.Time{}, allocatorStart.Add(serverReadDelay + hold)},
+		"connection not accepted":     {Result{Failed: true, Outcome: Unaccepted}, time.Time{}, allocatorStart},
+		"in flight":                   {Result{Failed: true}, time.Time{}, ended.Add(timing.MaxLinkDelay + hold)},
+		"an earlier call is answered": {Result{Failed: true}, ended.Add(-time.Millisecond), ended.Add(timing.MaxLinkDelay + hold)},
 		"a later call is answered":    {Result{Failed: true}, ended, answered.Add(pathAndReadDelay + hold)},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -46,9 +46,9 @@
 func TestACallThatWasNotSentIsNotUncertain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	alloc, s := ownedRange(t)
-	alloc.LimitDoubt(0, allocatorStart)
+	alloc.LimitUncertain(0, allocatorStart)
 	lease := Lease{ConfirmedAt: allocatorStart}
-	alloc.Done(alloc.Calls(s.Servers, lease, allocatorStart)[0], Result{Failed: true, Fate: NotSent}, allocatorStart)
+	alloc.Done(alloc.Calls(s.Servers, lease, allocatorStart)[0], Result{Failed: true, Outcome: NotSent}, allocatorStart)
 	alloc.Done(alloc.Calls(s.Servers, lease, allocatorStart)[0], Result{}, allocatorStart)
 	g.Expect(alloc.leases[worldService][0].canRelease(allocatorStart)).To(gomega.BeTrue())
 }
--- a/gateway/ranges/late_execution_test.go
+++ b/gateway/ranges/late_execution_test.go
@@ -16,8 +16,8 @@
 	alloc, s := ownedRangeAfter(0)
 	call := alloc.Calls(s.Servers, Lease{ConfirmedAt: allocatorStart}, allocatorStart)[0]
 	endedAt := allocatorStart.Add(timing.CallTimeout)
-	alloc.Done(call, Result{Failed: true, Fate: Arrived}, endedAt)
+	alloc.Done(call, Result{Failed: true, Outcome: Arrived}, endedAt)
 	const late, slowClock = 260 * time.Millisecond, 1.0073
 	heldUntil := endedAt.Add(late + time.Duration(slowClock*float64(call.Grant.Hold)))
-	g.Expect(endedAt.Add(alloc.Held(endedAt))).To(gomega.BeTemporally(">=", heldUntil))
+	g.Expect(endedAt.Add(alloc.HeldFor(endedAt))).To(gomega.BeTemporally(">=", heldUntil))
 }
--- a/gateway/ranges/loads.go
+++ b/gateway/ranges/loads.go
@@ -93,9 +93,9 @@
 // occupancySum sums the requests that a server had at the times of its responses.
 type occupancySum struct{ answers, requests int }
 
-// Present reports the number of requests that a server had, running or queued, summed over
+// ReportOccupancy reports the number of requests that a server had, running or queued, summed over
 // a number of its responses.
-func (l *Loads) Present(server site.ServerID, answers, requests int) {
+func (l *Loads) ReportOccupancy(server site.ServerID, answers, requests int) {
 	p := l.occupancies[server]
 	p.answers += answers
 	p.requests += requests
@@ -105,8 +105,8 @@
 // serviceTimeWeight is the weight of a new report in the service time of a server.
 const serviceTimeWeight = 0.3
 
-// Pace reports the mean service time of requests at a server.
-func (l *Loads) Pace(server site.ServerID, mean time.Duration) {
+// ReportServiceTime reports the mean service time of requests at a server.
+func (l *Loads) ReportServiceTime(server site.ServerID, mean time.Duration) {
 	if before, known := l.serviceTimes[server]; known {
 		l.serviceTimes[server] = before + serviceTimeWeight*(mean.Seconds()-before)
 		return
@@ -212,8 +212,8 @@
 	return serviceTimes[len(serviceTimes)/2]
 }
 
-// Paces returns the service time of each server in milliseconds, for the log.
-func (l *Loads) Paces() map[site.ServerID]int {
+// ServiceTimes returns the service time of each server in milliseconds, for the log.
+func (l *Loads) ServiceTimes() map[site.ServerID]int {
 	serviceTimes := make(map[site.ServerID]int, len(l.serviceTimes))
 	for id, serviceTime := range l.serviceTimes {
 		serviceTimes[id] = int(serviceTime * 1000)
--- a/gateway/ranges/plan.go
+++ b/gateway/ranges/plan.go
@@ -114,7 +114,7 @@
 // balancing moves.
 func (alloc *Allocator) startReleases(service site.ServiceName, s Site, servers []site.Server, now time.Time) {
 	for _, l := range alloc.leases[service] {
-		_, isEarlier := LaterRun(s.Servers, l.Server)
+		_, isEarlier := LaterIncarnation(s.Servers, l.Server)
 		switch {
 		case isEarlier:
 			alloc.abandonOwner(l, s, servers, now)
@@ -178,7 +178,7 @@
 			spread.add(to, l.Keys())
 			alloc.change(change, l, Assignment{Span: l.Span, Server: to, Fence: fence, Handover: l.validHandover(s)}, now)
 		case alloc.movesToSuccessor(l, s, servers, now):
-			successor, _ := LaterRun(s.Servers, l.Server)
+			successor, _ := LaterIncarnation(s.Servers, l.Server)
 			spread.add(successor.ID, l.Keys())
 			alloc.change(change, l, Assignment{Span: l.Span, Server: successor.ID, Fence: fence}, now)
 		case l.canReassign(s, now):
@@ -196,8 +196,8 @@
 // validHandover returns the handover that the owner returned with its release, or nothing
 // if that incarnation, or the one that was to receive the range, has ended.
 func (l *lease) validHandover(s Site) string {
-	_, ownerEnded := LaterRun(s.Servers, l.Server)
-	_, nextEnded := LaterRun(s.Servers, l.next)
+	_, ownerEnded := LaterIncarnation(s.Servers, l.Server)
+	_, nextEnded := LaterIncarnation(s.Servers, l.next)
 	if ownerEnded || nextEnded {
 		return ""
 	}
--- a/gateway/ranges/restart_test.go
+++ b/gateway/ranges/restart_test.go
@@ -12,7 +12,7 @@
 // incarnation returns the ID of an incarnation of a server. Incarnations are numbered by
 // their start time.
 func incarnation(name site.ServerName, number int64) site.ServerID {
-	return site.RunID(name, time.Unix(number, 0))
+	return site.IncarnationID(name, time.Unix(number, 0))
 }
 
 // restartedServer returns a lessor whose server a owned all keys in its first incarnation,
@@ -72,7 +72,7 @@
 func TestARangeMovesToTheNewIncarnationOfItsOwnerAtOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	alloc, s := restartedServer(t)
-	held := alloc.Held(allocatorStart)
+	held := alloc.HeldFor(allocatorStart)
 	lease := Lease{ConfirmedAt: allocatorStart}
 	later := allocatorStart.Add(time.Second)
 	g.Expect(alloc.Calls(s.Servers, lease, later)).To(gomega.BeEmpty(), "no call under the assignment to the earlier incarnation")
@@ -82,7 +82,7 @@
 	owner, _ := change.Table.Owner(worldService, 7)
 	g.Expect(owner).To(gomega.Equal(Assignment{Span: Span{To: LastKey}, Server: incarnation("a", 2), Fence: 3}))
 	alloc.Appended(change)
-	g.Expect(alloc.Held(allocatorStart)).To(gomega.Equal(held), "grants to the earlier incarnation may be in force at the new one")
+	g.Expect(alloc.HeldFor(allocatorStart)).To(gomega.Equal(held), "grants to the earlier incarnation may be in force at the new one")
 	g.Expect(alloc.Routes()[worldService][0].State).To(gomega.Equal(Moving))
 
 	call := alloc.Calls(s.Servers, lease, later)[0]
@@ -158,7 +158,7 @@
 	appendPlan(t, alloc, s, allocatorStart)
 	alloc.Done(alloc.Calls(s.Servers, Lease{ConfirmedAt: allocatorStart}, allocatorStart)[0], Result{}, allocatorStart)
 	again := withRestart(s, "a", 2)
-	free := allocatorStart.Add(alloc.Held(allocatorStart))
+	free := allocatorStart.Add(alloc.HeldFor(allocatorStart))
 
 	g.Expect(alloc.Plan(again, 4, allocatorStart.Add(time.Second))).To(gomega.BeNil())
 	g.Expect(alloc.Calls(again.Servers, Lease{ConfirmedAt: allocatorStart}, allocatorStart.Add(time.Second))).To(gomega.BeEmpty())
@@ -192,7 +192,7 @@
 	lease := Lease{ConfirmedAt: allocatorStart}
 	call := alloc.Calls(s.Servers, lease, allocatorStart)[0]
 	again := allocatorStart.Add(timing.CallTimeout)
-	alloc.Done(call, Result{Failed: true, Fate: Arrived}, again)
+	alloc.Done(call, Result{Failed: true, Outcome: Arrived}, again)
 	alloc.Done(alloc.Calls(s.Servers, lease, again)[0], Result{}, again)
 	alloc.Appended(alloc.Plan(s, 2, again))
 	alloc.Done(alloc.Calls(s.Servers, lease, again)[0], Result{}, again)
@@ -216,7 +216,7 @@
 	g := gomega.NewWithT(t)
 	alloc, s := ownedByRestartable(t)
 	alloc.Done(alloc.Calls(s.Servers, Lease{ConfirmedAt: allocatorStart}, allocatorStart)[0], Result{}, allocatorStart)
-	end := allocatorStart.Add(DefaultTiming().FormerHold())
+	end := allocatorStart.Add(DefaultTiming().PreviousHold())
 	g.Expect(startsRelease(alloc, s, end.Add(-time.Millisecond))).To(gomega.BeFalse())
 	g.Expect(startsRelease(alloc, s, end)).To(gomega.BeTrue())
 }
@@ -233,7 +233,7 @@
 	delete(s.Servers, second.ID)
 	s.Servers["c"] = site.Server{ID: "c", Service: "other", Address: "z"}
 	g.Expect(alloc.Plan(s, 4, allocatorStart)).To(gomega.BeNil())
-	g.Expect(alloc.Plan(s, 4, allocatorStart.Add(alloc.Held(allocatorStart)))).NotTo(gomega.BeNil())
+	g.Expect(alloc.Plan(s, 4, allocatorStart.Add(alloc.HeldFor(allocatorStart)))).NotTo(gomega.BeNil())
 }
 
 // The owner has no start time in a table that an earlier release wrote, or in a registry
@@ -252,12 +252,12 @@
 func TestTheServiceTimeOfAnEarlierIncarnationIsDropped(t *testing.T) {
 	g := gomega.NewWithT(t)
 	loads := NewLoads()
-	loads.Pace(incarnation("a", 1), time.Second)
-	loads.Pace(incarnation("b", 1), 100*time.Millisecond)
+	loads.ReportServiceTime(incarnation("a", 1), time.Second)
+	loads.ReportServiceTime(incarnation("b", 1), 100*time.Millisecond)
 	alloc, s := restartedServer(t)
 	s.Load = loads
 	alloc.Plan(s, 3, allocatorStart)
-	g.Expect(loads.Paces()).To(gomega.Equal(map[site.ServerID]int{incarnation("b", 1): 100}))
+	g.Expect(loads.ServiceTimes()).To(gomega.Equal(map[site.ServerID]int{incarnation("b", 1): 100}))
 }
 
 // The source of the handover restarts before the new owner has responded.
--- a/gateway/ranges/rules_test.go
+++ b/gateway/ranges/rules_test.go
@@ -46,7 +46,7 @@
 	if r.noUncertainWait {
 		l.dropUncertain()
 	}
-	later, isEarlier := LaterRun(registered, l.Server)
+	later, isEarlier := LaterIncarnation(registered, l.Server)
 	if isEarlier && r.noCarriedHolds {
 		l.dropHolds(now)
 		l.dropUncertain()
--- a/gateway/ranges/search_state_test.go
+++ b/gateway/ranges/search_state_test.go
@@ -34,7 +34,7 @@
 var (
 	searchStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	searchNames = [2]site.ServerName{"a", "b"}
-	searchTimes = Timing{Hold: searchHold, GrantPeriod: searchGrantPeriod, CallTimeout: searchTimeout, Underway: searchLinkDelay, ReleaseTimeout: searchTimeout}
+	searchTimes = Timing{Hold: searchHold, GrantPeriod: searchGrantPeriod, CallTimeout: searchTimeout, MaxLinkDelay: searchLinkDelay, ReleaseTimeout: searchTimeout}
 )
 
 // searchState is a state of the search. It is comparable: equal states have the same
@@ -118,7 +118,7 @@
 func init() {
 	for name := range searchNames {
 		for number := range maxSearchIncarnations {
-			id := site.RunID(searchNames[name], time.Unix(int64(number)+1, 0))
+			id := site.IncarnationID(searchNames[name], time.Unix(int64(number)+1, 0))
 			searchIncarnations[name][number] = id
 			searchIncarnationNumbers[id] = [2]int8{int8(name), int8(number)}
 		}
--- a/gateway/ranges/search_test.go
+++ b/gateway/ranges/search_test.go
@@ -91,7 +91,7 @@
 		{Span: Span{To: LastKey}, Server: searchIncarnation(state.table.server, state.table.incarnation)},
 	}}}
 	fence := state.table.end
-	previous := searchTimes.FormerHold()
+	previous := searchTimes.PreviousHold()
 	uncertain := previous
 	switch {
 	case s.rules.noPreviousWait:
@@ -100,7 +100,7 @@
 		previous, uncertain = absolute(state.table.held).Sub(searchStart), absolute(state.table.uncertain).Sub(searchStart)
 	}
 	alloc := NewAllocator(table.Refenced(Lessor{}, Fence(fence)), searchTimes, previous, searchStart)
-	alloc.LimitDoubt(uncertain, searchStart)
+	alloc.LimitUncertain(uncertain, searchStart)
 	alloc.incarnations.observe(state.site().Servers, searchStart)
 	n := &state.nodes[node]
 	n.isLessor, n.claim = true, fence
@@ -124,7 +124,7 @@
 	}
 	*previous = searchNode{}
 	n.load(alloc)
-	alloc.LimitFormer(list, searchStart)
+	alloc.LimitPrevious(list, searchStart)
 	n.save(alloc)
 	s.add(state)
 }
@@ -172,7 +172,7 @@
 	state.remaining.resigns--
 	alloc := s.allocator
 	n.load(alloc)
-	held, uncertain := alloc.Held(searchStart), alloc.Doubt(searchStart)
+	held, uncertain := alloc.HeldFor(searchStart), alloc.UncertainFor(searchStart)
 	state.recordAppend(node)
 	*n = searchNode{}
 	state.table.resigned = true
@@ -244,18 +244,18 @@
 	}
 	lost := state
 	lost.calls[i] = searchCall{}
-	s.finish(&lost, c, Result{Failed: true, Fate: Underway})
+	s.finish(&lost, c, Result{Failed: true, Outcome: InFlight})
 	s.add(lost)
 
 	waiting := state
 	waiting.calls[i] = searchCall{exists: true, waits: true, server: c.server, fence: c.fence, release: c.release}
-	s.finish(&waiting, c, Result{Failed: true, Fate: Arrived})
+	s.finish(&waiting, c, Result{Failed: true, Outcome: Arrived})
 	s.add(waiting)
 
 	unanswered := state
 	unanswered.calls[i] = searchCall{}
 	s.execute(&unanswered, c, 0)
-	s.finish(&unanswered, c, Result{Failed: true, Fate: Arrived})
+	s.finish(&unanswered, c, Result{Failed: true, Outcome: Arrived})
 	s.add(unanswered)
 	if c.abandoned {
 		return
@@ -273,7 +273,7 @@
 	c := state.calls[i]
 	state.calls[i].abandoned = true
 	state.calls[i].age = 0
-	s.finish(&state, c, Result{Failed: true, Fate: Underway})
+	s.finish(&state, c, Result{Failed: true, Outcome: InFlight})
 	s.add(state)
 }
 
--- a/gateway/ranges/table.go
+++ b/gateway/ranges/table.go
@@ -82,9 +82,9 @@
 	Lessor   Lessor                            `json:"lessor"`
 	Services map[site.ServiceName][]Assignment `json:"services"`
 	Serial   uint64                            `json:"serial"` // distinguishes the lessor's records
-	// FormerMs is how long after the record grants of earlier lessors may be in force, in
+	// PreviousMs is how long after the record grants of earlier lessors may be in force, in
 	// milliseconds; nil: not reported.
-	FormerMs *int64 `json:"formerMs,omitempty"`
+	PreviousMs *int64 `json:"formerMs,omitempty"`
 }
 
 // Owner returns the assignment that contains a key.
--- a/gateway/ranges/timing.go
+++ b/gateway/ranges/timing.go
@@ -26,9 +26,9 @@
 	GrantPeriod time.Duration
 	// CallTimeout is the timeout of a call to a server.
 	CallTimeout time.Duration
-	// Underway is how long bytes may wait in the node's own link after their connection was
+	// MaxLinkDelay is how long bytes may wait in the node's own link after their connection was
 	// reset. A VM with a saturated link of 10 Mbit/s holds them for more than two seconds.
-	Underway time.Duration
+	MaxLinkDelay time.Duration
 	// ReleaseTimeout is the timeout of a release, which the server answers when the work on
 	// the keys has ended.
 	ReleaseTimeout time.Duration
@@ -42,7 +42,7 @@
 		Renew:          700 * time.Millisecond,
 		GrantPeriod:    5 * time.Second,
 		CallTimeout:    400 * time.Millisecond,
-		Underway:       3 * time.Second,
+		MaxLinkDelay:   3 * time.Second,
 		ReleaseTimeout: 3 * time.Second,
 	}
 }
@@ -66,7 +66,7 @@
 
 // CallError reports a call without a response.
 type CallError struct {
-	Fate Fate
+	Outcome Outcome
 	// ArrivedBy is the time by which an Arrived call had reached the server's machine, by
 	// package clock; zero: the end of the call.
 	ArrivedBy time.Time
--- a/gateway/ranges/unaccepted_test.go
+++ b/gateway/ranges/unaccepted_test.go
@@ -22,7 +22,7 @@
 		now = now.Add(timing.CallTimeout)
 		alloc.Done(calls[0], result, now)
 	}
-	unaccepted := Result{Failed: true, Fate: Unaccepted}
+	unaccepted := Result{Failed: true, Outcome: Unaccepted}
 	for first := now.Add(timing.CallTimeout); now.Add(timing.CallTimeout).Sub(first) < acceptTimeout; {
 		call(unaccepted)
 		g.Expect(state()).To(gomega.Equal(Ready))
@@ -35,6 +35,6 @@
 	for end := now.Add(acceptTimeout + 3*timing.CallTimeout); now.Before(end) && state() == Ready; {
 		call(unaccepted)
 	}
-	g.Expect(state()).To(gomega.Equal(Silent), "its process may be stalled")
+	g.Expect(state()).To(gomega.Equal(Unresponsive), "its process may be stalled")
 	g.Expect(alloc.eligibleServers(s, worldService, now)).NotTo(gomega.ContainElement(gomega.HaveField("ID", site.ServerID("a"))))
 }
--- a/gateway/ranges/unresponsive_test.go
+++ b/gateway/ranges/unresponsive_test.go
@@ -27,7 +27,7 @@
 	g := gomega.NewWithT(t)
 	alloc, s := ownedRange(t)
 	now := failRenewals(alloc, s, allocatorStart)
-	now = now.Add(DefaultTiming().FormerHold())
+	now = now.Add(DefaultTiming().PreviousHold())
 	g.Expect(appendPlan(t, alloc, s, now).Server).To(gomega.Equal(site.ServerID("b")))
 }
 
@@ -37,7 +37,7 @@
 	alloc, s := ownedRange(t)
 	delete(s.Servers, "b")
 	now := failRenewals(alloc, s, allocatorStart)
-	now = now.Add(DefaultTiming().FormerHold())
+	now = now.Add(DefaultTiming().PreviousHold())
 	g.Expect(appendPlan(t, alloc, s, now).Server).To(gomega.Equal(site.ServerID("a")))
 }
 
--- a/gateway/ranges/unsent_test.go
+++ b/gateway/ranges/unsent_test.go
@@ -15,7 +15,7 @@
 	g := gomega.NewWithT(t)
 	timing := DefaultTiming()
 	alloc, s := ownedRange(t)
-	now := failRenewals(alloc, s, allocatorStart).Add(timing.FormerHold())
+	now := failRenewals(alloc, s, allocatorStart).Add(timing.PreviousHold())
 	g.Expect(appendPlan(t, alloc, s, now).Server).To(gomega.Equal(site.ServerID("b")))
 
 	unsent := func() {
@@ -23,7 +23,7 @@
 		g.Expect(calls).To(gomega.HaveLen(1))
 		g.Expect(calls[0].Grant.Hold).To(gomega.Equal(timing.Hold))
 		now = now.Add(timing.CallTimeout)
-		alloc.Done(calls[0], Result{Failed: true, Fate: NotSent}, now)
+		alloc.Done(calls[0], Result{Failed: true, Outcome: NotSent}, now)
 	}
 	unsent()
 	unsent()
@@ -43,8 +43,8 @@
 	end := allocatorStart.Add(time.Second)
 	lease := Lease{ConfirmedAt: allocatorStart}
 	call := alloc.Calls(s.Servers, lease, allocatorStart)[0]
-	alloc.Done(call, Result{Failed: true, Fate: NotSent}, allocatorStart)
+	alloc.Done(call, Result{Failed: true, Outcome: NotSent}, allocatorStart)
 	call = alloc.Calls(s.Servers, lease, allocatorStart)[0]
-	alloc.Done(call, Result{Failed: true, Fate: Arrived}, allocatorStart.Add(DefaultTiming().CallTimeout))
-	g.Expect(allocatorStart.Add(alloc.Held(allocatorStart))).To(gomega.BeTemporally("<=", end))
+	alloc.Done(call, Result{Failed: true, Outcome: Arrived}, allocatorStart.Add(DefaultTiming().CallTimeout))
+	g.Expect(allocatorStart.Add(alloc.HeldFor(allocatorStart))).To(gomega.BeTemporally("<=", end))
 }
--- a/gateway/ranges/world_links_test.go
+++ b/gateway/ranges/world_links_test.go
@@ -59,12 +59,12 @@
 // result returns what the sender's machine knows about the bytes of a call without a
 // response.
 func (w *world) result(c *worldCall) Result {
-	result := Result{Failed: true, Fate: Underway}
+	result := Result{Failed: true, Outcome: InFlight}
 	switch {
 	case c.isUnsent:
-		result.Fate = Unaccepted
+		result.Outcome = Unaccepted
 	case !c.acknowledgedAt.IsZero() && !w.now.Before(c.acknowledgedAt):
-		result.Fate, result.ArrivedBy = Arrived, c.acknowledgedAt
+		result.Outcome, result.ArrivedBy = Arrived, c.acknowledgedAt
 		if w.rules.noReadDelay {
 			result.ArrivedBy = c.acknowledgedAt.Add(-serverReadDelay)
 		}
@@ -89,7 +89,7 @@
 	}
 	for _, other := range w.nodes {
 		if other.endedLessor == previous && previous.Boot != "" && !w.now.Before(other.pausedUntil) && w.random.IntN(2) == 0 {
-			n.allocator.FormerEnded(other.endedAt, w.now.Add(before))
+			n.allocator.PreviousEnded(other.endedAt, w.now.Add(before))
 			w.handOffs++
 		}
 		if other.allocator == nil || other.allocator.self != previous || w.now.Before(other.pausedUntil) || w.random.IntN(2) == 0 {
@@ -100,7 +100,7 @@
 			list = nil
 		}
 		other.allocator, other.resignAt = nil, time.Time{}
-		n.allocator.LimitFormer(list, w.now)
+		n.allocator.LimitPrevious(list, w.now)
 		w.handOffs++
 	}
 }
--- a/gateway/ranges/world_server_test.go
+++ b/gateway/ranges/world_server_test.go
@@ -31,7 +31,7 @@
 	if taken := w.freeAddress(); taken != "" && w.random.IntN(2) == 0 {
 		address = taken
 	}
-	server := &worldServer{Server: site.Server{ID: site.RunID(name, w.now), Service: worldService, Slots: 4, Address: address}, up: true}
+	server := &worldServer{Server: site.Server{ID: site.IncarnationID(name, w.now), Service: worldService, Slots: 4, Address: address}, up: true}
 	w.servers[name] = server
 	server.register(w)
 }
@@ -71,7 +71,7 @@
 func (s *worldServer) start(w *world) {
 	w.restarts++
 	next := s.Server
-	next.ID = site.RunID(s.ID.Name(), w.now)
+	next.ID = site.IncarnationID(s.ID.Name(), w.now)
 	next.Draining = w.random.IntN(12) == 0
 	if w.random.IntN(5) == 0 {
 		next.Address = fmt.Sprint(next.ID)
--- a/gateway/ranges/world_test.go
+++ b/gateway/ranges/world_test.go
@@ -105,7 +105,7 @@
 		known:   map[site.ServerID]site.Server{},
 	}
 	if !links {
-		w.timing.Underway = 0
+		w.timing.MaxLinkDelay = 0
 	}
 	for i := range 3 {
 		w.nodes = append(w.nodes, &worldNode{id: i, serverLostUntil: map[site.ServerName]time.Time{}, acceptsAt: map[site.ServerID]time.Time{}})
@@ -201,7 +201,7 @@
 	}
 	if bool(w.links) && w.random.IntN(30) == 0 {
 		c.abandoned = true // no connection
-		n.done(call, Result{Failed: true, Fate: NotSent}, w.now)
+		n.done(call, Result{Failed: true, Outcome: NotSent}, w.now)
 		return
 	}
 	w.calls = append(w.calls, c)
@@ -277,10 +277,10 @@
 	n.loads.Count(worldService, n.busyKey, 1)
 	n.loads.Decay(w.now)
 	for _, s := range w.servers {
-		n.loads.Pace(s.ID, 200*time.Millisecond)
+		n.loads.ReportServiceTime(s.ID, 200*time.Millisecond)
 	}
 	w.dropRules(n)
-	record := worldRecord{node: n.id, previousHold: n.allocator.FormerHeld(w.now)}
+	record := worldRecord{node: n.id, previousHold: n.allocator.PreviousHeldFor(w.now)}
 	change := n.allocator.Plan(w.site(n), n.end, w.now)
 	w.moves += len(n.allocator.Moves())
 	switch {
@@ -288,8 +288,8 @@
 		record.table = change.Table
 	case !n.resignAt.IsZero():
 		record.resigned = true
-		record.held = n.allocator.Held(w.now)
-		record.uncertain = n.allocator.Doubt(w.now)
+		record.held = n.allocator.HeldFor(w.now)
+		record.uncertain = n.allocator.UncertainFor(w.now)
 	case w.now.Before(n.nextConfirm):
 		return
 	}
@@ -384,7 +384,7 @@
 	n.allocator = NewAllocator(next, w.timing, previousHold, w.now)
 	clear(n.acceptsAt)
 	if resigned {
-		n.allocator.LimitDoubt(w.records[len(w.records)-2].uncertain, w.now) // the record before the claim
+		n.allocator.LimitUncertain(w.records[len(w.records)-2].uncertain, w.now) // the record before the claim
 	}
 	n.loads = NewLoads()
 	n.end = at + 1
@@ -401,7 +401,7 @@
 	case resigned:
 		return w.records[len(w.records)-1].held
 	}
-	return w.timing.FormerHoldAfter(idle)
+	return w.timing.PreviousHoldAfterIdle(idle)
 }
 
 // check describes the first key that two servers hold, or that a server has taken under a
--- a/gateway/replay/caller.go
+++ b/gateway/replay/caller.go
@@ -31,7 +31,7 @@
 
 // retryLater schedules the retry of a refused caller that has retries and time left.
 func (r *replay) retryLater(c caller, retryAfter time.Duration) {
-	left := c.arrived.Add(r.Patient).Sub(r.now)
+	left := c.arrived.Add(r.CallerTimeout).Sub(r.now)
 	if c.retriesLeft == 0 || left <= 0 {
 		return
 	}
@@ -60,13 +60,13 @@
 	}
 	resent := *ended
 	w := *ended.waiter
-	w.Not = append(append(w.Not[:0:0], w.Not...), ended.id)
+	w.Tried = append(append(w.Tried[:0:0], w.Tried...), ended.id)
 	resent.waiter = &w
 	r.admit(&resent)
 }
 
 func (r *replay) canResend(ended *request) bool {
-	if r.Resends == nil || ended.sends >= maxSends || r.now.Sub(ended.arrived) >= r.Patient {
+	if r.Resends == nil || ended.sends >= maxSends || r.now.Sub(ended.arrived) >= r.CallerTimeout {
 		return false
 	}
 	return r.Policy == NoBudget || r.budgets[ended.node].Spend(r.Nodes, r.now)
--- a/gateway/replay/load.go
+++ b/gateway/replay/load.go
@@ -16,8 +16,8 @@
 // Policies. Each policy except Pooled leaves one decision out.
 const (
 	Pooled Policy = "pool"
-	// Blind sends each request immediately to a random server.
-	Blind Policy = "blind"
+	// RandomServer sends each request immediately to a random server.
+	RandomServer Policy = "blind"
 	// FirstCome sends waiting requests in order of arrival, regardless of their priority
 	// and their remaining time.
 	FirstCome Policy = "first-come"
@@ -36,59 +36,59 @@
 
 // Policies returns every policy.
 func Policies() []Policy {
-	return []Policy{Pooled, Blind, FirstCome, NoRefusal, NoEviction, AtLeastOne, NoShares, NoBudget}
+	return []Policy{Pooled, RandomServer, FirstCome, NoRefusal, NoEviction, AtLeastOne, NoShares, NoBudget}
 }
 
 // Load is a traffic pattern: several nodes, each with a pool of the same servers, and
 // callers with random arrival times.
 type Load struct {
-	Nodes   int
-	Servers []Server
-	Rate    func(at time.Duration) float64 // arrivals per second over all nodes
-	Length  time.Duration
-	Target  time.Duration // answers after this time are late
-	Patient time.Duration // callers leave after this time; later answers are in vain
-	Only    bool          // every request is for the first server
-	// SaidToRun is the capacity that the lessor assumes for the first server, relative to
+	Nodes         int
+	Servers       []Server
+	Rate          func(at time.Duration) float64 // arrivals per second over all nodes
+	Length        time.Duration
+	Target        time.Duration // answers after this time are late
+	CallerTimeout time.Duration // callers leave after this time; later answers are in vain
+	OnlyFirst     bool          // every request is for the first server
+	// AssumedCapacity is the capacity that the lessor assumes for the first server, relative to
 	// its real capacity. If it is 0, the lessor sends no shares.
-	SaidToRun float64
-	// LessUrgent is the share of requests with a lower priority.
-	LessUrgent float64
-	Callers    Callers
+	AssumedCapacity float64
+	// LowPriorityShare is the share of requests with a lower priority.
+	LowPriorityShare float64
+	Callers          Callers
 	// Resends bounds the resends of nodes; if it is nil, nodes send each request once.
 	Resends *budget.Terms
 	Policy  Policy
-	// Renamed gives each incarnation of a server its own ID.
-	Renamed bool
+	// NewIDPerIncarnation gives each incarnation of a server its own ID.
+	NewIDPerIncarnation bool
 }
 
 // Callers describes how callers retry after an answer which guarantees that the request has
 // not run. Callers whose request may have run do not retry.
 type Callers struct {
 	Retries int // of each request; 0: none
-	// AtOnce is the share of callers that retry immediately and more often, whatever retry
+	// ImmediateShare is the share of callers that retry immediately and more often, whatever retry
 	// delay they received. The others accept the delay up to a third of the time that they
 	// have left.
-	AtOnce float64
+	ImmediateShare float64
 }
 
 // Server runs requests in slots and queues the others. It refuses requests when the queue
 // is full.
 type Server struct {
-	Zone  string
-	Slots int
-	Queue int
-	Work  time.Duration // mean
-	Sheds float64       // share of requests that it refuses regardless of room
+	Zone      string
+	Slots     int
+	Queue     int
+	Work      time.Duration // mean
+	ShedShare float64       // share of requests that it refuses regardless of room
 	// ShedsWithLoad reports the server's load with a refusal, so that nodes can see that
 	// the server is not full.
-	ShedsWithLoad bool
-	Hangs         float64       // share of requests that it never answers
-	Resets        bool          // resets connections when full, which loses the request
-	Cold          time.Duration // time after the start of the replay during which work takes twice as long
+	ShedsWithLoad  bool
+	HangShare      float64       // share of requests that it never answers
+	ResetsWhenFull bool          // resets connections when full, which loses the request
+	ColdTime       time.Duration // time after the start of the replay during which work takes twice as long
 	// CrashEvery is the interval of crashes, which lose the server's requests; 0: never.
 	// The server restarts after DownTime.
-	CrashEvery, Down time.Duration
+	CrashEvery, DownTime time.Duration
 }
 
 // Result counts the outcomes of the requests.
--- a/gateway/replay/pattern.go
+++ b/gateway/replay/pattern.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Eight returns eight servers in three zones whose speeds differ by a factor of two.
-func Eight() []Server {
+// EightServers returns eight servers in three zones whose speeds differ by a factor of two.
+func EightServers() []Server {
 	var servers []Server
 	zones := Zones()
 	for i := range 8 {
--- a/gateway/replay/replay.go
+++ b/gateway/replay/replay.go
@@ -63,7 +63,7 @@
 		}
 	}
 	r.schedule(0, r.addCaller)
-	if r.SaidToRun > 0 && r.Policy != NoShares {
+	if r.AssumedCapacity > 0 && r.Policy != NoShares {
 		r.lessor.quota = quota.New()
 		r.schedule(shareInterval, r.updateShares)
 	}
@@ -81,12 +81,12 @@
 	r.schedule(time.Duration(gap*float64(time.Second)), r.addCaller)
 	r.result.Asked++
 	c := caller{arrived: r.now, retriesLeft: r.Callers.Retries}
-	if r.LessUrgent > 0 && r.arrivals.Float64() < r.LessUrgent {
+	if r.LowPriorityShare > 0 && r.arrivals.Float64() < r.LowPriorityShare {
 		c.priority = 1
 	} else {
 		r.result.Urgent++
 	}
-	if r.Callers.AtOnce > 0 && r.arrivals.Float64() < r.Callers.AtOnce {
+	if r.Callers.ImmediateShare > 0 && r.arrivals.Float64() < r.Callers.ImmediateShare {
 		c.retriesAtOnce = true
 		c.retriesLeft *= immediateRetryFactor
 	}
@@ -105,8 +105,8 @@
 
 // newWaiter returns the request as the pool sees it.
 func (r *replay) newWaiter(c caller) *pool.Waiter {
-	w := &pool.Waiter{Priority: c.priority, Since: r.now, Target: c.arrived.Add(r.Target), Deadline: c.arrived.Add(r.Patient)}
-	if r.Only {
+	w := &pool.Waiter{Priority: c.priority, ArrivedAt: r.now, Target: c.arrived.Add(r.Target), Deadline: c.arrived.Add(r.CallerTimeout)}
+	if r.OnlyFirst {
 		w.Only = serverID(0)
 	}
 	switch r.Policy {
@@ -122,12 +122,12 @@
 // admit asks the node's pool for a server. The pool admits the request, queues it or
 // refuses it.
 func (r *replay) admit(req *request) {
-	if r.Policy == Blind {
+	if r.Policy == RandomServer {
 		req.server = r.random.IntN(len(r.servers))
 		r.receive(req)
 		return
 	}
-	admission, refusal := r.pools[req.node].Ask(req.waiter, r.now)
+	admission, refusal := r.pools[req.node].Submit(req.waiter, r.now)
 	switch {
 	case refusal != nil:
 		r.result.Refused++
@@ -143,10 +143,10 @@
 
 // scheduleTimeout removes a caller from the queue of its node at its timeout.
 func (r *replay) scheduleTimeout(req *request) {
-	r.schedule(req.arrived.Add(r.Patient).Sub(r.now), func() {
+	r.schedule(req.arrived.Add(r.CallerTimeout).Sub(r.now), func() {
 		if r.waiting[req.waiter] == req {
 			delete(r.waiting, req.waiter)
-			r.pools[req.node].Leave(req.waiter)
+			r.pools[req.node].Remove(req.waiter)
 			r.countTimeout(req)
 		}
 	})
@@ -155,13 +155,13 @@
 // countTimeout counts a caller that has left.
 func (r *replay) countTimeout(req *request) {
 	r.result.Left++
-	r.result.Unserved += min(r.Patient, r.now.Sub(req.waiter.Since))
+	r.result.Unserved += min(r.CallerTimeout, r.now.Sub(req.waiter.ArrivedAt))
 }
 
 // scheduleNextRoom schedules the admission of waiting requests at the end of a pause.
 func (r *replay) scheduleNextRoom(node int) {
 	p := r.pools[node]
-	at, waits := p.NextRoom(r.now)
+	at, waits := p.NextAdmitTime(r.now)
 	if !waits || r.nextRoomAt[node].After(r.now) && !at.Before(r.nextRoomAt[node]) {
 		return
 	}
@@ -188,7 +188,7 @@
 		evicted := r.waiting[e.Waiter]
 		delete(r.waiting, e.Waiter)
 		r.result.Refused++
-		r.result.Unserved += r.now.Sub(e.Waiter.Since)
+		r.result.Unserved += r.now.Sub(e.Waiter.ArrivedAt)
 		r.retryLater(evicted.caller, e.Refusal.RetryAfter)
 	}
 }
@@ -205,10 +205,10 @@
 
 // complete reports the outcome of a request at a server to the node.
 func (r *replay) complete(ended *request, outcome pool.Outcome) {
-	if r.Policy != Blind {
+	if r.Policy != RandomServer {
 		r.deliver(ended.node, r.pools[ended.node].Done(ended.id, r.reportedOutcome(outcome), r.now))
 	}
-	if outcome.NoRoom || outcome.NotReached {
+	if outcome.NoCapacity || outcome.NotReached {
 		r.resend(ended)
 	}
 }
@@ -219,7 +219,7 @@
 	if r.Policy != AtLeastOne {
 		return outcome
 	}
-	if outcome.NoRoom || outcome.Reset {
+	if outcome.NoCapacity || outcome.Reset {
 		return pool.Outcome{Abandoned: true}
 	}
 	outcome.Load = nil
--- a/gateway/replay/replay_test.go
+++ b/gateway/replay/replay_test.go
@@ -63,20 +63,20 @@
 		without  replay.Policy
 		gain     float64 // minimum ratio of answers in time
 	}{
-		{"unlike-speeds", replay.Blind, 1.5},
-		{"shedding", replay.Blind, 1.04},
-		{"hanging", replay.Blind, 1.15},
-		{"cold-start", replay.Blind, 1.2},
+		{"unlike-speeds", replay.RandomServer, 1.5},
+		{"shedding", replay.RandomServer, 1.04},
+		{"hanging", replay.RandomServer, 1.15},
+		{"cold-start", replay.RandomServer, 1.2},
 		{"cold-start", replay.FirstCome, 1.05},
-		{"burst", replay.Blind, 1.3},
+		{"burst", replay.RandomServer, 1.3},
 		{"burst", replay.FirstCome, 1.4},
-		{"clients-at-once", replay.Blind, 1.3},
-		{"resetting", replay.Blind, 1.2},
+		{"clients-at-once", replay.RandomServer, 1.3},
+		{"resetting", replay.RandomServer, 1.2},
 		{"busy-server-8", replay.AtLeastOne, 5},
 		{"busy-server-30", replay.AtLeastOne, 5},
 		{"busy-server-71", replay.AtLeastOne, 5},
 		{"busy-server-71", replay.NoRefusal, 1.1},
-		{"outage", replay.Blind, 1.05},
+		{"outage", replay.RandomServer, 1.05},
 		{"busy-owner-64", replay.NoShares, 1.3},
 		{"busy-owner-295", replay.NoShares, 3},
 		{"overused-owner-21", replay.NoShares, 1.2},
@@ -129,7 +129,7 @@
 	withoutRetries := replay.Run(l, 1)
 	l.Callers = replay.Callers{Retries: 2}
 	withRetries := replay.Run(l, 1)
-	l.Callers = replay.Callers{Retries: 2, AtOnce: 0.3}
+	l.Callers = replay.Callers{Retries: 2, ImmediateShare: 0.3}
 	immediate := replay.Run(l, 1)
 	g.Expect(withRetries.InTime + withRetries.Late).To(gomega.BeNumerically(">=", withoutRetries.InTime+withoutRetries.Late))
 	g.Expect(withRetries.Refused).To(gomega.BeNumerically(">", withoutRetries.Refused*2))
@@ -141,12 +141,12 @@
 // once answered 30 % in time and the random choice 67 %.
 func TestPoolIsNeverWorseThanRandomChoice(t *testing.T) {
 	for _, s := range replay.Scenarios() {
-		if !slices.Contains(s.Policies, replay.Blind) {
+		if !slices.Contains(s.Policies, replay.RandomServer) {
 			continue
 		}
 		t.Run(s.Name, func(t *testing.T) {
 			for _, seed := range seeds {
-				pooled, blind := runAs(s.Load, replay.Pooled, seed), runAs(s.Load, replay.Blind, seed)
+				pooled, blind := runAs(s.Load, replay.Pooled, seed), runAs(s.Load, replay.RandomServer, seed)
 				gomega.NewWithT(t).Expect(pooled.InTime).To(gomega.BeNumerically(">=", blind.InTime), "seed %d", seed)
 			}
 		})
--- a/gateway/replay/scenarios.go
+++ b/gateway/replay/scenarios.go
@@ -32,7 +32,7 @@
 		hanging(),
 		coldStart(),
 		burst(),
-		returning("clients-at-once", "the burst; three in ten callers retry immediately and often", Callers{Retries: 2, AtOnce: 0.3}),
+		returning("clients-at-once", "the burst; three in ten callers retry immediately and often", Callers{Retries: 2, ImmediateShare: 0.3}),
 		returning("resetting", "the burst; full servers reset connections, which loses the request", Callers{}, resets),
 		busyServer("busy-server-8", 8),
 		busyServer("busy-server-30", 30),
@@ -48,11 +48,11 @@
 }
 
 func base() Load {
-	return Load{Nodes: 8, Servers: Eight(), Rate: Steady(320), Length: length, Target: target, Patient: callerTimeout}
+	return Load{Nodes: 8, Servers: EightServers(), Rate: Steady(320), Length: length, Target: target, CallerTimeout: callerTimeout}
 }
 
 func unlikeSpeeds() Scenario {
-	return Scenario{Name: "unlike-speeds", Description: "80 % of the capacity of servers whose speeds differ by a factor of two", Policies: []Policy{Pooled, Blind, FirstCome}, Load: base()}
+	return Scenario{Name: "unlike-speeds", Description: "80 % of the capacity of servers whose speeds differ by a factor of two", Policies: []Policy{Pooled, RandomServer, FirstCome}, Load: base()}
 }
 
 // resends returns the budget of nodes for sends beyond the first send of each request.
@@ -69,39 +69,39 @@
 
 func shedding() Scenario {
 	l := base()
-	faultThird(l.Servers, func(s *Server) { s.Sheds = 0.5 })
+	faultThird(l.Servers, func(s *Server) { s.ShedShare = 0.5 })
 	l.Rate = Steady(150)
 	l.Resends = resends()
-	return Scenario{Name: "shedding", Description: "a third of the servers refuse half of their requests", Policies: []Policy{Pooled, Blind}, Load: l}
+	return Scenario{Name: "shedding", Description: "a third of the servers refuse half of their requests", Policies: []Policy{Pooled, RandomServer}, Load: l}
 }
 
 func allShedding(name, description string, withLoad bool) Scenario {
 	l := base()
 	for i := range l.Servers {
-		l.Servers[i].Sheds = 0.7
+		l.Servers[i].ShedShare = 0.7
 		l.Servers[i].ShedsWithLoad = withLoad
 	}
 	l.Rate = Steady(150)
 	l.Resends = resends()
 	l.Callers.Retries = 2
-	return Scenario{Name: name, Description: description, Policies: []Policy{Pooled, Blind, NoBudget}, Load: l}
+	return Scenario{Name: name, Description: description, Policies: []Policy{Pooled, RandomServer, NoBudget}, Load: l}
 }
 
 func hanging() Scenario {
 	l := base()
-	faultThird(l.Servers, func(s *Server) { s.Hangs = 0.5 })
+	faultThird(l.Servers, func(s *Server) { s.HangShare = 0.5 })
 	l.Rate = Steady(120)
-	return Scenario{Name: "hanging", Description: "a third of the servers never answer half of their requests", Policies: []Policy{Pooled, Blind}, Load: l}
+	return Scenario{Name: "hanging", Description: "a third of the servers never answer half of their requests", Policies: []Policy{Pooled, RandomServer}, Load: l}
 }
 
 func coldStart() Scenario {
 	l := base()
 	for i := range l.Servers {
-		l.Servers[i].Cold = 5 * time.Second
+		l.Servers[i].ColdTime = 5 * time.Second
 	}
 	l.Rate = Steady(250)
 	l.Callers.Retries = 2
-	return Scenario{Name: "cold-start", Description: "nodes have no measurements and servers take twice as long for 5 s", Policies: []Policy{Pooled, Blind, FirstCome, NoEviction}, Load: l}
+	return Scenario{Name: "cold-start", Description: "nodes have no measurements and servers take twice as long for 5 s", Policies: []Policy{Pooled, RandomServer, FirstCome, NoEviction}, Load: l}
 }
 
 func burst() Scenario {
@@ -112,32 +112,32 @@
 func returning(name, description string, callers Callers, changes ...func(*Load)) Scenario {
 	l := base()
 	l.Rate = Burst(250, 600, 5*time.Second, 9*time.Second)
-	l.LessUrgent = 0.5
+	l.LowPriorityShare = 0.5
 	l.Callers = callers
 	for _, change := range changes {
 		change(&l)
 	}
-	return Scenario{Name: name, Description: description, Policies: []Policy{Pooled, Blind, FirstCome, NoEviction}, Load: l}
+	return Scenario{Name: name, Description: description, Policies: []Policy{Pooled, RandomServer, FirstCome, NoEviction}, Load: l}
 }
 
 func resets(l *Load) {
 	for i := range l.Servers {
-		l.Servers[i].Resets = true
+		l.Servers[i].ResetsWhenFull = true
 	}
 }
 
 func busyServer(name string, nodes int) Scenario {
-	l := Load{Nodes: nodes, Rate: Steady(200), Length: length, Target: 1200 * time.Millisecond, Patient: 3 * time.Second, Only: true}
+	l := Load{Nodes: nodes, Rate: Steady(200), Length: length, Target: 1200 * time.Millisecond, CallerTimeout: 3 * time.Second, OnlyFirst: true}
 	l.Servers = []Server{{Zone: "a", Slots: 6, Queue: 16, Work: 400 * time.Millisecond}}
-	return Scenario{Name: name, Description: "demand for one server is 13 times its capacity", Policies: []Policy{Pooled, Blind, FirstCome, NoRefusal, NoEviction, AtLeastOne}, Load: l}
+	return Scenario{Name: name, Description: "demand for one server is 13 times its capacity", Policies: []Policy{Pooled, RandomServer, FirstCome, NoRefusal, NoEviction, AtLeastOne}, Load: l}
 }
 
 // busyOwner has one server, whose keys have the given multiple of its capacity as demand,
 // and nodes that receive a share. Callers retry once.
 func busyOwner(name string, nodes int, times float64) Scenario {
-	l := Load{Nodes: nodes, Rate: Steady(15 * times), Length: length, Target: 1200 * time.Millisecond, Patient: 5 * time.Second, Only: true, SaidToRun: 1, Callers: Callers{Retries: 1}}
+	l := Load{Nodes: nodes, Rate: Steady(15 * times), Length: length, Target: 1200 * time.Millisecond, CallerTimeout: 5 * time.Second, OnlyFirst: true, AssumedCapacity: 1, Callers: Callers{Retries: 1}}
 	l.Servers = []Server{{Zone: "a", Slots: 6, Queue: 16, Work: 400 * time.Millisecond}}
-	return Scenario{Name: name, Description: fmt.Sprintf("demand for one server is %v times its capacity, and nodes receive a share", times), Policies: []Policy{Pooled, Blind, NoShares}, Load: l}
+	return Scenario{Name: name, Description: fmt.Sprintf("demand for one server is %v times its capacity, and nodes receive a share", times), Policies: []Policy{Pooled, RandomServer, NoShares}, Load: l}
 }
 
 func outage() Scenario {
@@ -145,10 +145,10 @@
 	l.Rate = Steady(250)
 	for i := range l.Servers {
 		l.Servers[i].CrashEvery = 8 * time.Second
-		l.Servers[i].Down = 2 * time.Second
+		l.Servers[i].DownTime = 2 * time.Second
 	}
 	l.Length = 15 * time.Second
-	l.Callers = Callers{Retries: 3, AtOnce: 0.3}
+	l.Callers = Callers{Retries: 3, ImmediateShare: 0.3}
 	l.Resends = resends()
-	return Scenario{Name: "outage", Description: "all servers are down for 2 s and callers retry, three in ten immediately and often", Policies: []Policy{Pooled, Blind, FirstCome, NoEviction}, Load: l}
+	return Scenario{Name: "outage", Description: "all servers are down for 2 s and callers retry, three in ten immediately and often", Policies: []Policy{Pooled, RandomServer, FirstCome, NoEviction}, Load: l}
 }
--- a/gateway/replay/server.go
+++ b/gateway/replay/server.go
@@ -34,7 +34,7 @@
 func (r *replay) updatePools() {
 	var list []site.Server
 	for i, s := range r.servers {
-		list = append(list, site.Server{ID: r.currentID(i), Zone: s.Zone, Slots: s.Slots, WarmUp: s.Cold})
+		list = append(list, site.Server{ID: r.currentID(i), Zone: s.Zone, Slots: s.Slots, WarmUp: s.ColdTime})
 	}
 	for i, p := range r.pools {
 		p.Update(list, r.Nodes, r.now)
@@ -48,10 +48,10 @@
 	switch {
 	case runs == 0:
 		return serverID(i)
-	case r.Renamed:
+	case r.NewIDPerIncarnation:
 		return serverID(i) + site.ServerID(fmt.Sprintf("-%d", runs))
 	}
-	return site.RunID(site.ServerName(serverID(i)), r.start.Add(time.Duration(runs)*time.Second))
+	return site.IncarnationID(site.ServerName(serverID(i)), r.start.Add(time.Duration(runs)*time.Second))
 }
 
 // crash ends an incarnation and loses the requests that it has.
@@ -65,8 +65,8 @@
 		r.result.Lost++
 		r.complete(ended, pool.Outcome{Failed: true, Reset: true, Took: r.now.Sub(ended.sent)})
 	}
-	r.schedule(s.Down, func() { s.isDown = false })
-	r.schedule(s.Down+registryDelay, r.updatePools)
+	r.schedule(s.DownTime, func() { s.isDown = false })
+	r.schedule(s.DownTime+registryDelay, r.updatePools)
 	if r.now.Sub(r.start) < r.Length {
 		r.schedule(s.CrashEvery, func() { r.crash(i) })
 	}
@@ -85,12 +85,12 @@
 	case s.isDown:
 		r.result.NotReached++
 		r.complete(req, pool.Outcome{Failed: true, NotReached: true})
-	case s.Hangs > 0 && r.random.Float64() < s.Hangs:
+	case s.HangShare > 0 && r.random.Float64() < s.HangShare:
 		r.result.Hung++
-		r.schedule(r.Patient-r.now.Sub(req.arrived), func() {
+		r.schedule(r.CallerTimeout-r.now.Sub(req.arrived), func() {
 			r.complete(req, pool.Outcome{Abandoned: true, Took: r.now.Sub(req.sent)})
 		})
-	case r.random.Float64() < s.Sheds:
+	case r.random.Float64() < s.ShedShare:
 		r.shed(req)
 	case s.running < s.Slots:
 		r.run(req)
@@ -106,7 +106,7 @@
 func (r *replay) shed(req *request) {
 	r.result.Shed++
 	s := &r.servers[req.server]
-	outcome := pool.Outcome{NoRoom: true}
+	outcome := pool.Outcome{NoCapacity: true}
 	if s.ShedsWithLoad {
 		outcome.Load = &site.Load{Running: s.running, Waiting: s.waiting, Slots: s.Slots}
 	}
@@ -116,12 +116,12 @@
 // overflow refuses a request at a full server, or resets its connection.
 func (r *replay) overflow(req *request) {
 	r.result.Overflow++
-	if r.servers[req.server].Resets {
+	if r.servers[req.server].ResetsWhenFull {
 		r.result.Lost++
 		r.complete(req, pool.Outcome{Failed: true, Reset: true})
 		return
 	}
-	r.complete(req, pool.Outcome{NoRoom: true})
+	r.complete(req, pool.Outcome{NoCapacity: true})
 }
 
 // run starts a request in a slot of its server.
@@ -131,7 +131,7 @@
 	s.inFlight = append(s.inFlight, req)
 	runs := s.crashes
 	work := float64(s.Work) * (0.5 + r.random.Float64())
-	if r.now.Sub(r.start) < s.Cold {
+	if r.now.Sub(r.start) < s.ColdTime {
 		work *= coldFactor
 	}
 	r.schedule(time.Duration(work), func() {
@@ -167,7 +167,7 @@
 		if ended.priority == 0 {
 			r.result.UrgentInTime++
 		}
-	case took <= r.Patient:
+	case took <= r.CallerTimeout:
 		r.result.Late++
 	default:
 		r.result.InVain++
--- a/gateway/replay/shares.go
+++ b/gateway/replay/shares.go
@@ -8,7 +8,7 @@
 
 const (
 	// shareInterval is the interval at which the lessor updates shares.
-	shareInterval = quota.Round
+	shareInterval = quota.UpdateInterval
 	// shareDelay is the time for reports to reach the lessor and for shares to reach the
 	// nodes.
 	shareDelay = 800 * time.Millisecond
@@ -29,14 +29,14 @@
 	}
 	s := r.servers[0]
 	observed := quota.Server{
-		ID:      r.currentID(0),
-		Slots:   s.Slots,
-		Asked:   float64(r.lessor.asked) / shareInterval.Seconds(),
-		Runs:    r.SaidToRun * float64(s.Slots) / s.Work.Seconds(),
-		Answers: r.lessor.answers,
+		ID:       r.currentID(0),
+		Slots:    s.Slots,
+		Demand:   float64(r.lessor.asked) / shareInterval.Seconds(),
+		Capacity: r.AssumedCapacity * float64(s.Slots) / s.Work.Seconds(),
+		Answers:  r.lessor.answers,
 	}
 	if observed.Answers > 0 {
-		observed.Present = float64(r.lessor.present) / float64(observed.Answers)
+		observed.MeanLoad = float64(r.lessor.present) / float64(observed.Answers)
 	}
 	r.lessor.asked, r.lessor.present, r.lessor.answers = 0, 0, 0
 	if shares, changed := r.lessor.quota.Update([]quota.Server{observed}, r.Nodes); changed {
--- a/gateway/replay/shares_test.go
+++ b/gateway/replay/shares_test.go
@@ -37,7 +37,7 @@
 			l := scenario(t, name)
 			runs := 15 * (l.Length - warmUpTime).Seconds()
 			for _, assumed := range []float64{0.8, 1, 1.25} {
-				l.SaidToRun = assumed
+				l.AssumedCapacity = assumed
 				total, inTime := 0.0, 0.0
 				for seed := range uint64(6) {
 					result := resultAfterWarmUp(l, seed)
--- a/gateway/router/caller.go
+++ b/gateway/router/caller.go
@@ -4,9 +4,9 @@
 
 // Caller is the connection on which a request arrived.
 type Caller interface {
-	// Left reports whether the caller has closed or reset the connection, even if
+	// Disconnected reports whether the caller has closed or reset the connection, even if
 	// the end of the connection has not been read yet.
-	Left() bool
+	Disconnected() bool
 }
 
 type callerKey struct{}
@@ -24,4 +24,4 @@
 // callerDisconnected reports whether the caller no longer waits. The end of a connection
 // is read concurrently with the request, so that a node that was stalled finds both at
 // once and would otherwise forward a request whose caller has disconnected.
-func (x *exchange) callerDisconnected() bool { return x.caller != nil && x.caller.Left() }
+func (x *exchange) callerDisconnected() bool { return x.caller != nil && x.caller.Disconnected() }
--- a/gateway/router/dispatch_test.go
+++ b/gateway/router/dispatch_test.go
@@ -76,7 +76,7 @@
 	x := newKeyedExchange(t)
 	rejected := &upstream.AttemptError{Server: "b", Rejected: true, Cause: syscall.ECONNRESET}
 	outcome := x.poolOutcome(context.Background(), attemptResult{err: rejected})
-	g.Expect(outcome).To(gomega.Equal(pool.Outcome{NoRoom: true}))
+	g.Expect(outcome).To(gomega.Equal(pool.Outcome{NoCapacity: true}))
 	refused := &upstream.AttemptError{Server: "b", Cause: syscall.ECONNREFUSED}
 	outcome = x.poolOutcome(context.Background(), attemptResult{err: refused})
 	g.Expect(outcome).To(gomega.Equal(pool.Outcome{Failed: true, NotReached: true}))
--- a/gateway/router/owner.go
+++ b/gateway/router/owner.go
@@ -49,7 +49,7 @@
 func (x *exchange) readyOwner() (site.ServerID, bool) {
 	now := x.router.state.Now()
 	route, found := now.RouteOf(x.service.name, x.key)
-	isReady := found && route.State == ranges.Ready && !now.StartedAgain(route.Server)
+	isReady := found && route.State == ranges.Ready && !now.Restarted(route.Server)
 	return route.Server, isReady
 }
 
@@ -66,9 +66,9 @@
 		now := x.router.state.Now()
 		route, found := now.RouteOf(x.service.name, x.key)
 		switch {
-		case found && route.State == ranges.Ready && !now.StartedAgain(route.Server):
+		case found && route.State == ranges.Ready && !now.Restarted(route.Server):
 			return route.Server, nil
-		case found && route.State == ranges.Silent:
+		case found && route.State == ranges.Unresponsive:
 			left := route.Until.Sub(clock.Now())
 			if left+x.service.typicalTime() > time.Until(x.deadline) {
 				return "", &refusal{status: http.StatusServiceUnavailable, reason: "owner of the key is silent", retryAfter: max(left, ownerRetryDelay)}
--- a/gateway/router/owner_restart_test.go
+++ b/gateway/router/owner_restart_test.go
@@ -30,7 +30,7 @@
 			Services: map[site.ServiceName]site.Service{"s": {Name: "s", Keyed: true}},
 			Routes:   []site.Route{{Host: "h", Prefix: "/", Timeout: time.Minute, Targets: []site.Target{{Service: "s", Weight: 1}}}},
 		}
-		previousID, currentID := site.RunID("a", time.Unix(1, 0)), site.RunID("a", time.Unix(2, 0))
+		previousID, currentID := site.IncarnationID("a", time.Unix(1, 0)), site.IncarnationID("a", time.Unix(2, 0))
 		g.Expect(state.MergeConfig(config)).To(gomega.BeTrue())
 		server := site.Server{ID: currentID, Service: "s", Slots: 1}
 		g.Expect(state.MergeServers(view.Servers{Offset: 1, Servers: map[site.ServerID]site.Server{currentID: server}})).To(gomega.BeTrue())
@@ -38,7 +38,7 @@
 		routes := view.Routes{Lessor: ranges.Lessor{Boot: "x"}, Serial: 1, Services: map[site.ServiceName][]ranges.Route{"s": {route}}}
 		g.Expect(state.MergeRoutes(routes)).To(gomega.BeTrue())
 		headers := upstream.Headers{Key: "Key", ParseLoad: func(string) (site.Load, bool) { return site.Load{}, false }}
-		options := Terms{Retries: budget.Terms{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}
+		options := Options{Retries: budget.Terms{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}
 		r := New("a", headers, options, state, upstream.NewClient(headers, "a"), follow.NewReports(), hclog.NewNullLogger())
 		answer := httptest.NewRecorder()
 		startedAt := time.Now()
--- a/gateway/router/owner_test.go
+++ b/gateway/router/owner_test.go
@@ -43,7 +43,7 @@
 	all := ranges.Route{Span: ranges.Span{To: ranges.LastKey}, Server: "b", State: ranges.Ready}
 	routes := view.Routes{Offset: 1, Services: map[site.ServiceName][]ranges.Route{"s": {all}}}
 	g.Expect(state.MergeRoutes(routes)).To(gomega.BeTrue())
-	options := Terms{Retries: budget.Terms{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}
+	options := Options{Retries: budget.Terms{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}
 	headers := upstream.Headers{Timeout: "Timeout", ExpectedServer: "Expected", ParseLoad: func(string) (site.Load, bool) { return site.Load{}, false }}
 	r := New("a", headers, options, state, upstream.NewClient(headers, "a"), follow.NewReports(), hclog.NewNullLogger())
 	now := time.Now()
@@ -92,7 +92,7 @@
 
 type disconnectedCaller struct{}
 
-func (disconnectedCaller) Left() bool { return true }
+func (disconnectedCaller) Disconnected() bool { return true }
 
 // The end of a caller's connection is read concurrently with the request, so that a hedge
 // may be due before the end has been read.
@@ -115,7 +115,7 @@
 func TestLogLineOfARefusedRequestContainsTheShare(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := newKeyedExchange(t)
-	x.router.state.MergeShares(view.Shares{Offset: 1, Serial: 1, Of: quota.Shares{"b": 0.05}})
+	x.router.state.MergeShares(view.Shares{Offset: 1, Serial: 1, ByServer: quota.Shares{"b": 0.05}})
 	x.router.service("s") // applies them
 	refused := 0
 	for range 10 {
