--- a/settings/parse_limits.go
+++ b/settings/parse_limits.go
@@ -8,17 +8,17 @@
 
 func readLimits(o *jsonc.Object) Limits {
 	limits := Limits{
-		MaxBodyBytes:    o.Get("maxBodyBytes").Int(DefaultMaxBodyBytes, 1, maxBodyBytes),
-		MaxQueued:       readCount(o.Get("maxQueued"), DefaultMaxQueued),
-		MaxBuffered:     readCount(o.Get("maxBuffered"), DefaultMaxBuffered),
-		MaxInFlight:     readCount(o.Get("maxInFlight"), DefaultMaxInFlight),
-		RetryBudget:     o.Get("retryBudget").Float(DefaultRetryBudget, 0, 1),
-		DrainDelay:      o.Get("drainDelay").Duration(DefaultDrainDelay, 0, maxInterval),
-		DrainTimeout:    o.Get("drainTimeout").Duration(DefaultDrainTimeout, minInterval, maxTimeout),
-		SilentAfter:     o.Get("silentAfter").Duration(DefaultSilentAfter, minInterval, maxTimeout),
-		ConnectTimeout:  o.Get("connectTimeout").Duration(DefaultConnectTimeout, minInterval, maxInterval),
-		MaxHeaderBytes:  int(o.Get("maxHeaderBytes").Int(DefaultMaxHeaderBytes, minHeaderBytes, maxHeaderBytes)),
-		MemoryLimitByte: o.Get("memoryLimitBytes").Int(0, 0, maxMemoryBytes),
+		MaxBodyBytes:     o.Get("maxBodyBytes").Int(DefaultMaxBodyBytes, 1, maxBodyBytes),
+		MaxQueued:        readCount(o.Get("maxQueued"), DefaultMaxQueued),
+		MaxBuffered:      readCount(o.Get("maxBuffered"), DefaultMaxBuffered),
+		MaxInFlight:      readCount(o.Get("maxInFlight"), DefaultMaxInFlight),
+		RetryBudget:      o.Get("retryBudget").Float(DefaultRetryBudget, 0, 1),
+		DrainDelay:       o.Get("drainDelay").Duration(DefaultDrainDelay, 0, maxInterval),
+		DrainTimeout:     o.Get("drainTimeout").Duration(DefaultDrainTimeout, minInterval, maxTimeout),
+		StallTimeout:     o.Get("silentAfter").Duration(DefaultStallTimeout, minInterval, maxTimeout),
+		ConnectTimeout:   o.Get("connectTimeout").Duration(DefaultConnectTimeout, minInterval, maxInterval),
+		MaxHeaderBytes:   int(o.Get("maxHeaderBytes").Int(DefaultMaxHeaderBytes, minHeaderBytes, maxHeaderBytes)),
+		MemoryLimitBytes: o.Get("memoryLimitBytes").Int(0, 0, maxMemoryBytes),
 	}
 	o.Close()
 	return limits
@@ -55,15 +55,15 @@
 	minTTL := renewalsPerTTL*t.RenewEvery + t.Margin
 	if t.LeaseTTL <= minTTL {
 		text := "leaseTTL " + t.LeaseTTL.String() + " must be above 3 × renewEvery + margin = " + minTTL.String() + ", or a lease expires after one lost renewal"
-		o.Blame("leaseTTL", "renewEvery", "margin").Problem(text)
+		o.FirstPresent("leaseTTL", "renewEvery", "margin").Problem(text)
 	}
 	minSuspectAfter := heartbeatsPerSuspicion * t.HeartbeatEvery
 	if t.SuspectAfter <= minSuspectAfter {
 		text := "suspectAfter " + t.SuspectAfter.String() + " must be above 2 × heartbeatEvery = " + minSuspectAfter.String() + ", or one lost heartbeat raises suspicion"
-		o.Blame("suspectAfter", "heartbeatEvery").Problem(text)
+		o.FirstPresent("suspectAfter", "heartbeatEvery").Problem(text)
 	}
 	if t.SuspectAfter >= t.LeaseTTL {
 		text := "suspectAfter " + t.SuspectAfter.String() + " must be below leaseTTL = " + t.LeaseTTL.String() + ", or the leases of a failed lessor expire before it is suspected"
-		o.Blame("suspectAfter", "leaseTTL").Problem(text)
+		o.FirstPresent("suspectAfter", "leaseTTL").Problem(text)
 	}
 }
--- a/settings/parse_listeners.go
+++ b/settings/parse_listeners.go
@@ -11,7 +11,7 @@
 // on every address of the VM, which a listener whose address is announced to
 // other nodes must not do.
 func readListener(o *jsonc.Object, anyAddress bool) Listener {
-	address := o.Need("address")
+	address := o.Required("address")
 	listener := Listener{Address: address.Text(), TLS: readTLS(o.Get("tls"))}
 	if listener.Address != "" {
 		checkListenAddress(address, listener.Address, anyAddress)
@@ -37,8 +37,8 @@
 	}
 	o := value.Object()
 	files := &TLS{
-		CertFile: o.Need("certFile").Text(),
-		KeyFile:  o.Need("keyFile").Text(),
+		CertFile: o.Required("certFile").Text(),
+		KeyFile:  o.Required("keyFile").Text(),
 	}
 	if ca := o.Get("caFile"); ca.Present() {
 		files.CAFile = ca.Text()
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -60,17 +60,17 @@
 
 // Limits bounds the resources of the process.
 type Limits struct {
-	MaxBodyBytes    int64         // of a request of any service
-	MaxQueued       int           // requests waiting for a server, per service
-	MaxBuffered     int           // requests waiting for a shard's next owner, per service
-	MaxInFlight     int           // requests of all services
-	RetryBudget     float64       // retries per first attempt, over a sliding window
-	DrainDelay      time.Duration // time between the health endpoint's first failure and the rejection of new requests
-	DrainTimeout    time.Duration // maximum wait for requests in flight
-	SilentAfter     time.Duration // time without progress after which a connection is treated as stalled
-	ConnectTimeout  time.Duration
-	MaxHeaderBytes  int
-	MemoryLimitByte int64 // soft heap limit; 0 leaves Go's default
+	MaxBodyBytes     int64         // of a request of any service
+	MaxQueued        int           // requests waiting for a server, per service
+	MaxBuffered      int           // requests waiting for a shard's next owner, per service
+	MaxInFlight      int           // requests of all services
+	RetryBudget      float64       // retries per first attempt, over a sliding window
+	DrainDelay       time.Duration // time between the health endpoint's first failure and the rejection of new requests
+	DrainTimeout     time.Duration // maximum wait for requests in flight
+	StallTimeout     time.Duration // time without progress after which a connection is treated as stalled
+	ConnectTimeout   time.Duration
+	MaxHeaderBytes   int
+	MemoryLimitBytes int64 // soft heap limit; 0 leaves Go's default
 }
 
 // Timing holds the timing parameters of ownership; package lease documents the
--- a/siteconfig/change.go
+++ b/siteconfig/change.go
@@ -18,12 +18,12 @@
 		}
 		o := services.Get(string(name)).Object()
 		if before.Keyed != after.Keyed {
-			o.Blame("keyed").Problem("cannot change while the service exists; use a new service name")
+			o.FirstPresent("keyed").Problem("cannot change while the service exists; use a new service name")
 			continue
 		}
 		if before.Shards != after.Shards {
 			text := "cannot change from " + strconv.FormatUint(uint64(before.Shards), 10) + " while the service exists; use a new service name"
-			o.Blame("shards").Problem(text)
+			o.FirstPresent("shards").Problem(text)
 		}
 	}
 }
--- a/siteconfig/parse.go
+++ b/siteconfig/parse.go
@@ -29,7 +29,7 @@
 		GroupsPerZone: int(root.Get("groupsPerZone").Int(DefaultGroupsPerZone, 1, maxGroupsPerZone)),
 		TrustVMList:   root.Get("trustVMList").Bool(false),
 	}
-	services := root.Need("services")
+	services := root.Required("services")
 	readServices(services, site)
 	if base != nil {
 		checkChange(services.Object(), base, site)
@@ -75,10 +75,10 @@
 	s := &Service{
 		Name:                   name,
 		DependsOn:              readDependsOn(o.Get("dependsOn")),
-		Keyed:                  o.Need("keyed").Bool(false),
-		ConcurrencyPerServer:   int(o.Need("concurrencyPerServer").Int(0, 1, maxPerServer)),
-		ConnectionsPerServer:   int(o.Need("connectionsPerServer").Int(0, 1, maxPerServer)),
-		ChecksFencing:          o.Need("checksFencing").Bool(false),
+		Keyed:                  o.Required("keyed").Bool(false),
+		ConcurrencyPerServer:   int(o.Required("concurrencyPerServer").Int(0, 1, maxPerServer)),
+		ConnectionsPerServer:   int(o.Required("connectionsPerServer").Int(0, 1, maxPerServer)),
+		ChecksFencing:          o.Required("checksFencing").Bool(false),
 		IdempotentMethods:      readMethods(o.Get("idempotentMethods")),
 		Deadline:               o.Get("deadline").Duration(DefaultDeadline, minDeadline, maxDeadline),
 		MaxDisconnected:        readMaxDisconnected(o.Get("maxDisconnected")),
--- a/sitefake/records.go
+++ b/sitefake/records.go
@@ -69,15 +69,15 @@
 	}}})
 }
 
-// Lost confirms the loss of a server.
-func (s *Site) Lost(server string) state.Result {
+// ConfirmLost confirms the loss of a server.
+func (s *Site) ConfirmLost(server string) state.Result {
 	return s.Apply(operator, &bspb.Record{Body: &bspb.Record_ConfirmLoss{ConfirmLoss: &bspb.ConfirmLoss{
 		Servers: []string{server}, Source: "test",
 	}}})
 }
 
-// Make performs one move as the lessor of the owner's group would.
-func (s *Site) Make(move *bspb.ShardMove) state.Result {
+// PerformMove performs one move as the lessor of the owner's group would.
+func (s *Site) PerformMove(move *bspb.ShardMove) state.Result {
 	view := s.View()
 	id := topo.ShardID{Service: topo.Service(move.Shard.Service), Index: move.Shard.Index, Key: move.Shard.Key}
 	current, exists := view.Shard(id)
--- a/sitefake/site.go
+++ b/sitefake/site.go
@@ -176,21 +176,21 @@
 }
 
 // Submit implements follower.Appender. It waits while the log is down.
-func (n *Node) Submit(ctx context.Context, record *bspb.Record) (follower.Fate, error) {
+func (n *Node) Submit(ctx context.Context, record *bspb.Record) (follower.Outcome, error) {
 	n.Site.mu.Lock()
 	up := n.up
 	n.Site.mu.Unlock()
 	if err := waitClosed(ctx, up); err != nil {
-		return follower.Fate{}, err
+		return follower.Outcome{}, err
 	}
 	result := n.Apply(n.writer, record)
 	n.mu.Lock()
 	thawed := n.thawed
 	n.mu.Unlock()
 	if err := waitClosed(ctx, thawed); err != nil {
-		return follower.Fate{}, err
+		return follower.Outcome{}, err
 	}
-	fate := follower.Fate{Offset: result.Offset, Accepted: result.Accepted, RejectedShards: result.RejectedIndexes()}
+	fate := follower.Outcome{Offset: result.Offset, Accepted: result.Accepted, RejectedShards: result.RejectedIndexes()}
 	if result.Conflict != nil {
 		fate.Conflict = result.Conflict.Error()
 	}
@@ -200,7 +200,7 @@
 func waitClosed(ctx context.Context, event <-chan struct{}) error {
 	select {
 	case <-ctx.Done():
-		return &follower.UnknownFateError{Cause: ctx.Err()}
+		return &follower.UnknownOutcomeError{Cause: ctx.Err()}
 	case <-event:
 		return nil
 	}
--- a/standin/platformlog/faults.go
+++ b/standin/platformlog/faults.go
@@ -29,7 +29,7 @@
 	OutageNone   Outage = ""
 	OutageRefuse Outage = "refuse" // responds with 503 and states that nothing was appended
 	OutageCut    Outage = "cut"    // closes the connection without a response
-	OutageSilent Outage = "silent" // keeps the connection open and never responds
+	OutageHang   Outage = "silent" // keeps the connection open and never responds
 )
 
 // Faults configures the injected faults. The zero value injects none.
@@ -87,7 +87,7 @@
 		return false
 	case OutageCut:
 		abortConnection(w)
-	case OutageSilent:
+	case OutageHang:
 		<-r.Context().Done()
 		abortConnection(w)
 	}
@@ -142,7 +142,7 @@
 }
 
 func (o Outage) valid() bool {
-	return o == OutageNone || o == OutageRefuse || o == OutageCut || o == OutageSilent
+	return o == OutageNone || o == OutageRefuse || o == OutageCut || o == OutageHang
 }
 
 func (s *Service) truncate(w http.ResponseWriter, r *http.Request) {
--- a/standin/server/admin.go
+++ b/standin/server/admin.go
@@ -62,7 +62,7 @@
 	direction := Direction(r.URL.Query().Get("direction"))
 	switch direction {
 	case DirectionIn, DirectionOut, DirectionBoth:
-		s.Silence(direction)
+		s.StallConnections(direction)
 		return nil
 	}
 	return &AdminError{Problem: "direction must be in, out or both"}
--- a/standin/server/incarnation.go
+++ b/standin/server/incarnation.go
@@ -94,7 +94,7 @@
 func (inc *incarnation) otherServer() serverapi.LeaseReply {
 	now := inc.lockNow()
 	defer inc.mu.Unlock()
-	return inc.holder.OtherServer(now)
+	return inc.holder.RefuseOtherServer(now)
 }
 
 func (inc *incarnation) acknowledge(req serverapi.AcknowledgeRequest) serverapi.LeaseReply {
--- a/standin/server/intervals.go
+++ b/standin/server/intervals.go
@@ -53,7 +53,7 @@
 		inc.addOwned(owned, granted.Shard, granted.Fence, granted.Except)
 	}
 	for _, orphan := range inc.holder.Orphans() {
-		if orphan.Lapsed {
+		if orphan.Expired {
 			continue
 		}
 		shard := orphan.Shard
--- a/standin/server/network_test.go
+++ b/standin/server/network_test.go
@@ -64,7 +64,7 @@
 		t.Run(string(direction), func(t *testing.T) {
 			n := newNetworked(t, Config{})
 			n.g.Expect(n.get(t.Context(), n.client)).To(gomega.Equal(http.StatusOK))
-			n.Silence(direction)
+			n.StallConnections(direction)
 			ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 			defer cancel()
 			n.g.Expect(n.get(ctx, n.client)).To(gomega.BeZero())
--- a/standin/server/server.go
+++ b/standin/server/server.go
@@ -160,9 +160,9 @@
 	}
 }
 
-// Silence stalls the currently open connections permanently. New connections are not
+// StallConnections stalls the currently open connections permanently. New connections are not
 // affected.
-func (s *Server) Silence(direction Direction) {
+func (s *Server) StallConnections(direction Direction) {
 	s.mu.Lock()
 	counted := s.listener
 	s.mu.Unlock()
--- a/standin/vms/platform.go
+++ b/standin/vms/platform.go
@@ -82,16 +82,16 @@
 	p.faults = faults
 }
 
-// Mislead makes the list show a VM in place of the actual state of the ID; nil
+// Override makes the list show a VM in place of the actual state of the ID; nil
 // hides the ID.
-func (p *Platform) Mislead(id string, shown *vmlist.VM) {
+func (p *Platform) Override(id string, shown *vmlist.VM) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.overrides[id] = shown
 }
 
-// StopMisleading makes the list show the actual state of an ID again.
-func (p *Platform) StopMisleading(id string) {
+// ClearOverride makes the list show the actual state of an ID again.
+func (p *Platform) ClearOverride(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.overrides, id)
--- a/standin/vms/serve.go
+++ b/standin/vms/serve.go
@@ -142,12 +142,12 @@
 	if len(rows) > 0 {
 		shown = &rows[0]
 	}
-	p.Mislead(r.PathValue("id"), shown)
+	p.Override(r.PathValue("id"), shown)
 	w.WriteHeader(http.StatusNoContent)
 }
 
 func (p *Platform) serveClearOverride(w http.ResponseWriter, r *http.Request) {
-	p.StopMisleading(r.PathValue("id"))
+	p.ClearOverride(r.PathValue("id"))
 	w.WriteHeader(http.StatusNoContent)
 }
 
--- a/state/apply_terms.go
+++ b/state/apply_terms.go
@@ -43,7 +43,7 @@
 		Standby:     topo.NodeID(body.GetStandby()),
 		StandbyBoot: topo.BootID(body.GetStandbyBoot()),
 		HeldSince:   heldSince,
-		Former:      current.FormerAfter(body.GetSettled()),
+		Previous:    current.PreviousAfter(body.GetSettled()),
 	})
 	s.pruneLostIncarnations()
 	return nil
--- a/state/apply_test.go
+++ b/state/apply_test.go
@@ -255,7 +255,7 @@
 	g.Expect(l.add("op", confirmLoss([]string{"zz"}, []string{"zz"})).Conflict.Reason).To(gomega.Equal(ReasonNothingNamed))
 	l.add("op", confirmLoss([]string{"a1", "a2"}, []string{"n1"}))
 	view := l.state.View()
-	g.Expect(view.ServerLost("a1") && view.NodeLost("n1") && view.RunLost("n1", "b1")).To(gomega.BeTrue())
+	g.Expect(view.ServerLost("a1") && view.NodeLost("n1") && view.IncarnationLost("n1", "b1")).To(gomega.BeTrue())
 	l.add("vms", update([]*bspb.ServerEntry{
 		server("a1", "wells", groupA, PhaseLive), server("a2", "wells", groupA, PhaseLive),
 	}))
@@ -263,9 +263,9 @@
 	g.Expect(l.state.View().ServerLost("a2")).To(gomega.BeFalse())
 	l.add("n1@b2", joinNode("n1", "b2"))
 	g.Expect(l.state.View().NodeLost("n1")).To(gomega.BeFalse())
-	g.Expect(l.state.View().RunLost("n1", "b1")).To(gomega.BeTrue(), "a group still names that incarnation")
+	g.Expect(l.state.View().IncarnationLost("n1", "b1")).To(gomega.BeTrue(), "a group still names that incarnation")
 	l.add("n2@b1", claimRecord(claim(groupA, termA, "n2", "n3")))
-	g.Expect(l.state.View().RunLost("n1", "b1")).To(gomega.BeFalse())
+	g.Expect(l.state.View().IncarnationLost("n1", "b1")).To(gomega.BeFalse())
 	refused := l.add("x", removeNode("n1", "b1"))
 	g.Expect(refused.Conflict.Reason).To(gomega.Equal(ReasonBoot))
 }
--- a/state/previous_lessors.go
+++ b/state/previous_lessors.go
@@ -11,97 +11,97 @@
 // incarnations.
 const maxPreviousIncarnations = 16
 
-// Former lists the incarnations of nodes that were lessor or standby lessor in
+// PreviousLessors lists the incarnations of nodes that were lessor or standby lessor in
 // earlier terms of a group and therefore may have renewed leases in them. It is
 // immutable.
-type Former struct {
-	Runs []FormerRun // ordered by latest term, the latest first
+type PreviousLessors struct {
+	Incarnations []PreviousIncarnation // ordered by latest term, the latest first
 	// Since is the offset of the first term from which on no incarnation is
 	// missing.
 	Since topo.Offset
 }
 
-// FormerRun is one incarnation of a node with its latest terms as lessor and as
+// PreviousIncarnation is one incarnation of a node with its latest terms as lessor and as
 // standby lessor.
-type FormerRun struct {
-	Node    topo.NodeID
-	Boot    topo.BootID
-	Led     topo.Term // as the lessor; zero if never
-	StoodBy topo.Term // as the standby lessor; zero if never
+type PreviousIncarnation struct {
+	Node        topo.NodeID
+	Boot        topo.BootID
+	LessorTerm  topo.Term // as the lessor; zero if never
+	StandbyTerm topo.Term // as the standby lessor; zero if never
 }
 
-// Latest returns the latest term in which the incarnation was lessor or standby
+// LatestTerm returns the latest term in which the incarnation was lessor or standby
 // lessor.
-func (r FormerRun) Latest() topo.Term {
-	if r.Led.Less(r.StoodBy) {
-		return r.StoodBy
+func (r PreviousIncarnation) LatestTerm() topo.Term {
+	if r.LessorTerm.Less(r.StandbyTerm) {
+		return r.StandbyTerm
 	}
-	return r.Led
+	return r.LessorTerm
 }
 
-// FormerAfter returns the previous incarnations for the term that follows this
+// PreviousAfter returns the previous incarnations for the term that follows this
 // one. settled means that the lessor has recorded in the log that every lease of
 // the terms before its own has ended.
-func (g Group) FormerAfter(settled bool) *Former {
+func (g Group) PreviousAfter(settled bool) *PreviousLessors {
 	if g.Term.IsZero() {
 		return nil
 	}
-	next := &Former{Since: g.Term.Offset}
-	next.Runs = append(next.Runs, FormerRun{Node: g.Lessor, Boot: g.LessorBoot, Led: g.Term})
+	next := &PreviousLessors{Since: g.Term.Offset}
+	next.Incarnations = append(next.Incarnations, PreviousIncarnation{Node: g.Lessor, Boot: g.LessorBoot, LessorTerm: g.Term})
 	if g.Standby != "" {
-		next.Runs = append(next.Runs, FormerRun{Node: g.Standby, Boot: g.StandbyBoot, StoodBy: g.Term})
+		next.Incarnations = append(next.Incarnations, PreviousIncarnation{Node: g.Standby, Boot: g.StandbyBoot, StandbyTerm: g.Term})
 	}
-	if g.Former != nil && !settled {
-		next.addEarlier(g.Former)
+	if g.Previous != nil && !settled {
+		next.addEarlier(g.Previous)
 	}
 	return next
 }
 
 // addEarlier adds the incarnations of the earlier terms, up to
 // maxPreviousIncarnations.
-func (f *Former) addEarlier(earlier *Former) {
+func (f *PreviousLessors) addEarlier(earlier *PreviousLessors) {
 	f.Since = earlier.Since
-	for _, entry := range earlier.Runs {
+	for _, entry := range earlier.Incarnations {
 		if f.merge(entry) {
 			continue
 		}
-		if len(f.Runs) == maxPreviousIncarnations {
-			f.Since = max(f.Since, entry.Latest().Offset+1)
+		if len(f.Incarnations) == maxPreviousIncarnations {
+			f.Since = max(f.Since, entry.LatestTerm().Offset+1)
 			continue
 		}
-		f.Runs = append(f.Runs, entry)
+		f.Incarnations = append(f.Incarnations, entry)
 	}
 }
 
 // merge adds the earlier terms of an incarnation that is already listed and
 // reports whether it is listed.
-func (f *Former) merge(earlier FormerRun) bool {
-	for i := range f.Runs {
-		entry := &f.Runs[i]
+func (f *PreviousLessors) merge(earlier PreviousIncarnation) bool {
+	for i := range f.Incarnations {
+		entry := &f.Incarnations[i]
 		if entry.Node != earlier.Node || entry.Boot != earlier.Boot {
 			continue
 		}
-		if entry.Led.IsZero() {
-			entry.Led = earlier.Led
+		if entry.LessorTerm.IsZero() {
+			entry.LessorTerm = earlier.LessorTerm
 		}
-		if entry.StoodBy.IsZero() {
-			entry.StoodBy = earlier.StoodBy
+		if entry.StandbyTerm.IsZero() {
+			entry.StandbyTerm = earlier.StandbyTerm
 		}
 		return true
 	}
 	return false
 }
 
-func previousToProto(previous *Former) (runs []*bspb.FormerRun, since uint64) {
+func previousToProto(previous *PreviousLessors) (runs []*bspb.FormerRun, since uint64) {
 	if previous == nil {
 		return nil, 0
 	}
-	for _, run := range previous.Runs {
+	for _, run := range previous.Incarnations {
 		runs = append(runs, &bspb.FormerRun{
 			Node:    string(run.Node),
 			Boot:    string(run.Boot),
-			Led:     optionalOrdinal(run.Led),
-			StoodBy: optionalOrdinal(run.StoodBy),
+			Led:     optionalOrdinal(run.LessorTerm),
+			StoodBy: optionalOrdinal(run.StandbyTerm),
 		})
 	}
 	return runs, uint64(previous.Since)
@@ -114,17 +114,17 @@
 	return ordinalToProto(t.Ordinal)
 }
 
-func previousFromProto(runs []*bspb.FormerRun, since uint64) *Former {
+func previousFromProto(runs []*bspb.FormerRun, since uint64) *PreviousLessors {
 	if since == 0 {
 		return nil
 	}
-	previous := &Former{Since: topo.Offset(since)}
+	previous := &PreviousLessors{Since: topo.Offset(since)}
 	for _, run := range runs {
-		previous.Runs = append(previous.Runs, FormerRun{
-			Node:    topo.NodeID(run.GetNode()),
-			Boot:    topo.BootID(run.GetBoot()),
-			Led:     termFromProto(run.GetLed()),
-			StoodBy: termFromProto(run.GetStoodBy()),
+		previous.Incarnations = append(previous.Incarnations, PreviousIncarnation{
+			Node:        topo.NodeID(run.GetNode()),
+			Boot:        topo.BootID(run.GetBoot()),
+			LessorTerm:  termFromProto(run.GetLed()),
+			StandbyTerm: termFromProto(run.GetStoodBy()),
 		})
 	}
 	return previous
--- a/state/snapshot.go
+++ b/state/snapshot.go
@@ -169,7 +169,7 @@
 }
 
 func groupToProto(group Group) *bspb.GroupEntry {
-	runs, since := previousToProto(group.Former)
+	runs, since := previousToProto(group.Previous)
 	return &bspb.GroupEntry{
 		Group:       string(group.ID),
 		Term:        ordinalToProto(group.Term.Ordinal),
@@ -192,7 +192,7 @@
 		Standby:     topo.NodeID(entry.GetStandby()),
 		StandbyBoot: topo.BootID(entry.GetStandbyBoot()),
 		HeldSince:   topo.Offset(entry.GetHeldSince()),
-		Former:      previousFromProto(entry.GetFormerRuns(), entry.GetFormerSince()),
+		Previous:    previousFromProto(entry.GetFormerRuns(), entry.GetFormerSince()),
 	}
 }
 
--- a/state/snapshot_view.go
+++ b/state/snapshot_view.go
@@ -182,8 +182,8 @@
 	return false
 }
 
-// RunLost reports whether one incarnation of a node is confirmed to be lost.
-func (v *View) RunLost(id topo.NodeID, boot topo.BootID) bool {
+// IncarnationLost reports whether one incarnation of a node is confirmed to be lost.
+func (v *View) IncarnationLost(id topo.NodeID, boot topo.BootID) bool {
 	return v.lostIncarnations[incarnation{node: id, boot: boot}]
 }
 
--- a/state/update_basis_test.go
+++ b/state/update_basis_test.go
@@ -98,6 +98,6 @@
 
 	loss = &bspb.ConfirmLoss{Servers: []string{"s1"}, Nodes: []string{"n1@b2"}, Basis: uint64(l.state.Applied())}
 	g.Expect(l.add("late", &bspb.Record{Body: &bspb.Record_ConfirmLoss{ConfirmLoss: loss}}).Accepted).To(gomega.BeTrue())
-	g.Expect(l.state.View().RunLost("n1", "b2")).To(gomega.BeTrue())
+	g.Expect(l.state.View().IncarnationLost("n1", "b2")).To(gomega.BeTrue())
 	g.Expect(l.state.View().ServerLost("s1")).To(gomega.BeTrue())
 }
--- a/state/view.go
+++ b/state/view.go
@@ -63,7 +63,7 @@
 	HeldSince topo.Offset
 	// Previous lists the incarnations of earlier terms; nil in the first term and
 	// when they are not known.
-	Former *Former
+	Previous *PreviousLessors
 }
 
 // Source provides the current view and reports newer ones. The follower
--- a/submit/submit.go
+++ b/submit/submit.go
@@ -33,7 +33,7 @@
 	Record *bspb.Record
 	// Done is called with the outcome, or with the error because of which it is
 	// unknown. It may be nil.
-	Done func(outcome follower.Fate, err error)
+	Done func(outcome follower.Outcome, err error)
 }
 
 // Writer writes batches. Offer may be called concurrently with Run.
--- a/submit/submit_outage_test.go
+++ b/submit/submit_outage_test.go
@@ -23,12 +23,12 @@
 	calls atomic.Int64
 }
 
-func (r *rejectingAppender) Submit(context.Context, *bspb.Record) (follower.Fate, error) {
+func (r *rejectingAppender) Submit(context.Context, *bspb.Record) (follower.Outcome, error) {
 	r.calls.Add(1)
 	if r.down.Load() {
-		return follower.Fate{}, &platlog.UnavailableError{Op: "append", Cause: context.DeadlineExceeded}
+		return follower.Outcome{}, &platlog.UnavailableError{Op: "append", Cause: context.DeadlineExceeded}
 	}
-	return follower.Fate{Accepted: true}, nil
+	return follower.Outcome{Accepted: true}, nil
 }
 
 // A duty decides again as soon as its writer has finished, so the writer must
@@ -72,7 +72,7 @@
 	}
 }
 
-func checkTyped(_ follower.Fate, err error) {
+func checkTyped(_ follower.Outcome, err error) {
 	var unavailable *platlog.UnavailableError
 	if err != nil && !errors.As(err, &unavailable) {
 		panic(err)
--- a/submit/submit_test.go
+++ b/submit/submit_test.go
@@ -21,13 +21,13 @@
 	writes   []time.Time
 }
 
-func (a *appender) Submit(ctx context.Context, _ *bspb.Record) (follower.Fate, error) {
+func (a *appender) Submit(ctx context.Context, _ *bspb.Record) (follower.Outcome, error) {
 	a.writes = append(a.writes, time.Now())
 	select {
 	case <-ctx.Done():
-		return follower.Fate{}, &follower.UnknownFateError{Cause: ctx.Err()}
+		return follower.Outcome{}, &follower.UnknownOutcomeError{Cause: ctx.Err()}
 	case <-time.After(a.delay):
-		return follower.Fate{Accepted: a.accepted}, nil
+		return follower.Outcome{Accepted: a.accepted}, nil
 	}
 }
 
--- a/ticket/record_limits.go
+++ b/ticket/record_limits.go
@@ -45,7 +45,7 @@
 // raiseFloor makes a dropped ticket and all earlier tickets of its issuer Stale.
 func (r *Record) raiseFloor(t Ticket) {
 	floor, exists := r.floors[t.Issuer]
-	if !exists && t.Issuer.Born <= r.latestDroppedStart {
+	if !exists && t.Issuer.StartMillis <= r.latestDroppedStart {
 		// All of the issuer's tickets are Stale already. A new floor for it could
 		// be lower than a floor of it that was dropped before.
 		return
@@ -63,12 +63,12 @@
 	var oldest Issuer
 	first := true
 	for issuer := range r.floors {
-		if first || issuer.Born < oldest.Born {
+		if first || issuer.StartMillis < oldest.StartMillis {
 			oldest, first = issuer, false
 		}
 	}
 	delete(r.floors, oldest)
-	r.latestDroppedStart = max(r.latestDroppedStart, oldest.Born)
+	r.latestDroppedStart = max(r.latestDroppedStart, oldest.StartMillis)
 }
 
 // belowFloor reports whether a ticket that is not in the record may have been
@@ -77,7 +77,7 @@
 	if floor, exists := r.floors[t.Issuer]; exists {
 		return t.Sequence <= floor
 	}
-	return t.Issuer.Born <= r.latestDroppedStart
+	return t.Issuer.StartMillis <= r.latestDroppedStart
 }
 
 // Dump contains a record's sizes for the state dump.
--- a/ticket/record_test.go
+++ b/ticket/record_test.go
@@ -127,7 +127,7 @@
 func (s *site) newIssuer() {
 	n := len(s.issuers)
 	// Starts of issuers may fall into the same millisecond.
-	issuer := Issuer{Node: "n", Boot: topo.BootID(fmt.Sprint("b", n)), Born: int64(n / 2)}
+	issuer := Issuer{Node: "n", Boot: topo.BootID(fmt.Sprint("b", n)), StartMillis: int64(n / 2)}
 	source, err := NewSource(issuer, func() uint64 { return uint64(n) })
 	if err != nil {
 		panic(err)
--- a/ticket/ticket.go
+++ b/ticket/ticket.go
@@ -45,9 +45,9 @@
 type Issuer struct {
 	Node topo.NodeID
 	Boot topo.BootID
-	// Born is the start time of the incarnation, in Unix milliseconds by its own
+	// StartMillis is the start time of the incarnation, in Unix milliseconds by its own
 	// clock. It is used only to order issuers by age.
-	Born int64
+	StartMillis int64
 }
 
 // Ticket is an idempotency key issued by an entry node.
@@ -82,7 +82,7 @@
 		strconv.FormatUint(t.Sequence, 10),
 		strconv.FormatUint(t.Subject, hexBase),
 		strconv.FormatUint(t.Random, hexBase),
-		strconv.FormatInt(t.Issuer.Born, 10),
+		strconv.FormatInt(t.Issuer.StartMillis, 10),
 		string(t.Issuer.Boot),
 		string(t.Issuer.Node),
 	}
@@ -117,7 +117,7 @@
 	if t.Random, err = strconv.ParseUint(fields[4], hexBase, 64); err != nil {
 		return fail("random")
 	}
-	if t.Issuer.Born, err = strconv.ParseInt(fields[5], 10, 64); err != nil || t.Issuer.Born < 0 {
+	if t.Issuer.StartMillis, err = strconv.ParseInt(fields[5], 10, 64); err != nil || t.Issuer.StartMillis < 0 {
 		return fail("start time")
 	}
 	t.Issuer.Boot = topo.BootID(fields[6])
--- a/ticket/ticket_test.go
+++ b/ticket/ticket_test.go
@@ -14,7 +14,7 @@
 func sample() Ticket {
 	return Ticket{
 		Scope:    FenceScope(topo.MakeFence(41, 1)),
-		Issuer:   Issuer{Node: "entry-a-1", Boot: "0f3c", Born: 1_700_000_000_000},
+		Issuer:   Issuer{Node: "entry-a-1", Boot: "0f3c", StartMillis: 1_700_000_000_000},
 		Sequence: 7,
 		Subject:  SubjectOf("licensing", "bore/7"),
 		Random:   0xfeed,
@@ -27,9 +27,9 @@
 		ticket := Ticket{
 			Scope: Scope{Kind: rapid.SampledFrom([]ScopeKind{ScopeFence, ScopeTerm}).Draw(t, "kind"), Ordinal: ordinal},
 			Issuer: Issuer{
-				Node: topo.NodeID(rapid.StringMatching(`[a-z0-9.@/-]{1,20}`).Draw(t, "node")),
-				Boot: topo.BootID(rapid.StringMatching(`[a-f0-9]{1,16}`).Draw(t, "boot")),
-				Born: rapid.Int64Min(0).Draw(t, "born"),
+				Node:        topo.NodeID(rapid.StringMatching(`[a-z0-9.@/-]{1,20}`).Draw(t, "node")),
+				Boot:        topo.BootID(rapid.StringMatching(`[a-f0-9]{1,16}`).Draw(t, "boot")),
+				StartMillis: rapid.Int64Min(0).Draw(t, "born"),
 			},
 			Sequence: rapid.Uint64Min(1).Draw(t, "sequence"),
 			Subject:  rapid.Uint64().Draw(t, "subject"),
@@ -73,7 +73,7 @@
 func TestSourceNumbersTicketsAndRejectsInvalidNames(t *testing.T) {
 	g := gomega.NewWithT(t)
 	random := func() uint64 { return 9 }
-	source, err := NewSource(Issuer{Node: "n-1", Boot: "b", Born: 1}, random)
+	source, err := NewSource(Issuer{Node: "n-1", Boot: "b", StartMillis: 1}, random)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	scope := TermScope(topo.MakeTerm(3, 0))
 	first, second := source.Issue(scope, "svc", "k"), source.Issue(scope, "svc", "k")
@@ -81,7 +81,7 @@
 	g.Expect(second.Sequence).To(gomega.Equal(uint64(2)))
 	g.Expect(first.Subject).To(gomega.Equal(SubjectOf("svc", "k")))
 
-	for _, issuer := range []Issuer{{Node: "n", Boot: "a-b"}, {Node: "n"}, {Node: "n n", Boot: "b"}, {Node: "n", Boot: "b", Born: -1}} {
+	for _, issuer := range []Issuer{{Node: "n", Boot: "a-b"}, {Node: "n"}, {Node: "n n", Boot: "b"}, {Node: "n", Boot: "b", StartMillis: -1}} {
 		_, err := NewSource(issuer, random)
 		var refused *IssuerError
 		g.Expect(errors.As(err, &refused)).To(gomega.BeTrue(), "%+v", issuer)
--- a/vmlist/vmlisttest/vmlisttest.go
+++ b/vmlist/vmlisttest/vmlisttest.go
@@ -140,11 +140,11 @@
 	p.Put(server("b", vmlist.PhaseLive))
 	shown := server("a", vmlist.PhaseGone)
 	shown.Service = topo.Service("quotes")
-	p.Mislead("a", &shown)
-	p.Mislead("b", nil)
+	p.Override("a", &shown)
+	p.Override("b", nil)
 	g.Expect(read(t, list)).To(gomega.ConsistOf(shown))
-	p.StopMisleading("a")
-	p.StopMisleading("b")
+	p.ClearOverride("a")
+	p.ClearOverride("b")
 	g.Expect(read(t, list)).To(gomega.HaveLen(2))
 }
 
