--- a/balance/balance.go
+++ b/balance/balance.go
@@ -56,8 +56,8 @@
 
 // Budget limits one decision. A zero field allows nothing.
 type Budget struct {
-	// Moves is the maximum number of hash ranges that may leave live servers.
-	Moves int
+	// Ranges is the maximum number of hash ranges that may leave live servers.
+	Ranges int
 	// Keys is the maximum number of single keys that may be split out, merged back
 	// or moved from live servers.
 	Keys int
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -35,7 +35,7 @@
 		Now:       start,
 		Weighting: siteconfig.WeightImbalance,
 		MoveCost:  100 * time.Millisecond,
-		Budget:    balance.Budget{Moves: 100, Keys: 100, Evacuations: 100, Probes: 1000},
+		Budget:    balance.Budget{Ranges: 100, Keys: 100, Evacuations: 100, Probes: 1000},
 		Rand:      rand.New(rand.NewPCG(1, 2)),
 	}
 	for server, shards := range loads {
@@ -311,9 +311,9 @@
 		full := allowance.Budget(start)
 		allowance.Spend(key)
 		allowance.Spend(balance.Move{Cause: balance.CauseDraining})
-		g.Expect(allowance.Budget(start)).To(gomega.Equal(balance.Budget{Moves: full.Moves, Keys: full.Keys - 1}))
+		g.Expect(allowance.Budget(start)).To(gomega.Equal(balance.Budget{Ranges: full.Ranges, Keys: full.Keys - 1}))
 		allowance.Spend(whole)
-		g.Expect(allowance.Budget(start)).To(gomega.Equal(balance.Budget{Moves: full.Moves - 1, Keys: full.Keys - 1}))
+		g.Expect(allowance.Budget(start)).To(gomega.Equal(balance.Budget{Ranges: full.Ranges - 1, Keys: full.Keys - 1}))
 		g.Expect(allowance.Budget(start.Add(time.Hour))).To(gomega.Equal(full))
 	}
 }
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -192,7 +192,7 @@
 
 // movesLeft reports whether the budget allows one more move between live
 // servers, of any kind.
-func (b *balancer) movesLeft() bool { return b.remaining.Moves > 0 || b.remaining.Keys > 0 }
+func (b *balancer) movesLeft() bool { return b.remaining.Ranges > 0 || b.remaining.Keys > 0 }
 
 func (b *balancer) evacuationsLeft() bool { return b.remaining.Evacuations > 0 }
 
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -23,7 +23,7 @@
 		Service:   service,
 		Now:       start,
 		Weighting: siteconfig.WeightImbalance,
-		Budget:    balance.Budget{Moves: 60, Keys: 60, Evacuations: 256, Probes: 60},
+		Budget:    balance.Budget{Ranges: 60, Keys: 60, Evacuations: 256, Probes: 60},
 		Rand:      random,
 	}
 	for i := range benchServers {
--- a/balance/budget.go
+++ b/balance/budget.go
@@ -17,7 +17,7 @@
 	case move.Shard.Key != "":
 		return decrement(&b.Keys)
 	}
-	return decrement(&b.Moves)
+	return decrement(&b.Ranges)
 }
 
 func decrement(remaining *int) bool {
@@ -67,7 +67,7 @@
 // Budget returns the moves that are allowed now. The caller sets the fields that
 // are not rate-limited.
 func (a *Allowance) Budget(now time.Time) Budget {
-	return Budget{Moves: a.ranges.Allowed(now), Keys: a.keys.Allowed(now)}
+	return Budget{Ranges: a.ranges.Allowed(now), Keys: a.keys.Allowed(now)}
 }
 
 // Spend subtracts a move that was made from the allowance. Moves of shards that
--- a/balance/candidates.go
+++ b/balance/candidates.go
@@ -46,7 +46,7 @@
 	if b.in.Shards[shard].ID.Key != "" {
 		return b.remaining.Keys > 0
 	}
-	return b.remaining.Moves > 0
+	return b.remaining.Ranges > 0
 }
 
 // highEnough reports whether a server's utilization is high enough for a shard
@@ -56,7 +56,7 @@
 	return b.in.Shards[shard].ID.Key != "" || utilization >= b.tuning.RangeFloor
 }
 
-// referenceMoveCost is the unavailable time per move to which Tuning.ShardCost
+// referenceMoveCost is the unavailable time per move to which Tuning.RangeCost
 // refers.
 const referenceMoveCost = 100 * time.Millisecond
 
@@ -66,7 +66,7 @@
 	if b.in.Shards[shard].ID.Key != "" {
 		return 1
 	}
-	cost := b.tuning.ShardCost
+	cost := b.tuning.RangeCost
 	if b.in.MoveCost > 0 {
 		cost *= b.in.MoveCost.Seconds() / referenceMoveCost.Seconds()
 	}
--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -22,7 +22,7 @@
 		Now:       start,
 		Weighting: rapid.SampledFrom([]siteconfig.Weighting{siteconfig.WeightImbalance, siteconfig.WeightUnavailability}).Draw(t, "weighting"),
 		Budget: balance.Budget{
-			Moves:       rapid.IntRange(0, 20).Draw(t, "moves"),
+			Ranges:      rapid.IntRange(0, 20).Draw(t, "moves"),
 			Keys:        rapid.IntRange(0, 20).Draw(t, "keys"),
 			Evacuations: rapid.IntRange(0, 20).Draw(t, "evacuations"),
 			Probes:      rapid.IntRange(0, 50).Draw(t, "probes"),
@@ -80,13 +80,13 @@
 			case move.Shard.Key != "":
 				used.Keys++
 			default:
-				used.Moves++
+				used.Ranges++
 			}
 		}
-		if used.Moves > budget.Moves || used.Keys > budget.Keys || used.Evacuations > budget.Evacuations {
+		if used.Ranges > budget.Ranges || used.Keys > budget.Keys || used.Evacuations > budget.Evacuations {
 			t.Fatalf("moves use %+v, more than the budget %+v", used, budget)
 		}
-		if in.Probed > budget.Probes && budget.Moves+budget.Keys == 0 {
+		if in.Probed > budget.Probes && budget.Ranges+budget.Keys == 0 {
 			t.Fatalf("%d probes without a budget", in.Probed)
 		}
 	})
@@ -122,7 +122,7 @@
 		for i := range in.Shards {
 			in.Shards[i].Moving = false
 		}
-		in.Budget = balance.Budget{Moves: 10, Keys: 10, Evacuations: 100, Probes: 10}
+		in.Budget = balance.Budget{Ranges: 10, Keys: 10, Evacuations: 100, Probes: 10}
 		policy := drawPolicy(t)
 		last := 0
 		for round := range rounds {
--- a/balance/tuning.go
+++ b/balance/tuning.go
@@ -22,10 +22,10 @@
 	// MinGain is the reduction of the higher of two utilizations that a move must
 	// exceed.
 	MinGain float64
-	// ShardCost is the cost of moving a hash range in relation to moving a single
+	// RangeCost is the cost of moving a hash range in relation to moving a single
 	// key. A range is preferred to a key only if its move reduces utilization more
-	// than ShardCost times as much, because it makes all of its keys unavailable.
-	ShardCost float64
+	// than RangeCost times as much, because it makes all of its keys unavailable.
+	RangeCost float64
 	// RangeFloor is the utilization below which no hash range leaves a server
 	// because of load.
 	RangeFloor float64
@@ -47,7 +47,7 @@
 		Floor:      0.20,
 		Dwell:      5 * time.Second,
 		MinGain:    0.01,
-		ShardCost:  1,
+		RangeCost:  1,
 		SplitAbove: 0.05,
 		MergeBelow: 0.0125,
 		MaxSplit:   256,
@@ -56,7 +56,7 @@
 		tuning.High = 1.40
 		tuning.Floor = 0.30
 		tuning.MinGain = 0.02
-		tuning.ShardCost = 16
+		tuning.RangeCost = 16
 		tuning.RangeFloor = 1.2
 		tuning.SplitAbove = 0.02
 		tuning.MergeBelow = 0.005
--- a/capacity/balance.go
+++ b/capacity/balance.go
@@ -43,7 +43,7 @@
 	random := rand.New(rand.NewPCG(measureSeed, measureSeed))
 	in := &balance.Input{
 		Service: serviceName, Now: measureEpoch, Weighting: siteconfig.WeightImbalance, Rand: random,
-		Budget: balance.Budget{Moves: balanceBudget, Keys: balanceBudget, Evacuations: balanceBudget, Probes: balanceBudget},
+		Budget: balance.Budget{Ranges: balanceBudget, Keys: balanceBudget, Evacuations: balanceBudget, Probes: balanceBudget},
 	}
 	for i := range servers {
 		in.Servers = append(in.Servers, balance.Server{ID: topo.ServerID(serverID(i)), Phase: state.PhaseLive, Capacity: 6})
--- a/follower/dump.go
+++ b/follower/dump.go
@@ -9,28 +9,28 @@
 
 // Dump is the follower's part of the state dump.
 type Dump struct {
-	Writer          string      `json:"writer"`
-	Applied         topo.Offset `json:"applied"`
-	Lineage         topo.Offset `json:"lineage"`
-	LogFirst        topo.Offset `json:"log_first"`
-	ContactAgeMs    int64       `json:"contact_age_ms"` // -1 when there was no contact
-	Source          string      `json:"source"`         // "log", or the ID of the relay in use
-	Relays          []string    `json:"relays"`         // of the zone, according to this node's view
-	SiteVersion     uint64      `json:"site_version"`
-	Nodes           int         `json:"nodes"`
-	Servers         int         `json:"servers"`
-	Groups          int         `json:"groups"`
-	Queued          int         `json:"queued"`
-	Pending         int         `json:"pending"`
-	RecentEntries   int         `json:"recent_entries"`
-	RecentBytes     int         `json:"recent_bytes"`
-	LastCheckpoint  topo.Offset `json:"last_checkpoint"`
-	SinceCheckpoint int         `json:"since_checkpoint"`
-	Owned           []OwnedDump `json:"services"`
+	Writer          string        `json:"writer"`
+	Applied         topo.Offset   `json:"applied"`
+	Lineage         topo.Offset   `json:"lineage"`
+	LogFirst        topo.Offset   `json:"log_first"`
+	ContactAgeMs    int64         `json:"contact_age_ms"` // -1 when there was no contact
+	Source          string        `json:"source"`         // "log", or the ID of the relay in use
+	Relays          []string      `json:"relays"`         // of the zone, according to this node's view
+	SiteVersion     uint64        `json:"site_version"`
+	Nodes           int           `json:"nodes"`
+	Servers         int           `json:"servers"`
+	Groups          int           `json:"groups"`
+	Queued          int           `json:"queued"`
+	Pending         int           `json:"pending"`
+	RecentEntries   int           `json:"recent_entries"`
+	RecentBytes     int           `json:"recent_bytes"`
+	LastCheckpoint  topo.Offset   `json:"last_checkpoint"`
+	SinceCheckpoint int           `json:"since_checkpoint"`
+	Services        []ServiceDump `json:"services"`
 }
 
-// OwnedDump counts the shards of one service.
-type OwnedDump struct {
+// ServiceDump counts the shards of one service.
+type ServiceDump struct {
 	Service  topo.Service `json:"service"`
 	Shards   int          `json:"shards"` // hash ranges and split keys
 	Owned    int          `json:"owned"`
@@ -61,7 +61,7 @@
 	dump.RecentEntries, dump.RecentBytes = f.ring.size()
 	f.schedule.dump(&dump)
 	for _, name := range view.Tables() {
-		dump.Owned = append(dump.Owned, ownedDump(view, name))
+		dump.Services = append(dump.Services, ownedDump(view, name))
 	}
 	return dump
 }
@@ -76,9 +76,9 @@
 	return now.Sub(contact).Milliseconds()
 }
 
-func ownedDump(view *state.View, name topo.Service) OwnedDump {
+func ownedDump(view *state.View, name topo.Service) ServiceDump {
 	_, _, retiring := view.ActiveService(name)
-	dump := OwnedDump{Service: name, Retiring: retiring}
+	dump := ServiceDump{Service: name, Retiring: retiring}
 	view.EachShard(name, func(a state.Assignment) bool {
 		dump.Shards++
 		if a.Owner != "" {
--- a/follower/follow_test.go
+++ b/follower/follow_test.go
@@ -192,7 +192,7 @@
 		dump := a.Dump(time.Now())
 		s.g.Expect(dump.Applied).To(gomega.Equal(topo.Offset(1)))
 		s.g.Expect(dump.ContactAgeMs).To(gomega.BeNumerically(">=", 0))
-		s.g.Expect(dump.Owned).To(gomega.Equal([]follower.OwnedDump{{Service: "wells", Shards: 4}}))
+		s.g.Expect(dump.Services).To(gomega.Equal([]follower.ServiceDump{{Service: "wells", Shards: 4}}))
 	})
 }
 
--- a/gateway/duty/duty.go
+++ b/gateway/duty/duty.go
@@ -208,7 +208,7 @@
 		}
 		return
 	}
-	d.balanceInput(now)
+	d.processOwnReports(now)
 	d.sendCalls(ctx, now)
 	d.appendDue(ctx, now)
 	d.showRoutes()
@@ -300,9 +300,9 @@
 	d.append(ctx, p)
 }
 
-// balanceInput processes the reports of the lessor's own node and decays the weight of old
+// processOwnReports processes the reports of the lessor's own node and decays the weight of old
 // ones.
-func (d *Duty) balanceInput(now time.Time) {
+func (d *Duty) processOwnReports(now time.Time) {
 	d.loads.Decay(now)
 	if now.Before(d.nextReport) {
 		return
@@ -384,14 +384,14 @@
 		Servers:  v.Servers.Servers,
 		Known:    d.knownServers,
 		Writable: d.isStoreWritable(now) && d.resigning == nil,
-		Settled:  d.isRegistrySettled(v, now),
+		Settled:  d.observeRegistrySize(v, now),
 		Load:     d.loads,
 	}
 }
 
-// isRegistrySettled reports whether the server registry has kept its size for more than
+// observeRegistrySize reports whether the server registry has kept its size for more than
 // registrySettleTime.
-func (d *Duty) isRegistrySettled(v *view.View, now time.Time) bool {
+func (d *Duty) observeRegistrySize(v *view.View, now time.Time) bool {
 	if size := len(v.Servers.Servers); size != d.serverCount {
 		d.serverCount = size
 		d.serverCountSince = now
--- a/gateway/follow/follower.go
+++ b/gateway/follow/follower.go
@@ -30,12 +30,12 @@
 	Reports *Reports
 	Logger  hclog.Logger
 
-	seeds       atomic.Pointer[[]string]
-	client      *http.Client
-	clients     map[string]bspbconnect.GatewayClient
-	hasNoSource bool                 // whether no node with recent data is followed
-	current     string               // address of the last source that had recent data; empty if there is none
-	avoidUntil  map[string]time.Time // time until which a source is not followed, by address
+	seeds        atomic.Pointer[[]string]
+	client       *http.Client
+	clients      map[string]bspbconnect.GatewayClient
+	sourceFailed bool                 // whether no node with recent data is followed
+	current      string               // address of the last source that had recent data; empty if there is none
+	avoidUntil   map[string]time.Time // time until which a source is not followed, by address
 	// knownFollowers is the hash of this node's followers that each source knows, by
 	// address.
 	knownFollowers map[string]uint64
@@ -167,12 +167,12 @@
 	f.avoidUntil[s.address] = time.Now().Add(pause)
 }
 
-func (f *Follower) logSource(hasNoSource bool, from source, err error) {
-	if hasNoSource == f.hasNoSource {
+func (f *Follower) logSource(failed bool, from source, err error) {
+	if failed == f.sourceFailed {
 		return
 	}
-	f.hasNoSource = hasNoSource
-	if hasNoSource {
+	f.sourceFailed = failed
+	if failed {
 		eventSourceLost.Log(f.Logger, "address", from.address, "isLessor", from.lessor, "cause", err)
 	} else {
 		eventSourceBack.Log(f.Logger, "address", from.address, "isLessor", from.lessor)
--- a/gateway/follow/routes_test.go
+++ b/gateway/follow/routes_test.go
@@ -70,7 +70,7 @@
 
 // A table with other ranges has few routes in common with the previous one, and none at the
 // same index.
-func TestNewTableIsEncodedAsChange(t *testing.T) {
+func TestNodeReceivesTableWithOtherRanges(t *testing.T) {
 	var encoder routesEncoder
 	node := view.NewState()
 	sendRoutes(t, &encoder, routesOfMany(7, 1, 600, nil), node)
@@ -79,7 +79,7 @@
 	sendRoutes(t, &encoder, routesOfMany(9, 4, 1, nil), node)
 }
 
-func TestNodeFarBehindReceivesAllRoutes(t *testing.T) {
+func TestNodeFarBehindReceivesNewestRoutes(t *testing.T) {
 	var encoder routesEncoder
 	node, other := view.NewState(), view.NewState()
 	sendRoutes(t, &encoder, routesOfMany(7, 1, 10, nil), node)
@@ -92,7 +92,7 @@
 // At the start of a site, some nodes have the routes of the first table, which is at offset
 // 0 and was not sent by a lessor, and others have none. A change from the first routes must
 // not be applied by nodes without routes.
-func TestNodeWithoutRoutesReceivesAllBesideNodesWithFirstRoutes(t *testing.T) {
+func TestChangeFromFirstRoutesIsNotAppliedWithoutRoutes(t *testing.T) {
 	var encoder routesEncoder
 	first, another, none := view.NewState(), view.NewState(), view.NewState()
 	sendRoutes(t, &encoder, routesOfMany(0, 0, 10, nil), first)
@@ -128,7 +128,7 @@
 
 // The remaining time of a silent range is measured from the response, so an earlier message
 // must not be reused.
-func TestRemainingTimeOfSilentRangeIsNotReused(t *testing.T) {
+func TestRemainingTimeOfUnresponsiveRangeIsNotReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		var encoder routesEncoder
--- a/gateway/pool/bench_test.go
+++ b/gateway/pool/bench_test.go
@@ -22,7 +22,7 @@
 	p.Update(servers, 12, now)
 	for i := range waiting {
 		only := servers[i%len(servers)].ID
-		w := &Waiter{Priority: 1, ArrivedAt: now, Target: now.Add(time.Minute), Deadline: now.Add(time.Hour), Only: only}
+		w := &Waiter{Priority: 1, ArrivedAt: now, Target: now.Add(time.Minute), Deadline: now.Add(time.Hour), OnlyServer: only}
 		if _, refusal := p.Submit(w, now); refusal != nil {
 			b.Fatal(refusal)
 		}
@@ -37,7 +37,7 @@
 			p, now := newQueuedPool(b, waiting)
 			for b.Loop() {
 				m := p.order[0]
-				w := &Waiter{Priority: 1, ArrivedAt: now, Target: now.Add(time.Minute), Deadline: now.Add(time.Hour), Only: m.ID}
+				w := &Waiter{Priority: 1, ArrivedAt: now, Target: now.Add(time.Minute), Deadline: now.Add(time.Hour), OnlyServer: m.ID}
 				for _, a := range p.Done(m.ID, Outcome{Took: 100 * time.Millisecond}, now) {
 					_, _ = p.Submit(w, now)
 					_ = a
--- a/gateway/pool/crash_test.go
+++ b/gateway/pool/crash_test.go
@@ -61,7 +61,7 @@
 func countSlots(p *pool.Pool, id site.ServerID, now time.Time) int {
 	count := 0
 	for ; count < 100; count++ {
-		w := &pool.Waiter{Only: id, ArrivedAt: now, Target: now.Add(time.Second), Deadline: now.Add(time.Minute)}
+		w := &pool.Waiter{OnlyServer: id, ArrivedAt: now, Target: now.Add(time.Second), Deadline: now.Add(time.Minute)}
 		if admission, _ := p.Submit(w, now); admission == nil {
 			p.Remove(w)
 			return count
@@ -80,7 +80,7 @@
 	p.Done(id, good, now)
 	for range 40 {
 		now = now.Add(500 * time.Millisecond)
-		if admission, _ := p.Submit(&pool.Waiter{Only: id, ArrivedAt: now, Target: now, Deadline: now.Add(time.Second)}, now); admission != nil {
+		if admission, _ := p.Submit(&pool.Waiter{OnlyServer: id, ArrivedAt: now, Target: now, Deadline: now.Add(time.Second)}, now); admission != nil {
 			p.Done(id, good, now.Add(50*time.Millisecond))
 		}
 	}
@@ -122,12 +122,12 @@
 	p, id, now := newRestartedPool(0)
 	countSlots(p, id, now)
 	p.Done(id, pool.Outcome{Failed: true, NotReached: true}, now)
-	_, refusal := p.Submit(&pool.Waiter{Only: id, Deadline: now.Add(time.Minute)}, now)
+	_, refusal := p.Submit(&pool.Waiter{OnlyServer: id, Deadline: now.Add(time.Minute)}, now)
 	g.Expect(refusal).NotTo(gomega.BeNil())
 	next := site.IncarnationID("again", now.Add(time.Hour))
 	p.Update([]site.Server{{ID: next, Zone: "a", Slots: 4}, {ID: "steady", Zone: "a", Slots: 4}}, 1, now)
 	g.Expect(countSlots(p, next, now)).To(gomega.Equal(1))
-	_, refusal = p.Submit(&pool.Waiter{Only: id, Deadline: now.Add(time.Minute)}, now)
+	_, refusal = p.Submit(&pool.Waiter{OnlyServer: id, Deadline: now.Add(time.Minute)}, now)
 	g.Expect(refusal.Reason).To(gomega.Equal(pool.NoServer))
 	p.Done(id, pool.Outcome{Failed: true}, now) // late outcome of the previous incarnation
 	g.Expect(countSlots(p, next, now)).To(gomega.BeZero(), "it frees no slot at the new incarnation")
--- a/gateway/pool/evict_test.go
+++ b/gateway/pool/evict_test.go
@@ -18,7 +18,7 @@
 	p := pool.New("a", 0, rand.New(rand.NewPCG(1, 1)))
 	p.Update([]site.Server{{ID: "s", Service: "s", Zone: "a", Slots: 1}}, 12, start)
 	ask := func(priority int, deadline time.Duration) *pool.Waiter {
-		w := &pool.Waiter{Priority: priority, ArrivedAt: start, Target: start.Add(time.Second), Deadline: start.Add(deadline), Only: "s"}
+		w := &pool.Waiter{Priority: priority, ArrivedAt: start, Target: start.Add(time.Second), Deadline: start.Add(deadline), OnlyServer: "s"}
 		_, refusal := p.Submit(w, start)
 		g.Expect(refusal).To(gomega.BeNil())
 		return w
@@ -41,7 +41,7 @@
 	p := pool.New("a", 0, rand.New(rand.NewPCG(1, 1)))
 	p.Update([]site.Server{{ID: "s", Service: "s", Zone: "a", Slots: 1}}, 12, start)
 	ask := func() *pool.Admission {
-		w := &pool.Waiter{ArrivedAt: start, Target: start.Add(time.Minute), Deadline: start.Add(time.Minute), Only: "s"}
+		w := &pool.Waiter{ArrivedAt: start, Target: start.Add(time.Minute), Deadline: start.Add(time.Minute), OnlyServer: "s"}
 		admission, refusal := p.Submit(w, start)
 		g.Expect(refusal).To(gomega.BeNil())
 		return admission
--- a/gateway/pool/pool.go
+++ b/gateway/pool/pool.go
@@ -191,8 +191,8 @@
 // pick returns the server with capacity where a request is expected to end first. A server of
 // the own zone is preferred as long as it is expected to answer well within the target.
 func (p *Pool) pick(w *Waiter, now time.Time) *member {
-	if w.Only != "" {
-		if m := p.members[w.Only]; m != nil && p.canSend(m, w, now) {
+	if w.OnlyServer != "" {
+		if m := p.members[w.OnlyServer]; m != nil && p.canSend(m, w, now) {
 			return m
 		}
 		return nil
@@ -224,7 +224,7 @@
 
 // canSend reports whether a request may be sent to a server now.
 func (p *Pool) canSend(m *member, w *Waiter, now time.Time) bool {
-	isOverShare := w.Only != "" && m.hasShare(now) && !w.ChargedToShare
+	isOverShare := w.OnlyServer != "" && m.hasShare(now) && !w.ChargedToShare
 	return !isOverShare && !m.Draining && !m.blocked(now) && w.accepts(m.ID) && p.hasCapacity(m, now)
 }
 
--- a/gateway/pool/queue.go
+++ b/gateway/pool/queue.go
@@ -25,7 +25,7 @@
 	ArrivedAt      time.Time       // arrival time
 	Target         time.Time       // time by which a response has its full value
 	Deadline       time.Time       // time after which a response has no value
-	Only           site.ServerID   // the only server that may run it; empty: any
+	OnlyServer     site.ServerID   // the only server that may run it; empty: any
 	Tried          []site.ServerID // incarnations of servers that have been tried
 	AtMostOnce     bool            // it must not run twice, so that a failure of its server loses it
 	ChargedToShare bool            // it has been charged to the share of its server
@@ -35,8 +35,8 @@
 // of a tried server is treated as tried: it has just started, often because it failed under
 // the request, and the route bounds the number of servers that are tried.
 func (w *Waiter) accepts(id site.ServerID) bool {
-	if w.Only != "" {
-		return w.Only == id
+	if w.OnlyServer != "" {
+		return w.OnlyServer == id
 	}
 	return !slices.ContainsFunc(w.Tried, func(tried site.ServerID) bool { return tried.Name() == id.Name() })
 }
@@ -80,7 +80,7 @@
 	if refusal := p.refuseOverShare(w, now); refusal != nil {
 		return nil, refusal
 	}
-	if len(p.queue) == 0 || w.Only != "" {
+	if len(p.queue) == 0 || w.OnlyServer != "" {
 		if m := p.pick(w, now); m != nil {
 			return p.admit(w, m, now), nil
 		}
@@ -117,7 +117,7 @@
 func (p *Pool) countAhead(w *Waiter, now time.Time) int {
 	count := 0
 	for _, other := range p.queue {
-		if other != w && (w.Only == "" || other.Only == w.Only) && !p.precedes(w, other, now) {
+		if other != w && (w.OnlyServer == "" || other.OnlyServer == w.OnlyServer) && !p.precedes(w, other, now) {
 			count++
 		}
 	}
@@ -139,8 +139,8 @@
 }
 
 func (p *Pool) throughputFor(w *Waiter, now time.Time) throughput {
-	if w.Only != "" {
-		m := p.members[w.Only]
+	if w.OnlyServer != "" {
+		m := p.members[w.OnlyServer]
 		if m == nil || m.Draining {
 			return throughput{}
 		}
@@ -195,13 +195,13 @@
 			continue
 		}
 		waitersAhead := kept
-		if w.Only != "" {
-			waitersAhead = ahead[w.Only]
+		if w.OnlyServer != "" {
+			waitersAhead = ahead[w.OnlyServer]
 		}
 		wait := p.cachedThroughput(throughputs, w, now).wait(waitersAhead)
 		if !now.Add(time.Duration(evictionWaitFactor * float64(wait))).After(w.Deadline) {
 			kept++
-			ahead[w.Only]++
+			ahead[w.OnlyServer]++
 			continue
 		}
 		evictions = append(evictions, Eviction{Waiter: w, Refusal: Refusal{Reason: WaitTooLong, RetryAfter: p.retryAfter(wait)}})
@@ -231,13 +231,13 @@
 // cachedThroughput returns the throughput of a waiter's servers, which is the same for all
 // waiters that may go to the same servers.
 func (p *Pool) cachedThroughput(cache map[site.ServerID]throughput, w *Waiter, now time.Time) throughput {
-	if w.Only == "" && len(w.Tried) > 0 {
+	if w.OnlyServer == "" && len(w.Tried) > 0 {
 		return p.throughputFor(w, now)
 	}
-	t, exists := cache[w.Only]
+	t, exists := cache[w.OnlyServer]
 	if !exists {
 		t = p.throughputFor(w, now)
-		cache[w.Only] = t
+		cache[w.OnlyServer] = t
 	}
 	return t
 }
@@ -325,7 +325,7 @@
 // inTime reports whether a request sent now would be answered by its target.
 func (p *Pool) inTime(w *Waiter, now time.Time) bool {
 	mean := p.times().mean
-	if m := p.members[w.Only]; m != nil && m.meanSeconds > 0 {
+	if m := p.members[w.OnlyServer]; m != nil && m.meanSeconds > 0 {
 		mean = m.meanSeconds
 	}
 	return now.Add(time.Duration(inTimeFactor * mean * float64(time.Second))).Before(w.Target)
@@ -333,7 +333,7 @@
 
 // TryAdmit assigns a request a slot only if one is free at once and no request waits for it.
 func (p *Pool) TryAdmit(w *Waiter, now time.Time) (site.Server, bool) {
-	if slices.ContainsFunc(p.queue, func(other *Waiter) bool { return other.Only == w.Only }) {
+	if slices.ContainsFunc(p.queue, func(other *Waiter) bool { return other.OnlyServer == w.OnlyServer }) {
 		return site.Server{}, false
 	}
 	m := p.pick(w, now)
@@ -343,7 +343,7 @@
 	return p.admit(w, m, now).Server, true
 }
 
-// TypicalTime returns the mean service time of a request.
-func (p *Pool) TypicalTime() time.Duration {
+// MeanServiceTime returns the mean service time of a request.
+func (p *Pool) MeanServiceTime() time.Duration {
 	return time.Duration(p.times().mean * float64(time.Second))
 }
--- a/gateway/pool/share.go
+++ b/gateway/pool/share.go
@@ -36,7 +36,7 @@
 // refuseOverShare refuses a request that exceeds its server's share. Requests that were
 // queued before the share arrived are charged to it like new ones.
 func (p *Pool) refuseOverShare(w *Waiter, now time.Time) *Refusal {
-	m := p.members[w.Only]
+	m := p.members[w.OnlyServer]
 	if m == nil || w.ChargedToShare || !m.hasShare(now) {
 		return nil
 	}
--- a/gateway/pool/share_test.go
+++ b/gateway/pool/share_test.go
@@ -26,7 +26,7 @@
 func countAdmitted(p *Pool, times int, target time.Duration, now time.Time) int {
 	count := 0
 	for range times {
-		w := &Waiter{Only: "s", ArrivedAt: now, Target: now.Add(target), Deadline: now.Add(5 * time.Second)}
+		w := &Waiter{OnlyServer: "s", ArrivedAt: now, Target: now.Add(target), Deadline: now.Add(5 * time.Second)}
 		admission, refusal := p.Submit(w, now)
 		if admission == nil {
 			if refusal.Reason != OverShare {
@@ -50,7 +50,7 @@
 	g := gomega.NewWithT(t)
 	p := newSharedPool(0.01)
 	now := shareStart.Add(11 * time.Second)
-	admission, _ := p.Submit(&Waiter{Only: "s", ArrivedAt: now, Target: now.Add(time.Second), Deadline: now.Add(5 * time.Second)}, now)
+	admission, _ := p.Submit(&Waiter{OnlyServer: "s", ArrivedAt: now, Target: now.Add(time.Second), Deadline: now.Add(5 * time.Second)}, now)
 	g.Expect(admission).NotTo(gomega.BeNil())
 }
 
@@ -77,7 +77,7 @@
 	p.SetShares(nil, shareStart)
 	now := shareStart
 	for range 20 { // the server is full, and the limit decreases
-		w := &Waiter{Only: "s", ArrivedAt: now, Target: now.Add(time.Hour), Deadline: now.Add(time.Hour)}
+		w := &Waiter{OnlyServer: "s", ArrivedAt: now, Target: now.Add(time.Hour), Deadline: now.Add(time.Hour)}
 		if admission, _ := p.Submit(w, now); admission != nil {
 			p.Done("s", Outcome{NoCapacity: true}, now)
 		}
--- a/gateway/pool/unanswered_test.go
+++ b/gateway/pool/unanswered_test.go
@@ -34,7 +34,7 @@
 // send submits a request and reports whether it was admitted.
 func (p *singleOwnerPool) send() bool {
 	p.t.Helper()
-	w := &Waiter{ArrivedAt: p.now, Target: p.now.Add(time.Minute), Deadline: p.now.Add(time.Hour), Only: "owner"}
+	w := &Waiter{ArrivedAt: p.now, Target: p.now.Add(time.Minute), Deadline: p.now.Add(time.Hour), OnlyServer: "owner"}
 	admission, refusal := p.Submit(w, p.now)
 	gomega.NewWithT(p.t).Expect(refusal).To(gomega.BeNil())
 	if admission == nil {
--- a/gateway/ranges/allocator.go
+++ b/gateway/ranges/allocator.go
@@ -17,8 +17,8 @@
 	expiring               // the owner is unresponsive; the lessor waits for its holds to expire
 )
 
-// lease is the lessor's state of one assignment.
-type lease struct {
+// rangeState is the lessor's state of one assignment.
+type rangeState struct {
 	Assignment
 	service site.ServiceName
 	phase   phase
@@ -72,7 +72,7 @@
 
 // awaitsAccept records the result of a failed call and reports whether the owner may still
 // accept the connection within acceptTimeout.
-func (l *lease) awaitsAccept(result Result, now time.Time) bool {
+func (l *rangeState) awaitsAccept(result Result, now time.Time) bool {
 	if result.Outcome != Unaccepted {
 		l.unacceptedSince = time.Time{}
 		return false
@@ -92,7 +92,7 @@
 type Allocator struct {
 	self   Lessor
 	timing Timing
-	leases map[site.ServiceName][]*lease
+	leases map[site.ServiceName][]*rangeState
 	moves  []Move // planned and not yet returned by Moves
 	// compactedAt is when the ranges of each service were last compacted.
 	compactedAt map[site.ServiceName]time.Time
@@ -128,11 +128,11 @@
 // NewAllocator returns the state of a new lessor that has appended table at time now.
 // Grants of the previous lessor may be in force for previousHold.
 func NewAllocator(table *Table, timing Timing, previousHold time.Duration, now time.Time) *Allocator {
-	alloc := &Allocator{self: table.Lessor, timing: timing, leases: map[site.ServiceName][]*lease{}, compactedAt: map[site.ServiceName]time.Time{}, serial: 1, incarnations: newIncarnations(), excludedUntil: map[site.ServerID]time.Time{}}
+	alloc := &Allocator{self: table.Lessor, timing: timing, leases: map[site.ServiceName][]*rangeState{}, compactedAt: map[site.ServiceName]time.Time{}, serial: 1, incarnations: newIncarnations(), excludedUntil: map[site.ServerID]time.Time{}}
 	heldUntil := now.Add(previousHold)
 	for service, assignments := range table.Services {
 		for _, a := range assignments {
-			l := &lease{Assignment: a, service: service, previousUntil: heldUntil, previousUncertainUntil: heldUntil, movedAt: now, ownerKept: a.Server != ""}
+			l := &rangeState{Assignment: a, service: service, previousUntil: heldUntil, previousUncertainUntil: heldUntil, movedAt: now, ownerKept: a.Server != ""}
 			alloc.leases[service] = append(alloc.leases[service], l)
 		}
 	}
@@ -181,7 +181,7 @@
 	return routes
 }
 
-func (l *lease) routeState() RouteState {
+func (l *rangeState) routeState() RouteState {
 	switch {
 	case l.phase == expiring:
 		return Unresponsive
@@ -199,7 +199,7 @@
 	Grant   Grant // for a release, only its span and fence are set
 	SentAt  time.Time
 
-	lease *lease
+	lease *rangeState
 }
 
 // Lease is the lessor's own lease in the store.
@@ -233,7 +233,7 @@
 	return calls
 }
 
-func (alloc *Allocator) due(l *lease, servers map[site.ServerID]site.Server, now time.Time) (Call, bool) {
+func (alloc *Allocator) due(l *rangeState, servers map[site.ServerID]site.Server, now time.Time) (Call, bool) {
 	if l.Server == "" || l.callInFlight || l.raiseFence || l.appendPending || l.phase == released {
 		return Call{}, false
 	}
@@ -275,7 +275,7 @@
 
 // grantHold returns the hold of the next grant of a range. A grant to a server that may be
 // lost must not extend the wait for the server's holds, unless no grant is in force.
-func (alloc *Allocator) grantHold(l *lease, leaving bool, now time.Time) time.Duration {
+func (alloc *Allocator) grantHold(l *rangeState, leaving bool, now time.Time) time.Duration {
 	isUnheld := !leaving && l.failures < failuresToExpire && !now.Before(l.inForceUntil())
 	if isUnheld || l.failures == 0 && !leaving {
 		return alloc.currentHold
@@ -340,7 +340,7 @@
 	}
 }
 
-func (alloc *Allocator) releaseDone(l *lease, result Result) {
+func (alloc *Allocator) releaseDone(l *rangeState, result Result) {
 	if result.Failed || result.Fenced {
 		// The release may take effect late. A higher fence makes the server reject it.
 		l.raiseFence = true
@@ -354,14 +354,14 @@
 	alloc.setPhase(l, released)
 }
 
-func (alloc *Allocator) setPhase(l *lease, p phase) {
+func (alloc *Allocator) setPhase(l *rangeState, p phase) {
 	if l.phase != p {
 		l.phase = p
 		alloc.serial++
 	}
 }
 
-func (alloc *Allocator) setConfirmed(l *lease, confirmed bool) {
+func (alloc *Allocator) setConfirmed(l *rangeState, confirmed bool) {
 	if l.confirmed != confirmed {
 		l.confirmed = confirmed
 		alloc.serial++
@@ -372,7 +372,7 @@
 // Every grant under the range's fence must have been answered, because one that is still in
 // flight would give the range back to the owner. Uncertain grants under lower fences must
 // have expired, because they would give the range to the owner's next incarnation.
-func (l *lease) canRelease(now time.Time) bool {
+func (l *rangeState) canRelease(now time.Time) bool {
 	isCertain := l.confirmed && !l.hasUncertainGrant && !now.Before(l.uncertainReleaseAt())
 	return l.phase == granting && isCertain && !l.callInFlight && !l.raiseFence && !l.appendPending
 }
@@ -380,7 +380,7 @@
 // uncertainReleaseAt returns when uncertain grants no longer prevent a release because none
 // of them can reach a later incarnation of the owner. A server that does not report its
 // start time has a different name in each incarnation, so its ranges need not wait.
-func (l *lease) uncertainReleaseAt() time.Time {
+func (l *rangeState) uncertainReleaseAt() time.Time {
 	if l.Server.Start().IsZero() {
 		return time.Time{}
 	}
@@ -388,7 +388,7 @@
 }
 
 // sortByKey sorts the leases of a service by their keys.
-func sortByKey(leases []*lease) []*lease {
-	slices.SortFunc(leases, func(a, b *lease) int { return int(a.From - b.From) })
+func sortByKey(leases []*rangeState) []*rangeState {
+	slices.SortFunc(leases, func(a, b *rangeState) int { return int(a.From - b.From) })
 	return leases
 }
--- a/gateway/ranges/balance.go
+++ b/gateway/ranges/balance.go
@@ -105,8 +105,8 @@
 }
 
 // start starts to move a part of a range.
-func (r *round) start(from, to *usage, l *lease, span Span, rate float64) {
-	from.leases = slices.DeleteFunc(from.leases, func(other *lease) bool { return other == l })
+func (r *round) start(from, to *usage, l *rangeState, span Span, rate float64) {
+	from.leases = slices.DeleteFunc(from.leases, func(other *rangeState) bool { return other == l })
 	cut, rest := r.allocator.split(l, span)
 	from.leases = append(from.leases, rest...)
 	r.allocator.startRelease(cut, to.server.ID, r.now)
@@ -144,7 +144,7 @@
 
 // wholeRange returns the most loaded range of a server among those that do not contain its
 // busiest key.
-func (r *round) wholeRange(from *usage) (best *lease, span Span, rate float64, found bool) {
+func (r *round) wholeRange(from *usage) (best *rangeState, span Span, rate float64, found bool) {
 	_, hot, _ := r.hottest(from)
 	for _, l := range from.leases {
 		if l.Contains(hot) || !r.movable(l, from) {
@@ -185,9 +185,9 @@
 	return best
 }
 
-func (alloc *Allocator) leaseOf(service site.ServiceName, key Key) *lease {
+func (alloc *Allocator) leaseOf(service site.ServiceName, key Key) *rangeState {
 	leases := alloc.leases[service]
-	i, found := slices.BinarySearchFunc(leases, key, func(l *lease, key Key) int { return l.Compare(key) })
+	i, found := slices.BinarySearchFunc(leases, key, func(l *rangeState, key Key) int { return l.Compare(key) })
 	if !found {
 		return nil
 	}
@@ -196,7 +196,7 @@
 
 // movable reports whether a range can be released now. A range of an overloaded server can
 // move again sooner, because its load was not known yet when it arrived.
-func (r *round) movable(l *lease, from *usage) bool {
+func (r *round) movable(l *rangeState, from *usage) bool {
 	rest := moveCooldown
 	if from.utilization > overloadUtilization {
 		rest = overloadMoveCooldown
--- a/gateway/ranges/compact.go
+++ b/gateway/ranges/compact.go
@@ -27,7 +27,7 @@
 
 // settled reports whether a range has had its owner for settleTime and has no operation in
 // progress.
-func (l *lease) settled(now time.Time) bool {
+func (l *rangeState) settled(now time.Time) bool {
 	return l.canRelease(now) && l.Server != "" && now.Sub(l.movedAt) >= settleTime
 }
 
@@ -69,8 +69,8 @@
 
 // neighbour returns the adjacent range whose owner may also get the range at index i, or
 // nil. If both neighbours have the same owner, all three ranges are merged later.
-func neighbour(leases []*lease, i int, s Site, now time.Time) *lease {
-	var best *lease
+func neighbour(leases []*rangeState, i int, s Site, now time.Time) *rangeState {
+	var best *rangeState
 	for _, j := range []int{i - 1, i + 1} {
 		if j < 0 || j >= len(leases) {
 			continue
@@ -84,7 +84,7 @@
 }
 
 // utilization returns the utilization that a range causes at its owner.
-func (alloc *Allocator) utilization(service site.ServiceName, s Site, l *lease) float64 {
+func (alloc *Allocator) utilization(service site.ServiceName, s Site, l *rangeState) float64 {
 	if s.Load == nil {
 		return 0
 	}
@@ -110,7 +110,7 @@
 	}
 }
 
-func (alloc *Allocator) mergeNeighbours(service site.ServiceName, neighbours []*lease, fence Fence, now time.Time, change *Change) {
+func (alloc *Allocator) mergeNeighbours(service site.ServiceName, neighbours []*rangeState, fence Fence, now time.Time, change *Change) {
 	first, last := neighbours[0], neighbours[len(neighbours)-1]
 	heldUntil, earlierUntil := first.inForceUntil(), first.earlierInForceUntil()
 	for _, l := range neighbours {
@@ -118,7 +118,7 @@
 		heldUntil = clock.Later(heldUntil, l.inForceUntil())
 		earlierUntil = clock.Later(earlierUntil, l.earlierInForceUntil())
 	}
-	merged := &lease{
+	merged := &rangeState{
 		Assignment:              Assignment{Span: Span{From: first.From, To: last.To}, Server: first.Server, Fence: fence},
 		service:                 service,
 		heldUntil:               heldUntil,
@@ -127,7 +127,7 @@
 		ownerKept:               true,
 	}
 	change.apply = append(change.apply, func() {
-		leases := slices.DeleteFunc(slices.Clone(alloc.leases[service]), func(l *lease) bool { return slices.Contains(neighbours, l) })
+		leases := slices.DeleteFunc(slices.Clone(alloc.leases[service]), func(l *rangeState) bool { return slices.Contains(neighbours, l) })
 		alloc.leases[service] = sortByKey(append(leases, merged))
 		alloc.serial++
 	})
--- a/gateway/ranges/handoff.go
+++ b/gateway/ranges/handoff.go
@@ -81,7 +81,7 @@
 }
 
 // limitPrevious shortens the time for which grants of the previous lessor may be in force.
-func (l *lease) limitPrevious(held, uncertain time.Time) {
+func (l *rangeState) limitPrevious(held, uncertain time.Time) {
 	if held.Before(l.previousUntil) {
 		l.previousUntil = held
 	}
--- a/gateway/ranges/incarnations.go
+++ b/gateway/ranges/incarnations.go
@@ -100,7 +100,7 @@
 // movesToSuccessor reports whether a range moves at once to the incarnation that has
 // replaced its owner. A server that is crash looping gets nothing while others can serve
 // the keys.
-func (alloc *Allocator) movesToSuccessor(l *lease, s Site, eligible []site.Server, now time.Time) bool {
+func (alloc *Allocator) movesToSuccessor(l *rangeState, s Site, eligible []site.Server, now time.Time) bool {
 	successor, exists := LaterIncarnation(s.Servers, l.Server)
 	if !exists || successor.Service != l.service {
 		return false
@@ -112,7 +112,7 @@
 // abandonOwner ends the operations with an owner that another incarnation has replaced: no
 // more calls are sent to it. A range that does not move to that incarnation waits for its
 // holds to expire.
-func (alloc *Allocator) abandonOwner(l *lease, s Site, eligible []site.Server, now time.Time) {
+func (alloc *Allocator) abandonOwner(l *rangeState, s Site, eligible []site.Server, now time.Time) {
 	switch {
 	case l.callInFlight || l.appendPending || l.phase == released:
 	case alloc.movesToSuccessor(l, s, eligible, now):
--- a/gateway/ranges/inflight.go
+++ b/gateway/ranges/inflight.go
@@ -74,7 +74,7 @@
 }
 
 // inForceUntil returns when the last grant that may be in force expires.
-func (l *lease) inForceUntil() time.Time {
+func (l *rangeState) inForceUntil() time.Time {
 	until := clock.Later(l.heldUntil, l.previousUntil)
 	for _, f := range l.inFlight {
 		until = clock.Later(until, f.until)
@@ -83,7 +83,7 @@
 }
 
 // likelyInForceUntil returns the same, assuming that no bytes wait in the node's own link.
-func (l *lease) likelyInForceUntil(timing Timing) time.Time {
+func (l *rangeState) likelyInForceUntil(timing Timing) time.Time {
 	until := clock.Later(l.heldUntil, l.previousUntil)
 	for _, f := range l.inFlight {
 		until = clock.Later(until, f.until.Add(serverReadDelay-timing.maxArrivalDelay()))
@@ -93,7 +93,7 @@
 
 // uncertainInForceUntil returns when the last uncertain grant that may be in force expires.
 // Grants whose call is still running are not included.
-func (l *lease) uncertainInForceUntil() time.Time {
+func (l *rangeState) uncertainInForceUntil() time.Time {
 	until := clock.Later(l.uncertainUntil, l.previousUncertainUntil)
 	for _, f := range l.inFlight {
 		if !f.endedAt.IsZero() {
@@ -105,7 +105,7 @@
 
 // earlierInForceUntil returns when the last grant to an earlier incarnation of the owner
 // that may be in force expires.
-func (l *lease) earlierInForceUntil() time.Time {
+func (l *rangeState) earlierInForceUntil() time.Time {
 	if l.Server.Start().IsZero() {
 		return l.earlierIncarnationUntil
 	}
@@ -113,12 +113,12 @@
 }
 
 // recordSent records that a grant is sent.
-func (l *lease) recordSent(hold time.Duration, timing Timing, now time.Time) {
+func (l *rangeState) recordSent(hold time.Duration, timing Timing, now time.Time) {
 	l.inFlight = append(l.inFlight, inFlightGrant{hold: hold, until: now.Add(timing.maxTimeInForce(hold))})
 }
 
 // recordResult records the result of the running call.
-func (l *lease) recordResult(result Result, timing Timing, now time.Time) {
+func (l *rangeState) recordResult(result Result, timing Timing, now time.Time) {
 	i := slices.IndexFunc(l.inFlight, func(f inFlightGrant) bool { return f.endedAt.IsZero() })
 	if i < 0 {
 		return
@@ -148,7 +148,7 @@
 }
 
 // extendHeld records that a grant that has arrived is in force until the given time.
-func (l *lease) extendHeld(until time.Time, isUncertain bool) {
+func (l *rangeState) extendHeld(until time.Time, isUncertain bool) {
 	l.heldUntil = clock.Later(l.heldUntil, until)
 	if isUncertain {
 		l.uncertainUntil = clock.Later(l.uncertainUntil, until)
@@ -157,7 +157,7 @@
 
 // settleAbandoned records that calls whose connection was reset by resetBy have left the
 // node's own link.
-func (l *lease) settleAbandoned(resetBy time.Time, timing Timing, now time.Time) {
+func (l *rangeState) settleAbandoned(resetBy time.Time, timing Timing, now time.Time) {
 	kept := l.inFlight[:0]
 	for _, f := range l.inFlight {
 		if f.endedAt.IsZero() || f.endedAt.After(resetBy) {
@@ -191,6 +191,6 @@
 }
 
 // hasAbandonedGrants reports whether calls have ended whose bytes may still be in flight.
-func (l *lease) hasAbandonedGrants() bool {
+func (l *rangeState) hasAbandonedGrants() bool {
 	return slices.ContainsFunc(l.inFlight, func(f inFlightGrant) bool { return !f.endedAt.IsZero() })
 }
--- a/gateway/ranges/parts.go
+++ b/gateway/ranges/parts.go
@@ -8,7 +8,7 @@
 // selectPart finds a part of a server's ranges that carries about want requests a second.
 // It prefers a part at the edge of a range, because a part in the middle leaves two pieces
 // behind. Each piece is renewed, and an overloaded server answers few renewals in time.
-func (r *round) selectPart(from *usage, want float64) (best *lease, span Span, rate float64, found bool) {
+func (r *round) selectPart(from *usage, want float64) (best *rangeState, span Span, rate float64, found bool) {
 	best, span, rate, found = r.shortestPart(from, want, edgePart)
 	if found && span.Keys() <= maxEdgeKeys {
 		return best, span, rate, found
@@ -17,7 +17,7 @@
 }
 
 // shortestPart returns the shortest part of a server's ranges that the rule finds.
-func (r *round) shortestPart(from *usage, want float64, rule func(*keyRates, Span, float64) (Span, float64, bool)) (best *lease, span Span, rate float64, found bool) {
+func (r *round) shortestPart(from *usage, want float64, rule func(*keyRates, Span, float64) (Span, float64, bool)) (best *rangeState, span Span, rate float64, found bool) {
 	for _, l := range from.leases {
 		if !r.movable(l, from) {
 			continue
--- a/gateway/ranges/plan.go
+++ b/gateway/ranges/plan.go
@@ -96,7 +96,7 @@
 	for _, server := range servers {
 		seen += max(server.Slots, 1)
 		to := Key(int(LastKey+1)*seen/slots) - 1
-		l := &lease{Assignment: Assignment{Span: Span{From: from, To: to}}, service: service, next: server.ID, movedAt: now}
+		l := &rangeState{Assignment: Assignment{Span: Span{From: from, To: to}}, service: service, next: server.ID, movedAt: now}
 		alloc.leases[service] = append(alloc.leases[service], l)
 		from = to + 1
 	}
@@ -127,24 +127,24 @@
 
 // startRelease starts to release a range so that it moves to the server next, or to any
 // server if next is empty.
-func (alloc *Allocator) startRelease(l *lease, next site.ServerID, now time.Time) {
+func (alloc *Allocator) startRelease(l *rangeState, next site.ServerID, now time.Time) {
 	l.next = next
 	l.releaseAt = now.Add(releaseNotice)
 	alloc.setPhase(l, releasing)
 }
 
-func (l *lease) leaving(s Site) bool {
+func (l *rangeState) leaving(s Site) bool {
 	server, registered := s.Servers[l.Server]
 	return l.Server != "" && (!registered || server.Draining)
 }
 
 // split splits a lease and returns the lease of the span, and the leases of the remaining
 // keys.
-func (alloc *Allocator) split(l *lease, span Span) (cut *lease, rest []*lease) {
+func (alloc *Allocator) split(l *rangeState, span Span) (cut *rangeState, rest []*rangeState) {
 	if l.Span == span {
 		return l, nil
 	}
-	part := func(from, to Key) *lease {
+	part := func(from, to Key) *rangeState {
 		copied := *l
 		copied.Span = Span{From: from, To: to}
 		copied.inFlight = slices.Clone(l.inFlight)
@@ -195,7 +195,7 @@
 
 // validHandover returns the handover that the owner returned with its release, or nothing
 // if that incarnation, or the one that was to receive the range, has ended.
-func (l *lease) validHandover(s Site) string {
+func (l *rangeState) validHandover(s Site) string {
 	_, ownerEnded := LaterIncarnation(s.Servers, l.Server)
 	_, nextEnded := LaterIncarnation(s.Servers, l.next)
 	if ownerEnded || nextEnded {
@@ -206,7 +206,7 @@
 
 // canReassign reports whether the holds of an unresponsive or unregistered owner have
 // expired.
-func (l *lease) canReassign(s Site, now time.Time) bool {
+func (l *rangeState) canReassign(s Site, now time.Time) bool {
 	if l.phase == releasing || l.phase == released {
 		return false
 	}
@@ -216,7 +216,7 @@
 // addressTaken reports whether a server with another name has the owner's address. The
 // owner has then ended, and no call can reach a later incarnation of it there. An entry of
 // a service that no configuration contains comes from another writer and proves nothing.
-func (l *lease) addressTaken(s Site, now time.Time) bool {
+func (l *rangeState) addressTaken(s Site, now time.Time) bool {
 	if now.Before(l.earlierInForceUntil()) {
 		return false
 	}
@@ -233,7 +233,7 @@
 	return false
 }
 
-func (alloc *Allocator) change(change *Change, l *lease, next Assignment, now time.Time) {
+func (alloc *Allocator) change(change *Change, l *rangeState, next Assignment, now time.Time) {
 	l.appendPending = true
 	change.apply = append(change.apply, func() {
 		*l = l.afterChange(next, now)
@@ -243,8 +243,8 @@
 
 // afterChange returns the lease after a change. Grants that may be in force at the owner
 // remain in force as long as the owner's name stays the same.
-func (l *lease) afterChange(next Assignment, now time.Time) lease {
-	c := lease{Assignment: next, service: l.service, movedAt: l.movedAt, surgeSince: l.surgeSince, surgeUntil: l.surgeUntil}
+func (l *rangeState) afterChange(next Assignment, now time.Time) rangeState {
+	c := rangeState{Assignment: next, service: l.service, movedAt: l.movedAt, surgeSince: l.surgeSince, surgeUntil: l.surgeUntil}
 	c.heldUntil, c.inFlight, c.uncertainUntil = l.heldUntil, l.inFlight, l.uncertainUntil
 	c.previousUntil, c.previousUncertainUntil, c.earlierIncarnationUntil = l.previousUntil, l.previousUncertainUntil, l.earlierInForceUntil()
 	switch {
@@ -266,8 +266,8 @@
 
 // tableWith returns the table that results from a change, without applying the change.
 func (alloc *Allocator) tableWith(change *Change) *Table {
-	saved := make(map[*lease]lease)
-	lists := make(map[site.ServiceName][]*lease, len(alloc.leases))
+	saved := make(map[*rangeState]rangeState)
+	lists := make(map[site.ServiceName][]*rangeState, len(alloc.leases))
 	for service, leases := range alloc.leases {
 		lists[service] = slices.Clone(leases)
 		for _, l := range leases {
@@ -317,7 +317,7 @@
 	slots map[site.ServerID]int
 }
 
-func newSpread(leases []*lease, servers []site.Server) *spread {
+func newSpread(leases []*rangeState, servers []site.Server) *spread {
 	s := &spread{keys: map[site.ServerID]int{}, slots: map[site.ServerID]int{}}
 	for _, server := range servers {
 		s.order = append(s.order, server.ID)
--- a/gateway/ranges/rules_test.go
+++ b/gateway/ranges/rules_test.go
@@ -27,7 +27,7 @@
 }
 
 // drop changes the lessor's state of a range as if the disabled rules did not exist.
-func (r rules) drop(alloc *Allocator, l *lease, registered map[site.ServerID]site.Server, now time.Time) {
+func (r rules) drop(alloc *Allocator, l *rangeState, registered map[site.ServerID]site.Server, now time.Time) {
 	if r.noUncertainCheck {
 		l.hasUncertainGrant = false
 		l.dropUncertain()
@@ -58,7 +58,7 @@
 }
 
 // dropUncertain forgets that grants are uncertain, but keeps them in force.
-func (l *lease) dropUncertain() {
+func (l *rangeState) dropUncertain() {
 	l.uncertainUntil, l.previousUncertainUntil = time.Time{}, time.Time{}
 	for _, f := range l.inFlight {
 		if !f.endedAt.IsZero() {
@@ -69,4 +69,6 @@
 }
 
 // dropHolds forgets all grants that may be in force.
-func (l *lease) dropHolds(now time.Time) { l.heldUntil, l.previousUntil, l.inFlight = now, now, nil }
+func (l *rangeState) dropHolds(now time.Time) {
+	l.heldUntil, l.previousUntil, l.inFlight = now, now, nil
+}
--- a/gateway/ranges/search_state_test.go
+++ b/gateway/ranges/search_state_test.go
@@ -168,7 +168,7 @@
 func newSearchAllocator() *Allocator {
 	return &Allocator{
 		timing:        searchTimes,
-		leases:        map[site.ServiceName][]*lease{worldService: {{}}},
+		leases:        map[site.ServiceName][]*rangeState{worldService: {{}}},
 		compactedAt:   map[site.ServiceName]time.Time{worldService: searchStart},
 		incarnations:  newIncarnations(),
 		excludedUntil: map[site.ServerID]time.Time{},
@@ -176,9 +176,9 @@
 }
 
 // load sets alloc to the state of the node and returns its lease.
-func (n *searchNode) load(alloc *Allocator) *lease {
+func (n *searchNode) load(alloc *Allocator) *rangeState {
 	l := alloc.leases[worldService][0]
-	*l = lease{
+	*l = rangeState{
 		Assignment:        Assignment{Span: Span{To: LastKey}, Server: searchIncarnation(n.server, n.incarnation), Fence: Fence(n.fence)},
 		service:           worldService,
 		phase:             n.phase,
--- a/gateway/ranges/shed.go
+++ b/gateway/ranges/shed.go
@@ -79,7 +79,7 @@
 // hottestPart returns the busiest key of a server if it is worth moving, together with the
 // keys between it and the edge of its range. One of many busy keys takes little other load
 // along, and a single piece is left.
-func (r *round) hottestPart(from *usage) (l *lease, span Span, rate float64, found bool) {
+func (r *round) hottestPart(from *usage) (l *rangeState, span Span, rate float64, found bool) {
 	l, key, rate := r.hottest(from)
 	if rate*from.cost < minPieceUtilization || !r.movable(l, from) || from.ownsOnly(l, key) {
 		return nil, Span{}, 0, false
@@ -98,7 +98,7 @@
 }
 
 // ownsOnly reports whether a server owns a single key and no other.
-func (u *usage) ownsOnly(l *lease, key Key) bool {
+func (u *usage) ownsOnly(l *rangeState, key Key) bool {
 	return len(u.leases) == 1 && l.From == key && l.To == key
 }
 
--- a/gateway/ranges/usage.go
+++ b/gateway/ranges/usage.go
@@ -22,7 +22,7 @@
 	utilization float64
 	deviation   float64 // standard deviation of the utilization that follows from the random variation of the counts
 	ranges      int
-	leases      []*lease // leases that the server owns and keeps
+	leases      []*rangeState // leases that the server owns and keeps
 }
 
 // measure returns the load of each server. A range that is moving is included in the load
@@ -64,7 +64,7 @@
 }
 
 // updateSurge records whether a range has just become busy.
-func (r *round) updateSurge(l *lease) {
+func (r *round) updateSurge(l *rangeState) {
 	if !r.loads.isSurge(r.service, l.Span) {
 		return
 	}
@@ -76,17 +76,17 @@
 
 // isSurging reports whether a range, or one from which it was split, has recently become
 // busy.
-func (r *round) isSurging(l *lease) bool { return r.now.Before(l.surgeUntil) }
+func (r *round) isSurging(l *rangeState) bool { return r.now.Before(l.surgeUntil) }
 
 // rate returns the requests a second for a range.
-func (r *round) rate(l *lease) float64 {
+func (r *round) rate(l *rangeState) float64 {
 	rates, factor := r.weights(l)
 	return rates.sum(l.Span) * factor
 }
 
 // weights returns the load of each key of a range, and the factor that converts it to
 // requests a second.
-func (r *round) weights(l *lease) (rates *keyRates, factor float64) {
+func (r *round) weights(l *rangeState) (rates *keyRates, factor float64) {
 	if r.isSurging(l) {
 		return r.loads.shortTermRates(r.service, r.now.Sub(l.surgeSince))
 	}
@@ -94,7 +94,7 @@
 }
 
 // hottest returns the busiest key of a server.
-func (r *round) hottest(u *usage) (hottest *lease, key Key, rate float64) {
+func (r *round) hottest(u *usage) (hottest *rangeState, key Key, rate float64) {
 	for _, l := range u.leases {
 		rates, factor := r.weights(l)
 		for candidate := l.From; candidate <= l.To; candidate++ {
--- a/gateway/replay/replay.go
+++ b/gateway/replay/replay.go
@@ -107,7 +107,7 @@
 func (r *replay) newWaiter(c caller) *pool.Waiter {
 	w := &pool.Waiter{Priority: c.priority, ArrivedAt: r.now, Target: c.arrived.Add(r.Target), Deadline: c.arrived.Add(r.CallerTimeout)}
 	if r.OnlyFirst {
-		w.Only = serverID(0)
+		w.OnlyServer = serverID(0)
 	}
 	switch r.Policy {
 	case FirstCome:
--- a/gateway/router/dispatch.go
+++ b/gateway/router/dispatch.go
@@ -108,7 +108,7 @@
 	if x.keyed || x.route.Kind != site.Idempotent || !x.mayHedge() {
 		return nil
 	}
-	usual := time.Duration(hedgeFactor * float64(x.service.typicalTime()))
+	usual := time.Duration(hedgeFactor * float64(x.service.meanServiceTime()))
 	least := time.Duration(hedgeTargetShare * float64(x.route.Target))
 	return time.After(max(usual, least))
 }
@@ -120,7 +120,7 @@
 	if x.route.Kind != site.Idempotent {
 		return nil
 	}
-	return time.After(max(minProbeDelay, time.Duration(probeFactor*float64(x.service.typicalTime()))))
+	return time.After(max(minProbeDelay, time.Duration(probeFactor*float64(x.service.meanServiceTime()))))
 }
 
 // mayHedge reports whether the request may be sent once more while attempts are in flight.
@@ -142,7 +142,7 @@
 		if !found || owner == unresponsive.ID {
 			return site.Server{}, false
 		}
-		w.Only = owner
+		w.OnlyServer = owner
 	}
 	server, ok := x.service.tryRequestSlot(w)
 	if !ok {
--- a/gateway/router/owner.go
+++ b/gateway/router/owner.go
@@ -21,7 +21,7 @@
 		if problem != nil {
 			return site.Server{}, problem
 		}
-		w.Only = owner
+		w.OnlyServer = owner
 		server, problem := x.waitForSlot(ctx, w)
 		if problem == nil || problem.reason != string(pool.NoServer) {
 			return server, problem
@@ -70,7 +70,7 @@
 			return route.Server, nil
 		case found && route.State == ranges.Unresponsive:
 			left := route.Until.Sub(clock.Now())
-			if left+x.service.typicalTime() > time.Until(x.deadline) {
+			if left+x.service.meanServiceTime() > time.Until(x.deadline) {
 				return "", &refusal{status: http.StatusServiceUnavailable, reason: "owner of the key is silent", retryAfter: max(left, ownerRetryDelay)}
 			}
 			wait.Reset(left + reassignmentMargin)
--- a/gateway/router/owner_test.go
+++ b/gateway/router/owner_test.go
@@ -86,7 +86,7 @@
 	outcome := x.run(ctx)
 	g.Expect(outcome.refusal).NotTo(gomega.BeNil())
 	g.Expect(x.attempts).To(gomega.BeZero(), "attempts of a canceled request")
-	again, _, _ := x.service.requestSlot(&pool.Waiter{Only: "b", Deadline: x.deadline})
+	again, _, _ := x.service.requestSlot(&pool.Waiter{OnlyServer: "b", Deadline: x.deadline})
 	g.Expect(again.ID).To(gomega.Equal(site.ServerID("b")), "the slot was released")
 }
 
--- a/gateway/router/router.go
+++ b/gateway/router/router.go
@@ -313,9 +313,9 @@
 	return server, ok
 }
 
-// typicalTime returns the typical duration of a request.
-func (s *service) typicalTime() time.Duration {
+// meanServiceTime returns the typical duration of a request.
+func (s *service) meanServiceTime() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.pool.TypicalTime()
+	return s.pool.MeanServiceTime()
 }
--- a/gateway/router/run.go
+++ b/gateway/router/run.go
@@ -99,80 +99,80 @@
 	}
 	if ctx.Err() != nil {
 		x.service.releaseSlot(server, pool.Outcome{Abandoned: true})
-		end := x.giveUp(waitTimeoutRefusal(x.service.typicalTime()))
+		end := x.giveUp(waitTimeoutRefusal(x.service.meanServiceTime()))
 		return site.Server{}, &end
 	}
 	return server, nil
 }
 
 // poolOutcome returns the outcome of an attempt as the pool needs it.
-func (x *exchange) poolOutcome(ctx context.Context, s attemptResult) pool.Outcome {
-	if s.err != nil {
-		var attempt *upstream.AttemptError
+func (x *exchange) poolOutcome(ctx context.Context, attempt attemptResult) pool.Outcome {
+	if attempt.err != nil {
+		var attemptErr *upstream.AttemptError
 		isOver := ctx.Err() != nil
-		isAttempt := errors.As(s.err, &attempt)
-		if isAttempt && attempt.Rejected {
-			return pool.Outcome{Took: s.duration, NoCapacity: !isOver, Abandoned: isOver}
+		isAttempt := errors.As(attempt.err, &attemptErr)
+		if isAttempt && attemptErr.Rejected {
+			return pool.Outcome{Took: attempt.duration, NoCapacity: !isOver, Abandoned: isOver}
 		}
 		return pool.Outcome{
-			Took:       s.duration,
+			Took:       attempt.duration,
 			Failed:     !isOver,
-			Reset:      !isOver && errors.Is(s.err, syscall.ECONNRESET),
-			NotReached: !isOver && isAttempt && !attempt.Sent,
+			Reset:      !isOver && errors.Is(attempt.err, syscall.ECONNRESET),
+			NotReached: !isOver && isAttempt && !attemptErr.Sent,
 			Abandoned:  isOver,
 		}
 	}
-	if x.keyed && !s.answer.NotRun {
-		x.router.reports.NoteResponse(s.server.ID, serviceTime(s), s.answer.Load)
+	if x.keyed && !attempt.answer.NotRun {
+		x.router.reports.NoteResponse(attempt.server.ID, serviceTime(attempt), attempt.answer.Load)
 	}
-	isMisdirected := s.answer.Status == http.StatusMisdirectedRequest
+	isMisdirected := attempt.answer.Status == http.StatusMisdirectedRequest
 	return pool.Outcome{
-		Took:       s.duration,
-		Load:       s.answer.Load,
-		Failed:     s.answer.Status >= http.StatusInternalServerError && !s.answer.NotRun,
-		NoCapacity: s.answer.NotRun && !isMisdirected,
+		Took:       attempt.duration,
+		Load:       attempt.answer.Load,
+		Failed:     attempt.answer.Status >= http.StatusInternalServerError && !attempt.answer.NotRun,
+		NoCapacity: attempt.answer.NotRun && !isMisdirected,
 		Abandoned:  isMisdirected,
 	}
 }
 
 // serviceTime estimates how long a server ran a request, without its wait in the server's
 // queue. It assumes that the queue was as long at the arrival of the request as at its end.
-func serviceTime(s attemptResult) time.Duration {
-	load := s.answer.Load
+func serviceTime(attempt attemptResult) time.Duration {
+	load := attempt.answer.Load
 	if load == nil || load.Slots == 0 {
-		return s.duration
+		return attempt.duration
 	}
-	return time.Duration(float64(s.duration) / (1 + float64(load.Waiting)/float64(load.Slots)))
+	return time.Duration(float64(attempt.duration) / (1 + float64(load.Waiting)/float64(load.Slots)))
 }
 
 // isFinal records the result of an attempt and reports whether the request is done.
-func (x *exchange) isFinal(s attemptResult) bool {
-	x.trace.noteAttempt(s)
-	var attempt *upstream.AttemptError
-	if s.err != nil {
-		if !errors.As(s.err, &attempt) || attempt.Sent {
+func (x *exchange) isFinal(attempt attemptResult) bool {
+	x.trace.noteAttempt(attempt)
+	var attemptErr *upstream.AttemptError
+	if attempt.err != nil {
+		if !errors.As(attempt.err, &attemptErr) || attemptErr.Sent {
 			x.mayHaveRun = true
 		} else {
 			x.sends-- // it has not reached the server and caused no extra load there
 		}
 		return x.route.Kind == site.AtMostOnce && x.mayHaveRun
 	}
-	if s.answer.NotRun {
+	if attempt.answer.NotRun {
 		return false
 	}
 	x.mayHaveRun = true
-	if s.answer.Status < http.StatusInternalServerError || x.route.Kind == site.AtMostOnce {
+	if attempt.answer.Status < http.StatusInternalServerError || x.route.Kind == site.AtMostOnce {
 		return true
 	}
-	x.lastAnswer = s.answer
+	x.lastAnswer = attempt.answer
 	return false
 }
 
-func (x *exchange) finalResult(s attemptResult) result {
-	if s.err != nil {
+func (x *exchange) finalResult(attempt attemptResult) result {
+	if attempt.err != nil {
 		return result{failure: "connection to the server lost"}
 	}
-	return result{answer: s.answer}
+	return result{answer: attempt.answer}
 }
 
 // giveUp returns the best available result when no further attempt is made.
@@ -209,12 +209,12 @@
 	if results == nil {
 		return server, nil
 	}
-	typical := x.service.typicalTime()
-	tooLate := time.NewTimer(time.Until(x.deadline) - time.Duration(minTimeShare*float64(typical)))
+	meanServiceTime := x.service.meanServiceTime()
+	tooLate := time.NewTimer(time.Until(x.deadline) - time.Duration(minTimeShare*float64(meanServiceTime)))
 	defer tooLate.Stop()
 	for {
 		changed := x.router.state.Changed()
-		if x.keyed && !x.isOwner(w.Only) {
+		if x.keyed && !x.isOwner(w.OnlyServer) {
 			x.service.cancelWait(w, results)
 			x.noteWait(time.Since(askedAt))
 			return x.acquireSlot(ctx)
@@ -230,10 +230,10 @@
 			x.router.refreshView()
 		case <-tooLate.C:
 			x.service.cancelWait(w, results)
-			return site.Server{}, waitTimeoutRefusal(typical)
+			return site.Server{}, waitTimeoutRefusal(meanServiceTime)
 		case <-ctx.Done():
 			x.service.cancelWait(w, results)
-			return site.Server{}, waitTimeoutRefusal(typical)
+			return site.Server{}, waitTimeoutRefusal(meanServiceTime)
 		}
 	}
 }
@@ -245,15 +245,15 @@
 }
 
 // waitTimeoutRefusal returns the refusal of a request that got no slot in time.
-func waitTimeoutRefusal(typical time.Duration) *refusal {
-	return &refusal{status: http.StatusServiceUnavailable, reason: "waited in vain", retryAfter: typical}
+func waitTimeoutRefusal(meanServiceTime time.Duration) *refusal {
+	return &refusal{status: http.StatusServiceUnavailable, reason: "waited in vain", retryAfter: meanServiceTime}
 }
 
 // refusedBy converts a refusal of the pool, and records the share that caused it.
 func (x *exchange) refusedBy(w *pool.Waiter, r *pool.Refusal) *refusal {
 	if r.Reason == pool.OverShare {
 		told := time.Since(x.router.state.Now().Shares.ReceivedAt)
-		x.trace.note(string(w.Only) + " gets " + strconv.FormatFloat(r.Share, 'g', 2, 64) + " of the requests for its keys, told " + milliseconds(told) + " ago")
+		x.trace.note(string(w.OnlyServer) + " gets " + strconv.FormatFloat(r.Share, 'g', 2, 64) + " of the requests for its keys, told " + milliseconds(told) + " ago")
 	}
 	return &refusal{status: http.StatusServiceUnavailable, reason: string(r.Reason), retryAfter: r.RetryAfter}
 }
@@ -263,7 +263,7 @@
 	if x.attempts == 0 {
 		return nil
 	}
-	retryAfter := x.service.typicalTime()
+	retryAfter := x.service.meanServiceTime()
 	if x.keyed && x.attempts >= maxAttempts {
 		return &refusal{status: http.StatusServiceUnavailable, reason: "key is changing hands", retryAfter: retryAfter}
 	}
--- a/lessor/former.go
+++ b/lessor/former.go
@@ -58,7 +58,7 @@
 // this incarnation have ended.
 func (m *Member) formerOf(now time.Duration) former {
 	group := m.facts.Group
-	f := former{since: group.Term.Offset, settled: group.HeldSince, superseded: m.superseded}
+	f := former{since: group.Term.Offset, settled: group.EarliestActiveTerm, superseded: m.superseded}
 	if group.Previous != nil {
 		f.incarnations, f.since = group.Previous.Incarnations, group.Previous.Since
 	}
--- a/lessor/search_world_test.go
+++ b/lessor/search_world_test.go
@@ -78,7 +78,7 @@
 	claims        int
 	assigns       int
 	boots         [nodeCount]int // of the nodes that joined
-	heldSince     topo.Offset    // see state.Group.HeldSince
+	heldSince     topo.Offset    // see state.Group.EarliestActiveTerm
 	former        [maxFormerRuns]state.PreviousIncarnation
 	since         topo.Offset // of former; zero if there is none
 }
@@ -93,7 +93,7 @@
 		ID: searchGroup, Term: l.term,
 		Lessor: l.lessor.Node, LessorBoot: l.lessor.Boot,
 		Standby: l.standby.Node, StandbyBoot: l.standby.Boot,
-		HeldSince: l.heldSince,
+		EarliestActiveTerm: l.heldSince,
 	}
 	if l.since == 0 {
 		return group
--- a/lessor/superseded_test.go
+++ b/lessor/superseded_test.go
@@ -13,7 +13,7 @@
 // groupAt returns the group after a number of claims, alternately by c and d, that
 // follow a term of l with the standby lessor s.
 func groupAt(claims int) state.Group {
-	group := state.Group{ID: searchGroup, Term: topo.MakeTerm(10, 0), Lessor: "l", LessorBoot: "l-1", HeldSince: 10}
+	group := state.Group{ID: searchGroup, Term: topo.MakeTerm(10, 0), Lessor: "l", LessorBoot: "l-1", EarliestActiveTerm: 10}
 	group.Standby, group.StandbyBoot = "s", "s-1"
 	for i := range claims {
 		next := group
@@ -38,7 +38,7 @@
 		s = s.next(time.Duration(i)*time.Second, groupAt(i))
 	}
 	group := groupAt(claims)
-	f := former{incarnations: group.Previous.Incarnations, since: group.Previous.Since, settled: group.HeldSince, superseded: s}
+	f := former{incarnations: group.Previous.Incarnations, since: group.Previous.Since, settled: group.EarliestActiveTerm, superseded: s}
 	stop := stopBounds{sinceSuperseded: limit{duration: time.Minute}, sinceSupport: time.Second}
 	g.Expect(f.rightEnd(stop, rules{})).To(gomega.Equal(momentAt(claims*time.Second + time.Minute)))
 	for _, node := range []topo.NodeID{"c", "d"} {
@@ -52,11 +52,11 @@
 // from the list are treated as superseded when the list first began after them.
 func TestWaitForUnlistedIncarnationsStartsOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
-	unknown := state.Group{Term: topo.MakeTerm(50, 0), Lessor: "c", LessorBoot: "c-1", HeldSince: 10}
+	unknown := state.Group{Term: topo.MakeTerm(50, 0), Lessor: "c", LessorBoot: "c-1", EarliestActiveTerm: 10}
 	s := supersessions{}.next(5, unknown)
-	later := state.Group{Term: topo.MakeTerm(60, 0), HeldSince: 10, Previous: unknown.PreviousAfter(false)}
+	later := state.Group{Term: topo.MakeTerm(60, 0), EarliestActiveTerm: 10, Previous: unknown.PreviousAfter(false)}
 	s = s.next(6, later)
-	f := former{incarnations: later.Previous.Incarnations, since: later.Previous.Since, settled: later.HeldSince, superseded: s}
+	f := former{incarnations: later.Previous.Incarnations, since: later.Previous.Since, settled: later.EarliestActiveTerm, superseded: s}
 	f.record(stopReply{incarnation: Incarnation{Node: "c", Boot: "c-1"}, at: 7})
 	g.Expect(f.rightEnd(stopBounds{sinceSuperseded: limit{duration: time.Minute}}, rules{})).To(gomega.Equal(momentAt(time.Minute + 5)))
 }
--- a/load/report.go
+++ b/load/report.go
@@ -63,7 +63,7 @@
 func (t *Table) serverLoads(now time.Time) []*bspb.ServerLoad {
 	list := make([]*bspb.ServerLoad, 0, len(t.servers))
 	for id, server := range t.servers {
-		rate, busy := server.all.rates(now, t.meanLifetime)
+		rate, busy := server.run.rates(now, t.meanLifetime)
 		failures, _ := server.failures.rates(now, t.meanLifetime)
 		shed, _ := server.shed.rates(now, t.meanLifetime)
 		entry := &bspb.ServerLoad{
@@ -84,7 +84,7 @@
 func (t *Table) keyLoads(now time.Time) []*bspb.KeyLoad {
 	var list []*bspb.KeyLoad
 	for _, sketch := range t.sketches {
-		for _, entry := range sketch.Top(now, t.config.Keys) {
+		for _, entry := range sketch.Top(now, t.config.SketchCounters) {
 			if entry.PerSecond-entry.ErrorPerSecond < negligibleRate {
 				continue
 			}
--- a/load/table.go
+++ b/load/table.go
@@ -14,13 +14,13 @@
 	HalfLife time.Duration
 	// MaxShards is the maximum number of shards with an average of their own.
 	MaxShards int
-	// Keys is the number of counters of each service's hot-key sketch.
-	Keys int
+	// SketchCounters is the number of counters of each service's hot-key sketch.
+	SketchCounters int
 }
 
 // DefaultConfig returns the parameters for one entry node.
 func DefaultConfig() Config {
-	return Config{HalfLife: 1500 * time.Millisecond, MaxShards: 1 << 15, Keys: 256}
+	return Config{HalfLife: 1500 * time.Millisecond, MaxShards: 1 << 15, SketchCounters: 256}
 }
 
 // Table averages the observations of one node: rates and busy times of shards and
@@ -37,7 +37,7 @@
 
 // serverMeter averages the attempts at one server.
 type serverMeter struct {
-	all      meter
+	run      meter
 	failures meter
 	shed     meter
 }
@@ -85,7 +85,7 @@
 	case serverapi.OutcomeUnknown:
 		server.failures.observe(now, 0, t.meanLifetime)
 	}
-	server.all.observe(now, busy, t.meanLifetime)
+	server.run.observe(now, busy, t.meanLifetime)
 }
 
 // Shed counts requests for a known server that were refused before they were sent.
@@ -114,7 +114,7 @@
 func (t *Table) sketch(service topo.Service) *hotkeys.Sketch {
 	sketch, known := t.sketches[service]
 	if !known {
-		sketch = hotkeys.New(t.config.Keys, t.config.HalfLife)
+		sketch = hotkeys.New(t.config.SketchCounters, t.config.HalfLife)
 		t.sketches[service] = sketch
 	}
 	return sketch
@@ -129,7 +129,7 @@
 		}
 	}
 	for id, server := range t.servers {
-		if rate, _ := server.all.rates(now, t.meanLifetime); rate < negligibleRate {
+		if rate, _ := server.run.rates(now, t.meanLifetime); rate < negligibleRate {
 			delete(t.servers, id)
 		}
 	}
--- a/modules/membership/duty.go
+++ b/modules/membership/duty.go
@@ -103,7 +103,7 @@
 		d.wantsList.Store(false)
 		return
 	}
-	d.logRoleChanges()
+	d.updateHeldRoles()
 	observed := d.observe(view, now)
 	d.wantsList.Store(observed.Holder || d.needsList(view, observed))
 	if !d.joined(view) {
@@ -144,7 +144,7 @@
 	d.module.published.Store(next)
 }
 
-func (d *duty) logRoleChanges() {
+func (d *duty) updateHeldRoles() {
 	for _, role := range []core.Role{core.RoleServers, core.RolePlanner} {
 		holds := d.module.Holds(role)
 		switch {
@@ -158,7 +158,7 @@
 }
 
 func (d *duty) observe(view *state.View, now time.Time) *core.Observed {
-	d.forgetOthers(view)
+	d.forgetReportsOfOtherLessors(view)
 	d.roster.ObserveState(view, now)
 	return &core.Observed{
 		Now:     now,
@@ -170,8 +170,8 @@
 	}
 }
 
-// forgetOthers removes the reports of servers that this node is not the lessor of.
-func (d *duty) forgetOthers(view *state.View) {
+// forgetReportsOfOtherLessors removes the reports of servers that this node is not the lessor of.
+func (d *duty) forgetReportsOfOtherLessors(view *state.View) {
 	for id := range d.module.reports.All() {
 		server, exists := view.Server(id)
 		group, _ := view.Group(server.Group)
--- a/modules/router/flight.go
+++ b/modules/router/flight.go
@@ -12,11 +12,11 @@
 
 // flight tracks the progress of one forwarded request.
 type flight struct {
-	sent    atomic.Bool // bytes of the request may have been sent
-	reused  atomic.Bool
-	stalled atomic.Bool
-	cancel  context.CancelCauseFunc
-	limit   time.Duration
+	sent         atomic.Bool // bytes of the request may have been sent
+	reused       atomic.Bool
+	stalled      atomic.Bool
+	cancel       context.CancelCauseFunc
+	stallTimeout time.Duration
 
 	mu    sync.Mutex
 	conn  *sentConn
@@ -67,10 +67,10 @@
 	return f.sent.Load()
 }
 
-func (f *flight) start() {
+func (f *flight) startStallTimer() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.timer = time.AfterFunc(f.limit, f.abort)
+	f.timer = time.AfterFunc(f.stallTimeout, f.abort)
 }
 
 func (f *flight) abort() {
@@ -83,11 +83,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.timer != nil && !f.stalled.Load() {
-		f.timer.Reset(f.limit)
+		f.timer.Reset(f.stallTimeout)
 	}
 }
 
-func (f *flight) stop() {
+func (f *flight) stopStallTimer() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.timer != nil {
@@ -107,13 +107,13 @@
 func (b *guardedBody) Read(p []byte) (int, error) {
 	b.flight.progress()
 	count, err := b.ReadCloser.Read(p)
-	b.flight.stop()
+	b.flight.stopStallTimer()
 	return count, err
 }
 
 // Close implements io.Closer.
 func (b *guardedBody) Close() error {
-	b.flight.stop()
+	b.flight.stopStallTimer()
 	err := b.ReadCloser.Close()
 	b.flight.cancel(nil)
 	return err
--- a/modules/router/forward_client.go
+++ b/modules/router/forward_client.go
@@ -61,17 +61,17 @@
 func (f *forwarder) send(ctx context.Context, address string, form forwardedRequest, header http.Header, body io.Reader) (forwardedAnswer, *http.Response, error) {
 	f.renew()
 	ctx, cancel := context.WithCancelCause(ctx)
-	flight := &flight{cancel: cancel, limit: f.stallTimeout}
+	flight := &flight{cancel: cancel, stallTimeout: f.stallTimeout}
 	ctx = httptrace.WithClientTrace(ctx, flight.trace())
 	request, err := f.request(ctx, address, form, header, body)
 	if err != nil {
 		cancel(nil)
 		return forwardedAnswer{}, nil, &forwardError{cause: err}
 	}
-	flight.start()
+	flight.startStallTimer()
 	response, err := f.transport.RoundTrip(request)
 	if err != nil {
-		flight.stop()
+		flight.stopStallTimer()
 		cancel(nil)
 		return forwardedAnswer{}, nil, f.newForwardError(flight, err)
 	}
--- a/planner/merge_test.go
+++ b/planner/merge_test.go
@@ -193,7 +193,7 @@
 func (exhaustBudgetPolicy) Decide(in *balance.Input) []balance.Move {
 	var list []balance.Move
 	for _, shard := range in.Shards {
-		if len(list) < in.Budget.Moves && !shard.Moving {
+		if len(list) < in.Budget.Ranges && !shard.Moving {
 			to := in.Servers[(shard.Owner+1)%len(in.Servers)].ID
 			list = append(list, balance.Move{Kind: balance.MoveShard, Shard: shard.ID, To: to, Cause: balance.CauseLoad})
 		}
--- a/state/apply_terms.go
+++ b/state/apply_terms.go
@@ -28,7 +28,7 @@
 	if conflict := checkSettled(body, current); conflict != nil {
 		return conflict
 	}
-	heldSince := current.HeldSince
+	heldSince := current.EarliestActiveTerm
 	switch {
 	case !exists:
 		heldSince = offset
@@ -36,14 +36,14 @@
 		heldSince = current.Term.Offset
 	}
 	s.groups.set(id, Group{
-		ID:          id,
-		Term:        topo.MakeTerm(offset, 0),
-		Lessor:      topo.NodeID(body.GetNode()),
-		LessorBoot:  topo.BootID(body.GetBoot()),
-		Standby:     topo.NodeID(body.GetStandby()),
-		StandbyBoot: topo.BootID(body.GetStandbyBoot()),
-		HeldSince:   heldSince,
-		Previous:    current.PreviousAfter(body.GetSettled()),
+		ID:                 id,
+		Term:               topo.MakeTerm(offset, 0),
+		Lessor:             topo.NodeID(body.GetNode()),
+		LessorBoot:         topo.BootID(body.GetBoot()),
+		Standby:            topo.NodeID(body.GetStandby()),
+		StandbyBoot:        topo.BootID(body.GetStandbyBoot()),
+		EarliestActiveTerm: heldSince,
+		Previous:           current.PreviousAfter(body.GetSettled()),
 	})
 	s.pruneLostIncarnations()
 	return nil
--- a/state/snapshot.go
+++ b/state/snapshot.go
@@ -177,7 +177,7 @@
 		LessorBoot:  string(group.LessorBoot),
 		Standby:     string(group.Standby),
 		StandbyBoot: string(group.StandbyBoot),
-		HeldSince:   uint64(group.HeldSince),
+		HeldSince:   uint64(group.EarliestActiveTerm),
 		FormerRuns:  runs,
 		FormerSince: since,
 	}
@@ -185,14 +185,14 @@
 
 func groupFromProto(entry *bspb.GroupEntry) Group {
 	return Group{
-		ID:          topo.GroupID(entry.GetGroup()),
-		Term:        termFromProto(entry.GetTerm()),
-		Lessor:      topo.NodeID(entry.GetLessor()),
-		LessorBoot:  topo.BootID(entry.GetLessorBoot()),
-		Standby:     topo.NodeID(entry.GetStandby()),
-		StandbyBoot: topo.BootID(entry.GetStandbyBoot()),
-		HeldSince:   topo.Offset(entry.GetHeldSince()),
-		Previous:    previousFromProto(entry.GetFormerRuns(), entry.GetFormerSince()),
+		ID:                 topo.GroupID(entry.GetGroup()),
+		Term:               termFromProto(entry.GetTerm()),
+		Lessor:             topo.NodeID(entry.GetLessor()),
+		LessorBoot:         topo.BootID(entry.GetLessorBoot()),
+		Standby:            topo.NodeID(entry.GetStandby()),
+		StandbyBoot:        topo.BootID(entry.GetStandbyBoot()),
+		EarliestActiveTerm: topo.Offset(entry.GetHeldSince()),
+		Previous:           previousFromProto(entry.GetFormerRuns(), entry.GetFormerSince()),
 	}
 }
 
--- a/state/snapshot_view.go
+++ b/state/snapshot_view.go
@@ -65,7 +65,7 @@
 
 // DisconnectedLimit returns the longest MaxDisconnected that a lessor of
 // the group may use for a service: the maximum of the value in force and every
-// value in force since Group.HeldSince. A disconnected lessor has not received
+// value in force since Group.EarliestActiveTerm. A disconnected lessor has not received
 // the newer site configuration that shortened it, so a lessor that takes over
 // waits this long.
 func (v *View) DisconnectedLimit(name topo.Service, group topo.GroupID) time.Duration {
@@ -73,7 +73,7 @@
 	if !exists {
 		return 0
 	}
-	return v.limits[name].longest(service.MaxDisconnected, v.groups[group].HeldSince)
+	return v.limits[name].longest(service.MaxDisconnected, v.groups[group].EarliestActiveTerm)
 }
 
 // Tables returns the services that have shards, in no order.
--- a/state/view.go
+++ b/state/view.go
@@ -58,9 +58,9 @@
 	LessorBoot  topo.BootID
 	Standby     topo.NodeID // may be empty
 	StandbyBoot topo.BootID
-	// HeldSince is the offset of the earliest term whose lessor may still be
+	// EarliestActiveTerm is the offset of the earliest term whose lessor may still be
 	// active; see View.DisconnectedLimit.
-	HeldSince topo.Offset
+	EarliestActiveTerm topo.Offset
 	// Previous lists the incarnations of earlier terms; nil in the first term and
 	// when they are not known.
 	Previous *PreviousLessors
