--- a/balance/budget.go
+++ b/balance/budget.go
@@ -28,9 +28,9 @@
 	return true
 }
 
-// Rates and bursts of moves because of load. The limits for ranges are lower
-// because the move of a hash range makes all of its keys unavailable, the move
-// of a single key only that key.
+// Rates and bursts of load-driven moves. The limits for hash ranges are lower
+// because moving a range makes all of its keys unavailable, and moving a single
+// key makes only that key unavailable.
 const (
 	rangesPerMinuteUnavailability = 15
 	rangesBurstUnavailability     = 5
@@ -50,7 +50,8 @@
 	keys   *Meter
 }
 
-// NewAllowance returns the full allowance of a weighting.
+// NewAllowance returns an Allowance with the rates for the weighting and full
+// buckets.
 func NewAllowance(weighting siteconfig.Weighting, now time.Time) *Allowance {
 	if weighting == siteconfig.WeightUnavailability {
 		return &Allowance{
@@ -64,14 +65,14 @@
 	}
 }
 
-// Budget returns the moves that are allowed now. The caller sets the fields that
-// are not rate-limited.
+// Budget returns the moves that are allowed now. The caller sets Evacuations and
+// Probes, which are not rate-limited.
 func (a *Allowance) Budget(now time.Time) Budget {
 	return Budget{Ranges: a.ranges.Allowed(now), Keys: a.keys.Allowed(now)}
 }
 
-// Spend subtracts a move that was made from the allowance. Moves of shards that
-// have no owner or whose owner is draining are not limited, because they are not
+// Spend removes one token for a move that was made. Moves of shards that have no
+// owner or whose owner is draining are not limited, because they are not
 // optional.
 func (a *Allowance) Spend(move Move) {
 	switch {
--- a/balance/meter.go
+++ b/balance/meter.go
@@ -25,5 +25,5 @@
 	return int(m.tokens)
 }
 
-// Spend subtracts moves that were made from the bucket.
+// Spend removes one token for each move that was made.
 func (m *Meter) Spend(moves int) { m.tokens -= float64(moves) }
--- a/balance/tuning.go
+++ b/balance/tuning.go
@@ -19,15 +19,16 @@
 	// Dwell is the minimum time between a change of a shard's owner and a move of
 	// the shard because of load.
 	Dwell time.Duration
-	// MinGain is the reduction of the higher of two utilizations that a move must
-	// exceed.
+	// A move must reduce the higher utilization of the two servers by more than
+	// MinGain.
 	MinGain float64
 	// RangeCost is the cost of moving a hash range in relation to moving a single
-	// key. A range is preferred to a key only if its move reduces utilization more
-	// than RangeCost times as much, because it makes all of its keys unavailable.
+	// key. A range is preferred to a key only if moving the range reduces
+	// utilization by more than RangeCost times as much as moving the key, because
+	// moving a range makes all of its keys unavailable.
 	RangeCost float64
-	// RangeFloor is the utilization below which no hash range leaves a server
-	// because of load.
+	// RangeFloor is the utilization, as load divided by capacity, below which no
+	// hash range leaves a server because of load.
 	RangeFloor float64
 	// SplitAbove is the load at or above which a key may be split out, and
 	// MergeBelow the load below which it is merged back, both as fractions of the
--- a/callerapi/seed_test.go
+++ b/callerapi/seed_test.go
@@ -2,5 +2,5 @@
 
 import "flag"
 
-// The generated cases are the same in every run; -rapid.seed=N selects others.
+// Generated cases are the same in every run; -rapid.seed=N selects others.
 func init() { _ = flag.Set("rapid.seed", "1") }
--- a/follower/apply.go
+++ b/follower/apply.go
@@ -238,7 +238,8 @@
 	outcome chan<- error
 }
 
-// adopt replaces the state. Only a rebase may lower the applied offset.
+// adopt replaces the state. Only a rebase may lower the applied offset. A state
+// that is not newer, or has a lower lineage, is ignored without an error.
 func (f *Follower) adopt(ctx context.Context, next *state.State, rebased bool) error {
 	outcome := make(chan error, 1)
 	return f.call(ctx, &adoptMessage{state: next, rebased: rebased, outcome: outcome}, outcome)
@@ -281,8 +282,8 @@
 	}
 }
 
-// rebaseError stops the applier at a Rebase record, because its snapshot must
-// be read first.
+// rebaseError ends the application of a batch at a Rebase record: the snapshot
+// that the record refers to must be read first.
 type rebaseError struct {
 	offset topo.Offset
 	rec    *bspb.Record
--- a/follower/dump.go
+++ b/follower/dump.go
@@ -11,8 +11,8 @@
 type Dump struct {
 	Writer          string        `json:"writer"`
 	Applied         topo.Offset   `json:"applied"`
-	Lineage         topo.Offset   `json:"lineage"`
-	LogFirst        topo.Offset   `json:"log_first"`
+	Lineage         topo.Offset   `json:"lineage"`        // offset of the last rebase; 0 when there was none
+	LogFirst        topo.Offset   `json:"log_first"`      // lowest offset known to be retained by the log
 	ContactAgeMs    int64         `json:"contact_age_ms"` // -1 when there was no contact
 	Source          string        `json:"source"`         // "log", or the ID of the relay in use
 	Relays          []string      `json:"relays"`         // of the zone, according to this node's view
@@ -20,8 +20,8 @@
 	Nodes           int           `json:"nodes"`
 	Servers         int           `json:"servers"`
 	Groups          int           `json:"groups"`
-	Queued          int           `json:"queued"`
-	Pending         int           `json:"pending"`
+	Queued          int           `json:"queued"`  // submissions that wait for the appender
+	Pending         int           `json:"pending"` // records of this node whose outcome is awaited
 	RecentEntries   int           `json:"recent_entries"`
 	RecentBytes     int           `json:"recent_bytes"`
 	LastCheckpoint  topo.Offset   `json:"last_checkpoint"`
--- a/follower/events.go
+++ b/follower/events.go
@@ -21,7 +21,7 @@
 	eventGap                = events.Define(1210, hclog.Warn, "entries from a peer do not follow the last applied record")
 	eventRewound            = events.Define(1211, hclog.Error, "log ends before a record that was applied from it")
 	eventCaughtUp           = events.Define(1212, hclog.Info, "log applied to its end for the first time")
-	eventRebaseWritten      = events.Define(1213, hclog.Error, "records were lost on all nodes; this node published its state again")
+	eventRebaseWritten      = events.Define(1213, hclog.Error, "records were lost on all nodes; this node wrote a rebase record with its state")
 	eventRebased            = events.Define(1214, hclog.Error, "state replaced according to a rebase record in the log")
 	eventSourceChanged      = events.Define(1216, hclog.Info, "source of log reads changed")
 	eventPeerFailed         = events.Define(1215, hclog.Debug, "reading records from a peer failed")
--- a/gateway/duty/duty.go
+++ b/gateway/duty/duty.go
@@ -22,12 +22,14 @@
 
 // Timing of the duty.
 const (
-	// lessorTick is the interval of checks for due calls and changes. Checking after every
-	// response would be too often for a lessor of hundreds of owners.
+	// lessorTick is the interval of checks for due calls and changes. A check examines all
+	// ranges, so checking after every response would be too often for a lessor with hundreds
+	// of owners.
 	lessorTick = 25 * time.Millisecond
 	// idleTick is the interval on a node that is not the lessor and reads the ownership
-	// topic. sleepTick applies to a node that does not read it: the node cannot claim, and
-	// it wakes when it reads the topic.
+	// topic. sleepTick applies to a node that does not read it. A longer interval suffices
+	// there, because the node cannot claim, and reading the topic triggers a check
+	// immediately.
 	idleTick  = 100 * time.Millisecond
 	sleepTick = time.Second
 	// minChangeInterval is the minimum time between two changes of the table. It combines
@@ -41,9 +43,9 @@
 	// claims: two records of the lessor plus the read interval.
 	suspectTimeout = 1200 * time.Millisecond
 	// claimRankDelay is the additional delay of a claim for each node with more capacity,
-	// so that usually a single node appends, and one with high capacity. The store resolves
-	// concurrent claims. On a lessor with little capacity calls time out, and the lease changes
-	// hands again.
+	// so that usually only one node appends, and it has a high capacity: calls of a lessor
+	// with little capacity time out, and the lease moves again. If several nodes append, the
+	// store accepts one claim.
 	claimRankDelay = 40 * time.Millisecond
 	// claimJitter bounds the random part of the delay. maxClaimDelay bounds the whole
 	// delay, because nodes with more capacity may be lost as well.
@@ -119,7 +121,7 @@
 	resignationSent  bool // the record that releases the lease may be in the store
 	serverCount      int  // servers in the registry since serverCountSince
 	serverCountSince time.Time
-	table            view.Table
+	table            view.Table // the latest table that this node appended as the lessor
 	// knownServers holds every server ever observed: a server that has left the registry
 	// may still respond to a release.
 	knownServers map[site.ServerID]site.Server
@@ -202,7 +204,8 @@
 	}
 	d.considerYielding(now)
 	if d.resignationSent || (d.resigning != nil || d.yielding) && d.isStoreWritable(now) {
-		// The next lessor defers moves while grants have an uncertain outcome.
+		// Resign only when no grant is in flight: the next lessor defers moves while the
+		// outcome of a grant is uncertain.
 		if !d.allocator.GrantInFlight() {
 			d.appendResignation(ctx)
 		}
@@ -245,9 +248,10 @@
 
 // isLeaseVacant reports whether there is no lessor to this node's knowledge: there has been
 // none, the lessor has resigned or does not confirm its lease, or it was an earlier
-// incarnation of this node. The last case saves waiting 1.2 s for records that nobody
-// writes after the loss of all nodes, while holds expire. A claim is safe in any case,
-// because owners respond to the new lessor before they refuse the previous one.
+// incarnation of this node. In the last case the node need not wait suspectTimeout (1.2 s).
+// This matters after the loss of all nodes: no node writes records, and holds expire
+// meanwhile. A claim is safe in any case, because owners respond to the new lessor before
+// they refuse the previous one.
 func isLeaseVacant(ownership follow.Ownership, self ranges.Lessor, now time.Time) bool {
 	table := ownership.Table.Table
 	if table == nil || ownership.Resigned {
@@ -300,8 +304,9 @@
 	d.append(ctx, p)
 }
 
-// processOwnReports processes the reports of the lessor's own node and decays the weight of old
-// ones.
+// processOwnReports processes the reports of the lessor's own node and decays the weight of
+// old ones. Once the lessor has held its lease for longer than follow.MemberTimeout, it also
+// publishes the members.
 func (d *Duty) processOwnReports(now time.Time) {
 	d.loads.Decay(now)
 	if now.Before(d.nextReport) {
@@ -314,8 +319,8 @@
 	}
 }
 
-// handleReport processes the observations of a node. A node that is not the lessor is a
-// relay and forwards them.
+// handleReport processes the observations of a node. A node that is not the lessor received
+// the report as a relay: it merges the report into its own, which it sends to the lessor.
 func (d *Duty) handleReport(report follow.Report) {
 	if d.allocator == nil {
 		d.Reports.Merge(report)
@@ -389,8 +394,8 @@
 	}
 }
 
-// observeRegistrySize reports whether the server registry has kept its size for more than
-// registrySettleTime.
+// observeRegistrySize records the size of the server registry, and reports whether the
+// registry has kept it for more than registrySettleTime.
 func (d *Duty) observeRegistrySize(v *view.View, now time.Time) bool {
 	if size := len(v.Servers.Servers); size != d.serverCount {
 		d.serverCount = size
--- a/gateway/duty/shares.go
+++ b/gateway/duty/shares.go
@@ -9,7 +9,7 @@
 )
 
 // sharesResendInterval is the interval at which unchanged shares are sent again. Nodes drop
-// shares after router.ShareLife, so that a node that receives no updates from the lessor
+// shares after router.ShareValidity, so that a node that receives no updates from the lessor
 // does not refuse requests by outdated shares.
 const sharesResendInterval = 2 * time.Second
 
--- a/gateway/follow/follower.go
+++ b/gateway/follow/follower.go
@@ -33,7 +33,7 @@
 	seeds        atomic.Pointer[[]string]
 	client       *http.Client
 	clients      map[string]bspbconnect.GatewayClient
-	sourceFailed bool                 // whether no node with recent data is followed
+	sourceFailed bool                 // the last call to a source failed; changes are logged
 	current      string               // address of the last source that had recent data; empty if there is none
 	avoidUntil   map[string]time.Time // time until which a source is not followed, by address
 	// knownFollowers is the hash of this node's followers that each source knows, by
@@ -60,8 +60,9 @@
 	// avoidRelay is how long a failed relay is not followed: about the time that the lessor
 	// needs to report that the relay is gone.
 	avoidRelay = 3 * time.Second
-	// avoidLessor is the corresponding time for the lessor. A lessor that is gone is
-	// replaced within two seconds; otherwise its relays should not be without it for long.
+	// avoidLessor is the corresponding time for the lessor. It is shorter, because a lessor
+	// that is gone is replaced within two seconds, and if it is not gone, its relays should
+	// follow it again soon.
 	avoidLessor = time.Second
 )
 
@@ -105,8 +106,9 @@
 	return ""
 }
 
-// pollSource makes one call to the followed node and reports whether there is one. If the
-// call fails, or the response has no recent data, another node is followed next.
+// pollSource makes one call to the followed node. If the call fails, or the response has no
+// recent data, another node is followed next. It returns true if the caller should poll again
+// at once: the response had recent data, or another source has not failed recently.
 func (f *Follower) pollSource(ctx context.Context) bool {
 	if f.Reader.lessor.Load() {
 		return false
@@ -138,8 +140,8 @@
 	return true
 }
 
-// source returns the best source that has not failed recently. If all have failed, it
-// returns the best source.
+// source returns the best source that is not avoided. If all are avoided, it returns the best
+// one.
 func (f *Follower) source(now time.Time) (best source, found bool) {
 	list := sources(f.Self, f.State.Now(), *f.seeds.Load())
 	for _, s := range list {
@@ -249,9 +251,9 @@
 	}
 }
 
-// contactTime returns the time up to which the other node knew the store. The part of the
-// call's duration in which the other node did not hold the request may be the response's
-// time in flight.
+// contactTime returns the time of the other node's latest contact with the store. The time
+// that the request was not held by the other node is subtracted in full, because all of it
+// may have passed while the response was in flight.
 func contactTime(reply *bspb.FollowReply, startedAt time.Time) time.Time {
 	inFlight := max(clock.Since(startedAt)-time.Duration(reply.HeldMs)*time.Millisecond, 0)
 	age := time.Duration(reply.ContactAgeMs)*time.Millisecond + inFlight
--- a/gateway/follow/incarnations_test.go
+++ b/gateway/follow/incarnations_test.go
@@ -16,7 +16,7 @@
 	"github.com/burdockspindle/burdockspindle/gateway/view"
 )
 
-// jsonCodec decodes entries that are site.Entry values in JSON.
+// jsonCodec decodes entries that are site.RegistryEntry values in JSON.
 type jsonCodec struct{}
 
 // Config implements view.Codec.
--- a/gateway/follow/routes_test.go
+++ b/gateway/follow/routes_test.go
@@ -126,7 +126,7 @@
 	g.Expect(found).To(gomega.BeFalse())
 }
 
-// The remaining time of a silent range is measured from the response, so an earlier message
+// The remaining time of an unresponsive range is measured from the response, so an earlier message
 // must not be reused.
 func TestRemainingTimeOfUnresponsiveRangeIsNotReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/gateway/pool/queue.go
+++ b/gateway/pool/queue.go
@@ -27,7 +27,7 @@
 	Deadline       time.Time       // time after which a response has no value
 	OnlyServer     site.ServerID   // the only server that may run it; empty: any
 	Tried          []site.ServerID // incarnations of servers that have been tried
-	AtMostOnce     bool            // it must not run twice, so that a failure of its server loses it
+	AtMostOnce     bool            // the request must not run twice; if its server fails, it is lost
 	ChargedToShare bool            // it has been charged to the share of its server
 }
 
@@ -54,7 +54,7 @@
 	Server site.Server
 }
 
-// Refusal describes why a request is not queued, and when the caller should retry.
+// Refusal describes why a request gets no slot, and when the caller should retry.
 type Refusal struct {
 	Reason     Reason
 	RetryAfter time.Duration
@@ -113,7 +113,8 @@
 	return &Admission{Waiter: w, Server: m.Server}
 }
 
-// countAhead counts the waiters that precede a request for the same servers.
+// countAhead counts the waiters that precede w. For a request that only one server may run,
+// it counts only the waiters for that server.
 func (p *Pool) countAhead(w *Waiter, now time.Time) int {
 	count := 0
 	for _, other := range p.queue {
@@ -160,7 +161,7 @@
 }
 
 func (t throughput) wait(ahead int) time.Duration {
-	if t.rate == 0 {
+	if t.rate == 0 { // no server: the wait is unknown
 		return maxRetryAfter
 	}
 	return time.Duration((float64(ahead+1)/t.rate + t.slowestSeconds/2) * float64(time.Second))
@@ -176,14 +177,14 @@
 }
 
 // Evict removes the waiters that can no longer be answered before their deadline, and returns
-// them with a retry delay. It covers a key that becomes hot while requests wait: later
-// requests can still be answered by their target and are sent first, and the remaining ones
-// should be refused at once.
+// them with a retry delay. This is needed when a key becomes hot while requests wait: newer
+// requests, which can still meet their target, are sent first, so the older ones would only
+// wait until their deadline and should be refused at once.
 //
 // Waiters are examined in the order in which they are sent, so that an evicted one does not
 // count against those behind it, and are compared with each other only by the sort. Evict
-// runs at the end of every request: comparing every pair took 2.1 ms with 400 waiters, most
-// of a weak VM's processor at 50 requests per second.
+// runs at the end of every request: comparing every pair of 400 waiters would take 2.1 ms
+// each time, most of a weak VM's processor at 50 requests per second.
 func (p *Pool) Evict(now time.Time) []Eviction {
 	var evictions []Eviction
 	throughputs := map[site.ServerID]throughput{}
--- a/gateway/ranges/allocator.go
+++ b/gateway/ranges/allocator.go
@@ -40,8 +40,9 @@
 	earlierIncarnationUntil time.Time
 	confirmed               bool // the owner has answered a grant under this fence
 	failures                int  // consecutive grants without a response
-	// unacceptedSince is when the owner's process was first found not to accept a
-	// connection that its machine has established; zero if it accepts connections.
+	// unacceptedSince is when the owner's process was first observed not to accept a
+	// connection that the kernel of its machine had established; zero if it accepts
+	// connections.
 	unacceptedSince time.Time
 	next            site.ServerID
 	releaseAt       time.Time     // when the release is sent
@@ -58,10 +59,10 @@
 }
 
 // unresponsiveCooldown is how long a server that did not respond gets no range while other
-// servers can take it. A server that the lessor cannot reach may stay in the registry. It
-// owns the fewest keys, so it would get its keys back each time their holds expire, and
-// each attempt leaves a range without an owner for a hold. The cooldown is longer than a
-// new lessor waits for the holds of such a server.
+// servers can take it. A server that the lessor cannot reach may stay in the registry.
+// Such a server has lost its keys, so it owns the fewest and would be chosen again each
+// time; each attempt leaves a range without an owner for a hold. The cooldown is longer than
+// a new lessor waits for the holds of such a server.
 const unresponsiveCooldown = 15 * time.Second
 
 // acceptTimeout is how long an owner whose machine establishes connections may leave one
@@ -103,12 +104,13 @@
 	// serial is incremented whenever the result of Routes changes.
 	serial       uint64
 	incarnations incarnations
-	// excludedUntil is when each server that did not respond may get ranges again.
+	// excludedUntil is until when each server that did not respond gets ranges only if there
+	// is no other server.
 	excludedUntil map[site.ServerID]time.Time
 }
 
 // PreviousHold returns how long after a claim grants of a previous lessor may be in force:
-// its grant period plus a hold.
+// its grant period plus the maximum time that a grant sent at its end is in force.
 func (t Timing) PreviousHold() time.Duration { return t.GrantPeriod + t.HoldAfterExit() }
 
 // HoldAfterExit returns how long after the end of a lessor's process its grants may be in
@@ -119,8 +121,9 @@
 // may fire late.
 const idleMargin = 200 * time.Millisecond
 
-// PreviousHoldAfterIdle returns the same for a claim on an ownership topic without new records
-// for the given duration: the grant period of the previous lessor began before that.
+// PreviousHoldAfterIdle returns PreviousHold for a claim on an ownership topic that has had
+// no new record for the idle duration. The previous lessor's grant period began at or before
+// its last record, so that duration (less idleMargin) has already passed.
 func (t Timing) PreviousHoldAfterIdle(idle time.Duration) time.Duration {
 	return max(t.PreviousHold()-max(idle-idleMargin, 0), 0)
 }
@@ -147,8 +150,9 @@
 	Span
 	Server site.ServerID
 	State  RouteState
-	// Until is set for an unresponsive range. It is the latest time at which the range gets
-	// another owner if the present owner does not respond again.
+	// Until is set for an unresponsive range. It is the time at which the range is expected
+	// to get another owner if the present owner does not respond again; it may be later if a
+	// grant still waits in the lessor's own link.
 	Until time.Time
 }
 
@@ -273,8 +277,10 @@
 	return call, true
 }
 
-// grantHold returns the hold of the next grant of a range. A grant to a server that may be
-// lost must not extend the wait for the server's holds, unless no grant is in force.
+// grantHold returns the hold of the next grant of a range. The hold of a grant to a server
+// that is leaving or has not responded must end before the holds in force do, so that the
+// range can be reassigned no later. If no grant is in force, the server is not leaving, and
+// fewer than failuresToExpire grants have failed, it gets a full hold.
 func (alloc *Allocator) grantHold(l *rangeState, leaving bool, now time.Time) time.Duration {
 	isUnheld := !leaving && l.failures < failuresToExpire && !now.Before(l.inForceUntil())
 	if isUnheld || l.failures == 0 && !leaving {
@@ -284,7 +290,7 @@
 	return min(time.Duration(float64(left)/(1+clockDrift)), alloc.currentHold)
 }
 
-// minHold is the shortest hold that is worth a call.
+// minHold is the shortest hold for which a grant is sent.
 const minHold = 50 * time.Millisecond
 
 // Result is the result of a call.
@@ -387,7 +393,7 @@
 	return l.uncertainInForceUntil()
 }
 
-// sortByKey sorts the leases of a service by their keys.
+// sortByKey sorts the ranges of a service by their keys.
 func sortByKey(leases []*rangeState) []*rangeState {
 	slices.SortFunc(leases, func(a, b *rangeState) int { return int(a.From - b.From) })
 	return leases
--- a/gateway/ranges/plan.go
+++ b/gateway/ranges/plan.go
@@ -13,8 +13,8 @@
 	Services map[site.ServiceName]site.Service
 	Servers  map[site.ServerID]site.Server // currently registered
 	Known    map[site.ServerID]site.Server // registered at any time
-	// Writable is set if the store has recently accepted an append. A range that is
-	// released while the store accepts none has no owner until it does.
+	// Writable is set if the store has recently accepted an append. If the store accepts no
+	// append, a released range has no owner until the store accepts one again.
 	Writable bool
 	// Settled is set if no servers have recently been added to the registry. The keys of a
 	// service without ranges are divided among the servers that are registered then.
@@ -29,8 +29,9 @@
 	apply []func()
 }
 
-// Plan decides which ranges change their owner or fence by an append at an offset. It
-// returns nil if none does. It also starts releases, which Calls then returns.
+// Plan decides which ranges change their owner or fence with the next append. fence is the
+// offset of that append. It returns nil if none does. It also creates the ranges of a service
+// that has none, and starts releases, which Calls then returns.
 func (alloc *Allocator) Plan(s Site, fence Fence, now time.Time) *Change {
 	change := &Change{}
 	for _, restart := range alloc.incarnations.observe(s.Servers, now) {
@@ -110,8 +111,8 @@
 	return moves
 }
 
-// startReleases starts to release the ranges of servers that are leaving, and those that
-// balancing moves.
+// startReleases starts to release the ranges of servers that are leaving, and the ranges
+// that are moved to balance the load.
 func (alloc *Allocator) startReleases(service site.ServiceName, s Site, servers []site.Server, now time.Time) {
 	for _, l := range alloc.leases[service] {
 		_, isEarlier := LaterIncarnation(s.Servers, l.Server)
@@ -138,7 +139,7 @@
 	return l.Server != "" && (!registered || server.Draining)
 }
 
-// split splits a lease and returns the lease of the span, and the leases of the remaining
+// split splits a range, and returns the states of the ranges of the span and of the remaining
 // keys.
 func (alloc *Allocator) split(l *rangeState, span Span) (cut *rangeState, rest []*rangeState) {
 	if l.Span == span {
@@ -204,8 +205,8 @@
 	return l.handover
 }
 
-// canReassign reports whether the holds of an unresponsive or unregistered owner have
-// expired.
+// canReassign reports whether the holds of an unresponsive, unregistered or draining owner
+// have expired, or another server has the owner's address.
 func (l *rangeState) canReassign(s Site, now time.Time) bool {
 	if l.phase == releasing || l.phase == released {
 		return false
@@ -214,8 +215,9 @@
 }
 
 // addressTaken reports whether a server with another name has the owner's address. The
-// owner has then ended, and no call can reach a later incarnation of it there. An entry of
-// a service that no configuration contains comes from another writer and proves nothing.
+// owner has then ended, and no call can reach a later incarnation of it there. A
+// registry entry for a service that is not configured is ignored: it was written by a process
+// that is not part of the site.
 func (l *rangeState) addressTaken(s Site, now time.Time) bool {
 	if now.Before(l.earlierInForceUntil()) {
 		return false
@@ -241,8 +243,9 @@
 	})
 }
 
-// afterChange returns the lease after a change. Grants that may be in force at the owner
-// remain in force as long as the owner's name stays the same.
+// afterChange returns the state of the range after a change. Grants that may be in force are
+// carried over if the new owner is the same server or another incarnation of it. Otherwise
+// none is in force: the range was released, its holds have expired, or it had no owner.
 func (l *rangeState) afterChange(next Assignment, now time.Time) rangeState {
 	c := rangeState{Assignment: next, service: l.service, movedAt: l.movedAt, surgeSince: l.surgeSince, surgeUntil: l.surgeUntil}
 	c.heldUntil, c.inFlight, c.uncertainUntil = l.heldUntil, l.inFlight, l.uncertainUntil
@@ -254,7 +257,7 @@
 	case l.Server.Name() == next.Server.Name():
 		c.earlierIncarnationUntil = l.inForceUntil()
 		c.movedAt = now
-	default: // nobody holds the range: it was released, has expired or never had an owner
+	default: // no grant is in force
 		c.heldUntil, c.uncertainUntil, c.earlierIncarnationUntil = now, time.Time{}, time.Time{}
 		c.inFlight = nil
 		c.previousUntil, c.previousUncertainUntil = now, time.Time{}
--- a/gateway/ranges/usage.go
+++ b/gateway/ranges/usage.go
@@ -22,7 +22,7 @@
 	utilization float64
 	deviation   float64 // standard deviation of the utilization that follows from the random variation of the counts
 	ranges      int
-	leases      []*rangeState // leases that the server owns and keeps
+	leases      []*rangeState // ranges that the server owns and keeps
 }
 
 // measure returns the load of each server. A range that is moving is included in the load
--- a/gateway/router/dispatch.go
+++ b/gateway/router/dispatch.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// hedgeFactor is the multiple of the typical request time after which an idempotent
+	// hedgeFactor is the multiple of the mean service time after which an idempotent
 	// request without an answer is also sent to a second server.
 	hedgeFactor = 3.0
 	// hedgeTargetShare is the least share of the latency objective that passes before a hedge.
@@ -18,7 +18,7 @@
 	// hedgeRetryInterval is how often a request whose server accepts no connection asks for a
 	// slot at another server. It is about the interval between changes of the view.
 	hedgeRetryInterval = 100 * time.Millisecond
-	// probeFactor is the multiple of the typical request time without an answer after which
+	// probeFactor is the multiple of the mean service time without an answer after which
 	// the server is probed with a new connection; minProbeDelay is the least delay.
 	probeFactor   = 2.0
 	minProbeDelay = 250 * time.Millisecond
--- a/gateway/router/router.go
+++ b/gateway/router/router.go
@@ -313,7 +313,7 @@
 	return server, ok
 }
 
-// meanServiceTime returns the typical duration of a request.
+// meanServiceTime returns the mean service time of a request.
 func (s *service) meanServiceTime() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/gateway/router/run.go
+++ b/gateway/router/run.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// minTimeShare is the share of the typical service time that must remain until the
-	// deadline for a request to keep waiting: many requests are shorter than typical.
+	// minTimeShare is the share of the mean service time that must remain until the deadline
+	// for a request to keep waiting: many requests take less than the mean.
 	minTimeShare = 0.5
-	// ownerRetryDelay bounds the wait for a view change after the owner of a key refused,
-	// and is the Retry-After of requests for a key without an owner.
+	// ownerRetryDelay bounds the wait for a view change after the owner of a key refused a
+	// request, and is the Retry-After of requests for a key without an owner.
 	ownerRetryDelay = 250 * time.Millisecond
 	// ownerTimeout bounds how long a request waits for the next owner of its key. A
-	// handover takes as long as the requests in flight for the key.
+	// handover ends when the requests in flight for the key have ended.
 	ownerTimeout = time.Second
 	// reassignmentMargin is added to the time after which the keys of an unresponsive
 	// owner are reassigned, for the append to the log and the grant.
--- a/limit/seed_test.go
+++ b/limit/seed_test.go
@@ -2,6 +2,5 @@
 
 import "flag"
 
-// The fixed seed generates the same cases in every run; -rapid.seed=N overrides
-// it.
+// Generated cases are the same in every run; -rapid.seed=N selects others.
 func init() { _ = flag.Set("rapid.seed", "1") }
--- a/load/table.go
+++ b/load/table.go
@@ -24,8 +24,8 @@
 }
 
 // Table averages the observations of one node: rates and busy times of shards and
-// servers, and the hottest keys of each service. It is the part of Recorder
-// without concurrency, and not safe for concurrent use.
+// servers, and the hottest keys of each service. It is not safe for
+// concurrent use: a Recorder uses it in a single goroutine.
 type Table struct {
 	config       Config
 	meanLifetime float64 // mean lifetime of an observation, in seconds
@@ -37,9 +37,9 @@
 
 // serverMeter averages the attempts at one server.
 type serverMeter struct {
-	run      meter
-	failures meter
-	shed     meter
+	run      meter // attempts that may have run
+	failures meter // of these, attempts with an unknown outcome
+	shed     meter // attempts not run, and requests refused before they were sent
 }
 
 // ln2 converts a half-life to a mean lifetime.
@@ -56,7 +56,8 @@
 	}
 }
 
-// Observe counts one attempt that occupied a slot at a server; see Observer.
+// Observe counts one attempt at a server; an attempt that was not run counts only
+// as shed. See Observer.
 func (t *Table) Observe(
 	now time.Time, shard topo.ShardID, key string, server topo.ServerID,
 	busy time.Duration, outcome serverapi.Outcome,
@@ -95,7 +96,7 @@
 		return
 	}
 	server.shed.observe(now, 0, t.meanLifetime)
-	server.shed.count += float64(count - 1)
+	server.shed.count += float64(count - 1) // observe has counted one of them
 }
 
 func (t *Table) observeShard(now time.Time, shard topo.ShardID, busy time.Duration) {
@@ -121,7 +122,7 @@
 }
 
 // Expire drops the averages that have become negligible, so that shards and
-// servers without recent requests at this node do not occupy the table.
+// servers at which no request has recently run do not occupy the table.
 func (t *Table) Expire(now time.Time) {
 	for id, m := range t.shards {
 		if rate, _ := m.rates(now, t.meanLifetime); rate < negligibleRate {
--- a/modules/gateway/isolation.go
+++ b/modules/gateway/isolation.go
@@ -52,7 +52,7 @@
 	return sample
 }
 
-// sampleOtherZones returns up to isolation.Tries random nodes of other zones.
+// sampleOtherZones returns up to isolation.MaxProbes random nodes of other zones.
 func sampleOtherZones(self view.Member, members []view.Member) []view.Member {
 	var others []view.Member
 	for _, m := range members {
--- a/modules/membership/duty.go
+++ b/modules/membership/duty.go
@@ -28,15 +28,14 @@
 	logger  hclog.Logger
 	answers *ring.Ring[nodeAnswer]
 	lists   *ring.Ring[vmList]
-	// targets is the []topo.NodeID that the watcher calls. wantsList is true while
-	// the reader reads the VM list.
+	// targets is the []topo.NodeID that the watcher calls. wantsList tells the
+	// reader whether to read the VM list.
 	targets   atomic.Value
 	wantsList atomic.Bool
 
 	live   *core.Liveness
 	roster *core.Roster
-	// ringView is the view from which nodeRing was made. It is remade for each new
-	// view.
+	// nodeRing is made from ringView, and again for each new view.
 	ringView  *state.View
 	nodeRing  core.NodeRing
 	heldRoles map[core.Role]bool
@@ -144,6 +143,7 @@
 	d.module.published.Store(next)
 }
 
+// updateHeldRoles records which roles this node holds, and logs changes.
 func (d *duty) updateHeldRoles() {
 	for _, role := range []core.Role{core.RoleServers, core.RolePlanner} {
 		holds := d.module.Holds(role)
--- a/modules/pick/pick.go
+++ b/modules/pick/pick.go
@@ -12,7 +12,7 @@
 const Namespace = "pick"
 
 // Parameters of the pickers. A probe budget gains probesPerRequest for each
-// request and saves at most probesSaved. pushHigh and pushLow are loads relative
+// request and saves at most maxSavedProbes. pushHigh and pushLow are loads relative
 // to the limit of a server.
 const (
 	dChoices         = 2
--- a/modules/router/flight.go
+++ b/modules/router/flight.go
@@ -24,7 +24,8 @@
 	timer *time.Timer
 }
 
-// trace records when the request gets a connection, and every 1xx response.
+// trace returns a trace that records the request's connection; a connection or a
+// 1xx response restarts the stall timeout.
 func (f *flight) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
@@ -95,8 +96,8 @@
 	}
 }
 
-// guardedBody aborts an answer's body that makes no progress, and ends the
-// forward when it is closed.
+// guardedBody aborts the forwarded request if reading the answer's body makes no
+// progress, and cancels it when the body is closed.
 type guardedBody struct {
 	io.ReadCloser
 	flight *flight
--- a/modules/router/routertest/behaviour.go
+++ b/modules/router/routertest/behaviour.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// Echo answers with the request's ID and the caller's ID as the body, so that an
-// answer that reached another caller is detected.
+// Echo answers with the request's ID in the header and the caller's ID as the
+// body, so that an answer that reached another caller is detected.
 func Echo(_ context.Context, req backend.Request) (*backend.Response, error) {
 	return responseTo(req, http.StatusOK, req.Header.Get("X-Caller-Id")), nil
 }
@@ -49,17 +49,18 @@
 	}
 }
 
-// Unreachable refuses connections.
+// Unreachable fails at once, as if the connection was refused.
 func Unreachable(context.Context, backend.Request) (*backend.Response, error) {
 	return nil, &backend.AttemptError{Sent: false, Cause: io.ErrClosedPipe}
 }
 
-// Lost loses the answer after the request was sent.
+// Lost fails as if the connection ended after the request was sent.
 func Lost(context.Context, backend.Request) (*backend.Response, error) {
 	return nil, &backend.AttemptError{Sent: true, Cause: io.ErrUnexpectedEOF}
 }
 
-// Unresponsive receives requests over a connection that makes no progress.
+// Unresponsive fails at once, as if the request was sent on a connection that
+// then made no progress.
 func Unresponsive(context.Context, backend.Request) (*backend.Response, error) {
 	return nil, &backend.AttemptError{Sent: true, Unresponsive: true, Cause: io.ErrNoProgress}
 }
@@ -95,7 +96,8 @@
 
 func (failingReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// Delayed delays each request by the service time, and stops when it is canceled.
+// Delayed delays each request by the service time, and fails if the request is
+// canceled first.
 func Delayed(serviceTime time.Duration, then Behaviour) Behaviour {
 	return func(ctx context.Context, req backend.Request) (*backend.Response, error) {
 		timer := time.NewTimer(serviceTime)
--- a/planner/tracker.go
+++ b/planner/tracker.go
@@ -156,14 +156,14 @@
 	}
 }
 
-// Moving implements load.Planned. A hash range from which a key is being split
+// Moving implements load.PlannedMoves. A hash range from which a key is being split
 // out is treated as moving too.
 func (t *Tracker) Moving(id topo.ShardID) bool {
 	_, inFlight := t.moving[id]
 	return inFlight || t.splitsByRange[id] > 0
 }
 
-// Changed implements load.Planned. It returns the time of the first sample at
+// Changed implements load.PlannedMoves. It returns the time of the first sample at
 // which the record that set the current fence was applied, or the zero time if
 // that record is older than the samples.
 func (t *Tracker) Changed(id topo.ShardID) time.Time {
--- a/route/routetest/site.go
+++ b/route/routetest/site.go
@@ -13,7 +13,7 @@
 	bspb "github.com/burdockspindle/burdockspindle/proto/burdockspindle/v1"
 )
 
-// writer is the writer of every record.
+// writer is the writer ID of every record.
 const writer = "test@1"
 
 // Site is a sitefake.Site with methods that apply the records which tests of the
@@ -77,7 +77,9 @@
 	return led.Term
 }
 
-// Assign assigns a shard to a server and returns the shard's fence.
+// Assign assigns a shard to a server and returns the shard's fence. The record is
+// written under the term of the previous owner's group, or of the new owner's if
+// there is none. A key that is not split out yet has the fence of its hash range.
 func (s *Site) Assign(shard topo.ShardID, owner, standby topo.ServerID) topo.Fence {
 	view := s.View()
 	current, exists := view.Shard(shard)
--- a/siteconfig/seed_test.go
+++ b/siteconfig/seed_test.go
@@ -2,6 +2,5 @@
 
 import "flag"
 
-// init fixes the seed, so that every run generates the same cases; -rapid.seed=N
-// generates others.
+// Generated cases are the same in every run; -rapid.seed=N selects others.
 func init() { _ = flag.Set("rapid.seed", "1") }
--- a/state/apply_servers.go
+++ b/state/apply_servers.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// removeReference undoes useServer and drops a removed server that no assignment
+// removeReference undoes addReference and drops a removed server that no assignment
 // names any longer.
 func (s *State) removeReference(id topo.ServerID) {
 	known, exists := s.serverRecords[id]
--- a/state/view.go
+++ b/state/view.go
@@ -61,8 +61,8 @@
 	// EarliestActiveTerm is the offset of the earliest term whose lessor may still be
 	// active; see View.DisconnectedLimit.
 	EarliestActiveTerm topo.Offset
-	// Previous lists the incarnations of earlier terms; nil in the first term and
-	// when they are not known.
+	// Previous lists the lessors' incarnations in earlier terms; nil in the first
+	// term and when they are not known.
 	Previous *PreviousLessors
 }
 
